--- /dev/null
+++ b/brain/digest_test.go
@@ -0,0 +1,659 @@
+package brain_test
+
+import (
+	"fmt"
+	"math"
+	"math/rand"
+	"slices"
+	"testing"
+
+	"lichenpick/brain"
+	"lichenpick/internal/golden"
+)
+
+const (
+	startMs       = 1e6     // policy time at which a scenario begins
+	stepMs        = 200.0   // between two times that the policy is told
+	quietStepMs   = 2000.0  // the same from quietFromMs to quietUntilMs, in which nothing but time is waited for
+	scenarioMs    = 825e3   // longer than a gone server is remembered, 600 s, after the drain at drainAtMs
+	digestMs      = 30e3    // of a line of the digest
+	reportEveryMs = 1000.0  // between load reports of a server, and of a proxy
+	reportPhases  = 5       // steps in that time; reports are spread over them
+	churnEveryMs  = 12e3    // mean time between random events
+	mostDecisions = 100_000 // at one time; more are decisions without end
+)
+
+// Times of a scenario's phases, in ms from its start. What else happens is drawn from the scenario's seed.
+const (
+	listAtMs         = 2e3   // the first complete list from discovery
+	failAtMs         = 30e3  // a warm server fails every request for failForMs
+	failForMs        = 20e3  //
+	slowAtMs         = 55e3  // a server is slowerBy times slower for slowForMs
+	slowForMs        = 15e3  //
+	slowerBy         = 6.0   //
+	earlyRestartMs   = 72e3  // the planner restarts here, or at lateRestartMs
+	coldAtMs         = 80e3  // a cold server joins
+	unknownAtMs      = 85e3  // a server joins that gives no start time
+	surgeAtMs        = 100e3 // demand is surgeBy times as high for surgeForMs
+	surgeForMs       = 30e3  //
+	surgeBy          = 2.6   //
+	drainAtMs        = 140e3 // a server drains, and is gone goneAfterMs later
+	goneAfterMs      = 5e3   //
+	missingAtMs      = 150e3 // a complete list leaves a server out
+	takeOverAtMs     = 160e3 // proxies come over from another planner
+	zoneShiftAtMs    = 170e3 // demand moves to zone 0 for zoneShiftForMs
+	zoneShiftForMs   = 20e3  //
+	slowChannelAtMs  = 195e3 // acknowledgements take seconds for slowChannelForMs
+	slowChannelForMs = 25e3  //
+	behindAtMs       = 225e3 // the planner hears late for behindForMs
+	behindForMs      = 10e3  //
+	failedListsAtMs  = 240e3 // calls for the list fail
+	coldRestartsAtMs = 250e3 // servers restart under their old names
+	quietFromMs      = 262e3 // nothing happens but churn, until the servers that are gone are forgotten
+	quietUntilMs     = 762e3 //
+	returnAtMs       = 780e3 // a server that was forgotten comes back
+	lateRestartMs    = 795e3 //
+)
+
+// scenario is one seeded fleet and what its planner is configured with.
+type scenario struct {
+	name         string
+	seed         int64
+	serverCount  int
+	proxyCount   int
+	requests     float64 // per second and proxy, in calm
+	earlyRestart bool
+	settings     brain.Settings
+}
+
+func scenarios() []scenario {
+	small := digestSettings(2, 6)
+	wide := digestSettings(3, 9)
+	wide.Groups = append(wide.Groups, brain.TrafficGroup{BudgetMs: 400, Utility: 3, Repeat: brain.Deduped, OnlyZone: true})
+	wide.CrossPrice = 0.1
+	wide.MustFollow = true
+	many := digestSettings(1, 12)
+	many.ChannelRate = 150
+	many.DefaultRetry = brain.RetryTwice
+	many.EndsByLine = true
+	shared := digestSettings(4, 16)
+	shared.Planners = 2
+	shared.EndsByLine = true
+	tight := digestSettings(2, 8)
+	tight.MostMessages = 8
+	tight.MostWaiting = 900
+	tight.ChannelRate = 600
+	tight.DefaultRetry = brain.RetryOnce
+	return []scenario{
+		{name: "two zones", seed: 1, serverCount: 8, proxyCount: 6, requests: 20, settings: small},
+		{name: "three zones, one traffic group stays in its zone", seed: 2, serverCount: 12, proxyCount: 9, requests: 15, settings: wide},
+		{name: "short tables", seed: 3, serverCount: 22, proxyCount: 12, requests: 12, settings: many},
+		{name: "half the proxies of two planners", seed: 4, serverCount: 14, proxyCount: 8, requests: 18, earlyRestart: true, settings: shared},
+		{name: "narrow channel", seed: 5, serverCount: 10, proxyCount: 8, requests: 25, settings: tight},
+	}
+}
+
+func digestSettings(zones, proxies int) brain.Settings {
+	return brain.Settings{
+		Zones: zones,
+		Groups: []brain.TrafficGroup{
+			{BudgetMs: 600, Utility: 1, Repeat: brain.Retriable},
+			{BudgetMs: 1000, Utility: 5, Repeat: brain.NonRetriable},
+		},
+		DefaultRetry:  brain.RetryProven,
+		CanAdmit:      true,
+		AskWithinMs:   10e3,
+		ChannelRate:   2500,
+		HeadLines:     4,
+		MostWaiting:   3500,
+		MostMessages:  20,
+		MessageSpanMs: 10e3,
+		LongestWayMs:  1000,
+		ReportEveryMs: 1000,
+		ColdShare:     0.2,
+		WarmUpMs:      16e3,
+		GraceMs:       3000,
+		FallMs:        3000,
+		Proxies:       proxies,
+		Planners:      1,
+		LeastConns:    300,
+		IdleMs:        15e3,
+	}
+}
+
+// simServer is a server of the model: its latency rises with its load, and what exceeds its capacity fails.
+type simServer struct {
+	brain.Entry
+	baseMs      float64
+	capacity    float64 // requests per second
+	phase       int     // step within a report period at which its reports come
+	failUntilMs float64
+	slowUntilMs float64
+	firstWeight float64 // first weight sent since its last start
+	unlisted    bool
+}
+
+// simProxy is a joined proxy of the model.
+type simProxy struct {
+	id, zone int
+	tables   []map[string]float64 // by traffic group; nil where it holds none
+	pushes   []float64            // policy times of its last messages
+	joined   bool
+}
+
+type acknowledgement struct {
+	atMs, tookMs  float64
+	proxy, number int
+}
+
+// observed counts what a scenario must contain for its digest to cover it.
+type observed struct {
+	ejections, returns     int // of warm servers that are ready in the list
+	slowStarts             int // weights of a cold server that were at least twice its first
+	admissionCuts, restore int
+	overloads              int // reports of servers that got more than they can serve
+	drains, forgotten      int
+	binds, receipts        int
+	followed               int
+	busiest                int // decisions at one time
+}
+
+// simulation drives a planner with a closed loop and records each of its decisions.
+type simulation struct {
+	scenario
+	planner     *brain.Planner
+	random      *rand.Rand // of the model alone
+	nowMs       float64    // policy time
+	servers     []*simServer
+	proxies     []*simProxy
+	tables      map[int]map[string]float64 // of the planner since its last start
+	withdrawn   map[string]bool
+	levels      []float64
+	answers     []acknowledgement
+	asked       bool // the list was asked for
+	slowChannel bool
+	digest      *golden.Digest
+	observed    observed
+}
+
+func newSimulation(s scenario) *simulation {
+	simulated := &simulation{
+		scenario: s,
+		random:   rand.New(rand.NewSource(s.seed)),
+		nowMs:    startMs,
+		digest:   golden.NewDigest(fmt.Sprintf("seed=%d", s.seed), digestMs),
+	}
+	for index := range s.serverCount {
+		name := fmt.Sprint("s", index)
+		simulated.servers = append(simulated.servers, simulated.newServer(name, index%s.settings.Zones))
+	}
+	for id := range s.proxyCount {
+		simulated.proxies = append(simulated.proxies, &simProxy{id: id, zone: id % s.settings.Zones})
+	}
+	simulated.startPlanner(s.seed)
+	return simulated
+}
+
+// newServer makes one of random size. In calm the fleet has some 1.6 times the capacity that its demand needs.
+func (s *simulation) newServer(name string, zone int) *simServer {
+	size := 0.6 + 0.8*s.random.Float64()
+	demand := s.requests * float64(s.proxyCount) / float64(s.serverCount)
+	return &simServer{
+		Entry:    brain.Entry{Server: name, Zone: zone, Size: size},
+		baseMs:   60 + 60*s.random.Float64(),
+		capacity: 1.6 * size * demand,
+		phase:    s.random.Intn(reportPhases),
+	}
+}
+
+// startPlanner starts a planner anew. Proxies keep the tables that they hold.
+func (s *simulation) startPlanner(seed int64) {
+	s.planner = brain.New(s.settings, seed)
+	s.planner.Tick(s.nowMs)
+	s.tables = map[int]map[string]float64{}
+	s.withdrawn = map[string]bool{}
+	s.levels = slices.Repeat([]float64{1}, len(s.settings.Groups))
+	s.answers = nil
+	s.planner.Listed(brain.Restored, s.list())
+}
+
+// list is what discovery would name: every server but those that it left out, and gone ones.
+func (s *simulation) list() []brain.Entry {
+	var entries []brain.Entry
+	for _, server := range s.servers {
+		if !server.unlisted && server.State != brain.Gone {
+			entries = append(entries, server.Entry)
+		}
+	}
+	return entries
+}
+
+// stepMs is the time to the next step.
+func (s *simulation) stepMs() float64 {
+	if within(s.elapsed(), quietFromMs, quietUntilMs-quietFromMs) {
+		return quietStepMs
+	}
+	return stepMs
+}
+
+// periodMs is the time that a report covers.
+func (s *simulation) periodMs() float64 { return math.Max(reportEveryMs, s.stepMs()) }
+
+func (s *simulation) elapsed() float64 { return s.nowMs - startMs }
+
+func (s *simulation) record(format string, args ...any) {
+	s.digest.Add(s.elapsed(), format, args...)
+}
+
+func (s *simulation) find(name string) *simServer {
+	index := slices.IndexFunc(s.servers, func(server *simServer) bool { return server.Server == name })
+	return s.servers[index]
+}
+
+// The simulation carries out decisions as proxies would.
+
+func (s *simulation) SetLine(table int, name string, weight float64) {
+	s.record("weight %d %s %g", table, name, weight)
+	if s.tables[table] == nil {
+		s.tables[table] = map[string]float64{}
+	}
+	s.tables[table][name] = weight
+	server := s.find(name)
+	if weight == 0 || server.BornMs == 0 {
+		return
+	}
+	if server.firstWeight == 0 {
+		server.firstWeight = weight
+	} else if s.nowMs-server.BornMs < 2*s.settings.WarmUpMs && weight >= 2*server.firstWeight {
+		s.observed.slowStarts++
+	}
+}
+
+func (s *simulation) Bind(proxy, table int, groups []int) {
+	s.record("bind %d %d %d", proxy, table, groups)
+	for _, group := range groups {
+		s.proxies[proxy].tables[group] = s.tables[table]
+	}
+	s.proxies[proxy].pushes = append(s.proxies[proxy].pushes, s.nowMs)
+	s.observed.binds++
+}
+
+func (s *simulation) Withdraw(name string, out bool) {
+	s.record("withdraw %s %t", name, out)
+	s.withdrawn[name] = out
+	server := s.find(name)
+	warm := s.nowMs-server.BornMs > s.settings.WarmUpMs
+	switch {
+	case out && server.State == brain.Ready && warm:
+		s.observed.ejections++
+	case out && server.State != brain.Ready:
+		s.observed.drains++
+	case !out && server.State == brain.Ready:
+		s.observed.returns++
+	case !out && server.State == brain.Gone:
+		s.observed.forgotten++
+	}
+}
+
+func (s *simulation) Admit(table, group int, share float64, retry int) {
+	s.record("admit %d %d %g %d", table, group, share, retry)
+	if share < s.levels[group] {
+		s.observed.admissionCuts++
+	}
+	if share > s.levels[group] {
+		s.observed.restore++
+	}
+	s.levels[group] = share
+}
+
+// Receipt has every joined proxy acknowledge, as the host does not say who got a message. Some answers are lost.
+func (s *simulation) Receipt(number int) {
+	s.record("acknowledge %d", number)
+	s.observed.receipts++
+	for _, proxy := range s.proxies {
+		tookMs := 100 + 500*s.random.Float64()
+		if s.slowChannel {
+			tookMs += 4000
+		}
+		if proxy.joined && s.random.Float64() < 0.95 {
+			s.answers = append(s.answers, acknowledgement{s.nowMs + tookMs, tookMs, proxy.id, number})
+		}
+	}
+}
+
+func (s *simulation) Follow() {
+	s.record("follow")
+	s.observed.followed++
+	s.asked = true
+}
+
+func (s *simulation) Wake(inMs float64) { s.record("wake %g", inMs) }
+
+// load is what reaches each server, in requests per second, by the zone that it comes from.
+func (s *simulation) load() [][]float64 {
+	load := make([][]float64, len(s.servers))
+	for index := range load {
+		load[index] = make([]float64, s.settings.Zones)
+	}
+	for _, proxy := range s.proxies {
+		for group, table := range proxy.tables {
+			if proxy.joined {
+				s.spread(load, proxy.zone, table, s.demand(proxy)*s.levels[group])
+			}
+		}
+	}
+	return load
+}
+
+// demand is what clients ask of a proxy in each traffic group, in requests per second.
+func (s *simulation) demand(proxy *simProxy) float64 {
+	demand := s.requests / float64(len(s.settings.Groups))
+	if within(s.elapsed(), surgeAtMs, surgeForMs) {
+		demand *= surgeBy
+	}
+	if within(s.elapsed(), zoneShiftAtMs, zoneShiftForMs) {
+		if proxy.zone == 0 {
+			demand *= 1.5
+		} else {
+			demand *= 0.6
+		}
+	}
+	return demand
+}
+
+func within(at, from, span float64) bool { return at >= from && at < from+span }
+
+// spread adds the requests of a proxy and traffic group to the load, by the weights of its table.
+func (s *simulation) spread(load [][]float64, zone int, table map[string]float64, requests float64) {
+	weights := make([]float64, len(s.servers))
+	total := 0.0
+	for index, server := range s.servers {
+		if weight := table[server.Server]; weight > 0 && !s.withdrawn[server.Server] {
+			weights[index] = weight
+			total += weight
+		}
+	}
+	if total == 0 {
+		return
+	}
+	for index, weight := range weights {
+		load[index][zone] += requests * weight / total
+	}
+}
+
+// report tells the planner what a server did since its last report, for each zone that sent it anything.
+func (s *simulation) report(server *simServer, load []float64) {
+	total := 0.0
+	for _, requests := range load {
+		total += requests
+	}
+	used := total / server.capacity
+	if used > 1 {
+		s.observed.overloads++
+	}
+	failed := math.Max(0, 1-1/math.Max(used, 1))
+	latencyMs := server.baseMs / (1 - math.Min(used, 0.92)) * (0.9 + 0.2*s.random.Float64())
+	if s.nowMs < server.slowUntilMs {
+		latencyMs *= slowerBy
+	}
+	if s.nowMs < server.failUntilMs || server.State == brain.Gone {
+		failed = 1
+	}
+	for zone, requests := range load {
+		count := int(requests*s.periodMs()/1000 + s.random.Float64())
+		failures := min(count, int(float64(count)*failed+s.random.Float64()*0.9))
+		s.planner.Heard(server.Server, zone, count, failures, math.Round(latencyMs), s.periodMs())
+	}
+}
+
+func (s *simulation) reportUsage(proxy *simProxy) {
+	for group := range s.settings.Groups {
+		count := int(s.demand(proxy)*s.periodMs()/1000 + s.random.Float64())
+		s.planner.Usage(proxy.id, group, count, s.random.Intn(2)*count/10, s.periodMs())
+	}
+}
+
+func (s *simulation) join(proxy *simProxy, pushes ...float64) {
+	proxy.joined = true
+	if proxy.tables == nil {
+		proxy.tables = make([]map[string]float64, len(s.settings.Groups))
+	}
+	s.planner.Joined(proxy.id, proxy.zone, s.requests, pushes...)
+}
+
+func (s *simulation) leave(proxy *simProxy) {
+	proxy.joined = false
+	proxy.tables = nil
+	s.planner.Left(proxy.id)
+}
+
+// change tells the planner what became of a server.
+func (s *simulation) change(server *simServer) {
+	s.planner.Listed(brain.Change, []brain.Entry{server.Entry})
+}
+
+func (s *simulation) add(name string, bornMs float64) {
+	server := s.newServer(name, s.random.Intn(s.settings.Zones))
+	server.BornMs = bornMs
+	s.servers = append(s.servers, server)
+	s.change(server)
+}
+
+func (s *simulation) restartServer(server *simServer) {
+	server.BornMs = s.nowMs
+	server.State = brain.Ready
+	server.firstWeight = 0
+	s.change(server)
+}
+
+func (s *simulation) restartPlanner() {
+	s.startPlanner(s.seed + 100)
+	for _, proxy := range s.proxies {
+		if !proxy.joined {
+			continue
+		}
+		recent := slices.DeleteFunc(slices.Clone(proxy.pushes), func(at float64) bool { return at < s.nowMs-s.settings.MessageSpanMs })
+		s.join(proxy, recent...)
+		s.planner.Brings(proxy.id)
+	}
+	s.planner.Listed(brain.Whole, s.list())
+}
+
+// phases starts whatever the scenario has at this time. Each has servers of its own, so that they do not mix.
+func (s *simulation) phases() {
+	reached := func(at float64) bool { return within(s.elapsed(), at, stepMs) }
+	restartAtMs := lateRestartMs
+	if s.earlyRestart {
+		restartAtMs = earlyRestartMs
+	}
+	switch {
+	case reached(listAtMs):
+		s.planner.Listed(brain.Whole, append(s.list(), brain.Entry{Server: "elsewhere", Zone: 99, Size: 1}))
+	case reached(failAtMs):
+		s.servers[0].failUntilMs = s.nowMs + failForMs
+	case reached(slowAtMs):
+		s.servers[1].slowUntilMs = s.nowMs + slowForMs
+	case reached(restartAtMs):
+		s.restartPlanner()
+	case reached(coldAtMs):
+		s.add("cold", s.nowMs)
+	case reached(unknownAtMs):
+		s.add("unknown", 0)
+	case reached(drainAtMs):
+		s.servers[2].State = brain.Draining
+		s.change(s.servers[2])
+	case reached(drainAtMs + goneAfterMs):
+		s.servers[2].State = brain.Gone
+		s.change(s.servers[2])
+	case reached(missingAtMs):
+		s.servers[3].unlisted = true
+		s.servers[3].State = brain.Gone
+		s.planner.Listed(brain.Whole, s.list())
+	case reached(takeOverAtMs):
+		s.takeOver()
+	case reached(behindAtMs), reached(behindAtMs + behindForMs):
+		s.planner.Behind(reached(behindAtMs))
+	case reached(failedListsAtMs), reached(failedListsAtMs + 1000), reached(failedListsAtMs + 3000):
+		s.planner.Listed(brain.Failed, nil)
+	case reached(coldRestartsAtMs):
+		s.restartServer(s.servers[4])
+		s.restartServer(s.servers[5])
+	case reached(returnAtMs):
+		s.restartServer(s.servers[2])
+	}
+	s.slowChannel = within(s.elapsed(), slowChannelAtMs, slowChannelForMs)
+}
+
+// takeOver has some proxies come over from another planner, with the times of messages that they had from it.
+func (s *simulation) takeOver() {
+	for _, proxy := range s.proxies[:len(s.proxies)/2] {
+		s.leave(proxy)
+		s.join(proxy, s.nowMs-4000, s.nowMs-2500, s.nowMs-900)
+		s.planner.Brings(proxy.id)
+	}
+}
+
+// churn is what happens at random: proxies that come and go, servers that fail, restart or turn slow for a while.
+func (s *simulation) churn() {
+	if s.elapsed() < failAtMs || s.random.Float64() >= s.stepMs()/churnEveryMs {
+		return
+	}
+	proxy := s.proxies[s.random.Intn(len(s.proxies))]
+	server := s.servers[6+s.random.Intn(len(s.servers)-6)]
+	forMs := 2e3 + 15e3*s.random.Float64()
+	switch s.random.Intn(5) {
+	case 0:
+		s.leave(proxy)
+	case 1:
+		s.join(proxy)
+	case 2:
+		server.failUntilMs = s.nowMs + forMs
+	case 3:
+		server.slowUntilMs = s.nowMs + forMs
+	case 4:
+		s.restartServer(server)
+	}
+}
+
+// noise is input that must change nothing: of servers, proxies, zones and traffic groups that there are not.
+func (s *simulation) noise() {
+	s.planner.Heard("nobody", 0, 5, 1, 100, 1000)
+	s.planner.Heard(s.servers[0].Server, -1, 5, 1, 100, 1000)
+	s.planner.Heard(s.servers[0].Server, 0, 0, 0, 0, 1000)
+	s.planner.Usage(999, 0, 5, 0, 1000)
+	s.planner.Usage(0, 99, 5, 0, 1000)
+	s.planner.Applied(999, 1, 100)
+	s.planner.Brings(999)
+	s.planner.Left(999)
+	s.planner.Joined(998, 99, 10)
+}
+
+func (s *simulation) acknowledge() {
+	var later []acknowledgement
+	for _, answer := range s.answers {
+		if answer.atMs > s.nowMs {
+			later = append(later, answer)
+			continue
+		}
+		s.planner.Applied(answer.proxy, answer.number, answer.tookMs)
+	}
+	s.answers = later
+}
+
+// step lets time go by and has the planner decide.
+func (s *simulation) step(number int) {
+	s.nowMs += s.stepMs()
+	s.planner.Tick(s.nowMs)
+	if s.asked && !within(s.elapsed(), failedListsAtMs, 5000) {
+		s.asked = false
+		s.planner.Listed(brain.Whole, s.list())
+	}
+	s.phases()
+	s.churn()
+	if number < len(s.proxies) { // a rush of joins at the start
+		s.join(s.proxies[number])
+	}
+	s.acknowledge()
+	s.reports(number % reportPhases)
+	if number%100 == 0 {
+		s.noise()
+	}
+	s.decide()
+}
+
+// reports has servers and proxies report, those of one phase where steps are short.
+func (s *simulation) reports(phase int) {
+	all := s.stepMs() >= reportEveryMs
+	load := s.load()
+	for index, server := range s.servers {
+		if all || server.phase == phase {
+			s.report(server, load[index])
+		}
+	}
+	for _, proxy := range s.proxies {
+		if proxy.joined && (all || proxy.id%reportPhases == phase) {
+			s.reportUsage(proxy)
+		}
+	}
+}
+
+func (s *simulation) decide() {
+	decisions := 0
+	for decisions < mostDecisions && s.planner.Next(s) {
+		decisions++
+	}
+	s.observed.busiest = max(s.observed.busiest, decisions)
+}
+
+func (s *simulation) run() []byte {
+	for number := 0; s.elapsed() < scenarioMs; number++ {
+		s.step(number)
+	}
+	return s.digest.Finish(s.elapsed())
+}
+
+// TestDigest compares all decisions of seeded scenarios, and their times, with those recorded in testdata. Record them
+// again, with go test ./brain -run Digest -update, only in a commit that says which behaviour changed and why.
+func TestDigest(t *testing.T) {
+	for _, s := range scenarios() {
+		t.Run(fmt.Sprint("seed", s.seed), func(t *testing.T) {
+			t.Parallel()
+			simulated := newSimulation(s)
+			lines := simulated.run()
+			simulated.observed.check(t, s)
+			golden.Check(t, fmt.Sprintf("testdata/digest-%d.txt", s.seed), lines)
+		})
+	}
+}
+
+// check fails the test where something that the digest is to cover did not happen.
+func (o observed) check(t *testing.T, s scenario) {
+	t.Helper()
+	t.Logf("%s: %+v", s.name, o)
+	occurrences := []struct {
+		what  string
+		count int
+	}{
+		{"ejections of warm servers", o.ejections},
+		{"returns", o.returns},
+		{"slow starts", o.slowStarts},
+		{"cuts of admission", o.admissionCuts},
+		{"restored admission", o.restore},
+		{"overloaded servers", o.overloads},
+		{"withdrawals of draining servers", o.drains},
+		{"forgotten servers", o.forgotten},
+		{"bindings", o.binds},
+		{"requests for acknowledgements", o.receipts},
+	}
+	for _, occurrence := range occurrences {
+		if occurrence.count == 0 {
+			t.Errorf("%s: there were no %s", s.name, occurrence.what)
+		}
+	}
+	if s.settings.MustFollow != (o.followed > 0) {
+		t.Errorf("%s: the list was asked for %d times", s.name, o.followed)
+	}
+	if o.busiest >= mostDecisions {
+		t.Errorf("%s: decisions without end", s.name)
+	}
+}
