--- a/brain/digest_test.go
+++ b/brain/digest_test.go
@@ -13,12 +13,12 @@
 
 const (
 	startMs       = 1e6     // policy time at which a scenario begins
-	stepMs        = 200.0   // between two times that the policy is told
+	stepMs        = 250.0   // between two times that the policy is told
 	quietStepMs   = 2000.0  // the same from quietFromMs to quietUntilMs, in which nothing but time is waited for
 	scenarioMs    = 825e3   // longer than a gone server is remembered, 600 s, after the drain at drainAtMs
 	digestMs      = 30e3    // of a line of the digest
 	reportEveryMs = 1000.0  // between load reports of a server, and of a proxy
-	reportPhases  = 5       // steps in that time; reports are spread over them
+	lateReportMs  = 6000.0  // the same of a scenario with late reports
 	churnEveryMs  = 12e3    // mean time between random events
 	mostDecisions = 100_000 // at one time; more are decisions without end
 )
@@ -33,7 +33,7 @@
 	slowerBy         = 6.0   //
 	earlyRestartMs   = 72e3  // the planner restarts here, or at lateRestartMs
 	coldAtMs         = 80e3  // a cold server joins
-	unknownAtMs      = 85e3  // a server joins that gives no start time
+	unknownAtMs      = 85e3  // a server joins that gives no start time, and fails every request
 	surgeAtMs        = 100e3 // demand is surgeBy times as high for surgeForMs
 	surgeForMs       = 30e3  //
 	surgeBy          = 2.6   //
@@ -47,10 +47,13 @@
 	slowChannelForMs = 25e3  //
 	behindAtMs       = 225e3 // the planner hears late for behindForMs
 	behindForMs      = 10e3  //
+	drainSomeAtMs    = 200e3 // a third of the servers drain, one each drainNextMs, until drainSomeForMs later
+	drainNextMs      = 750.0 //
+	drainSomeForMs   = 12e3  //
 	failedListsAtMs  = 240e3 // calls for the list fail
-	coldRestartsAtMs = 250e3 // servers restart under their old names
+	coldRestartsAtMs = 250e3 // all but four servers restart under their old names
 	quietFromMs      = 262e3 // nothing happens but churn, until the servers that are gone are forgotten
-	quietUntilMs     = 762e3 //
+	quietUntilMs     = 740e3 //
 	returnAtMs       = 780e3 // a server that was forgotten comes back
 	lateRestartMs    = 795e3 //
 )
@@ -63,6 +66,7 @@
 	proxyCount   int
 	requests     float64 // per second and proxy, in calm
 	earlyRestart bool
+	lateReports  bool // load reports come rarely, and cover lateReportMs
 	settings     brain.Settings
 }
 
@@ -80,16 +84,20 @@
 	shared.Planners = 2
 	shared.EndsByLine = true
 	tight := digestSettings(2, 8)
-	tight.MostMessages = 8
-	tight.MostWaiting = 900
-	tight.ChannelRate = 600
+	tight.MostMessages = 5
+	tight.MostWaiting = 140
+	tight.ChannelRate = 60
 	tight.DefaultRetry = brain.RetryOnce
+	narrow := digestSettings(2, 8)
+	narrow.MostWaiting = 130
+	narrow.ChannelRate = 50
 	return []scenario{
 		{name: "two zones", seed: 1, serverCount: 8, proxyCount: 6, requests: 20, settings: small},
 		{name: "three zones, one traffic group stays in its zone", seed: 2, serverCount: 12, proxyCount: 9, requests: 15, settings: wide},
 		{name: "short tables", seed: 3, serverCount: 22, proxyCount: 12, requests: 12, settings: many},
-		{name: "half the proxies of two planners", seed: 4, serverCount: 14, proxyCount: 8, requests: 18, earlyRestart: true, settings: shared},
-		{name: "narrow channel", seed: 5, serverCount: 10, proxyCount: 8, requests: 25, settings: tight},
+		{name: "half the proxies of two planners", seed: 4, serverCount: 14, proxyCount: 8, requests: 18, earlyRestart: true, lateReports: true, settings: shared},
+		{name: "narrow channel and few messages", seed: 5, serverCount: 10, proxyCount: 8, requests: 25, settings: tight},
+		{name: "narrow channel", seed: 6, serverCount: 10, proxyCount: 8, requests: 25, settings: narrow},
 	}
 }
 
@@ -202,7 +210,7 @@
 		Entry:    brain.Entry{Server: name, Zone: zone, Size: size},
 		baseMs:   60 + 60*s.random.Float64(),
 		capacity: 1.6 * size * demand,
-		phase:    s.random.Intn(reportPhases),
+		phase:    s.random.Intn(s.reportPhases()),
 	}
 }
 
@@ -236,8 +244,18 @@
 	return stepMs
 }
 
+func (s *simulation) reportEveryMs() float64 {
+	if s.lateReports {
+		return lateReportMs
+	}
+	return reportEveryMs
+}
+
+// reportPhases is the number of steps between two reports; those of all servers are spread over them.
+func (s *simulation) reportPhases() int { return int(s.reportEveryMs() / stepMs) }
+
 // periodMs is the time that a report covers.
-func (s *simulation) periodMs() float64 { return math.Max(reportEveryMs, s.stepMs()) }
+func (s *simulation) periodMs() float64 { return math.Max(s.reportEveryMs(), s.stepMs()) }
 
 func (s *simulation) elapsed() float64 { return s.nowMs - startMs }
 
@@ -479,6 +497,7 @@
 		s.add("cold", s.nowMs)
 	case reached(unknownAtMs):
 		s.add("unknown", 0)
+		s.find("unknown").failUntilMs = s.nowMs + failForMs
 	case reached(drainAtMs):
 		s.servers[2].State = brain.Draining
 		s.change(s.servers[2])
@@ -489,18 +508,30 @@
 		s.servers[3].unlisted = true
 		s.servers[3].State = brain.Gone
 		s.planner.Listed(brain.Whole, s.list())
-	case reached(takeOverAtMs):
+	case reached(takeOverAtMs), reached(slowChannelAtMs + slowChannelForMs/2):
 		s.takeOver()
 	case reached(behindAtMs), reached(behindAtMs + behindForMs):
 		s.planner.Behind(reached(behindAtMs))
 	case reached(failedListsAtMs), reached(failedListsAtMs + 1000), reached(failedListsAtMs + 3000):
 		s.planner.Listed(brain.Failed, nil)
 	case reached(coldRestartsAtMs):
-		s.restartServer(s.servers[4])
-		s.restartServer(s.servers[5])
+		for _, server := range s.servers[4:] {
+			s.restartServer(server)
+		}
 	case reached(returnAtMs):
 		s.restartServer(s.servers[2])
 	}
+	some := s.servers[4 : 4+len(s.servers)/3]
+	for index, server := range some {
+		if reached(drainSomeAtMs + drainNextMs*float64(index)) {
+			server.State = brain.Draining
+			s.change(server)
+		}
+		if reached(drainSomeAtMs + drainSomeForMs) {
+			server.State = brain.Ready
+			s.change(server)
+		}
+	}
 	s.slowChannel = within(s.elapsed(), slowChannelAtMs, slowChannelForMs)
 }
 
@@ -574,7 +605,7 @@
 		s.join(s.proxies[number])
 	}
 	s.acknowledge()
-	s.reports(number % reportPhases)
+	s.reports(number % s.reportPhases())
 	if number%100 == 0 {
 		s.noise()
 	}
@@ -583,7 +614,7 @@
 
 // reports has servers and proxies report, those of one phase where steps are short.
 func (s *simulation) reports(phase int) {
-	all := s.stepMs() >= reportEveryMs
+	all := s.stepMs() >= s.reportEveryMs()
 	load := s.load()
 	for index, server := range s.servers {
 		if all || server.phase == phase {
@@ -591,7 +622,7 @@
 		}
 	}
 	for _, proxy := range s.proxies {
-		if proxy.joined && (all || proxy.id%reportPhases == phase) {
+		if proxy.joined && (all || proxy.id%s.reportPhases() == phase) {
 			s.reportUsage(proxy)
 		}
 	}
