--- /dev/null
+++ b/internal/platform/digest_test.go
@@ -0,0 +1,494 @@
+package platform_test
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"lichenpick/brain"
+	"lichenpick/internal/golden"
+	"lichenpick/internal/platform"
+	"lichenpick/internal/wire"
+)
+
+const (
+	digestOriginMs   = 1.8e12 // Unix time at which a conversation begins
+	digestStepMs     = 100.0  // between two times that the core is told
+	conversationMs   = 150e3
+	digestIntervalMs = 10e3 // of a line of the digest
+	lineEnd          = "\r\n"
+	digestServers    = 10
+	digestProxies    = 8
+	longMessage      = 1<<20 + 100 // bytes, more than a message may have
+	partialMost      = 3000        // bytes of unended messages that a core may hold, where it is limited
+	partialMessage   = 1200        // bytes of such a message
+)
+
+// Phases of a conversation, in ms from its start.
+const (
+	completeListMs = 3e3
+	failingFromMs  = 15e3 // server s-0 fails every request
+	failingForMs   = 10e3
+	silentFromMs   = 30e3 // proxies 0 and 1 say nothing
+	silentForMs    = 16e3
+	overloadFromMs = 50e3 // all servers are slow and reject
+	overloadForMs  = 12e3
+	drainMs        = 75e3 // server s-2 drains, and is gone goneAfterMs later
+	goneAfterMs    = 5e3
+	missingMs      = 85e3 // a complete list leaves s-3 out
+	failedListMs   = 90e3
+	coldMs         = 95e3 // a cold server joins
+	returnMs       = 110e3
+)
+
+const digestSite = `{"Azs":["a","b"],"Balancers":2,"PeriodMs":2,"Classes":[
+ {"Name":"lookup","AimMs":600,"Worth":1,"Repeat":"read_like"},{"Name":"order","AimMs":800,"Worth":2,"Repeat":"non_idempotent"}],
+ "FamilyInfo":{"Admit":"share","ChannelRate":2500,"PerMessage":4,"MostWaiting":3500,"DefaultRetry":1,"PushesAllowed":20,
+ "ReloadSpanMs":10000,"ReportEveryMs":1000,"TransitMaxMs":900,"DataPlaneSize":8,"SmallestConnTable":300},
+ "Rules":{"ColdShare":0.3,"WarmUpMs":8000,"FallMs":3000,"StopSendingWithinMs":3000},"Limits":{"ConnIdleMs":15000}}`
+
+// firstMessages are what an unjoined connection is refused for.
+var firstMessages = []string{
+	"GET / HTTP/1.1",
+	"joined id=8 site=a rps=1 new=1",
+	"joined id=4 site=c rps=1 new=1",
+	"joined id=4 site=a rps=NaN new=1",
+	"joined id=4 site=a rps=1",
+	"collector site=zz",
+	"usage id=3 lane=lookup count=1 fail=0 over=1000",
+	"update for=lookup rows=s-0:1",
+	"joined\x00 id=4",
+	strings.Repeat("j", 2000),
+	"joined " + strings.Repeat("x=1 ", 400),
+}
+
+// spoiltMessages are what a joined connection is not heard of, and stays open.
+var spoiltMessages = []string{
+	"heard site=a target=s-0 count=2 fail=3 mean=1 over=1000",
+	"heard site=a target=s-0 count=2 fail=1 mean=inf over=1000",
+	"heard site=a target=s-99 count=2 fail=1 mean=1 over=1000",
+	"heard target=s-0 count=2 fail=0 mean=1 over=1000",
+	"usage id=77 lane=lookup count=1 fail=0 over=1000",
+	"usage id=3 lane=none count=1 fail=0 over=1000",
+	"usage id=3 lane=lookup count=1 count=1 fail=0 over=1000",
+	"usage id=3 lane",
+	"applied id=3 seq=60000 ms=1",
+	"applied id=99 seq=1 ms=1",
+	"update rows=s-1:1",
+	"joined id=3 site=a rps=1 new=1",
+	"collector site=a",
+}
+
+// peer is the other end of one connection.
+type peer struct {
+	conn    *platform.Conn
+	number  int    // in the order of opening
+	proxy   int    // id of the proxy that it joined as, or -1
+	zone    string // of a proxy or collector
+	unsent  []byte // what it has yet to write
+	closed  bool
+	silent  bool // it writes nothing
+	answers []digestAnswer
+}
+
+type digestAnswer struct {
+	atMs   float64
+	number int
+}
+
+// conversation plays all peers of one core, and records what the core sends and which connections it closes.
+type conversation struct {
+	core     *platform.Core
+	random   *rand.Rand // of the peers alone
+	atMs     float64    // since the start
+	peers    []*peer    // in the order of opening
+	byConn   map[*platform.Conn]*peer
+	proxies  [digestProxies]*peer // the latest stream of each
+	digest   *golden.Digest
+	shutdown []string // events of Close, whose order is not defined; nil before
+	closing  bool
+
+	drops, undrops, cuts, replaced, sheds, doubts int
+}
+
+func newConversation(t *testing.T, seed int64) *conversation {
+	t.Helper()
+	site, err := wire.ReadSettings([]byte(digestSite))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &conversation{
+		core:   platform.NewCore(site, seed, digestOriginMs),
+		random: rand.New(rand.NewSource(seed)),
+		byConn: map[*platform.Conn]*peer{},
+		digest: golden.NewDigest(fmt.Sprintf("seed=%d", seed), digestIntervalMs),
+	}
+	if seed%2 == 0 {
+		c.core.MostPartial = partialMost
+	}
+	c.core.Doubt = func(string) { c.doubts++ }
+	c.core.Listed(brain.Restored, digestEntries())
+	return c
+}
+
+func digestEntries() []brain.Entry {
+	var entries []brain.Entry
+	for index := range digestServers {
+		entries = append(entries, brain.Entry{Server: fmt.Sprint("s-", index), Zone: index % 2, Size: 1})
+	}
+	return entries
+}
+
+func (c *conversation) record(format string, args ...any) {
+	event := fmt.Sprintf(format, args...)
+	if c.closing {
+		c.shutdown = append(c.shutdown, event)
+		return
+	}
+	c.digest.Add(c.atMs, "%s", event)
+}
+
+func (c *conversation) Send(conn *platform.Conn, message []byte) {
+	p := c.byConn[conn]
+	c.record("send %d %q", p.number, message)
+	for line := range strings.SplitSeq(string(message), lineEnd) {
+		c.read(p, line)
+	}
+}
+
+// read takes in a line as a proxy does: marks are answered, some late and some never.
+func (c *conversation) read(p *peer, line string) {
+	c.drops += strings.Count(line, " drop=")
+	c.undrops += strings.Count(line, " undrop=")
+	c.cuts += strings.Count(line, " gate=0.")
+	_, stamp, found := strings.Cut(line, " stamp=")
+	if !found || c.random.Float64() < 0.05 {
+		return
+	}
+	stamp, _, _ = strings.Cut(stamp, " ")
+	number, err := strconv.Atoi(stamp)
+	if err != nil {
+		panic("a mark that is no number: " + line)
+	}
+	delayMs := 50 + 500*c.random.Float64()
+	p.answers = append(p.answers, digestAnswer{c.atMs + delayMs, number})
+}
+
+// End records that a connection is closed; the reason is free text, and not recorded.
+func (c *conversation) End(conn *platform.Conn, _ string) {
+	p := c.byConn[conn]
+	c.record("end %d", p.number)
+	if p.proxy >= 0 && c.proxies[p.proxy] != p {
+		c.replaced++
+	}
+	p.closed = true
+}
+
+func (c *conversation) Wake(atMs float64) { c.record("wake %g", atMs-digestOriginMs) }
+
+// open makes a connection that writes a first message.
+func (c *conversation) open(first string) *peer {
+	p := &peer{conn: &platform.Conn{}, number: len(c.peers), proxy: -1}
+	c.peers = append(c.peers, p)
+	c.byConn[p.conn] = p
+	c.core.Opened(p.conn)
+	p.write(first)
+	return p
+}
+
+func (p *peer) write(line string) {
+	if line != "" {
+		p.unsent = append(p.unsent, line+lineEnd...)
+	}
+}
+
+func zoneName(index int) string { return []string{"a", "b"}[index%2] }
+
+// join opens a stream of a proxy, in place of an earlier one if that is still open.
+func (c *conversation) join(id, first int) {
+	p := c.open(fmt.Sprintf("joined id=%d site=%s rps=%d new=%d", id, zoneName(id), 20+id, first))
+	p.proxy = id
+	p.zone = zoneName(id)
+	c.proxies[id] = p
+}
+
+func (c *conversation) collect(zone int) {
+	p := c.open("collector site=" + zoneName(zone))
+	p.zone = zoneName(zone)
+}
+
+// flush has a peer write what it has, in whole or up to any byte, in one or several reads.
+func (c *conversation) flush(p *peer) {
+	for len(p.unsent) > 0 && !p.closed && !p.silent {
+		size := len(p.unsent)
+		if c.random.Intn(3) == 0 {
+			size = 1 + c.random.Intn(size)
+		}
+		c.core.Fed(p.conn, p.unsent[:size])
+		p.unsent = p.unsent[size:]
+		if c.random.Intn(4) == 0 {
+			return // the rest comes later
+		}
+	}
+}
+
+// phases starts what happens at set times.
+func (c *conversation) phases() {
+	reached := func(at float64) bool { return c.atMs >= at && c.atMs < at+digestStepMs }
+	change := func(entry brain.Entry) { c.core.Listed(brain.Change, []brain.Entry{entry}) }
+	for id := range digestProxies {
+		if reached(500 + 150*float64(id)) {
+			c.join(id, 1)
+		}
+	}
+	switch {
+	case reached(200), reached(1200), reached(70e3):
+		c.collect(0)
+		c.collect(1)
+	case reached(completeListMs):
+		c.core.Listed(brain.Whole, digestEntries())
+	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // something to acknowledge
+		change(brain.Entry{Server: "s-4", Size: 1, State: brain.Draining})
+	case reached(silentFromMs + 3000), reached(silentFromMs + 9000):
+		change(brain.Entry{Server: "s-4", Size: 1, State: brain.Ready})
+	case reached(drainMs):
+		change(brain.Entry{Server: "s-2", Size: 1, State: brain.Draining})
+	case reached(drainMs + goneAfterMs):
+		change(brain.Entry{Server: "s-2", Size: 1, State: brain.Gone})
+	case reached(missingMs):
+		c.core.Listed(brain.Whole, slices.Delete(digestEntries(), 2, 4))
+	case reached(failedListMs):
+		c.core.Listed(brain.Failed, nil)
+	case reached(coldMs):
+		change(brain.Entry{Server: "cold", Zone: 1, Size: 2, BornMs: digestOriginMs + c.atMs})
+	case reached(returnMs):
+		change(brain.Entry{Server: "s-2", Size: 1, BornMs: digestOriginMs + c.atMs})
+	}
+	quiet := within(c.atMs, silentFromMs, silentForMs)
+	for id, p := range c.proxies {
+		if p != nil && id < 2 {
+			p.silent = quiet
+		}
+	}
+}
+
+func within(at, from, span float64) bool { return at >= from && at < from+span }
+
+// reports queues what joined peers say once a second.
+func (c *conversation) reports() {
+	for _, p := range c.peers {
+		switch {
+		case p.closed:
+		case p.proxy >= 0 && c.proxies[p.proxy] == p:
+			for _, group := range []string{"lookup", "order"} {
+				p.write(fmt.Sprintf("usage id=%d lane=%s count=%d fail=%d over=1000.0", p.proxy, group, 8+c.random.Intn(6), c.random.Intn(2)))
+			}
+		case p.proxy < 0 && p.zone != "":
+			for index := range digestServers {
+				c.report(p, index)
+			}
+		}
+	}
+}
+
+func (c *conversation) report(collector *peer, server int) {
+	count := 4 + c.random.Intn(8)
+	failed := 0
+	mean := 80 + 40*c.random.Float64()
+	if within(c.atMs, overloadFromMs, overloadForMs) {
+		failed = count / 3
+		mean *= 6
+	}
+	if server == 0 && within(c.atMs, failingFromMs, failingForMs) {
+		failed = count
+	}
+	collector.write(fmt.Sprintf("heard site=%s target=s-%d count=%d fail=%d mean=%.1f over=1000 util=inflight:%d",
+		collector.zone, server, count, failed, mean, c.random.Intn(9)))
+}
+
+func (c *conversation) answer(p *peer) {
+	var later []digestAnswer
+	for _, answer := range p.answers {
+		if answer.atMs > c.atMs {
+			later = append(later, answer)
+			continue
+		}
+		p.write(fmt.Sprintf("applied id=%d seq=%d ms=%.0f", p.proxy, answer.number, 100+200*c.random.Float64()))
+	}
+	p.answers = later
+}
+
+// trouble is what happens at random, once or twice a second.
+func (c *conversation) trouble() {
+	if c.atMs < completeListMs || c.random.Intn(7) != 0 {
+		return
+	}
+	id := 2 + c.random.Intn(digestProxies-2)
+	p := c.proxies[id]
+	switch c.random.Intn(14) {
+	case 0, 1:
+		c.open(firstMessages[c.random.Intn(len(firstMessages))])
+	case 2:
+		c.open("") // says nothing
+	case 3:
+		c.open("ping")
+	case 4:
+		stranger := c.open("")
+		stranger.unsent = []byte("joined id=4 si")
+	case 5, 6:
+		p.write(spoiltMessages[c.random.Intn(len(spoiltMessages))])
+	case 7:
+		p.write("ping")
+	case 8:
+		c.join(id, 0) // replaces the stream if that is open
+	case 9:
+		p.write("ping")
+		c.finish(p)
+	case 10:
+		c.lose(p)
+	case 11:
+		c.spoil(p)
+	case 12:
+		p.unsent = append(p.unsent, "usage id=1 lane=lookup pad="+strings.Repeat("1", partialMessage)...)
+	case 13:
+		if c.core.Shed(c) {
+			c.sheds++
+		}
+	}
+}
+
+// finish has a peer write all that it has, and say that it writes no more.
+func (c *conversation) finish(p *peer) {
+	if p.closed || p.silent {
+		return
+	}
+	c.core.Fed(p.conn, p.unsent)
+	p.unsent = nil
+	c.core.Finished(p.conn)
+}
+
+func (c *conversation) lose(p *peer) {
+	if !p.closed {
+		p.closed = true
+		c.core.Lost(p.conn)
+	}
+}
+
+// spoil has a peer write what cannot be read, or a message longer than any may be.
+func (c *conversation) spoil(p *peer) {
+	switch c.random.Intn(3) {
+	case 0:
+		p.unsent = append(p.unsent, "\x01\x02garbage"...)
+	case 1:
+		p.write("nonsense id=1")
+	case 2:
+		p.unsent = append(p.unsent, "usage pad="...)
+		p.unsent = append(p.unsent, bytes.Repeat([]byte("1"), longMessage)...)
+	}
+}
+
+// rejoin opens new streams of proxies that have none, after a while.
+func (c *conversation) rejoin() {
+	for id, p := range c.proxies {
+		if p != nil && p.closed && c.random.Intn(15) == 0 {
+			c.join(id, c.random.Intn(2))
+		}
+	}
+}
+
+func (c *conversation) step(number int) {
+	c.atMs += digestStepMs
+	c.core.Tick(digestOriginMs + c.atMs)
+	c.phases()
+	c.trouble()
+	c.rejoin()
+	if number%10 == 0 {
+		c.reports()
+	}
+	for _, p := range c.peers {
+		if !p.closed {
+			c.answer(p)
+			c.flush(p)
+		}
+	}
+	for c.core.Next(c) {
+	}
+	if number%50 == 0 {
+		c.recordCounts()
+	}
+}
+
+func (c *conversation) recordCounts() {
+	n := c.core.Counts
+	c.record("counts %d %d %d %d %d %d %d %d %d %d %d %d %d %g open %d", n.Joins, n.Lost, n.Asleep, n.Refused, n.Unreadable,
+		n.Spoilt, n.Heard, n.Usage, n.Marks, n.Messages, n.Lines, n.Bytes, n.Lists, n.MostWaiting, c.core.Open())
+}
+
+func (c *conversation) run() []byte {
+	for number := 0; c.atMs < conversationMs; number++ {
+		c.step(number)
+	}
+	c.closing = true
+	c.core.Close(c)
+	c.closing = false
+	slices.Sort(c.shutdown)
+	for _, event := range c.shutdown {
+		c.record("close: %s", event)
+	}
+	c.recordCounts()
+	return c.digest.Finish(c.atMs)
+}
+
+// TestDigest compares all bytes that a core sends, all connections that it closes, and their times, with those recorded
+// in testdata. Record them again, with go test ./internal/platform -run Digest -update, only in a commit that says which
+// behaviour changed and why.
+func TestDigest(t *testing.T) {
+	for seed := int64(1); seed <= 5; seed++ {
+		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
+			t.Parallel()
+			c := newConversation(t, seed)
+			lines := c.run()
+			c.check(t)
+			golden.Check(t, fmt.Sprintf("testdata/digest-%d.txt", seed), lines)
+		})
+	}
+}
+
+// check fails the test where something that the digest is to cover did not happen.
+func (c *conversation) check(t *testing.T) {
+	t.Helper()
+	counts := c.core.Counts
+	t.Logf("%+v drops %d undrops %d cuts %d replaced %d sheds %d", counts, c.drops, c.undrops, c.cuts, c.replaced, c.sheds)
+	occurrences := []struct {
+		what  string
+		count int
+	}{
+		{"joins beyond the first ones", int(counts.Joins) - digestProxies},
+		{"lost streams", int(counts.Lost)},
+		{"silent proxies", int(counts.Asleep)},
+		{"refusals", int(counts.Refused)},
+		{"unreadable bytes", int(counts.Unreadable)},
+		{"spoilt messages", int(counts.Spoilt)},
+		{"load reports", int(counts.Heard)},
+		{"demand reports", int(counts.Usage)},
+		{"acknowledgements", int(counts.Marks)},
+		{"withdrawals", c.drops},
+		{"ends of withdrawals", c.undrops},
+		{"cuts of admission", c.cuts},
+		{"replaced streams", c.replaced},
+		{"connections closed for room", c.sheds},
+		{"connections closed at the end", len(c.shutdown)},
+	}
+	for _, occurrence := range occurrences {
+		if occurrence.count <= 0 {
+			t.Errorf("there were no %s", occurrence.what)
+		}
+	}
+	if c.doubts != int(counts.Spoilt) {
+		t.Errorf("%d spoilt messages were told of, and %d counted", c.doubts, counts.Spoilt)
+	}
+}
