--- a/internal/platform/digest_test.go
+++ b/internal/platform/digest_test.go
@@ -76,6 +76,7 @@
 	"usage id=3 lane=none count=1 fail=0 over=1000",
 	"usage id=3 lane=lookup count=1 count=1 fail=0 over=1000",
 	"usage id=3 lane",
+	"usage id=3 lane=lookup count=1 fail=0 over=1000" + manyFields(),
 	"applied id=3 seq=60000 ms=1",
 	"applied id=99 seq=1 ms=1",
 	"update rows=s-1:1",
@@ -83,6 +84,15 @@
 	"collector site=a",
 }
 
+// manyFields are more than a message may have.
+func manyFields() string {
+	var fields strings.Builder
+	for index := range 40 {
+		fmt.Fprintf(&fields, " x%d=1", index)
+	}
+	return fields.String()
+}
+
 // peer is the other end of one connection.
 type peer struct {
 	conn    *platform.Conn
@@ -339,6 +349,9 @@
 	case 4:
 		stranger := c.open("")
 		stranger.unsent = []byte("joined id=4 si")
+		if c.random.Intn(2) == 0 {
+			c.finish(stranger)
+		}
 	case 5, 6:
 		p.write(spoiltMessages[c.random.Intn(len(spoiltMessages))])
 	case 7:
@@ -417,7 +430,7 @@
 	}
 	for c.core.Next(c) {
 	}
-	if number%50 == 0 {
+	if number%10 == 0 {
 		c.recordCounts()
 	}
 }
