--- /dev/null
+++ b/internal/emulator/golden_test.go
@@ -0,0 +1,91 @@
+package emulator_test
+
+import (
+	"encoding/json"
+	"path/filepath"
+	"testing"
+
+	"lichenpick/internal/emulator"
+	"lichenpick/internal/golden"
+	"lichenpick/internal/settings"
+	"lichenpick/internal/standin"
+	"lichenpick/proto/script"
+)
+
+// requestCounts is how the requests of a traffic class, or of a second, ended.
+type requestCounts struct {
+	Requests        int     `json:"requests"`
+	Succeeded       int     `json:"succeeded"`
+	Late            int     `json:"late"`
+	Rejected        int     `json:"rejected"`
+	WithoutServer   int     `json:"without_server"`
+	Failed          int     `json:"failed"`
+	WeightEarned    float64 `json:"weight_earned"`
+	WeightAvailable float64 `json:"weight_available"`
+}
+
+// simulatedDay is the whole outcome of a simulation. The names in the golden files are stated here, so that a renamed field
+// of the program changes no golden file.
+type simulatedDay struct {
+	Service  float64         `json:"service"`
+	Messages int             `json:"messages"`
+	Entries  float64         `json:"entries"`
+	Crashed  int             `json:"servers_crashed_by_overload"`
+	Events   int             `json:"events"`
+	Classes  []requestCounts `json:"classes"`
+	Seconds  []requestCounts `json:"seconds"`
+}
+
+func countsOf(tallies []standin.Tally) []requestCounts {
+	counts := make([]requestCounts, 0, len(tallies))
+	for _, tally := range tallies {
+		counts = append(counts, requestCounts{
+			Requests:        tally.Asked,
+			Succeeded:       tally.Delivered,
+			Late:            tally.Late,
+			Rejected:        tally.Blocked,
+			WithoutServer:   tally.Bare,
+			Failed:          tally.Dropped,
+			WeightEarned:    tally.Utility,
+			WeightAvailable: tally.Possible,
+		})
+	}
+	return counts
+}
+
+func simulate(t *testing.T, path string) simulatedDay {
+	t.Helper()
+	scenario := &script.Script{}
+	if err := settings.Load(path, scenario); err != nil {
+		t.Fatal(err)
+	}
+	result, err := emulator.Play(scenario)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return simulatedDay{
+		Service:  result.Service,
+		Messages: result.Messages,
+		Entries:  result.Lines,
+		Crashed:  result.Fell,
+		Events:   result.Events,
+		Classes:  countsOf(result.Groups),
+		Seconds:  countsOf(result.Seconds),
+	}
+}
+
+// TestGoldenDay compares simulated days in every figure: planner core, policy and proxy core are the program's own there,
+// so a decision that any of them takes otherwise moves a count.
+func TestGoldenDay(t *testing.T) {
+	for _, name := range []string{"size-20x10", "size-171x81", "mixed-faults"} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			day := simulate(t, filepath.Join("testdata", name+".txtpb"))
+			text, err := json.MarshalIndent(day, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Check(t, filepath.Join("testdata", name+".golden.json"), append(text, '\n'))
+		})
+	}
+}
