--- /dev/null
+++ b/internal/orders/golden_test.go
@@ -0,0 +1,291 @@
+package orders_test
+
+import (
+	"encoding/hex"
+	"fmt"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
+
+	"lichenpick/internal/golden"
+	"lichenpick/internal/orders"
+	"lichenpick/proto/order"
+)
+
+// sender is one end of a stream as far as writing goes.
+type sender interface {
+	Append(dst []byte, kind orders.Kind, body proto.Message) ([]byte, error)
+}
+
+// receiver collects each message that an end hands to its host.
+type receiver struct{ messages []proto.Message }
+
+func (r *receiver) add(message proto.Message) { r.messages = append(r.messages, message) }
+
+func (r *receiver) Joined(m *order.Join)      { r.add(m) }
+func (r *receiver) Summed(m *order.Sums)      { r.add(m) }
+func (r *receiver) Answered(m *order.Applied) { r.add(m) }
+func (r *receiver) Leased(m *order.Lease)     { r.add(m) }
+func (r *receiver) Welcomed(m *order.Welcome) { r.add(m) }
+func (r *receiver) Ordered(m *order.Orders)   { r.add(m) }
+func (r *receiver) Claimed(m *order.Claim)    { r.add(m) }
+func (r *receiver) Released(m *order.Release) { r.add(m) }
+func (r *receiver) Stood(m *order.Standing)   { r.add(m) }
+func (r *receiver) Listed(m *order.Listing)   { r.add(m) }
+
+// frame is one frame of the conversation. The label is the test's own, so that renamed Go names change no golden file.
+type frame struct {
+	label string
+	kind  orders.Kind
+	body  proto.Message // nil: an empty frame
+}
+
+const (
+	startMs     = 0
+	hexPerLine  = 32 // bytes
+	frameLimit  = 1 << 16
+	withinMs    = 1000
+	silentMs    = 5000
+	unixMs      = 1_790_000_000_000
+	incarnation = 0xfedcba9876543210
+)
+
+var conversationLimits = orders.Limits{FrameBytes: frameLimit, JoinWithin: withinMs, SilentAfter: silentMs}
+
+func weightTable() *order.Holding {
+	return &order.Holding{
+		Groups:    []uint32{0, 2},
+		Lines:     []*order.Line{{Server: "10.0.0.1:80", Weight: 0.625}, {Server: "10.0.0.2:80", Weight: 1.0 / 3}},
+		Withdrawn: []string{"10.0.0.3:80"},
+	}
+}
+
+func leaseState() *order.Lease {
+	return &order.Lease{
+		Nonce: 7, Granted: true, Epoch: 1 << 40, Controller: "planner-1", Incarnation: incarnation, LeftMs: 1999.5,
+		Reachable:     []string{"planner-1", "planner-2"},
+		Holds:         []*order.Holding{weightTable()},
+		Levels:        []*order.Level{{Group: 1, Share: 0.75, Retry: 2}},
+		MessagesAgoMs: []float64{0.5, 9000},
+		Controllers:   3,
+		Count:         300,
+		Going:         []string{"10.0.0.3:80"},
+	}
+}
+
+func proxyFrames() []frame {
+	join := &order.Join{
+		Proxy: "edge-1", Zone: "east", UsualPerS: 12.5, Incarnation: incarnation, Stream: 3, Standing: true,
+		Holds: []*order.Holding{weightTable()}, Groups: 3, Lease: leaseState(),
+	}
+	report := &order.Sums{
+		CoversMs: 1000.25,
+		Servers: []*order.ServerSum{
+			{Server: "10.0.0.1:80", Tries: 300, Dropped: 2, LatencyMs: 41.75},
+			{Server: "10.0.0.2:80"},
+		},
+		Groups: []*order.GroupSum{{Group: 2, Came: 310, Dropped: 1}, {}},
+	}
+	return []frame{
+		{"join", orders.Join, join},
+		{"acknowledgement of the welcome", orders.Applied, &order.Applied{}},
+		{"load report", orders.Sums, report},
+		{"acknowledgement", orders.Applied, &order.Applied{Number: 1, Receipts: []uint32{1, 200}, Epoch: 1 << 40}},
+		{"acknowledgement, refused", orders.Applied, &order.Applied{Number: 2, Refused: true, Epoch: 1 << 41}},
+		{"lease", orders.Lease, leaseState()},
+		{"lease, unasked and free", orders.Lease, &order.Lease{}},
+		{"heartbeat", orders.Beat, nil},
+		{"goodbye", orders.Bye, &order.Bye{Reason: "stopping", AgainAfterMs: 1500}},
+	}
+}
+
+// everyOrder has each kind of order, with all fields and with none.
+func everyOrder() []*order.Order {
+	bind := &order.Bind{
+		Table:     9,
+		Groups:    []uint32{0, 1, 300},
+		Lines:     weightTable().Lines,
+		Withdrawn: []string{"10.0.0.3:80", "10.0.0.4:80"},
+		Levels:    []*order.Level{{}, {Group: 1, Share: 1, Retry: 3}},
+		Going:     []string{"10.0.0.4:80"},
+	}
+	line := &order.SetLine{Table: 9, Line: &order.Line{Server: "10.0.0.1:80", Weight: 0.1}, Forget: true}
+	return []*order.Order{
+		{What: &order.Order_Bind{Bind: bind}},
+		{What: &order.Order_Bind{Bind: &order.Bind{}}},
+		{What: &order.Order_Line{Line: line}},
+		{What: &order.Order_Line{Line: &order.SetLine{Line: &order.Line{Server: "10.0.0.2:80"}}}},
+		{What: &order.Order_Withdraw{Withdraw: &order.Withdraw{Server: "10.0.0.3:80", Out: true, Going: true}}},
+		{What: &order.Order_Withdraw{Withdraw: &order.Withdraw{Server: "10.0.0.3:80"}}},
+		{What: &order.Order_Level{Level: &order.Level{Group: 2, Share: 0.5, Retry: 1}}},
+		{What: &order.Order_Receipt{Receipt: 70000}},
+	}
+}
+
+func plannerFrames() []frame {
+	welcome := &order.Welcome{
+		Planner: "planner-1", Incarnation: incarnation, ReportEveryMs: 1000, Withdrawn: []string{"10.0.0.3:80"}, Sharing: true,
+	}
+	message := &order.Orders{
+		Planner: "planner-1", Incarnation: incarnation, DecidedUnixUs: unixMs * 1000, Lines: 12.5, Orders: everyOrder(),
+		Number: 1, Epoch: 1 << 40,
+	}
+	claim := &order.Claim{Nonce: 7, Epoch: 1 << 40, Controller: "planner-1", Incarnation: incarnation, LeaseMs: 2000}
+	return []frame{
+		{"welcome", orders.Welcome, welcome},
+		{"standing", orders.Standing, &order.Standing{Controller: "planner-1", Incarnation: incarnation, Open: true}},
+		{"standing, closed", orders.Standing, &order.Standing{}},
+		{"lease request", orders.Claim, claim},
+		{"orders", orders.Orders, message},
+		{"orders, none", orders.Orders, &order.Orders{}},
+		{"release", orders.Release, &order.Release{Epoch: 1 << 40}},
+		{"heartbeat", orders.Beat, nil},
+		{"goodbye", orders.Bye, &order.Bye{Reason: "drained"}},
+	}
+}
+
+func listFrames() []frame {
+	entries := []*order.Listing_Entry{
+		{Server: "10.0.0.1:80", Zone: "east", State: 1, Size: 2.5, BornUnixMs: unixMs},
+		{Server: "10.0.0.2:80", State: 2},
+	}
+	whole := &order.Listing{Form: order.Listing_WHOLE, AsOfUnixMs: unixMs, Version: 41, Entries: entries}
+	return []frame{
+		{"endpoint list", orders.Listing, whole},
+		{"endpoint change", orders.Listing, &order.Listing{Form: order.Listing_CHANGE, Version: 42, Entries: entries[1:]}},
+		{"endpoint list, failed", orders.Listing, &order.Listing{Form: order.Listing_FAILED}},
+		{"heartbeat", orders.Beat, nil},
+	}
+}
+
+// write gives the bytes of frames as an end writes them, and adds them to a text with one frame after the other.
+func write(t *testing.T, text *strings.Builder, who string, from sender, frames []frame) []byte {
+	t.Helper()
+	var stream []byte
+	for _, f := range frames {
+		before := len(stream)
+		var err error
+		stream, err = from.Append(stream, f.kind, f.body)
+		if err != nil {
+			t.Fatalf("%s: %s: %v", who, f.label, err)
+		}
+		fmt.Fprintf(text, "%s: %s\n", who, f.label)
+		for rest := stream[before:]; len(rest) > 0; {
+			size := min(hexPerLine, len(rest))
+			fmt.Fprintf(text, "  %s\n", hex.EncodeToString(rest[:size]))
+			rest = rest[size:]
+		}
+	}
+	return stream
+}
+
+// checkReceived compares what a host was told with what the other end wrote, but for heartbeats and the goodbye, of which
+// hosts are not told.
+func checkReceived(t *testing.T, who string, got []proto.Message, frames []frame) {
+	t.Helper()
+	var want []proto.Message
+	for _, f := range frames {
+		if f.kind != orders.Beat && f.kind != orders.Bye {
+			want = append(want, f.body)
+		}
+	}
+	if len(got) != len(want) {
+		t.Fatalf("%s was told of %d messages, want %d", who, len(got), len(want))
+	}
+	for index := range want {
+		if !proto.Equal(got[index], want[index]) {
+			t.Errorf("%s, message %d: got %v, want %v", who, index, got[index], want[index])
+		}
+	}
+}
+
+// TestGoldenConversation compares a conversation that has every kind of frame, byte for byte, and reads it back. Proxies and
+// planners of different releases run side by side, so the bytes may not change with a rename.
+func TestGoldenConversation(t *testing.T) {
+	planner := orders.NewPlannerEnd(conversationLimits, startMs)
+	proxy := orders.NewProxyEnd(conversationLimits, startMs)
+	listSource := orders.NewPlannerEnd(conversationLimits, startMs) // only its writing side is used
+	listReader := orders.NewListEnd(conversationLimits, startMs)
+	var text strings.Builder
+	fromProxy := write(t, &text, "proxy", proxy, proxyFrames())
+	fromPlanner := write(t, &text, "planner", planner, plannerFrames())
+	fromList := write(t, &text, "list source", listSource, listFrames())
+	golden.Check(t, "testdata/conversation.golden.txt", []byte(text.String()))
+
+	atPlanner, atProxy, atListReader := &receiver{}, &receiver{}, &receiver{}
+	planner.Feed(startMs, fromProxy)
+	for planner.Next(atPlanner) {
+	}
+	proxy.Feed(startMs, fromPlanner)
+	for proxy.Next(atProxy) {
+	}
+	listReader.Feed(startMs, fromList)
+	for listReader.Next(atListReader) {
+	}
+	checkReceived(t, "the planner", atPlanner.messages, proxyFrames())
+	checkReceived(t, "the proxy", atProxy.messages, plannerFrames())
+	checkReceived(t, "the list reader", atListReader.messages, listFrames())
+	for who, ended := range map[string]*orders.Ending{"planner": planner.Ended(), "proxy": proxy.Ended()} {
+		if ended == nil || ended.Reason != orders.Left {
+			t.Errorf("the %s's stream ended with %v, want %s", who, ended, orders.Left)
+		}
+	}
+	if listReader.Ended() != nil {
+		t.Errorf("the list reader's stream ended with %v", listReader.Ended())
+	}
+}
+
+// TestConversationIsComplete guards the test above: a message, field or kind that is added to the protocol must be added to
+// the conversation.
+func TestConversationIsComplete(t *testing.T) {
+	const kinds = 12
+	seenKinds := map[orders.Kind]bool{}
+	seenFields := map[protoreflect.FullName]bool{}
+	for _, frames := range [][]frame{proxyFrames(), plannerFrames(), listFrames()} {
+		for _, f := range frames {
+			seenKinds[f.kind] = true
+			if f.body != nil {
+				markFields(f.body.ProtoReflect(), seenFields)
+			}
+		}
+	}
+	if len(seenKinds) != kinds {
+		t.Errorf("%d kinds of frames are in the conversation, want %d", len(seenKinds), kinds)
+	}
+	if next := orders.Kind(kinds + 1).String(); !strings.HasPrefix(next, "kind ") {
+		t.Errorf("the protocol has another kind, %q, that the conversation lacks", next)
+	}
+	checkFields(t, order.File_proto_order_order_proto.Messages(), seenFields)
+}
+
+// markFields notes the fields that a message, or one below it, holds.
+func markFields(message protoreflect.Message, seen map[protoreflect.FullName]bool) {
+	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
+		seen[field.FullName()] = true
+		switch {
+		case field.Message() == nil:
+		case field.IsList():
+			for index := range value.List().Len() {
+				markFields(value.List().Get(index).Message(), seen)
+			}
+		default:
+			markFields(value.Message(), seen)
+		}
+		return true
+	})
+}
+
+func checkFields(t *testing.T, messages protoreflect.MessageDescriptors, seen map[protoreflect.FullName]bool) {
+	t.Helper()
+	for index := range messages.Len() {
+		message := messages.Get(index)
+		for number := range message.Fields().Len() {
+			if name := message.Fields().Get(number).FullName(); !seen[name] {
+				t.Errorf("the conversation has no value of %s", name)
+			}
+		}
+		checkFields(t, message.Messages(), seen)
+	}
+}
