--- /dev/null
+++ b/internal/list/golden_test.go
@@ -0,0 +1,91 @@
+package list_test
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"lichenpick/brain"
+	"lichenpick/internal/golden"
+	"lichenpick/internal/list"
+)
+
+const (
+	// recordedList was written on 2026-12-02 by Save, from the memory of recordedMemory. It stands for the files of planners
+	// in service: don't write it anew.
+	recordedList = "testdata/cached-list.txtpb"
+	writtenMs    = 1_790_000_100_000 // unix, when the list was cached
+	sourceMs     = 1_790_000_000_000 // unix, when it was true
+	restartMs    = 7_500             // from the caching to the reading
+	serverLimit  = 100
+)
+
+var zones = []string{"east", "west"}
+
+// recordingHost prints what a memory makes known.
+type recordingHost struct{ text strings.Builder }
+
+func (h *recordingHost) Listed(form brain.ListForm, entries []brain.Entry) {
+	fmt.Fprintf(&h.text, "endpoints, form %d\n", int(form))
+	for _, entry := range entries {
+		fmt.Fprintf(&h.text, "  %s zone %d state %d size %g born at %g ms\n",
+			entry.Server, entry.Zone, int(entry.State), entry.Size, entry.BornMs)
+	}
+}
+
+// recordedMemory holds servers of each state, with and without a birth, after a while.
+func recordedMemory() *list.Memory {
+	const firstMs, cachedMs = 60_000, 160_000 // of the planner's clock
+	memory := list.NewMemory(zones, serverLimit)
+	memory.Tick(firstMs)
+	memory.Told(list.Update{Form: brain.Whole, AsOfMs: sourceMs, Version: 4, Entries: []list.Entry{
+		{Server: "10.0.0.1:80", Zone: "east", State: brain.Ready, Size: 1},
+		{Server: "10.0.0.2:80", Zone: "west", State: brain.Draining, Size: 2.5},
+		{Server: "10.0.0.3:80", Zone: "west", State: brain.Gone, Size: 1},
+		{Server: "10.0.0.4:80", Zone: "east", State: brain.Ready, Size: 1.0 / 3, BornUnixMs: sourceMs - 12_345},
+		{Server: "10.0.0.5:80", Zone: "south", State: brain.Ready, Size: 1}, // a zone that is not known
+	}})
+	host := &recordingHost{}
+	for memory.Next(host) {
+	}
+	memory.Tick(cachedMs)
+	return memory
+}
+
+// TestGoldenCachedList compares the file that is written now with the recorded one, byte for byte.
+func TestGoldenCachedList(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "list")
+	if err := list.Save(path, recordedMemory().Kept(writtenMs)); err != nil {
+		t.Fatal(err)
+	}
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "testdata/cached-list.golden.txt", content)
+}
+
+// TestRecordedCachedList reads a list that an earlier release cached, as a planner does at its start, and hands it to a
+// memory: servers must be of the same state, size and age as when it was written.
+func TestRecordedCachedList(t *testing.T) {
+	update, found, err := list.Restore(recordedList, writtenMs+restartMs)
+	if err != nil || !found {
+		t.Fatalf("found %t, error %v", found, err)
+	}
+	host := &recordingHost{}
+	fmt.Fprintf(&host.text, "form %d, as of %d ms, version %d, restored %t, trouble %q\n",
+		int(update.Form), update.AsOfMs, update.Version, update.Restored, update.Trouble)
+	for _, entry := range update.Entries {
+		fmt.Fprintf(&host.text, "  %s zone %s state %d size %g born %d ms\n",
+			entry.Server, entry.Zone, int(entry.State), entry.Size, entry.BornUnixMs)
+	}
+	const startMs = 300_000 // of the planner's clock
+	memory := list.NewMemory(zones, serverLimit)
+	memory.Tick(startMs)
+	memory.Told(update)
+	for memory.Next(host) {
+	}
+	golden.Check(t, "testdata/cached-list-read.golden.txt", []byte(host.text.String()))
+}
