--- /dev/null
+++ b/internal/settings/golden_test.go
@@ -0,0 +1,131 @@
+package settings_test
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/encoding/prototext"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
+
+	"lichenpick/internal/golden"
+	"lichenpick/internal/settings"
+	"lichenpick/proto/script"
+	pb "lichenpick/proto/settings"
+)
+
+// fileKinds are the kinds of settings files, each with the directory below testdata that has some as of 2026-12-02. They
+// stand for the files of operators: a field that they name must be read as ever, whatever the program calls it.
+var fileKinds = map[string]func() proto.Message{
+	"planner": func() proto.Message { return &pb.Planner{} },
+	"proxy":   func() proto.Message { return &pb.Proxy{} },
+	"server":  func() proto.Message { return &pb.Server{} },
+	"list":    func() proto.Message { return &pb.List{} },
+	"script":  func() proto.Message { return &script.Script{} },
+}
+
+func settingsFiles(t *testing.T, kind string) []string {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join("testdata", kind, "*.txtpb"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(paths) == 0 {
+		t.Fatalf("no files of kind %s", kind)
+	}
+	return paths
+}
+
+// TestGoldenSettings reads each file and compares all that was read, defaults included, with a golden print.
+func TestGoldenSettings(t *testing.T) {
+	for kind, newMessage := range fileKinds {
+		for _, path := range settingsFiles(t, kind) {
+			name := strings.TrimSuffix(filepath.Base(path), ".txtpb")
+			t.Run(kind+"/"+name, func(t *testing.T) {
+				message := newMessage()
+				if err := settings.Load(path, message); err != nil {
+					t.Fatal(err)
+				}
+				printed := settings.Print(message)
+				golden.Check(t, filepath.Join("testdata", kind, name+".golden.txt"), []byte(printed))
+				again := newMessage()
+				if err := settings.Parse("printed", []byte(printed), again); err != nil {
+					t.Fatal(err)
+				}
+				if !proto.Equal(again, message) {
+					t.Error("the print does not read back to the same values")
+				}
+			})
+		}
+	}
+}
+
+// TestSettingsFilesAreComplete guards the test above: each field and each name of an enumeration must stand in some file.
+func TestSettingsFilesAreComplete(t *testing.T) {
+	seen := map[protoreflect.FullName]bool{}
+	for kind, newMessage := range fileKinds {
+		for _, path := range settingsFiles(t, kind) {
+			text, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			message := newMessage() // without the defaults that Load fills in
+			if err := prototext.Unmarshal(text, message); err != nil {
+				t.Fatalf("%s: %v", path, err)
+			}
+			markSeen(message.ProtoReflect(), seen)
+		}
+	}
+	for _, file := range []protoreflect.FileDescriptor{pb.File_proto_settings_settings_proto, script.File_proto_script_script_proto} {
+		checkMessages(t, file.Messages(), seen)
+		checkEnums(t, file.Enums(), seen)
+	}
+}
+
+// markSeen notes the fields that a message, or one below it, holds, and the names of the enumerations.
+func markSeen(message protoreflect.Message, seen map[protoreflect.FullName]bool) {
+	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
+		seen[field.FullName()] = true
+		switch {
+		case field.Enum() != nil:
+			seen[field.Enum().Values().ByNumber(value.Enum()).FullName()] = true
+		case field.Message() == nil:
+		case field.IsList():
+			for index := range value.List().Len() {
+				markSeen(value.List().Get(index).Message(), seen)
+			}
+		default:
+			markSeen(value.Message(), seen)
+		}
+		return true
+	})
+}
+
+func checkMessages(t *testing.T, messages protoreflect.MessageDescriptors, seen map[protoreflect.FullName]bool) {
+	t.Helper()
+	for index := range messages.Len() {
+		message := messages.Get(index)
+		for number := range message.Fields().Len() {
+			if name := message.Fields().Get(number).FullName(); !seen[name] {
+				t.Errorf("no file names %s", name)
+			}
+		}
+		checkMessages(t, message.Messages(), seen)
+		checkEnums(t, message.Enums(), seen)
+	}
+}
+
+func checkEnums(t *testing.T, enums protoreflect.EnumDescriptors, seen map[protoreflect.FullName]bool) {
+	t.Helper()
+	for index := range enums.Len() {
+		values := enums.Get(index).Values()
+		for number := range values.Len() {
+			value := values.Get(number)
+			if value.Number() != 0 && !seen[value.FullName()] { // zero is not held: it is the same as none
+				t.Errorf("no file names %s", value.FullName())
+			}
+		}
+	}
+}
