--- /dev/null
+++ b/internal/planner/golden_test.go
@@ -0,0 +1,387 @@
+package planner_test
+
+import (
+	"errors"
+	"fmt"
+	"math/rand"
+	"net/netip"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"lichenpick/brain"
+	"lichenpick/internal/golden"
+	"lichenpick/internal/list"
+	"lichenpick/internal/orders"
+	"lichenpick/internal/planner"
+	"lichenpick/internal/settings"
+	"lichenpick/internal/sharing"
+	"lichenpick/proto/order"
+	pb "lichenpick/proto/settings"
+)
+
+const (
+	stepMs          = 25.0
+	conversationMs  = 30_000.0
+	digestMs        = 1000.0 // one line of a golden file
+	reportMs        = 1000.0
+	unixOriginMs    = 1_790_000_000_000
+	conversationTag = 20261202 // seed
+	proxyCount      = 12
+	serverCount     = 14
+	classCount      = 3
+	redialSteps     = 20 // after a stream ended
+	rivalName       = "planner-2"
+	plannerName     = "planner-1"
+	rivalNumber     = 99 // incarnation
+)
+
+const conversationSettings = `name: "planner-1" listen: "127.0.0.1:0"
+zones { name: "a" prefixes: "127.1.0.0/16" } zones { name: "b" prefixes: "127.2.0.0/16" }
+groups { name: "check" latency_budget: "600ms" expiry: "1.5s" utility: 3 repeat: RETRIABLE }
+groups { name: "start" latency_budget: "1s" expiry: "2.5s" repeat: DEDUPED }
+groups { name: "charge" latency_budget: "800ms" expiry: "2.5s" utility: 5 only_zone: true }
+servers { warm_up: "8s" }
+proxies: 12 seed: 7
+list { file { path: "x" } }
+`
+
+// reasonNames are the test's own, so that renamed reasons change no golden file.
+var reasonNames = map[orders.Reason]string{
+	orders.NoAnswer: "unacknowledged",
+	orders.Taken:    "name in use",
+	orders.Replaced: "replaced",
+	orders.Strange:  "unknown",
+	orders.Full:     "full",
+}
+
+// fakeProxy is the other end of a stream.
+type fakeProxy struct {
+	name     string
+	zone     int
+	lease    sharing.Arbiter
+	stream   *planner.Stream // nil: it has none
+	streams  uint64          // so far
+	redialAt int             // step
+	inbox    []proto.Message // of the current stream, to be answered in the next step
+	deaf     bool            // answers nothing
+}
+
+// conversation is a planner core, its proxies and a list source in simulated time. All that the core decides goes into the
+// digest, byte for byte.
+type conversation struct {
+	t       *testing.T
+	core    *planner.Core
+	digest  *golden.Digest
+	random  *rand.Rand
+	shared  bool
+	step    int
+	proxies []*fakeProxy
+	servers []list.Entry
+	slow    map[string]float64 // factor of a server's latency
+	broken  map[string]bool    // servers whose requests fail
+	full    bool               // the store cannot be written
+}
+
+func newConversation(t *testing.T, name, more string, shared bool) *conversation {
+	t.Helper()
+	configuration := &pb.Planner{}
+	if err := settings.Parse(name, []byte(conversationSettings+more), configuration); err != nil {
+		t.Fatal(err)
+	}
+	c := &conversation{
+		t:      t,
+		core:   planner.NewCore(configuration, planner.NewModule(configuration), 1, 0),
+		digest: golden.NewDigest(name, digestMs),
+		random: rand.New(rand.NewSource(conversationTag)),
+		shared: shared,
+		slow:   map[string]float64{},
+		broken: map[string]bool{},
+	}
+	if shared {
+		c.core.Share(0)
+	}
+	for number := range serverCount {
+		c.servers = append(c.servers, list.Entry{Server: fmt.Sprintf("10.0.0.%d:80", number), Zone: string("ab"[number%2]), Size: float64(1 + number%3)})
+	}
+	for number := range proxyCount {
+		c.proxies = append(c.proxies, &fakeProxy{name: fmt.Sprint("edge-", number), zone: number % 2, redialAt: number * 8})
+	}
+	return c
+}
+
+func (c *conversation) now() float64 { return float64(c.step) * stepMs }
+
+func (c *conversation) proxyOf(stream *planner.Stream) *fakeProxy {
+	proxy, ok := stream.Out.(*fakeProxy)
+	if !ok {
+		c.t.Fatal("a stream of nobody")
+	}
+	return proxy
+}
+
+func (c *conversation) Send(stream *planner.Stream, kind orders.Kind, message proto.Message) {
+	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	proxy := c.proxyOf(stream)
+	c.digest.Add(c.now(), "to %s kind %d body %x", proxy.name, int(kind), body)
+	if proxy.stream == stream {
+		proxy.inbox = append(proxy.inbox, message)
+	}
+}
+
+func (c *conversation) End(stream *planner.Stream, why *orders.Ending) {
+	reason, known := reasonNames[why.Reason]
+	if !known {
+		c.t.Fatalf("a stream ended for a reason that the test has no name for: %v", why)
+	}
+	proxy := c.proxyOf(stream)
+	c.digest.Add(c.now(), "end %s: %s", proxy.name, reason)
+	if proxy.stream == stream {
+		proxy.disconnect(c.step)
+	}
+}
+
+func (c *conversation) Wake(atMs float64) { c.digest.Add(c.now(), "wake at %g", atMs) }
+
+func (c *conversation) Reserve(upTo uint64) {
+	c.digest.Add(c.now(), "reserve %d", upTo)
+	var err error
+	if c.full {
+		err = errors.New("no space left")
+	}
+	c.core.Reserved(upTo, err)
+}
+
+func (p *fakeProxy) disconnect(step int) {
+	p.stream, p.inbox, p.deaf = nil, nil, false
+	p.redialAt = step + redialSteps
+}
+
+// leaseState is what a proxy says of its lease.
+func (p *fakeProxy) leaseState() *order.Lease {
+	return &order.Lease{
+		Epoch: p.lease.Epoch, Controller: p.lease.Controller, Incarnation: p.lease.Incarnation, LeftMs: p.lease.Left(),
+		Reachable: []string{plannerName, rivalName}, Controllers: 2,
+	}
+}
+
+func (c *conversation) connect(proxy *fakeProxy) {
+	proxy.streams++
+	address := netip.MustParseAddr([]string{"127.1.0.9", "127.2.0.9"}[proxy.zone])
+	proxy.stream = &planner.Stream{Address: address, Out: proxy}
+	join := &order.Join{
+		Proxy: proxy.name, UsualPerS: 10, Incarnation: 5, Stream: proxy.streams, Groups: classCount,
+		Holds: []*order.Holding{{
+			Groups: []uint32{0, 1, 2},
+			Lines:  []*order.Line{{Server: c.servers[proxy.zone].Server, Weight: 0.5}, {Server: c.servers[2].Server, Weight: 0.5}},
+		}},
+	}
+	if c.shared {
+		join.Lease = proxy.leaseState()
+	}
+	c.core.Joined(proxy.stream, join)
+}
+
+// answer has a proxy react to all that it was sent in the step before.
+func (c *conversation) answer(proxy *fakeProxy) {
+	inbox := proxy.inbox
+	proxy.inbox = nil
+	if proxy.deaf {
+		return
+	}
+	for _, message := range inbox {
+		switch message := message.(type) {
+		case *order.Welcome:
+			c.core.Answered(proxy.stream, &order.Applied{})
+		case *order.Orders:
+			c.core.Answered(proxy.stream, c.acknowledge(proxy, message))
+		case *order.Claim:
+			granted := proxy.lease.Claim(message.Controller, message.Incarnation, message.Epoch, float64(message.LeaseMs))
+			answer := proxy.leaseState()
+			answer.Nonce, answer.Granted = message.Nonce, granted
+			answer.Holds = []*order.Holding{{Groups: []uint32{0}, Lines: []*order.Line{{Server: c.servers[1].Server, Weight: 1}}}}
+			answer.MessagesAgoMs = []float64{100, 2000}
+			c.core.Leased(proxy.stream, answer)
+		case *order.Release:
+			proxy.lease.Release(plannerName, 1, message.Epoch)
+			c.core.Leased(proxy.stream, proxy.leaseState())
+		}
+		if proxy.stream == nil {
+			return
+		}
+	}
+}
+
+func (c *conversation) acknowledge(proxy *fakeProxy, message *order.Orders) *order.Applied {
+	acknowledgement := &order.Applied{Number: message.Number}
+	if c.shared {
+		acknowledgement.Epoch = proxy.lease.Epoch
+		acknowledgement.Refused = !proxy.lease.Obeys(message.Planner, message.Incarnation, message.Epoch)
+	}
+	for _, single := range message.Orders {
+		if receipt, ok := single.What.(*order.Order_Receipt); ok {
+			acknowledgement.Receipts = append(acknowledgement.Receipts, receipt.Receipt)
+		}
+	}
+	return acknowledgement
+}
+
+// report sends a proxy's load report, with latencies and failures that go by the server.
+func (c *conversation) report(proxy *fakeProxy) {
+	report := &order.Sums{CoversMs: reportMs}
+	for class := range classCount {
+		report.Groups = append(report.Groups, &order.GroupSum{Group: uint32(class), Came: uint32(c.random.Intn(12)), Dropped: 0})
+	}
+	for _, number := range c.random.Perm(len(c.servers))[:5] {
+		server := c.servers[number].Server
+		sample := &order.ServerSum{Server: server, Tries: uint32(1 + c.random.Intn(6)), LatencyMs: 30 + 20*c.random.Float64()}
+		if factor := c.slow[server]; factor > 0 {
+			sample.LatencyMs *= factor
+		}
+		if c.broken[server] {
+			sample.Dropped, sample.LatencyMs = sample.Tries, 0
+		}
+		report.Servers = append(report.Servers, sample)
+	}
+	c.core.Summed(proxy.stream, report)
+}
+
+func (c *conversation) listAll(version uint64) {
+	c.core.Listed(list.Update{Form: brain.Whole, AsOfMs: unixOriginMs + uint64(c.now()), Version: version, Entries: c.servers})
+}
+
+func (c *conversation) listChange(number int, state brain.State) {
+	c.servers[number].State = state
+	changed := c.servers[number : number+1]
+	c.core.Listed(list.Update{Form: brain.Change, AsOfMs: unixOriginMs + uint64(c.now()), Version: 2, Entries: changed})
+}
+
+// faults plays what goes wrong, by second.
+func (c *conversation) faults(second int) {
+	switch second {
+	case 5:
+		c.broken[c.servers[3].Server] = true
+	case 7:
+		c.listChange(0, brain.Draining)
+	case 9:
+		c.slow[c.servers[4].Server] = 20
+		c.proxies[1].deaf = true
+	case 10:
+		c.listChange(0, brain.Gone)
+		c.listChange(5, brain.Draining) // the deaf proxy does not acknowledge that
+	case 12:
+		c.core.Listed(list.Update{Form: brain.Failed, Trouble: "no answer"})
+		delete(c.broken, c.servers[3].Server)
+	case 13:
+		c.lose(c.proxies[4])
+		c.lose(c.proxies[5])
+	case 14:
+		c.core.Lagged(1500)
+	case 15:
+		c.core.Lagged(10)
+		c.servers = append(c.servers, list.Entry{Server: "10.0.1.1:80", Zone: "a", Size: 2, BornUnixMs: unixOriginMs + uint64(c.now()) - 500})
+		c.listAll(3)
+	case 16:
+		c.full = true
+	case 18:
+		c.connect(c.proxies[6]) // a newer stream while the older one is up
+	case 20:
+		c.core.Drain(true)
+	case 21:
+		c.full = false
+	case 23:
+		c.core.Drain(false)
+		c.servers = c.servers[:6]
+		c.listAll(4) // most servers are missing at once
+	}
+}
+
+func (c *conversation) lose(proxy *fakeProxy) {
+	if proxy.stream == nil {
+		return
+	}
+	c.core.Lost(proxy.stream, &orders.Ending{Reason: orders.Lost})
+	proxy.disconnect(c.step)
+}
+
+// rival has another planner take free proxies now and then, until its leases run out.
+func (c *conversation) rival(proxy *fakeProxy) {
+	const chance, leaseMs = 0.01, 1500
+	expired := proxy.lease.Tick(c.now())
+	taken := proxy.lease.Controller == "" && c.random.Float64() < chance &&
+		proxy.lease.Claim(rivalName, rivalNumber, proxy.lease.Epoch+1, leaseMs)
+	if (expired || taken) && proxy.stream != nil {
+		c.core.Leased(proxy.stream, proxy.leaseState())
+	}
+}
+
+func (c *conversation) advance() {
+	const stepsPerSecond = 1000 / stepMs
+	c.core.Tick(c.now(), time.UnixMilli(unixOriginMs+int64(c.now())))
+	if c.step == 0 {
+		c.listAll(1)
+	}
+	if c.step%stepsPerSecond == 0 {
+		c.faults(c.step / stepsPerSecond)
+	}
+	for number, proxy := range c.proxies {
+		if c.shared {
+			c.rival(proxy)
+		}
+		if proxy.stream == nil && c.step >= proxy.redialAt {
+			c.connect(proxy)
+		}
+		if proxy.stream == nil {
+			continue
+		}
+		c.core.Beat(proxy.stream)
+		c.answer(proxy)
+		if proxy.stream != nil && (c.step+3*number)%stepsPerSecond == 0 {
+			c.report(proxy)
+		}
+	}
+	for c.core.Next(c) {
+	}
+	c.step++
+}
+
+// TestGoldenCore compares every decision of a planner core in two conversations: one that has its proxies to itself, and one
+// that shares them with another planner.
+func TestGoldenCore(t *testing.T) {
+	for name, variant := range map[string]struct {
+		more   string
+		shared bool
+	}{
+		"alone":  {"", false},
+		"shared": {`planners: 2 sharing { store: "x" }`, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			c := newConversation(t, name, variant.more, variant.shared)
+			for c.now() < conversationMs {
+				c.advance()
+			}
+			golden.Check(t, "testdata/core-"+name+".golden.txt", c.digest.Finish(conversationMs))
+			checkCoverage(t, c)
+		})
+	}
+}
+
+// checkCoverage guards against a conversation in which nothing is decided any more.
+func checkCoverage(t *testing.T, c *conversation) {
+	t.Helper()
+	counts := c.core.Counts
+	if counts.Messages < 50 || counts.Lines < 500 || counts.Sums < 100 {
+		t.Errorf("few decisions: %+v", counts)
+	}
+	if c.shared && counts.Marks == 0 {
+		t.Error("no epochs were reserved")
+	}
+	if !c.shared && counts.Endings[orders.NoAnswer] == 0 {
+		t.Errorf("no stream ended for want of an acknowledgement: %v", counts.Endings)
+	}
+}
