--- /dev/null
+++ b/internal/sharing/golden_test.go
@@ -0,0 +1,282 @@
+package sharing_test
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"lichenpick/internal/golden"
+	"lichenpick/internal/sharing"
+)
+
+const (
+	stepMs     = 5.0
+	runMs      = 40_000.0
+	healMs     = 32_000.0 // no faults from then on
+	digestMs   = 1000.0   // one line of the golden file
+	seed       = 20261202
+	plannerNum = 3
+	proxyNum   = 15
+	cutChance  = 0.02 // of a random stream, in a step
+	dialChance = 0.05 // of each missing stream, in a step
+	jumpMs     = 1500 // that a paused planner is away
+)
+
+// simulation is three planners that share fifteen proxies, in simulated time, with seeded faults. What a planner says
+// reaches its proxy at once; what a proxy says reaches planners in the next step.
+type simulation struct {
+	digest   *golden.Digest
+	random   *rand.Rand
+	nowMs    float64
+	planners []*simulatedPlanner
+	proxies  []*simulatedProxy
+}
+
+type simulatedPlanner struct {
+	simulation  *simulation
+	name        string
+	incarnation uint64
+	manager     *sharing.Sharer
+	reserved    uint64 // what its store holds
+	diskFull    bool
+	open        bool
+	resumeMs    float64 // paused until then
+	inbox       []func()
+}
+
+type simulatedProxy struct {
+	name      string
+	grantor   sharing.Arbiter
+	connected map[string]bool // by planner
+}
+
+func newSimulation() *simulation {
+	s := &simulation{digest: golden.NewDigest("leases", digestMs), random: rand.New(rand.NewSource(seed))}
+	for number := range plannerNum {
+		planner := &simulatedPlanner{simulation: s, name: fmt.Sprint("planner-", number), open: true}
+		planner.start()
+		s.planners = append(s.planners, planner)
+	}
+	for number := range proxyNum {
+		s.proxies = append(s.proxies, &simulatedProxy{name: fmt.Sprint("edge-", number), connected: map[string]bool{}})
+	}
+	return s
+}
+
+// start begins a new incarnation, which knows only what the store holds.
+func (p *simulatedPlanner) start() {
+	p.incarnation++
+	p.inbox, p.open, p.resumeMs = nil, true, 0
+	p.manager = sharing.NewSharer(p.name, p.incarnation, p.reserved, p.simulation.nowMs)
+}
+
+func (p *simulatedPlanner) log(format string, args ...any) {
+	p.simulation.digest.Add(p.simulation.nowMs, p.name+" "+format, args...)
+}
+
+func (p *simulatedPlanner) Claim(proxyName string, nonce, epoch uint64, leaseMs float64) {
+	p.log("claims %s nonce %d epoch %d for %g ms", proxyName, nonce, epoch, leaseMs)
+	proxy := p.simulation.proxyNamed(proxyName)
+	if !proxy.connected[p.name] {
+		return
+	}
+	before := proxy.grantor.Controller
+	granted := proxy.grantor.Claim(p.name, p.incarnation, epoch, leaseMs)
+	p.log("is granted %s: %t", proxyName, granted)
+	view := p.simulation.viewOf(proxy)
+	p.inbox = append(p.inbox, func() { p.manager.Answered(proxyName, nonce, granted, view) })
+	if proxy.grantor.Controller != before {
+		p.simulation.spread(proxy)
+	}
+}
+
+func (p *simulatedPlanner) Release(proxyName string, epoch uint64) {
+	p.log("releases %s epoch %d", proxyName, epoch)
+	proxy := p.simulation.proxyNamed(proxyName)
+	if proxy.connected[p.name] && proxy.grantor.Release(p.name, p.incarnation, epoch) {
+		p.simulation.spread(proxy)
+	}
+}
+
+func (p *simulatedPlanner) Command(proxyName string, epoch uint64) {
+	p.log("commands %s epoch %d", proxyName, epoch)
+}
+
+func (p *simulatedPlanner) Yield(proxyName string) { p.log("yields %s", proxyName) }
+
+func (p *simulatedPlanner) Wake(atMs float64) { p.log("wakes at %g", atMs) }
+
+func (p *simulatedPlanner) Reserve(upTo uint64) {
+	p.log("reserves %d, disk full %t", upTo, p.diskFull)
+	if p.diskFull {
+		p.manager.NotReserved()
+		return
+	}
+	p.reserved = upTo
+	p.manager.Reserved(upTo)
+}
+
+func (p *simulatedPlanner) Stand(open bool) {
+	p.log("is open: %t", open)
+	p.open = open
+	for _, proxy := range p.simulation.proxies {
+		p.simulation.spread(proxy)
+	}
+}
+
+func (s *simulation) proxyNamed(name string) *simulatedProxy {
+	for _, proxy := range s.proxies {
+		if proxy.name == name {
+			return proxy
+		}
+	}
+	panic("no proxy " + name)
+}
+
+func (s *simulation) viewOf(proxy *simulatedProxy) sharing.View {
+	view := sharing.View{
+		Epoch:       proxy.grantor.Epoch,
+		Controller:  proxy.grantor.Controller,
+		Incarnation: proxy.grantor.Incarnation,
+		LeftMs:      proxy.grantor.Left(),
+		Controllers: plannerNum,
+	}
+	for _, planner := range s.planners {
+		if proxy.connected[planner.name] && planner.open {
+			view.Reachable = append(view.Reachable, planner.name)
+		}
+	}
+	return view
+}
+
+// spread tells all planners that a proxy has streams to how its lease stands.
+func (s *simulation) spread(proxy *simulatedProxy) {
+	view := s.viewOf(proxy)
+	for _, planner := range s.planners {
+		if proxy.connected[planner.name] {
+			planner.inbox = append(planner.inbox, func() { planner.manager.Heard(proxy.name, view) })
+		}
+	}
+}
+
+func (s *simulation) connect(proxy *simulatedProxy, planner *simulatedPlanner) {
+	proxy.connected[planner.name] = true
+	view := s.viewOf(proxy)
+	planner.inbox = append(planner.inbox, func() { planner.manager.Joined(proxy.name, view) })
+	s.spread(proxy)
+}
+
+func (s *simulation) cut(proxy *simulatedProxy, planner *simulatedPlanner) {
+	if !proxy.connected[planner.name] {
+		return
+	}
+	proxy.connected[planner.name] = false
+	planner.inbox = append(planner.inbox, func() { planner.manager.Lost(proxy.name) })
+	s.spread(proxy)
+}
+
+// restart ends a planner with all its streams, and starts it anew.
+func (s *simulation) restart(planner *simulatedPlanner) {
+	for _, proxy := range s.proxies {
+		s.cut(proxy, planner)
+	}
+	planner.start()
+}
+
+// scheduledFaults plays what is stated for a time.
+func (s *simulation) scheduledFaults() {
+	switch s.nowMs {
+	case 6000:
+		s.planners[0].resumeMs = s.nowMs + jumpMs
+	case 9000:
+		s.restart(s.planners[1])
+	case 14000:
+		s.planners[2].manager.Drain(true)
+	case 19000:
+		s.planners[2].manager.Drain(false)
+	case 22000:
+		s.planners[0].diskFull = true
+	case 23000:
+		s.restart(s.planners[0])
+	case 26000:
+		s.planners[0].diskFull = false
+	case 28000:
+		s.planners[1].resumeMs = s.nowMs + 3*jumpMs
+	case 29000:
+		s.proxies[3].grantor.Epoch += 5_000_000 // beyond what any planner has reserved
+	}
+}
+
+func (s *simulation) randomFaults() {
+	if s.random.Float64() < cutChance {
+		proxy := s.proxies[s.random.Intn(proxyNum)]
+		s.cut(proxy, s.planners[s.random.Intn(plannerNum)])
+	}
+}
+
+func (s *simulation) advance() {
+	s.nowMs += stepMs
+	s.scheduledFaults()
+	if s.nowMs < healMs {
+		s.randomFaults()
+	}
+	for _, proxy := range s.proxies {
+		if proxy.grantor.Tick(s.nowMs) {
+			s.digest.Add(s.nowMs, "lease of %s expires", proxy.name)
+			s.spread(proxy)
+		}
+		for _, planner := range s.planners {
+			if !proxy.connected[planner.name] && s.random.Float64() < dialChance {
+				s.connect(proxy, planner)
+			}
+		}
+	}
+	for _, planner := range s.planners {
+		if s.nowMs >= planner.resumeMs {
+			planner.decide()
+		}
+	}
+}
+
+func (p *simulatedPlanner) decide() {
+	inbox := p.inbox
+	p.inbox = nil
+	p.manager.Tick(p.simulation.nowMs)
+	for _, hear := range inbox {
+		hear()
+	}
+	for p.manager.Next(p) {
+	}
+	for _, proxy := range p.simulation.proxies {
+		if epoch, ok := p.manager.Commands(proxy.name); ok {
+			obeyed := proxy.grantor.Obeys(p.name, p.incarnation, epoch)
+			p.log("may order %s under %d, obeyed %t", proxy.name, epoch, obeyed)
+		}
+	}
+}
+
+// TestGoldenLeases compares every decision of lease holders and grantors in a run with pauses, restarts, drains, cuts and a
+// full disk.
+func TestGoldenLeases(t *testing.T) {
+	s := newSimulation()
+	for s.nowMs < runMs {
+		s.advance()
+	}
+	for _, planner := range s.planners {
+		manager := planner.manager
+		held, all := manager.Held()
+		s.digest.Add(s.nowMs, "%s holds %d of %d, takeovers %d, handed over %d, expired %d, refused %d", planner.name, held, all,
+			manager.Takeovers, manager.Handed, manager.Expired, manager.Refusals)
+	}
+	golden.Check(t, "testdata/leases.golden.txt", s.digest.Finish(runMs))
+	for _, proxy := range s.proxies {
+		if proxy.grantor.Controller == "" {
+			t.Errorf("%s has no lease holder at the end", proxy.name)
+		}
+	}
+	for _, planner := range s.planners {
+		if held, _ := planner.manager.Held(); held == 0 {
+			t.Errorf("%s holds no proxy at the end", planner.name)
+		}
+	}
+}
