--- /dev/null
+++ b/internal/proxy/golden_test.go
@@ -0,0 +1,247 @@
+package proxy_test
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"lichenpick/internal/golden"
+	"lichenpick/internal/proxy"
+	"lichenpick/internal/settings"
+	"lichenpick/proto/order"
+	pb "lichenpick/proto/settings"
+)
+
+const (
+	runMs         = 20_000.0
+	digestMs      = 1000.0 // one line of a golden file
+	reportMs      = 1000.0
+	orderMs       = 150.0
+	leaseEveryMs  = 700.0
+	leaseMs       = 1200
+	requestMs     = 5.0 // from one request to the next
+	serverCount   = 9
+	classCount    = 4
+	tableCount    = 3
+	highestRetry  = 3
+	seed          = 20261202
+	failChance    = 0.25
+	rejectChance  = 0.2
+	welcomeChance = 0.03
+)
+
+const proxySettings = `name: "edge-1" listen: "127.0.0.1:0" planners: "127.0.0.1:1" sharing: true seed: 3
+groups { name: "check" latency_budget: "600ms" expiry: "1.5s" repeat: RETRIABLE }
+groups { name: "start" latency_budget: "1s" expiry: "2.5s" repeat: DEDUPED }
+groups { name: "charge" latency_budget: "800ms" expiry: "2.5s" repeat: NON_RETRIABLE }
+groups { name: "read" latency_budget: "100ms" expiry: "300ms" repeat: RETRIABLE }
+standing: "10.0.0.1:80" standing: "10.0.0.2:80"
+`
+
+// openAttempt is one that was sent to a server.
+type openAttempt struct {
+	request *proxy.Flow
+	server  string
+	sentMs  float64
+	limitMs float64
+}
+
+// conversation is a proxy core with a planner and clients that act at random by a seed.
+type conversation struct {
+	t        *testing.T
+	core     *proxy.Core
+	digest   *golden.Digest
+	random   *rand.Rand
+	nowMs    float64
+	message  uint64
+	attempts []openAttempt
+}
+
+func serverName(number int) string { return fmt.Sprintf("10.0.0.%d:80", number) }
+
+func newConversation(t *testing.T, name, more string) *conversation {
+	t.Helper()
+	configuration := &pb.Proxy{}
+	if err := settings.Parse(name, []byte(proxySettings+more), configuration); err != nil {
+		t.Fatal(err)
+	}
+	return &conversation{
+		t:      t,
+		core:   proxy.NewCore(configuration, 0),
+		digest: golden.NewDigest(name, digestMs),
+		random: rand.New(rand.NewSource(seed)),
+	}
+}
+
+func (c *conversation) log(format string, args ...any) { c.digest.Add(c.nowMs, format, args...) }
+
+func (c *conversation) logMessage(what string, message proto.Message) {
+	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.log("%s %x", what, body)
+}
+
+func (c *conversation) randomServer() string { return serverName(c.random.Intn(serverCount)) }
+
+func (c *conversation) randomLevel() *order.Level {
+	level := &order.Level{Group: uint32(c.random.Intn(classCount)), Share: 1, Retry: uint32(c.random.Intn(highestRetry + 1))}
+	if c.random.Float64() < rejectChance {
+		level.Share = c.random.Float64()
+	}
+	return level
+}
+
+func (c *conversation) randomBind() *order.Bind {
+	bind := &order.Bind{Table: uint32(c.random.Intn(tableCount)), Levels: []*order.Level{c.randomLevel()}}
+	for class := range classCount {
+		if c.random.Intn(2) == 0 {
+			bind.Groups = append(bind.Groups, uint32(class))
+		}
+	}
+	for _, number := range c.random.Perm(serverCount)[:5] {
+		bind.Lines = append(bind.Lines, &order.Line{Server: serverName(number), Weight: c.random.Float64()})
+	}
+	if c.random.Intn(3) == 0 {
+		server := c.randomServer()
+		bind.Withdrawn, bind.Going = []string{server}, []string{server}
+	}
+	return bind
+}
+
+func (c *conversation) randomOrder() *order.Order {
+	switch c.random.Intn(6) {
+	case 0:
+		return &order.Order{What: &order.Order_Bind{Bind: c.randomBind()}}
+	case 1, 2:
+		entry := &order.SetLine{Table: uint32(c.random.Intn(tableCount)), Line: &order.Line{Server: c.randomServer()}}
+		if c.random.Intn(4) > 0 {
+			entry.Line.Weight = c.random.Float64()
+		}
+		entry.Forget = c.random.Intn(4) == 0
+		return &order.Order{What: &order.Order_Line{Line: entry}}
+	case 3:
+		withdraw := &order.Withdraw{Server: c.randomServer(), Out: c.random.Intn(3) == 0}
+		withdraw.Going = withdraw.Out && c.random.Intn(2) == 0
+		return &order.Order{What: &order.Order_Withdraw{Withdraw: withdraw}}
+	case 4:
+		return &order.Order{What: &order.Order_Level{Level: c.randomLevel()}}
+	default:
+		return &order.Order{What: &order.Order_Receipt{Receipt: uint32(c.message)}}
+	}
+}
+
+// command has the planner send one message of orders, or start over with a welcome.
+func (c *conversation) command() {
+	if c.random.Float64() < welcomeChance {
+		c.core.Welcomed(&order.Welcome{Withdrawn: []string{c.randomServer()}})
+		c.log("welcome")
+		return
+	}
+	c.message++
+	message := &order.Orders{Number: c.message, Incarnation: 1, Epoch: c.message / 8}
+	for range 1 + c.random.Intn(3) {
+		message.Orders = append(message.Orders, c.randomOrder())
+	}
+	c.log("obeys %t", c.core.Commanded(c.nowMs, "planner-1", message))
+	c.core.Met(c.nowMs)
+	c.log("receipts %v", c.core.Ordered(message))
+}
+
+func (c *conversation) claim() {
+	claim := &order.Claim{
+		Controller:  []string{"planner-1", "planner-2"}[c.random.Intn(2)],
+		Epoch:       c.message/8 + uint64(c.random.Intn(2)),
+		Incarnation: 1,
+		LeaseMs:     leaseMs,
+	}
+	granted, fresh := c.core.Claim(c.nowMs, claim)
+	c.log("granted %t, fresh %t", granted, fresh)
+	c.logMessage("lease", c.core.Word(c.nowMs, fresh))
+}
+
+func (c *conversation) request() {
+	class := c.random.Intn(classCount)
+	request, admitted := c.core.Admit(c.nowMs, class)
+	c.log("class %d admitted %t", class, admitted)
+	if admitted {
+		c.attempt(request)
+	}
+}
+
+func (c *conversation) attempt(request *proxy.Flow) {
+	server, limitMs, found := c.core.Pick(c.nowMs, request)
+	c.log("attempt %d goes to %q for %g ms", request.Tries, server, limitMs)
+	if !found {
+		c.core.GaveUp(request)
+		return
+	}
+	c.attempts = append(c.attempts, openAttempt{request, server, c.nowMs, limitMs})
+}
+
+// finish ends an open attempt: at its limit, or before in one of three ways.
+func (c *conversation) finish() {
+	if len(c.attempts) == 0 {
+		return
+	}
+	index := c.random.Intn(len(c.attempts))
+	attempt := c.attempts[index]
+	c.attempts = append(c.attempts[:index], c.attempts[index+1:]...)
+	outcome := proxy.Delivered
+	tookMs := c.nowMs - attempt.sentMs
+	switch {
+	case tookMs >= attempt.limitMs:
+		outcome = proxy.Dropped
+	case c.random.Float64() < failChance:
+		outcome = []proxy.Outcome{proxy.Unrun, proxy.Dropped}[c.random.Intn(2)]
+	}
+	retry := c.core.Ended(c.nowMs, attempt.request, attempt.server, outcome, tookMs)
+	c.log("attempt at %s ends, retry %t", attempt.server, retry)
+	if retry {
+		c.attempt(attempt.request)
+	}
+}
+
+// every says whether an interval ends at this time.
+func (c *conversation) every(intervalMs float64) bool {
+	return int(c.nowMs)%int(intervalMs) == 0
+}
+
+func (c *conversation) advance() {
+	c.nowMs += requestMs
+	if c.every(orderMs) {
+		c.command()
+	}
+	if c.every(leaseEveryMs) {
+		c.claim()
+	}
+	c.request()
+	for c.random.Intn(40) < len(c.attempts) { // the more are open, the sooner one ends
+		c.finish()
+	}
+	if c.every(reportMs) {
+		c.logMessage("report", c.core.Sums(c.nowMs))
+		for _, holding := range c.core.Holds() {
+			c.logMessage("holds", holding)
+		}
+		for number := range serverCount {
+			c.log("%s held %t", serverName(number), c.core.Held(serverName(number)))
+		}
+	}
+}
+
+// TestGoldenCore compares every decision of a proxy's core, by the way in which it picks servers.
+func TestGoldenCore(t *testing.T) {
+	for _, pick := range []string{"WEIGHTED", "ROUND", "TWO"} {
+		t.Run(pick, func(t *testing.T) {
+			c := newConversation(t, pick, "pick: "+pick)
+			for c.nowMs < runMs {
+				c.advance()
+			}
+			golden.Check(t, "testdata/core-"+pick+".golden.txt", c.digest.Finish(runMs))
+		})
+	}
+}
