--- a/internal/planner/run_test.go
+++ b/internal/planner/run_test.go
@@ -408,7 +408,7 @@
 
 func (m *stalling) Tick(now float64) {
 	m.gate.Lock()
-	m.gate.Unlock()
+	m.gate.Unlock() //nolint:staticcheck // SA2001: waits until the gate is open, guards nothing
 	m.Decider.Tick(now)
 }
 
--- a/internal/platform/core_test.go
+++ b/internal/platform/core_test.go
@@ -336,7 +336,7 @@
 				set(&site)
 				s := &story{Core: NewCore(site, 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{}, why: map[*Conn]string{}}
 				s.Listed(brain.Restored, entries(40, brain.Ready))
-				at := func() float64 { return s.Core.now }
+				at := func() float64 { return s.now }
 				collector := s.open("collector site=a")
 				drains := 0
 				for n := range 50 { // 10 s; in 12 a channel eight times slower would have sent all
--- a/internal/platform/owed_test.go
+++ b/internal/platform/owed_test.go
@@ -290,7 +290,7 @@
 				h.write = func(b []byte) (n int, err error) {
 					once.Do(func() {
 						n, _ = h.Conn.Write(b[:len(b)/2])
-						h.Conn.Close()
+						h.Close()
 						err = net.ErrClosed
 					})
 					if err != nil {
--- a/internal/platform/update.go
+++ b/internal/platform/update.go
@@ -7,8 +7,6 @@
 	"lichenpick/internal/tables"
 )
 
-const mostParts = 64 // of a message, by the protocol
-
 // update is one part of a message to a proxy. What is empty is left out; a level is present where it is Set.
 type update struct {
 	groups       []string // none: all
--- a/internal/proxy/follow.go
+++ b/internal/proxy/follow.go
@@ -335,7 +335,7 @@
 			return false, s.refused
 		case end.Ended() != nil:
 			return s.joined, end.Ended()
-		case err != nil && !(errors.As(err, &timeout) && timeout.Timeout()):
+		case err != nil && (!errors.As(err, &timeout) || !timeout.Timeout()):
 			return s.joined, err
 		}
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -195,12 +195,12 @@
 func (f *file) place(n *ast.Node) (line, column int) {
 	at := int(n.Start.Byte)
 	for at < len(f.text) {
-		switch c := f.text[at]; {
-		case c == '#':
+		switch f.text[at] {
+		case '#':
 			for at < len(f.text) && f.text[at] != '\n' {
 				at++
 			}
-		case c == ' ' || c == '\t' || c == '\n' || c == '\r':
+		case ' ', '\t', '\n', '\r':
 			at++
 		default:
 			before := f.text[:at]
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
 // What can be wrong with a store.
@@ -78,7 +79,7 @@
 	}
 	err = guarded(func() error {
 		db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWithin})
-		if errors.Is(err, bbolt.ErrTimeout) {
+		if errors.Is(err, bbolterrors.ErrTimeout) {
 			return ErrBusy
 		}
 		if err != nil {
