--- a/brain/brain.go
+++ b/brain/brain.go
@@ -192,9 +192,11 @@
 }
 
 func New(set Settings, seed int64) *Planner {
-	p := &Planner{set: set, chance: rand.New(rand.NewSource(seed)), byName: map[string]*server{},
+	p := &Planner{
+		set: set, chance: rand.New(rand.NewSource(seed)), byName: map[string]*server{},
 		byID: map[int]*proxy{}, askWait: askAgainMs, unsolved: true,
-		solvedAt: never, levelAt: never, lookedAt: never, wakeAt: never, heardAt: never}
+		solvedAt: never, levelAt: never, lookedAt: never, wakeAt: never, heardAt: never,
+	}
 	var parts [2][]int // traffic groups that may go to the same servers
 	for g, row := range set.Groups {
 		l := level{want: 1, sent: 1, retry: set.DefaultRetry}
@@ -279,9 +281,11 @@
 	if zone < 0 || zone >= p.set.Zones {
 		return
 	}
-	q := &proxy{id: id, zone: zone, copy: -1, usual: usual, joined: p.now, sent: slices.Clone(sent),
+	q := &proxy{
+		id: id, zone: zone, copy: -1, usual: usual, joined: p.now, sent: slices.Clone(sent),
 		marks: map[int]float64{}, shut: map[*server]bool{},
-		usage: make([][]sum, len(p.levels)), bound: make([]*table, p.parts)}
+		usage: make([][]sum, len(p.levels)), bound: make([]*table, p.parts),
+	}
 	if p.known && len(sent) > 0 { // taken over: another heard it since then, and we hear others meanwhile
 		q.joined = math.Min(q.joined, sent[0])
 	}
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -172,8 +172,12 @@
 	})
 	t.Run("spill where a zone is short", func(t *testing.T) {
 		f := start(settings())
-		f.p.Listed(Whole, []Entry{{Server: "s0", Zone: 0, Size: 1}, {Server: "s1", Zone: 1, Size: 1},
-			{Server: "s3", Zone: 1, Size: 1}, {Server: "s5", Zone: 1, Size: 1}})
+		f.p.Listed(Whole, []Entry{
+			{Server: "s0", Zone: 0, Size: 1},
+			{Server: "s1", Zone: 1, Size: 1},
+			{Server: "s3", Zone: 1, Size: 1},
+			{Server: "s5", Zone: 1, Size: 1},
+		})
 		f.p.Joined(0, 0, 30)
 		f.p.Joined(1, 1, 10)
 		f.pull()
@@ -387,8 +391,10 @@
 	t.Run("cold servers start low, and rest after a restart", func(t *testing.T) {
 		f := fleet(settings(), 6)
 		f.run(12, fine)
-		f.p.Listed(Change, []Entry{{Server: "s0", Zone: 0, Size: 1, BornMs: f.now - 500},
-			{Server: "new", Zone: 0, Size: 1, BornMs: f.now - 500}})
+		f.p.Listed(Change, []Entry{
+			{Server: "s0", Zone: 0, Size: 1, BornMs: f.now - 500},
+			{Server: "new", Zone: 0, Size: 1, BornMs: f.now - 500},
+		})
 		f.pull()
 		if f.share(0, 0, "s0") != 0 {
 			t.Error("a restarted server is sent to by old tables")
@@ -436,8 +442,10 @@
 	})
 	// Taken over, proxies were heard by another until then; cold servers that rested at each takeover cost a fifth of the
 	// service of a day with releases. A planner that has heard nothing itself must stay careful, whoever sent it proxies.
-	for name, known := range map[string]bool{"a cold server works on while proxies are taken over": true,
-		"a cold server rests when a planner without news takes all over": false} {
+	for name, known := range map[string]bool{
+		"a cold server works on while proxies are taken over":            true,
+		"a cold server rests when a planner without news takes all over": false,
+	} {
 		t.Run(name, func(t *testing.T) {
 			f := start(settings())
 			f.p.Listed(Restored, ready(10))
--- a/brain/host_test.go
+++ b/brain/host_test.go
@@ -21,17 +21,23 @@
 }
 
 func settings() Settings {
-	return Settings{Zones: 2, DefaultRetry: RetryProven, CanAdmit: true, AskWithinMs: 10000,
-		Groups: []TrafficGroup{{BudgetMs: 600, Utility: 1, Repeat: Retriable},
-			{BudgetMs: 1000, Utility: 5, Repeat: NonRetriable}},
+	return Settings{
+		Zones: 2, DefaultRetry: RetryProven, CanAdmit: true, AskWithinMs: 10000,
+		Groups: []TrafficGroup{
+			{BudgetMs: 600, Utility: 1, Repeat: Retriable},
+			{BudgetMs: 1000, Utility: 5, Repeat: NonRetriable},
+		},
 		ChannelRate: 2500, HeadLines: 4, MostWaiting: 3500, MostMessages: 20, MessageSpanMs: 10000,
 		LongestWayMs: 1000, ReportEveryMs: 1000, ColdShare: 0.2, WarmUpMs: 16000, FallMs: 3000, GraceMs: 3000,
-		Proxies: 4, Planners: 1, LeastConns: 300, IdleMs: 15000}
+		Proxies: 4, Planners: 1, LeastConns: 300, IdleMs: 15000,
+	}
 }
 
 func start(set Settings) *fake {
-	f := &fake{now: 1e6, lines: map[int]map[string]float64{}, bound: map[string]int{}, out: map[string]bool{},
-		levels: map[int]float64{}, retries: map[int]int{}, p: New(set, 1)}
+	f := &fake{
+		now: 1e6, lines: map[int]map[string]float64{}, bound: map[string]int{}, out: map[string]bool{},
+		levels: map[int]float64{}, retries: map[int]int{}, p: New(set, 1),
+	}
 	f.p.Tick(f.now)
 	return f
 }
--- a/cmd/lichenpick/emulate.go
+++ b/cmd/lichenpick/emulate.go
@@ -15,7 +15,8 @@
 
 func emulateCommand() *cobra.Command {
 	var seeds int
-	c := &cobra.Command{Use: "emulate SCRIPT", Short: "Play a rehearsal's day in made-up time, with models for servers, clients and links", Args: exactly(1),
+	c := &cobra.Command{
+		Use: "emulate SCRIPT", Short: "Play a rehearsal's day in made-up time, with models for servers, clients and links", Args: exactly(1),
 		Long: "Planner core, module and proxies are the program's own; the rest is modelled. One seed gives one run. Troubles that only\n" +
 			"sockets can have are refused.",
 		RunE: func(c *cobra.Command, args []string) error {
@@ -52,7 +53,8 @@
 					r.Messages, r.Lines, r.Fell, r.Events, all/(c0.Mono()-begun))
 			}
 			return t.Flush()
-		}}
+		},
+	}
 	c.Flags().IntVar(&seeds, "seeds", 1, "days to play, with seeds from the script's on")
 	return c
 }
--- a/cmd/lichenpick/load.go
+++ b/cmd/lichenpick/load.go
@@ -17,7 +17,8 @@
 	o := load.Options{}
 	var to, length, ramp, expiry, budget string
 	var rate float64
-	c := &cobra.Command{Use: "load --to ADDRESS[,ADDRESS]", Short: "Send open-loop traffic to proxies, and find the rate up to which they hold", Args: exactly(0),
+	c := &cobra.Command{
+		Use: "load --to ADDRESS[,ADDRESS]", Short: "Send open-loop traffic to proxies, and find the rate up to which they hold", Args: exactly(0),
 		Long: "Sends flows at times drawn ahead, at a set rate, and measures each from the time it was due: what is late shows, whoever is late.\n" +
 			"With --ramp FROM:TO:BY each rate lasts --length, and the first that does not keep the budget ends the run.",
 		RunE: func(c *cobra.Command, _ []string) (err error) {
@@ -62,7 +63,8 @@
 				fmt.Fprintf(c.OutOrStdout(), "holds up to %g/s\n", knee)
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVar(&to, "to", "", "addresses of proxies, separated by commas")
 	c.Flags().Float64Var(&rate, "rate", 100, "flows a second")
 	c.Flags().StringVar(&length, "length", "10s", "how long, or how long each step of a ramp")
--- a/cmd/lichenpick/main.go
+++ b/cmd/lichenpick/main.go
@@ -43,8 +43,10 @@
 }
 
 func root() *cobra.Command {
-	c := &cobra.Command{Use: "lichenpick", Short: "A traffic director for fleets of proxies",
-		SilenceErrors: true, SilenceUsage: true}
+	c := &cobra.Command{
+		Use: "lichenpick", Short: "A traffic director for fleets of proxies",
+		SilenceErrors: true, SilenceUsage: true,
+	}
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
 	c.AddCommand(plannerCommand(), serveCommand(), proxyCommand(), serverCommand(), rehearseCommand(), swarmCommand(), loadCommand(), emulateCommand(), storeCommand(), settingsCommand(), versionCommand())
 	return c
--- a/cmd/lichenpick/rehearse.go
+++ b/cmd/lichenpick/rehearse.go
@@ -27,7 +27,8 @@
 
 func rehearseCommand() *cobra.Command {
 	var report, level, form string
-	c := &cobra.Command{Use: "rehearse SCRIPT", Short: "Play a scripted day on loopback and judge the rules", Args: exactly(1),
+	c := &cobra.Command{
+		Use: "rehearse SCRIPT", Short: "Play a scripted day on loopback and judge the rules", Args: exactly(1),
 		Long: "Plays a day with a real planner, plain proxies and stand-in servers on loopback, and judges the rules from what\n" +
 			"passed on the sockets. Exit 0: all rules kept; 1: one was broken, or the day failed; 2: the script is bad.",
 		RunE: func(c *cobra.Command, args []string) error {
@@ -54,7 +55,8 @@
 				return errors.New("the day broke a rule")
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVar(&report, "report", "", "write the result as JSON to this file")
 	c.Flags().StringVar(&level, "log-level", "error", "debug, info, warn or error")
 	c.Flags().StringVar(&form, "log-form", "text", "text or json")
--- a/cmd/lichenpick/run.go
+++ b/cmd/lichenpick/run.go
@@ -75,8 +75,10 @@
 func source(l *pb.ListSource, c clock.Clock) list.Source {
 	switch from := l.From.(type) {
 	case *pb.ListSource_Stream:
-		return &list.Stream{Address: from.Stream.Address, RedialMs: settings.Ms(from.Stream.Redial), SilentMs: 10000, FrameBytes: 16 << 20,
-			Clock: c, Network: machine}
+		return &list.Stream{
+			Address: from.Stream.Address, RedialMs: settings.Ms(from.Stream.Redial), SilentMs: 10000, FrameBytes: 16 << 20,
+			Clock: c, Network: machine,
+		}
 	case *pb.ListSource_File:
 		return &list.File{Path: from.File.Path, PollMs: settings.Ms(from.File.Poll), Clock: c}
 	}
--- a/cmd/lichenpick/serve.go
+++ b/cmd/lichenpick/serve.go
@@ -22,7 +22,8 @@
 func serveCommand() *cobra.Command {
 	var file, level, form string
 	var trace bool
-	c := &cobra.Command{Use: "serve", Short: "Run a planner on the operators' platform until SIGTERM; EDGE_CONFIG names its configuration",
+	c := &cobra.Command{
+		Use: "serve", Short: "Run a planner on the operators' platform until SIGTERM; EDGE_CONFIG names its configuration",
 		Args: exactly(0), RunE: func(c *cobra.Command, _ []string) error {
 			hup := make(chan os.Signal, 1)
 			signal.Notify(hup, syscall.SIGHUP) // first of all: by itself it would end the program
@@ -49,9 +50,12 @@
 			if trace {
 				to = os.Stderr
 			}
-			return platform.Run(c.Context(), platform.Options{Trace: to, Config: config, Hangup: hangup, Clock: clock.NewReal(), Network: machine,
-				Reload: func() (platform.Config, error) { return platform.ReadConfig(file) }, Log: log})
-		}}
+			return platform.Run(c.Context(), platform.Options{
+				Trace: to, Config: config, Hangup: hangup, Clock: clock.NewReal(), Network: machine,
+				Reload: func() (platform.Config, error) { return platform.ReadConfig(file) }, Log: log,
+			})
+		},
+	}
 	c.Flags().StringVarP(&file, "config", "c", os.Getenv("EDGE_CONFIG"), "configuration, in the platform's JSON")
 	c.Flags().BoolVar(&trace, "trace", false, "write each second what the module believes, beside counts off the sockets")
 	c.Flags().StringVar(&level, "log-level", "info", "debug, info, warn or error")
--- a/cmd/lichenpick/settings.go
+++ b/cmd/lichenpick/settings.go
@@ -42,27 +42,33 @@
 		m := kind()
 		return m, settings.Load(args[1], m)
 	}
-	c.AddCommand(&cobra.Command{Use: "check KIND FILE", Short: "Check a file; one line and exit 2 if it is bad", Args: exactly(2),
+	c.AddCommand(&cobra.Command{
+		Use: "check KIND FILE", Short: "Check a file; one line and exit 2 if it is bad", Args: exactly(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			_, err := load(args)
 			return err
-		}}, &cobra.Command{Use: "print KIND FILE", Short: "Print a file with all defaults filled in", Args: exactly(2),
+		},
+	}, &cobra.Command{
+		Use: "print KIND FILE", Short: "Print a file with all defaults filled in", Args: exactly(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			m, err := load(args)
 			if err == nil {
 				fmt.Fprint(c.OutOrStdout(), settings.Print(m))
 			}
 			return err
-		}})
+		},
+	})
 	return c
 }
 
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print the version", Args: exactly(0),
+	return &cobra.Command{
+		Use: "version", Short: "Print the version", Args: exactly(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			fmt.Fprintln(c.OutOrStdout(), "lichenpick", version())
 			return nil
-		}}
+		},
+	}
 }
 
 func version() string {
--- a/cmd/lichenpick/store.go
+++ b/cmd/lichenpick/store.go
@@ -22,7 +22,8 @@
 		}
 		return set, nil
 	}
-	c.AddCommand(&cobra.Command{Use: "init PLANNER-FILE", Short: "Make the store of a new controller", Args: exactly(1),
+	c.AddCommand(&cobra.Command{
+		Use: "init PLANNER-FILE", Short: "Make the store of a new controller", Args: exactly(1),
 		Long: "Makes the store that the settings name. For a controller that is new: one that loses its store should get a new name.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			set, err := load(args[0])
@@ -30,7 +31,9 @@
 				return err
 			}
 			return store.Init(set.Sharing.Store, set.Name)
-		}}, &cobra.Command{Use: "show PLANNER-FILE", Short: "Check a store, and print whose it is", Args: exactly(1),
+		},
+	}, &cobra.Command{
+		Use: "show PLANNER-FILE", Short: "Check a store, and print whose it is", Args: exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			set, err := load(args[0])
 			if err != nil {
@@ -43,6 +46,7 @@
 			defer s.Close()
 			fmt.Fprintf(c.OutOrStdout(), "controller %s, epochs reserved up to %d\n", set.Name, s.Mark())
 			return nil
-		}})
+		},
+	})
 	return c
 }
--- a/cmd/lichenpick/swarm.go
+++ b/cmd/lichenpick/swarm.go
@@ -31,7 +31,8 @@
 	var file, length string
 	var spawned, cores int
 	var killAt, backAfter float64
-	c := &cobra.Command{Use: "swarm -c PLANNER-FILE", Short: "Load planners with many stand-in proxies that only speak the order stream", Args: exactly(0),
+	c := &cobra.Command{
+		Use: "swarm -c PLANNER-FILE", Short: "Load planners with many stand-in proxies that only speak the order stream", Args: exactly(0),
 		Long: "Reads a planner's settings for its address, zones, groups and list file, writes that list, and joins. Flows are made up by the\n" +
 			"weights that the proxies hold. For measurements of planners at large sizes. With --spawn it also starts planners made from\n" +
 			"that file in a directory of their own, on the next ports, and says at the end what each used.",
@@ -97,7 +98,8 @@
 				return pack.report(c.OutOrStdout())
 			}
 			return nil
-		}}
+		},
+	}
 	c.Flags().StringVarP(&file, "config", "c", "", "the planner's settings file")
 	c.Flags().IntVar(&s.Proxies, "proxies", 100, "proxies")
 	c.Flags().IntVar(&s.Servers, "servers", 50, "servers in the list")
@@ -130,8 +132,10 @@
 
 // newPack writes the files of planners on the next ports, and their stores where they share.
 func newPack(base *pb.Planner, proxies, planners int, dir string) (*pack, error) {
-	p := &pack{list: filepath.Join(dir, "list.txtpb"), running: make([]*exec.Cmd, planners), used: make([]time.Duration, planners),
-		rss: make([]int64, planners), last: make([]planner.Status, planners), proxies: proxies}
+	p := &pack{
+		list: filepath.Join(dir, "list.txtpb"), running: make([]*exec.Cmd, planners), used: make([]time.Duration, planners),
+		rss: make([]int64, planners), last: make([]planner.Status, planners), proxies: proxies,
+	}
 	for n := range planners {
 		set := proto.Clone(base).(*pb.Planner)
 		set.Name = fmt.Sprintf("planner-%d", n+1)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -97,8 +97,10 @@
 
 func (f *fleet) begin() error {
 	s := f.script
-	set := &pb.Planner{Name: "planner-1", Listen: "127.0.0.1:1", Groups: s.Groups, Channel: s.Channel, Reports: s.Reports, Servers: s.Limits,
-		Streams: &pb.Streams{}, List: &pb.ListSource{From: &pb.ListSource_File{File: &pb.FileList{Path: "x"}}}}
+	set := &pb.Planner{
+		Name: "planner-1", Listen: "127.0.0.1:1", Groups: s.Groups, Channel: s.Channel, Reports: s.Reports, Servers: s.Limits,
+		Streams: &pb.Streams{}, List: &pb.ListSource{From: &pb.ListSource_File{File: &pb.FileList{Path: "x"}}},
+	}
 	proxies := 0
 	for _, p := range s.Places {
 		set.Zones = append(set.Zones, &pb.Zone{Name: p.Name})
@@ -135,8 +137,10 @@
 		for k := range p.GetProxies() {
 			e := &edge{f: f, stream: &planner.Stream{Address: netip.MustParseAddr("127.0.0.1")}}
 			e.stream.Out = e
-			set := &pb.Proxy{Name: fmt.Sprintf("edge-%s-%d", p.Name, k), Listen: "127.0.0.1:1", Planners: []string{"127.0.0.1:1"}, Zone: p.Name, Groups: s.Groups,
-				Pick: s.Pick, ReportEvery: s.Reports.Every, Seed: proto.Uint64(uint64(f.chance.Int63()))}
+			set := &pb.Proxy{
+				Name: fmt.Sprintf("edge-%s-%d", p.Name, k), Listen: "127.0.0.1:1", Planners: []string{"127.0.0.1:1"}, Zone: p.Name, Groups: s.Groups,
+				Pick: s.Pick, ReportEvery: s.Reports.Every, Seed: proto.Uint64(uint64(f.chance.Int63())),
+			}
 			full := &pb.Proxy{}
 			if err := settings.Parse("proxy of the emulator", []byte(settings.Print(set)), full); err != nil {
 				return err
@@ -155,9 +159,11 @@
 func (f *fleet) add(zone int) (*server, error) {
 	m := f.script.Servers
 	n := len(f.servers)
-	set := &pb.Server{Name: fmt.Sprintf("node-%d", n), Listen: fmt.Sprintf("127.9.%d.%d:8000", n/250, n%250+1), Cores: m.Cores, Work: m.Work, Waiting: m.Waiting,
+	set := &pb.Server{
+		Name: fmt.Sprintf("node-%d", n), Listen: fmt.Sprintf("127.9.%d.%d:8000", n/250, n%250+1), Cores: m.Cores, Work: m.Work, Waiting: m.Waiting,
 		Speed: proto.Float64(m.GetSlowest() + (m.GetFastest()-m.GetSlowest())*f.chance.Float64()), ColdShare: f.script.Limits.ColdShare, WarmUp: f.script.Limits.WarmUp,
-		FallWindow: f.script.Limits.FallWindow, FallMultiple: m.FallMultiple}
+		FallWindow: f.script.Limits.FallWindow, FallMultiple: m.FallMultiple,
+	}
 	full := &pb.Server{}
 	if err := settings.Parse("server of the emulator", []byte(settings.Print(set)), full); err != nil {
 		return nil, err
--- a/internal/list/source.go
+++ b/internal/list/source.go
@@ -61,8 +61,10 @@
 func fromFile(l *pb.List, version uint64) Update {
 	u := Update{Form: brain.Whole, AsOfMs: l.AsOfUnixMs, Version: version}
 	for _, e := range l.Servers {
-		u.Entries = append(u.Entries, Entry{Server: e.Server, Zone: e.Zone, State: brain.State(e.State), Size: e.GetSize(),
-			BornUnixMs: e.BornUnixMs})
+		u.Entries = append(u.Entries, Entry{
+			Server: e.Server, Zone: e.Zone, State: brain.State(e.State), Size: e.GetSize(),
+			BornUnixMs: e.BornUnixMs,
+		})
 	}
 	return u
 }
@@ -123,8 +125,10 @@
 			u.Form = brain.Change
 		}
 		for _, e := range m.Entries {
-			u.Entries = append(u.Entries, Entry{Server: e.Server, Zone: e.Zone, State: brain.State(e.State), Size: e.Size,
-				BornUnixMs: e.BornUnixMs})
+			u.Entries = append(u.Entries, Entry{
+				Server: e.Server, Zone: e.Zone, State: brain.State(e.State), Size: e.Size,
+				BornUnixMs: e.BornUnixMs,
+			})
 		}
 	}
 	f.deliver(u)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -13,8 +13,10 @@
 )
 
 func options(at *httptest.Server) Options {
-	return Options{Clock: clock.NewReal(), To: []string{strings.TrimPrefix(at.URL, "http://")}, Rates: []float64{200}, StepMs: 1500,
-		ExpiryMs: 5000, BudgetMs: 300, LeastGood: 0.99, MostFlows: 1000, Seed: 1}
+	return Options{
+		Clock: clock.NewReal(), To: []string{strings.TrimPrefix(at.URL, "http://")}, Rates: []float64{200}, StepMs: 1500,
+		ExpiryMs: 5000, BudgetMs: 300, LeastGood: 0.99, MostFlows: 1000, Seed: 1,
+	}
 }
 
 func TestLoad(t *testing.T) {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -23,6 +23,7 @@
 
 func (h *heard) Joined(m *order.Join) { h.told = append(h.told, "join "+m.Proxy) }
 func (h *heard) Summed(m *order.Sums) { h.told = append(h.told, fmt.Sprint("sums ", len(m.Servers))) }
+
 func (h *heard) Answered(m *order.Applied) {
 	h.told = append(h.told, fmt.Sprint("applied ", m.Number))
 }
@@ -250,8 +251,10 @@
 func BenchmarkFrames(b *testing.B) {
 	message := &order.Orders{Planner: "p", Incarnation: 7, DecidedUnixUs: 1 << 50, Lines: 24}
 	for n := range 20 {
-		message.Orders = append(message.Orders, &order.Order{What: &order.Order_Line{Line: &order.SetLine{Table: 1,
-			Line: &order.Line{Server: fmt.Sprintf("10.0.0.%d:8000", n), Weight: 0.05}}}})
+		message.Orders = append(message.Orders, &order.Order{What: &order.Order_Line{Line: &order.SetLine{
+			Table: 1,
+			Line:  &order.Line{Server: fmt.Sprintf("10.0.0.%d:8000", n), Weight: 0.05},
+		}}})
 	}
 	b.Run("write", func(b *testing.B) {
 		buf := make([]byte, 0, 4096)
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -178,9 +178,11 @@
 
 // NewCore starts a planner at a time. The incarnation tells it from earlier ones under its name.
 func NewCore(set *pb.Planner, module Decider, incarnation uint64, now float64) *Core {
-	c := &Core{module: module, set: set, incarnation: incarnation, now: now, zones: &bart.Table[int]{}, zoneNames: map[string]int{},
+	c := &Core{
+		module: module, set: set, incarnation: incarnation, now: now, zones: &bart.Table[int]{}, zoneNames: map[string]int{},
 		listed: map[string]*listing{}, names: map[string]*peer{}, book: tables.NewBook[*peer](len(set.Groups)),
-		toldWake: math.Inf(1), Order: hdrhistogram.New(1, 600e6, 3)}
+		toldWake: math.Inf(1), Order: hdrhistogram.New(1, 600e6, 3),
+	}
 	c.Counts.Endings = map[orders.Reason]uint64{}
 	var names []string
 	for n, z := range set.Zones {
@@ -192,9 +194,11 @@
 	}
 	c.memory = list.NewMemory(names, int(set.List.GetMostServers()))
 	c.intake = newIntake(settings.Ms(set.Reports.Every), settings.PerS(set.Reports.Intake), int(set.Reports.GetMostPending()), now)
-	c.channel = orders.NewChannel[*message](orders.ChannelLimits{LinesPerS: settings.PerS(set.Channel.Lines),
+	c.channel = orders.NewChannel[*message](orders.ChannelLimits{
+		LinesPerS: settings.PerS(set.Channel.Lines),
 		HeadLines: set.Channel.GetHeadLines(), MostWaiting: float64(set.Channel.GetMostWaiting()),
-		MostMessages: int(set.Channel.GetMostMessages()), SpanMs: settings.Ms(set.Channel.MessageSpan)})
+		MostMessages: int(set.Channel.GetMostMessages()), SpanMs: settings.Ms(set.Channel.MessageSpan),
+	})
 	c.shareWake = math.Inf(1)
 	c.Tick(now, time.Time{})
 	return c
@@ -205,17 +209,22 @@
 	c.share = sharing.NewSharer(c.set.Name, c.incarnation, mark, c.now)
 }
 
-var repeats = map[pb.Repeat]brain.Repeat{pb.Repeat_NON_RETRIABLE: brain.NonRetriable, pb.Repeat_DEDUPED: brain.Deduped,
-	pb.Repeat_RETRIABLE: brain.Retriable}
+var repeats = map[pb.Repeat]brain.Repeat{
+	pb.Repeat_NON_RETRIABLE: brain.NonRetriable, pb.Repeat_DEDUPED: brain.Deduped,
+	pb.Repeat_RETRIABLE: brain.Retriable,
+}
 
 // RetryMode gives the module's word for a retry of the settings.
 func RetryMode(r pb.Retry) int {
-	return map[pb.Retry]int{pb.Retry_NEVER: brain.RetryNever, pb.Retry_AFTER_PROOF: brain.RetryProven,
-		pb.Retry_ONCE: brain.RetryOnce, pb.Retry_TWICE: brain.RetryTwice}[r]
+	return map[pb.Retry]int{
+		pb.Retry_NEVER: brain.RetryNever, pb.Retry_AFTER_PROOF: brain.RetryProven,
+		pb.Retry_ONCE: brain.RetryOnce, pb.Retry_TWICE: brain.RetryTwice,
+	}[r]
 }
 
 func moduleSettings(set *pb.Planner) brain.Settings {
-	s := brain.Settings{Zones: len(set.Zones), DefaultRetry: RetryMode(set.DefaultRetry), CanAdmit: true,
+	s := brain.Settings{
+		Zones: len(set.Zones), DefaultRetry: RetryMode(set.DefaultRetry), CanAdmit: true,
 		ChannelRate: settings.PerS(set.Channel.Lines), HeadLines: set.Channel.GetHeadLines(),
 		MostWaiting: float64(set.Channel.GetMostWaiting()), MostMessages: int(set.Channel.GetMostMessages()),
 		MessageSpanMs: settings.Ms(set.Channel.MessageSpan), LongestWayMs: settings.Ms(set.Channel.LongestWay),
@@ -223,10 +232,13 @@
 		WarmUpMs: settings.Ms(set.Servers.WarmUp), GraceMs: settings.Ms(set.Servers.DrainGrace),
 		FallMs: settings.Ms(set.Servers.FallWindow), CrossPrice: set.GetCrossPrice(), Proxies: int(set.GetProxies()),
 		Planners: int(set.GetPlanners()), LeastConns: float64(set.Servers.GetLeastConnections()),
-		IdleMs: settings.Ms(set.Servers.ConnectionIdle)}
+		IdleMs: settings.Ms(set.Servers.ConnectionIdle),
+	}
 	for _, g := range set.Groups {
-		s.Groups = append(s.Groups, brain.TrafficGroup{BudgetMs: settings.Ms(g.LatencyBudget), Utility: g.GetUtility(),
-			Repeat: repeats[g.Repeat], OnlyZone: g.OnlyZone})
+		s.Groups = append(s.Groups, brain.TrafficGroup{
+			BudgetMs: settings.Ms(g.LatencyBudget), Utility: g.GetUtility(),
+			Repeat: repeats[g.Repeat], OnlyZone: g.OnlyZone,
+		})
 	}
 	return s
 }
@@ -302,8 +314,10 @@
 		}
 		c.end(old.stream, &orders.Ending{Reason: orders.Replaced, Detail: fmt.Sprintf("by a stream from %s", s.Address)})
 	}
-	p := &peer{name: j.Proxy, zone: zone, stream: s, incarnation: j.Incarnation, streams: j.Stream, heard: c.now,
-		link: &orders.Link{}, tables: make([]*tables.Table[*peer], len(c.book.Levels)), holds: j.Holds, out: map[string]bool{}, usual: j.UsualPerS}
+	p := &peer{
+		name: j.Proxy, zone: zone, stream: s, incarnation: j.Incarnation, streams: j.Stream, heard: c.now,
+		link: &orders.Link{}, tables: make([]*tables.Table[*peer], len(c.book.Levels)), holds: j.Holds, out: map[string]bool{}, usual: j.UsualPerS,
+	}
 	if n := len(c.free); n > 0 {
 		p.number, c.free = c.free[n-1], c.free[:n-1]
 		c.peers[p.number] = p
@@ -312,8 +326,10 @@
 	}
 	s.peer, c.names[p.name] = p, p
 	c.Counts.Joins++
-	w := &order.Welcome{Planner: c.set.Name, Incarnation: c.incarnation,
-		ReportEveryMs: uint32(settings.Ms(c.set.Reports.Every)), Sharing: c.share != nil}
+	w := &order.Welcome{
+		Planner: c.set.Name, Incarnation: c.incarnation,
+		ReportEveryMs: uint32(settings.Ms(c.set.Reports.Every)), Sharing: c.share != nil,
+	}
 	if c.share != nil { // it is ours only once it says so
 		c.todo = append(c.todo, func(h Host) {
 			h.Send(s, orders.Welcome, w)
@@ -672,8 +688,10 @@
 		if weight > 0 && (o.c.book.Out[server] || p.inherited[server] > 0) && !p.out[server] {
 			o.c.withdraw(p, server, true)
 		}
-		o.c.order(p, 1, &order.Order{What: &order.Order_Line{Line: &order.SetLine{Table: uint32(number),
-			Line: &order.Line{Server: server, Weight: weight}, Forget: forget}}})
+		o.c.order(p, 1, &order.Order{What: &order.Order_Line{Line: &order.SetLine{
+			Table: uint32(number),
+			Line:  &order.Line{Server: server, Weight: weight}, Forget: forget,
+		}}})
 	}
 }
 
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -369,8 +369,10 @@
 
 func TestRipe(t *testing.T) {
 	sums := func(server string, tries, dropped uint32, ms float64) *order.Sums {
-		return &order.Sums{CoversMs: 100, Servers: []*order.ServerSum{{Server: server, Tries: tries, Dropped: dropped, LatencyMs: ms}},
-			Groups: []*order.GroupSum{{Group: 1, Came: tries, Dropped: dropped}}}
+		return &order.Sums{
+			CoversMs: 100, Servers: []*order.ServerSum{{Server: server, Tries: tries, Dropped: dropped, LatencyMs: ms}},
+			Groups: []*order.GroupSum{{Group: 1, Came: tries, Dropped: dropped}},
+		}
 	}
 	t.Run("later reports of a stream are added to the one that waits", func(t *testing.T) {
 		r, a, b := &ripe{signal: make(chan struct{}, 1)}, &stream{}, &stream{}
--- a/internal/planner/run.go
+++ b/internal/planner/run.go
@@ -105,9 +105,13 @@
 	}
 	defer l.Close()
 	set := o.Settings
-	p := &Planner{Options: o, inbox: make(chan func(), inboxSize), ripe: ripe{signal: make(chan struct{}, 1)}, allow: &bart.Table[struct{}]{},
-		lim: orders.Limits{FrameBytes: int(set.Streams.GetFrameBytes()), JoinWithin: settings.Ms(set.Streams.JoinWithin),
-			SilentAfter: settings.Ms(set.Streams.SilentAfter)}}
+	p := &Planner{
+		Options: o, inbox: make(chan func(), inboxSize), ripe: ripe{signal: make(chan struct{}, 1)}, allow: &bart.Table[struct{}]{},
+		lim: orders.Limits{
+			FrameBytes: int(set.Streams.GetFrameBytes()), JoinWithin: settings.Ms(set.Streams.JoinWithin),
+			SilentAfter: settings.Ms(set.Streams.SilentAfter),
+		},
+	}
 	for _, a := range set.Allow {
 		p.allow.Insert(netip.MustParsePrefix(a).Masked(), struct{}{})
 	}
@@ -447,12 +451,15 @@
 	r.s.name = m.Proxy
 	r.ok = r.p.tell(r.ctx, func() { r.p.core.Joined(r.s.core, m) })
 }
+
 func (r *reader) Summed(m *order.Sums) {
 	r.p.ripe.add(r.s, m, r.p.Clock.Mono())
 }
+
 func (r *reader) Leased(m *order.Lease) {
 	r.ok = r.p.tell(r.ctx, func() { r.p.core.Leased(r.s.core, m) })
 }
+
 func (r *reader) Answered(m *order.Applied) {
 	r.ok = r.p.tell(r.ctx, func() { r.p.core.Answered(r.s.core, m) })
 }
@@ -558,11 +565,13 @@
 	if !now && last != nil && c.wall.UnixMilli()-last.AtUnixMs < 200 && c.wall.UnixMilli() >= last.AtUnixMs {
 		return
 	}
-	s := &Status{Planner: p.Settings.Name, AtUnixMs: c.wall.UnixMilli(), Proxies: len(c.names), Streams: int(p.streams.Load()),
+	s := &Status{
+		Planner: p.Settings.Name, AtUnixMs: c.wall.UnixMilli(), Proxies: len(c.names), Streams: int(p.streams.Load()),
 		Doubted: c.memory.Doubted, Refused: c.memory.Refused, LinesWaiting: c.channel.Waiting(), LinesPeak: c.channel.Peak(),
 		Joins: c.Counts.Joins, Messages: c.Counts.Messages, Lines: c.Counts.Lines, Sums: c.Counts.Sums, Unheard: c.Counts.Unheard,
 		Shed: c.Counts.Shed, Endings: map[orders.Reason]uint64{}, OrderMsP50: float64(c.Order.ValueAtQuantile(50)) / 1000,
-		OrderMsP99: float64(c.Order.ValueAtQuantile(99)) / 1000, RefusedDials: p.refused.Load()}
+		OrderMsP99: float64(c.Order.ValueAtQuantile(99)) / 1000, RefusedDials: p.refused.Load(),
+	}
 	if s.Commanded = len(c.names); c.share != nil {
 		s.Commanded, _ = c.share.Held()
 		s.Marks = c.Counts.Marks
--- a/internal/planner/run_test.go
+++ b/internal/planner/run_test.go
@@ -81,9 +81,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ready, done := make(chan string, 1), make(chan error, 1)
 	go func() {
-		done <- Run(ctx, Options{Settings: set, Clock: r.clock, Network: clock.TCP{}, Source: r.source, Decider: decider,
+		done <- Run(ctx, Options{
+			Settings: set, Clock: r.clock, Network: clock.TCP{}, Source: r.source, Decider: decider,
 			Log: slog.New(slog.NewTextHandler(r.log, nil)), Ready: func(a net.Addr) { ready <- a.String() },
-			Status: func(s *Status) { r.last = s }})
+			Status: func(s *Status) { r.last = s },
+		})
 	}()
 	var once sync.Once
 	var err error
--- a/internal/planner/share.go
+++ b/internal/planner/share.go
@@ -95,8 +95,10 @@
 
 func (s sharer) Claim(proxy string, nonce, epoch uint64, leaseMs float64) {
 	if p := s.c.names[proxy]; p != nil {
-		s.h.Send(p.stream, orders.Claim, &order.Claim{Nonce: nonce, Epoch: epoch, Controller: s.c.set.Name,
-			Incarnation: s.c.incarnation, LeaseMs: uint32(leaseMs)})
+		s.h.Send(p.stream, orders.Claim, &order.Claim{
+			Nonce: nonce, Epoch: epoch, Controller: s.c.set.Name,
+			Incarnation: s.c.incarnation, LeaseMs: uint32(leaseMs),
+		})
 	}
 }
 
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -77,8 +77,10 @@
 	if err := check(site); err != nil {
 		return bad("settings: %v", err)
 	}
-	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Seed: int64(seed), Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Site: site}
+	c := Config{
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Seed: int64(seed), Cores: f.Limits.Cores,
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Site: site,
+	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
 		l, err := readListing(f.Known, site.Zones)
 		if err != nil {
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -152,9 +152,11 @@
 // NewCore starts a planner at a time.
 func NewCore(site wire.Site, seed int64, now float64) *Core {
 	site.Module.EndsByLine = true // as Withdraw and align do
-	c := &Core{site: site, module: brain.New(site.Module, seed), book: tables.NewBook[*proxy](len(site.Groups)),
+	c := &Core{
+		site: site, module: brain.New(site.Module, seed), book: tables.NewBook[*proxy](len(site.Groups)),
 		zones: map[string]int{}, groups: map[string]int{}, servers: map[string]*server{}, conns: map[*Conn]bool{},
-		proxies: make([]*proxy, site.Module.Proxies), sources: make([][]*Conn, len(site.Zones)), told: math.Inf(1), MostPartial: math.MaxInt}
+		proxies: make([]*proxy, site.Module.Proxies), sources: make([][]*Conn, len(site.Zones)), told: math.Inf(1), MostPartial: math.MaxInt,
+	}
 	for n, z := range site.Zones {
 		c.zones[z] = n
 	}
--- a/internal/platform/core_test.go
+++ b/internal/platform/core_test.go
@@ -40,8 +40,10 @@
 }
 
 func begin(t testing.TB, servers int) *story {
-	s := &story{Core: NewCore(site(t), 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{},
-		why: map[*Conn]string{}}
+	s := &story{
+		Core: NewCore(site(t), 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{},
+		why: map[*Conn]string{},
+	}
 	s.Listed(brain.Restored, entries(servers, brain.Ready))
 	return s
 }
@@ -294,8 +296,10 @@
 func TestARushOfProxiesFitsTheChannel(t *testing.T) {
 	set := site(t)
 	set.Module.Proxies = 150
-	s := &story{Core: NewCore(set, 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{},
-		why: map[*Conn]string{}}
+	s := &story{
+		Core: NewCore(set, 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{},
+		why: map[*Conn]string{},
+	}
 	s.Listed(brain.Restored, entries(30, brain.Ready))
 	conns := make([]*Conn, 150)
 	for id := range conns {
@@ -348,8 +352,10 @@
 					}
 					if n%5 == 2 { // servers drain, and new ones come
 						for range 3 {
-							s.Listed(brain.Change, []brain.Entry{{Server: fmt.Sprintf("s-%d", drains), Zone: drains % 2, Size: 1, State: brain.Draining},
-								{Server: fmt.Sprintf("n-%d", drains), Zone: drains % 2, Size: 1, BornMs: at()}})
+							s.Listed(brain.Change, []brain.Entry{
+								{Server: fmt.Sprintf("s-%d", drains), Zone: drains % 2, Size: 1, State: brain.Draining},
+								{Server: fmt.Sprintf("n-%d", drains), Zone: drains % 2, Size: 1, BornMs: at()},
+							})
 							drains++
 						}
 					}
@@ -415,11 +421,13 @@
 			t.Errorf("%t %t %t %q", s.ended[a], s.ended[b], s.ended[d], s.said[d])
 		}
 	})
-	for _, line := range []string{"heard site=a target=s-0 count=2 fail=3 mean=1 over=1000", "heard site=a target=s-0 count=2 fail=1 mean=inf over=1000",
+	for _, line := range []string{
+		"heard site=a target=s-0 count=2 fail=3 mean=1 over=1000", "heard site=a target=s-0 count=2 fail=1 mean=inf over=1000",
 		"heard site=a target=s-99 count=2 fail=1 mean=1 over=1000", "heard site=a target=s-0 count=-2 fail=0 mean=1 over=1000",
 		"heard site=a target=s-0 count=x fail=0 mean=1 over=1000", "heard target=s-0 count=2 fail=0 mean=1 over=1000",
 		"heard site=a target=s-0 count=2 fail=0 mean=1 over=1000 util=inflight:-3", "usage id=77 lane=lookup count=1 fail=0 over=1000",
-		"usage id=3 lane=none count=1 fail=0 over=1000", "usage id=3 lane=lookup count=1 count=1 fail=0 over=1000", "heard"} {
+		"usage id=3 lane=none count=1 fail=0 over=1000", "usage id=3 lane=lookup count=1 count=1 fail=0 over=1000", "heard",
+	} {
 		t.Run("spoilt alone: "+line, func(t *testing.T) {
 			was := s.Counts
 			s.say(c, line, "heard site=a target=s-0 count=2 fail=1 mean=1 over=1000 util=inflight:7")
@@ -528,10 +536,12 @@
 	if _, ok, err := f.take(nil); ok || err != nil {
 		t.Errorf("an empty line tells something: %v", err)
 	}
-	for name, line := range map[string]string{"cut": `{"version":44,"ful`, "state": fmt.Sprintf(one, "44", "false", "odd", "0"),
+	for name, line := range map[string]string{
+		"cut": `{"version":44,"ful`, "state": fmt.Sprintf(one, "44", "false", "odd", "0"),
 		"back": fmt.Sprintf(one, "42", "false", "ready", "0"), "no version": `{"full":true}`,
 		"weight": strings.Replace(fmt.Sprintf(one, "44", "false", "ready", "0"), "1.5", "-1", 1),
-		"name":   strings.Replace(fmt.Sprintf(one, "44", "false", "ready", "0"), "s-1", "s 1", 1)} {
+		"name":   strings.Replace(fmt.Sprintf(one, "44", "false", "ready", "0"), "s-1", "s 1", 1),
+	} {
 		t.Run("what can't be read changes nothing and asks for the whole list: "+name, func(t *testing.T) {
 			f := follower{zones: zones, version: 43}
 			if _, ok, err := f.take([]byte(line)); ok || err == nil || f.version != 43 || !f.whole {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -40,7 +40,8 @@
 
 // run follows the agent at an address until the context ends.
 func (a *agent) run(ctx context.Context, address string) {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 1 << 14,
+	client := &http.Client{Transport: &http.Transport{
+		DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 1 << 14,
 		DialContext: func(ctx context.Context, _, to string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(ctx, dialMs*time.Millisecond)
 			defer cancel()
@@ -49,7 +50,8 @@
 				return nil, err
 			}
 			return watched{conn, a}, nil
-		}}}
+		},
+	}}
 	wait := againMs
 	for said := ""; ctx.Err() == nil; {
 		err := a.ask(ctx, client, address, func() { wait, said = againMs, "" })
--- a/internal/platform/line.go
+++ b/internal/platform/line.go
@@ -30,8 +30,10 @@
 )
 
 // kinds are all that may begin a line that comes in. Reports of other kinds of deployment are read and not needed.
-var kinds = []string{sayJoined, sayApplied, sayHeard, sayUsage, sayCollector, sayPing, sayPong, sayRefused, sayUpdate,
-	"left", "heat", "given", "held"}
+var kinds = []string{
+	sayJoined, sayApplied, sayHeard, sayUsage, sayCollector, sayPing, sayPong, sayRefused, sayUpdate,
+	"left", "heat", "given", "held",
+}
 
 var (
 	errLong       = errors.New("a message longer than allowed")
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -111,9 +111,11 @@
 	if memory <= 0 {
 		memory = memoryMB
 	}
-	s := &shell{Options: o, stir: make(chan struct{}, 1), room: 1 << 20, streams: map[*stream]bool{},
+	s := &shell{
+		Options: o, stir: make(chan struct{}, 1), room: 1 << 20, streams: map[*stream]bool{},
 		mostUnsent: max(memory<<20/unsentPart, mostUnsent),
-		origin:     float64(o.Clock.Wall().UnixMicro())/1000 - o.Clock.Mono()}
+		origin:     float64(o.Clock.Wall().UnixMicro())/1000 - o.Clock.Mono(),
+	}
 	if o.Config.Sockets > 0 {
 		s.room = max(o.Config.Sockets-spare, 8)
 	}
@@ -209,8 +211,10 @@
 
 // follow keeps to discovery, and to its new address when the configuration is replaced.
 func (s *shell) follow(ctx context.Context) {
-	a := &agent{clock: s.Clock, network: s.Network, log: s.Log, follow: follower{zones: s.Config.Site.Zones, version: s.Config.Version,
-		whole: s.Config.Version == 0}, deliver: func(form brain.ListForm, list []brain.Entry) {
+	a := &agent{clock: s.Clock, network: s.Network, log: s.Log, follow: follower{
+		zones: s.Config.Site.Zones, version: s.Config.Version,
+		whole: s.Config.Version == 0,
+	}, deliver: func(form brain.ListForm, list []brain.Entry) {
 		s.with(func() { s.core.Listed(form, list) })
 		s.stirred()
 	}}
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -109,8 +109,10 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ready := make(chan net.Addr, 1)
 	d.stop = stop
-	o := Options{Config: c, Reload: func() (Config, error) { return ReadConfig(d.path) }, Hangup: d.hangup,
-		Clock: clock.NewReal(), Network: clock.TCP{}, Log: slog.New(slog.DiscardHandler), Ready: func(a net.Addr) { ready <- a }}
+	o := Options{
+		Config: c, Reload: func() (Config, error) { return ReadConfig(d.path) }, Hangup: d.hangup,
+		Clock: clock.NewReal(), Network: clock.TCP{}, Log: slog.New(slog.DiscardHandler), Ready: func(a net.Addr) { ready <- a },
+	}
 	if hook != nil {
 		hook(&o)
 	}
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -82,9 +82,11 @@
 
 // NewCore makes a proxy that goes by its standing table.
 func NewCore(set *pb.Proxy, now float64) *Core {
-	c := &Core{groups: set.Groups, pick: set.Pick, first: set.GetFirstWait(), usual: retryMode(set.DefaultRetry),
+	c := &Core{
+		groups: set.Groups, pick: set.Pick, first: set.GetFirstWait(), usual: retryMode(set.DefaultRetry),
 		chance: rand.New(rand.NewSource(int64(set.GetSeed()))), tables: map[uint32]*table{}, out: map[string]bool{},
-		inHand: map[string]int{}, going: map[string]float64{}, servers: map[string]*sum{}, came: make([]sum, len(set.Groups)), since: now}
+		inHand: map[string]int{}, going: map[string]float64{}, servers: map[string]*sum{}, came: make([]sum, len(set.Groups)), since: now,
+	}
 	standing := &table{out: map[string]bool{}}
 	for _, s := range set.Standing {
 		standing.lines = append(standing.lines, &line{server: s, weight: 1})
@@ -97,8 +99,10 @@
 }
 
 func retryMode(r pb.Retry) int {
-	return map[pb.Retry]int{pb.Retry_NEVER: brain.RetryNever, pb.Retry_AFTER_PROOF: brain.RetryProven,
-		pb.Retry_ONCE: brain.RetryOnce, pb.Retry_TWICE: brain.RetryTwice}[r]
+	return map[pb.Retry]int{
+		pb.Retry_NEVER: brain.RetryNever, pb.Retry_AFTER_PROOF: brain.RetryProven,
+		pb.Retry_ONCE: brain.RetryOnce, pb.Retry_TWICE: brain.RetryTwice,
+	}[r]
 }
 
 // Holds says what the proxy goes by, for a Join.
--- a/internal/proxy/follow.go
+++ b/internal/proxy/follow.go
@@ -288,12 +288,16 @@
 		return false, err
 	}
 	defer conn.Close()
-	end := orders.NewProxyEnd(orders.Limits{FrameBytes: int(p.Settings.GetFrameBytes()), JoinWithin: joinMs,
-		SilentAfter: settings.Ms(p.Settings.SilentAfter)}, p.Clock.Mono())
+	end := orders.NewProxyEnd(orders.Limits{
+		FrameBytes: int(p.Settings.GetFrameBytes()), JoinWithin: joinMs,
+		SilentAfter: settings.Ms(p.Settings.SilentAfter),
+	}, p.Clock.Mono())
 	s := &session{p: p, out: make(chan outgoing, outboxSize), broken: make(chan struct{})}
 	p.mu.Lock()
-	join := &order.Join{Proxy: p.Settings.Name, Zone: p.Settings.Zone, UsualPerS: settings.PerS(p.Settings.Usual), Incarnation: p.start,
-		Stream: streams, Standing: !p.core.bound, Groups: uint32(len(p.Settings.Groups))}
+	join := &order.Join{
+		Proxy: p.Settings.Name, Zone: p.Settings.Zone, UsualPerS: settings.PerS(p.Settings.Usual), Incarnation: p.start,
+		Stream: streams, Standing: !p.core.bound, Groups: uint32(len(p.Settings.Groups)),
+	}
 	if p.Settings.Sharing {
 		join.Lease = p.word(p.Clock.Mono(), false)
 	} else {
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -58,8 +58,10 @@
 	if err != nil {
 		return fmt.Errorf("listening for flows: %w", err)
 	}
-	server := &http.Server{Handler: p, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: settings.Duration(p.Settings.ConnectionIdle),
-		ErrorLog: slog.NewLogLogger(p.Log.Handler(), slog.LevelDebug)}
+	server := &http.Server{
+		Handler: p, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: settings.Duration(p.Settings.ConnectionIdle),
+		ErrorLog: slog.NewLogLogger(p.Log.Handler(), slog.LevelDebug),
+	}
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -179,7 +181,8 @@
 			if wrote.Load() {
 				cancel()
 			}
-		}})
+		},
+	})
 	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+server+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
 		return nil, Unrun
@@ -219,7 +222,8 @@
 	t := p.lines[server]
 	if t == nil {
 		within := settings.Duration(p.Settings.ConnectWithin)
-		t = &http.Transport{IdleConnTimeout: settings.Duration(p.Settings.ConnectionIdle), MaxIdleConnsPerHost: 64,
+		t = &http.Transport{
+			IdleConnTimeout: settings.Duration(p.Settings.ConnectionIdle), MaxIdleConnsPerHost: 64,
 			DisableCompression: true, WriteBufferSize: 4 << 10, ReadBufferSize: 4 << 10,
 			DialContext: func(ctx context.Context, _, to string) (net.Conn, error) {
 				ctx, cancel := context.WithTimeout(ctx, within)
@@ -229,7 +233,8 @@
 					err = &net.OpError{Op: "dial", Net: "tcp", Err: err}
 				}
 				return conn, err
-			}}
+			},
+		}
 		p.lines[server] = t
 	}
 	return t
--- a/internal/proxy/run_test.go
+++ b/internal/proxy/run_test.go
@@ -35,8 +35,10 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ready, done := make(chan string, 1), make(chan error, 1)
-	p := New(Options{Settings: set, Clock: clock.NewReal(), Network: clock.TCP{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Ready: func(a net.Addr) { ready <- a.String() }})
+	p := New(Options{
+		Settings: set, Clock: clock.NewReal(), Network: clock.TCP{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Ready: func(a net.Addr) { ready <- a.String() },
+	})
 	go func() { done <- p.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
--- a/internal/rehearsal/control.go
+++ b/internal/rehearsal/control.go
@@ -72,11 +72,15 @@
 func (c *control) settings() (*pb.Planner, error) {
 	f, s := c.f, c.f.script
 	proxies, planners := uint32(f.count()), uint32(f.planners())
-	set := &pb.Planner{Name: c.name, Listen: "127.0.0.1:0", Groups: s.Groups, Channel: s.Channel, Reports: s.Reports, Servers: s.Limits,
+	set := &pb.Planner{
+		Name: c.name, Listen: "127.0.0.1:0", Groups: s.Groups, Channel: s.Channel, Reports: s.Reports, Servers: s.Limits,
 		Streams: &pb.Streams{}, Proxies: &proxies, Planners: proto.Uint32(min(planners, proxies)),
-		List: &pb.ListSource{Keep: filepath.Join(f.dir, c.name+"-list.txtpb"),
-			From: &pb.ListSource_Stream{Stream: &pb.StreamList{Address: c.listRelay.Address(), Redial: "200ms"}}},
-		Dump: filepath.Join(f.dir, c.name+"-dump.txt")}
+		List: &pb.ListSource{
+			Keep: filepath.Join(f.dir, c.name+"-list.txtpb"),
+			From: &pb.ListSource_Stream{Stream: &pb.StreamList{Address: c.listRelay.Address(), Redial: "200ms"}},
+		},
+		Dump: filepath.Join(f.dir, c.name+"-dump.txt"),
+	}
 	for n, p := range s.Places {
 		set.Zones = append(set.Zones, &pb.Zone{Name: p.Name, Prefixes: []string{fmt.Sprintf("127.%d.0.0/16", n+1)}})
 	}
@@ -117,9 +121,11 @@
 	ready, failed, ended := make(chan net.Addr, 1), make(chan error, 1), make(chan struct{})
 	f.group.Go(func() error {
 		defer close(ended)
-		err := planner.Run(running, planner.Options{Settings: set, Clock: f.clock, Network: f.net, Log: f.log, Decider: decider,
+		err := planner.Run(running, planner.Options{
+			Settings: set, Clock: f.clock, Network: f.net, Log: f.log, Decider: decider,
 			Source: &list.Stream{Address: c.listRelay.Address(), RedialMs: 200, SilentMs: 5000, FrameBytes: 16 << 20, Clock: f.clock, Network: f.net},
-			Ready:  func(a net.Addr) { ready <- a }, Status: c.keep})
+			Ready:  func(a net.Addr) { ready <- a }, Status: c.keep,
+		})
 		if err != nil {
 			failed <- err
 		}
--- a/internal/rehearsal/fleet.go
+++ b/internal/rehearsal/fleet.go
@@ -91,16 +91,22 @@
 
 func newFleet(s *script.Script, h Hooks, dir string, log *slog.Logger) *fleet {
 	c := clock.NewReal()
-	f := &fleet{script: s, hooks: h, clock: c, net: clock.TCP{}, log: log, chance: rand.New(rand.NewSource(int64(s.GetSeed()))),
-		dir: dir, links: map[int]linkRule{}}
-	lim := rules.Limits{BareMs: settings.Ms(s.BareWithin), GraceMs: settings.Ms(s.Limits.DrainGrace), WarmUpMs: settings.Ms(s.Limits.WarmUp),
+	f := &fleet{
+		script: s, hooks: h, clock: c, net: clock.TCP{}, log: log, chance: rand.New(rand.NewSource(int64(s.GetSeed()))),
+		dir: dir, links: map[int]linkRule{},
+	}
+	lim := rules.Limits{
+		BareMs: settings.Ms(s.BareWithin), GraceMs: settings.Ms(s.Limits.DrainGrace), WarmUpMs: settings.Ms(s.Limits.WarmUp),
 		MissingMs: 10000, FallMs: settings.Ms(s.Limits.FallWindow), FallMultiple: s.Servers.GetFallMultiple(),
 		WorkMs: settings.Ms(s.Servers.Work), HandshakeMs: settings.Ms(s.Servers.Handshake),
 		MostWaiting: float64(s.Channel.GetMostWaiting()), MostMessages: int(s.Channel.GetMostMessages()),
-		SpanMs: settings.Ms(s.Channel.MessageSpan), SlackMs: 100, Capacity: f.coldCapacity}
+		SpanMs: settings.Ms(s.Channel.MessageSpan), SlackMs: 100, Capacity: f.coldCapacity,
+	}
 	for _, g := range s.Groups {
-		lim.Repeats = append(lim.Repeats, map[pb.Repeat]rules.Repeat{pb.Repeat_NON_RETRIABLE: rules.Never, pb.Repeat_DEDUPED: rules.Keyed,
-			pb.Repeat_RETRIABLE: rules.Always}[g.Repeat])
+		lim.Repeats = append(lim.Repeats, map[pb.Repeat]rules.Repeat{
+			pb.Repeat_NON_RETRIABLE: rules.Never, pb.Repeat_DEDUPED: rules.Keyed,
+			pb.Repeat_RETRIABLE: rules.Always,
+		}[g.Repeat])
 		lim.OnlyZone = append(lim.OnlyZone, g.OnlyZone)
 	}
 	wall := float64(c.Wall().UnixMicro())/1000 - c.Mono()
@@ -163,9 +169,11 @@
 	speed := s.GetSlowest() + f.chance.Float64()*(s.GetFastest()-s.GetSlowest())
 	seed := uint64(f.chance.Int63())
 	f.mu.Unlock()
-	set := &pb.Server{Name: name, Listen: listenAddress(zone) + ":0", Zone: f.script.Places[zone].Name, Cores: s.Cores, Speed: &speed, Work: s.Work,
+	set := &pb.Server{
+		Name: name, Listen: listenAddress(zone) + ":0", Zone: f.script.Places[zone].Name, Cores: s.Cores, Speed: &speed, Work: s.Work,
 		Waiting: s.Waiting, Connections: f.script.Limits.LeastConnections, Handshake: s.Handshake, ColdShare: f.script.Limits.ColdShare,
-		WarmUp: f.script.Limits.WarmUp, FallWindow: f.script.Limits.FallWindow, FallMultiple: s.FallMultiple, DedupWindow: "2.5s", Seed: &seed}
+		WarmUp: f.script.Limits.WarmUp, FallWindow: f.script.Limits.FallWindow, FallMultiple: s.FallMultiple, DedupWindow: "2.5s", Seed: &seed,
+	}
 	n := &node{name: name, zone: zone, set: set, size: float64(s.GetCores()), server: standin.NewServer(set, f.clock, f.net, f.log, &standin.Dedup{})}
 	at, err := n.server.Start(ctx, cold)
 	if err != nil {
@@ -265,10 +273,12 @@
 			for n := range f.controls {
 				planners = append(planners, f.controls[(len(f.proxies)+n)%len(f.controls)].relay.Address())
 			}
-			set := &pb.Proxy{Name: fmt.Sprintf("edge-%s-%d", p.Name, k), Listen: listenAddress(zone) + ":0", Zone: p.Name, From: zoneAddress(zone),
+			set := &pb.Proxy{
+				Name: fmt.Sprintf("edge-%s-%d", p.Name, k), Listen: listenAddress(zone) + ":0", Zone: p.Name, From: zoneAddress(zone),
 				Planners: planners, Sharing: f.shared(), Groups: cloneGroups(f.script.Groups), Pick: f.script.Pick, ReportEvery: f.script.Reports.Every,
 				ConnectionIdle: f.script.Limits.ConnectionIdle, Seed: proto.Uint64(uint64(f.chance.Int63())),
-				Usual: fmt.Sprintf("%g/s", max(settings.PerS(f.script.Traffic.Rate)/float64(max(f.count(), 1)), 0.001))}
+				Usual: fmt.Sprintf("%g/s", max(settings.PerS(f.script.Traffic.Rate)/float64(max(f.count(), 1)), 0.001)),
+			}
 			for _, i := range f.chance.Perm(len(near))[:min(int(f.script.GetStanding()), len(near))] {
 				set.Standing = append(set.Standing, near[i])
 			}
@@ -280,8 +290,10 @@
 				return err
 			}
 			ready := make(chan net.Addr, 1)
-			x := proxy.New(proxy.Options{Settings: full, Clock: f.clock, Network: f.net, Log: f.log, Unfenced: f.hooks.Unfenced,
-				Ready: func(a net.Addr) { ready <- a }})
+			x := proxy.New(proxy.Options{
+				Settings: full, Clock: f.clock, Network: f.net, Log: f.log, Unfenced: f.hooks.Unfenced,
+				Ready: func(a net.Addr) { ready <- a },
+			})
 			failed := make(chan error, 1)
 			f.group.Go(func() error {
 				err := x.Run(ctx)
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/rehearsal/rehearsal_test.go
@@ -56,8 +56,10 @@
 			c.rate = rate
 		}
 		from := set.List.GetStream()
-		err := planner.Run(ctx, planner.Options{Settings: set, Clock: c, Network: clock.TCP{}, Log: quiet(),
-			Source: &list.Stream{Address: from.Address, RedialMs: 200, SilentMs: 5000, FrameBytes: 16 << 20, Clock: c, Network: clock.TCP{}}})
+		err := planner.Run(ctx, planner.Options{
+			Settings: set, Clock: c, Network: clock.TCP{}, Log: quiet(),
+			Source: &list.Stream{Address: from.Address, RedialMs: 200, SilentMs: 5000, FrameBytes: 16 << 20, Clock: c, Network: clock.TCP{}},
+		})
 		if err != nil {
 			panic(err)
 		}
@@ -143,6 +145,7 @@
 	}
 	e.host.SetLine(table, server, weight)
 }
+
 func (e *edited) Withdraw(server string, out bool) {
 	if e.mask != nil {
 		e.mask(e, server, out)
@@ -150,6 +153,7 @@
 	}
 	e.host.Withdraw(server, out)
 }
+
 func (e *edited) Admit(table, group int, share float64, retry int) {
 	if e.admit != nil {
 		e.admit(e, table, group, share, retry)
@@ -182,7 +186,8 @@
 		"a bare table": {`bare_within: "1500ms"`, Hooks{Decider: with(func(e *edited) {
 			e.line = func(e *edited, table int, server string, _ float64) { e.host.SetLine(table, server, 0) }
 		})}, "bare"},
-		"flows that may not run twice are repeated": {`troubles { at: "1s" lasts: "4s" failing { servers: 4 resets: 0.5 } }`,
+		"flows that may not run twice are repeated": {
+			`troubles { at: "1s" lasts: "4s" failing { servers: 4 resets: 0.5 } }`,
 			Hooks{Proxy: func(set *pb.Proxy) {
 				set.DefaultRetry = pb.Retry_ONCE
 				for _, g := range set.Groups {
@@ -193,7 +198,9 @@
 					g.Repeat = pb.Repeat_RETRIABLE
 				}
 				set.DefaultRetry = pb.Retry_ONCE
-			}}, "twice"},
+			}},
+			"twice",
+		},
 		"a host that drops withdrawals": {drain, Hooks{Decider: with(func(e *edited) {
 			e.mask = func(e *edited, server string, out bool) {}
 			e.line = func(e *edited, table int, server string, weight float64) {
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -155,8 +155,10 @@
 		}
 		return nil, err
 	}
-	f.crowd = &standin.Crowd{Clock: f.clock, Groups: s.Groups, Shares: shares(s), PerS: settings.PerS(s.Traffic.Rate),
-		Repeats: int(s.Traffic.GetRepeats()), PauseMs: settings.Ms(s.Traffic.Pause), Seed: int64(s.GetSeed())}
+	f.crowd = &standin.Crowd{
+		Clock: f.clock, Groups: s.Groups, Shares: shares(s), PerS: settings.PerS(s.Traffic.Rate),
+		Repeats: int(s.Traffic.GetRepeats()), PauseMs: settings.Ms(s.Traffic.Pause), Seed: int64(s.GetSeed()),
+	}
 	if err := f.start(running, group); err != nil {
 		return fail(err)
 	}
@@ -225,8 +227,10 @@
 	} else if f.hooks.Single {
 		kind = "single"
 	}
-	d := &Day{Decider: named(kind), Breaches: breaches, Broken: map[string]int{}, Endings: map[string]uint64{},
-		Servers: len(f.nodes), Proxies: len(f.proxies)}
+	d := &Day{
+		Decider: named(kind), Breaches: breaches, Broken: map[string]int{}, Endings: map[string]uint64{},
+		Servers: len(f.nodes), Proxies: len(f.proxies),
+	}
 	for r, n := range broken {
 		d.Broken[r.String()] = n
 	}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -154,8 +154,10 @@
 
 // NewChecker makes one that has seen nothing.
 func NewChecker(lim Limits) *Checker {
-	return &Checker{lim: lim, planners: map[string]*planner{}, proxies: map[string]*proxy{}, flows: map[string][]*try{},
-		cold: map[string][]sentWork{}, breaches: map[Rule][]Breach{}, counts: map[Rule]int{}}
+	return &Checker{
+		lim: lim, planners: map[string]*planner{}, proxies: map[string]*proxy{}, flows: map[string][]*try{},
+		cold: map[string][]sentWork{}, breaches: map[Rule][]Breach{}, counts: map[Rule]int{},
+	}
 }
 
 func (c *Checker) broke(r Rule, at float64, format string, args ...any) {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -87,8 +87,10 @@
 	m := place.FindStringSubmatch(text)
 	if m == nil { // the library names no place where the text ends too early
 		end := strings.TrimRight(string(in), " \t\r\n")
-		return &Error{File: name, Line: 1 + strings.Count(end, "\n"), Column: 1 + len(end) - strings.LastIndexByte(end, '\n') - 1,
-			What: strings.TrimPrefix(text, "proto: ")}
+		return &Error{
+			File: name, Line: 1 + strings.Count(end, "\n"), Column: 1 + len(end) - strings.LastIndexByte(end, '\n') - 1,
+			What: strings.TrimPrefix(text, "proto: "),
+		}
 	}
 	e := &Error{File: name, What: m[3]}
 	fmt.Sscan(m[1], &e.Line)
--- a/internal/sharing/model/model_test.go
+++ b/internal/sharing/model/model_test.go
@@ -12,8 +12,10 @@
 	one := Bounds{Proxies: 1, Epochs: 2, Restarts: 1, Losses: true, States: 5e6}
 	spaces := map[string]Bounds{"one proxy, with restarts and losses": one, "two proxies": {Proxies: 2, Epochs: 1, States: 5e6}}
 	if *large {
-		spaces = map[string]Bounds{"one proxy, three epochs": {Proxies: 1, Epochs: 3, Restarts: 1, Losses: true, States: 5e7},
-			"two proxies, two epochs": {Proxies: 2, Epochs: 2, States: 3e7}}
+		spaces = map[string]Bounds{
+			"one proxy, three epochs": {Proxies: 1, Epochs: 3, Restarts: 1, Losses: true, States: 5e7},
+			"two proxies, two epochs": {Proxies: 2, Epochs: 2, States: 3e7},
+		}
 	}
 	for name, b := range spaces {
 		t.Run(name+": no state breaks a rule", func(t *testing.T) {
@@ -24,8 +26,10 @@
 			}
 		})
 	}
-	for broken, want := range map[Broken]string{NoFence: "an order that is past was obeyed", FromAnswer: "both controllers believe",
-		NoProcess: "an order that is past", NoRateBound: "both controllers believe"} {
+	for broken, want := range map[Broken]string{
+		NoFence: "an order that is past was obeyed", FromAnswer: "both controllers believe",
+		NoProcess: "an order that is past", NoRateBound: "both controllers believe",
+	} {
 		t.Run("a part left out is found: "+want, func(t *testing.T) {
 			r := Explore(one, broken)
 			t.Logf("%d states until:\n%s\n%s", r.States, r.Wrong, strings.Join(r.Trace, "\n"))
--- a/internal/sharing/sharer.go
+++ b/internal/sharing/sharer.go
@@ -62,6 +62,7 @@
 	x.(*holding).at = len(*q)
 	*q = append(*q, x.(*holding))
 }
+
 func (q *queue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
@@ -109,8 +110,10 @@
 
 // NewSharer starts a controller that may use epochs above what its store says was reserved, once it has reserved more.
 func NewSharer(name string, incarnation, reserved uint64, now float64) *Sharer {
-	return &Sharer{name: name, incarnation: incarnation, now: now, proxies: map[string]*holding{}, used: reserved, reserved: reserved,
-		told: true, handed: math.Inf(-1), retryAt: math.Inf(-1)}
+	return &Sharer{
+		name: name, incarnation: incarnation, now: now, proxies: map[string]*holding{}, used: reserved, reserved: reserved,
+		told: true, handed: math.Inf(-1), retryAt: math.Inf(-1),
+	}
 }
 
 // Tick tells the time, in ms of a clock that never jumps.
@@ -357,7 +360,7 @@
 
 // renewAt is when a lease is to be asked for again: a while after it was last asked for, answered or not.
 func (s *Sharer) renewAt(x *holding) float64 {
-	return renewMs + max(x.lastAsked(), x.until-(heldUntil(0, LeaseMs)))
+	return renewMs + max(x.lastAsked(), x.until-heldUntil(0, LeaseMs))
 }
 
 // claimAt is when a proxy is free, or its lease over by its own word, and our turn has come.
--- a/internal/sharing/sharing_test.go
+++ b/internal/sharing/sharing_test.go
@@ -177,6 +177,7 @@
 	c.mark = upTo
 	s.Reserved(upTo)
 }
+
 func (c *controller) Stand(open bool) {
 	c.open = open
 	for _, p := range c.w.proxies {
@@ -312,8 +313,10 @@
 	})
 	// At a start most proxies were claimed by whom they reached first, and handed over 3 s later. Waiting for the rest must
 	// not leave proxies alone where the rest is dead.
-	for name, late := range map[string]bool{"streams that come up one after the other bring no hand-overs": false,
-		"one controller of three takes all soon": true} {
+	for name, late := range map[string]bool{
+		"streams that come up one after the other bring no hand-overs": false,
+		"one controller of three takes all soon":                       true,
+	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 3, 3, 60)
 			a, b, c := w.ctl["A"], w.ctl["B"], w.ctl["C"]
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -85,8 +85,10 @@
 
 // NewServer makes one that does not listen yet.
 func NewServer(set *pb.Server, c clock.Clock, n clock.Network, log *slog.Logger, dedup *Dedup) *Server {
-	s := &Server{set: set, clock: c, net: n, log: log, dedup: dedup, chance: rand.New(rand.NewSource(int64(set.GetSeed()))),
-		cores: make(chan struct{}, set.GetCores()), address: set.Listen, conns: map[net.Conn]bool{}}
+	s := &Server{
+		set: set, clock: c, net: n, log: log, dedup: dedup, chance: rand.New(rand.NewSource(int64(set.GetSeed()))),
+		cores: make(chan struct{}, set.GetCores()), address: set.Listen, conns: map[net.Conn]bool{},
+	}
 	return s
 }
 
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -87,8 +87,10 @@
 			BornMs       float64
 		}
 	}
-	forms := map[string]brain.ListForm{"update": brain.Change, "replace": brain.Whole,
-		"restored": brain.Restored, "unavailable": brain.Failed}
+	forms := map[string]brain.ListForm{
+		"update": brain.Change, "replace": brain.Whole,
+		"restored": brain.Restored, "unavailable": brain.Failed,
+	}
 	states := map[string]brain.State{"SERVING": brain.Ready, "DRAINING": brain.Draining, "DELETED": brain.Gone}
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return err
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -57,8 +57,10 @@
 	}}
 	for k, c := range i.Classes {
 		s.Groups = append(s.Groups, c.Name)
-		s.Module.Groups = append(s.Module.Groups, brain.TrafficGroup{BudgetMs: c.AimMs, Utility: c.Worth,
-			Repeat: repeats[c.Repeat], OnlyZone: k < len(f.StaysLocal) && f.StaysLocal[k]})
+		s.Module.Groups = append(s.Module.Groups, brain.TrafficGroup{
+			BudgetMs: c.AimMs, Utility: c.Worth,
+			Repeat: repeats[c.Repeat], OnlyZone: k < len(f.StaysLocal) && f.StaysLocal[k],
+		})
 	}
 	return s, nil
 }
