--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"lichenpick/internal/wire"
+	"lichenpick/internal/simulator"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout, os.Stderr); err != nil {
+	if err := simulator.Serve(os.Stdin, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/cmd/lichenpick/run.go
+++ b/cmd/lichenpick/run.go
@@ -12,11 +12,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"lichenpick/internal/clock"
-	"lichenpick/internal/list"
+	"lichenpick/internal/discovery"
+	"lichenpick/internal/fake"
 	"lichenpick/internal/planner"
 	"lichenpick/internal/proxy"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/standin"
 	pb "lichenpick/proto/settings"
 )
 
@@ -72,15 +72,15 @@
 		})
 }
 
-func source(l *pb.ListSource, c clock.Clock) list.Source {
+func source(l *pb.ListSource, c clock.Clock) discovery.Source {
 	switch from := l.From.(type) {
 	case *pb.ListSource_Stream:
-		return &list.Stream{
+		return &discovery.Stream{
 			Address: from.Stream.Address, RedialMs: settings.Ms(from.Stream.Redial), SilentMs: 10000, FrameBytes: 16 << 20,
 			Clock: c, Network: machine,
 		}
 	case *pb.ListSource_File:
-		return &list.File{Path: from.File.Path, PollMs: settings.Ms(from.File.Poll), Clock: c}
+		return &discovery.File{Path: from.File.Path, PollMs: settings.Ms(from.File.Poll), Clock: c}
 	}
 	panic("settings without a list source passed their check")
 }
@@ -95,6 +95,6 @@
 func serverCommand() *cobra.Command {
 	return daemon("server", "Run a stand-in server, for trials", func() *pb.Server { return &pb.Server{} },
 		func(ctx context.Context, set *pb.Server, log *slog.Logger) error {
-			return standin.RunServer(ctx, set, clock.NewReal(), machine, log)
+			return fake.RunServer(ctx, set, clock.NewReal(), machine, log)
 		})
 }
--- a/cmd/lichenpick/rehearse.go
+++ b/cmd/lichenpick/scenario.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"lichenpick/internal/rehearsal"
+	"lichenpick/internal/scenario"
 	"lichenpick/internal/settings"
 	"lichenpick/proto/script"
 )
@@ -41,7 +41,7 @@
 				return err
 			}
 			machine := fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
-			r, err := rehearsal.Play(c.Context(), s, machine, log, spawn)
+			r, err := scenario.Play(c.Context(), s, machine, log, spawn)
 			if err != nil {
 				return err
 			}
--- a/cmd/lichenpick/emulate.go
+++ b/cmd/lichenpick/simulate.go
@@ -8,8 +8,8 @@
 	"github.com/spf13/cobra"
 
 	"lichenpick/internal/clock"
-	"lichenpick/internal/emulator"
 	"lichenpick/internal/settings"
+	"lichenpick/internal/simulation"
 	"lichenpick/proto/script"
 )
 
@@ -38,7 +38,7 @@
 				seed := first + n
 				s.Seed = &seed
 				begun := c0.Mono()
-				r, err := emulator.Play(s)
+				r, err := simulation.Play(s)
 				if err != nil {
 					return err
 				}
--- a/cmd/lichenpick/swarm.go
+++ b/cmd/lichenpick/stress.go
@@ -19,15 +19,15 @@
 	"google.golang.org/protobuf/proto"
 
 	"lichenpick/internal/clock"
+	"lichenpick/internal/fake"
 	"lichenpick/internal/planner"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/standin"
 	"lichenpick/internal/store"
 	pb "lichenpick/proto/settings"
 )
 
 func swarmCommand() *cobra.Command {
-	s := &standin.Swarm{}
+	s := &fake.Swarm{}
 	var file, length string
 	var spawned, cores int
 	var killAt, backAfter float64
--- a/internal/orders/orders_test.go
+++ b/internal/controlstream/controlstream_test.go
@@ -1,4 +1,4 @@
-package orders
+package controlstream
 
 import (
 	"errors"
--- a/internal/orders/frame.go
+++ b/internal/controlstream/frame.go
@@ -1,6 +1,6 @@
-// Package orders is the stream between a proxy and a planner: frames and their parser, what may follow what at
+// Package controlstream is the stream between a proxy and a planner: frames and their parser, what may follow what at
 // both ends, and the channel that paces what a planner sends. It does no I/O, starts nothing and reads no clock.
-package orders
+package controlstream
 
 import (
 	"encoding/binary"
--- a/internal/orders/golden_test.go
+++ b/internal/controlstream/golden_test.go
@@ -1,4 +1,4 @@
-package orders_test
+package controlstream_test
 
 import (
 	"encoding/hex"
@@ -9,14 +9,14 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
+	"lichenpick/internal/controlstream"
 	"lichenpick/internal/golden"
-	"lichenpick/internal/orders"
 	"lichenpick/proto/order"
 )
 
 // sender is one end of a stream as far as writing goes.
 type sender interface {
-	Append(dst []byte, kind orders.Kind, body proto.Message) ([]byte, error)
+	Append(dst []byte, kind controlstream.Kind, body proto.Message) ([]byte, error)
 }
 
 // receiver collects each message that an end hands to its host.
@@ -38,7 +38,7 @@
 // frame is one frame of the conversation. The label is the test's own, so that renamed Go names change no golden file.
 type frame struct {
 	label string
-	kind  orders.Kind
+	kind  controlstream.Kind
 	body  proto.Message // nil: an empty frame
 }
 
@@ -52,7 +52,7 @@
 	incarnation = 0xfedcba9876543210
 )
 
-var conversationLimits = orders.Limits{FrameBytes: frameLimit, JoinWithin: withinMs, SilentAfter: silentMs}
+var conversationLimits = controlstream.Limits{FrameBytes: frameLimit, JoinWithin: withinMs, SilentAfter: silentMs}
 
 func weightTable() *order.Holding {
 	return &order.Holding{
@@ -89,15 +89,15 @@
 		Groups: []*order.GroupSum{{Group: 2, Came: 310, Dropped: 1}, {}},
 	}
 	return []frame{
-		{"join", orders.Join, join},
-		{"acknowledgement of the welcome", orders.Applied, &order.Applied{}},
-		{"load report", orders.Sums, report},
-		{"acknowledgement", orders.Applied, &order.Applied{Number: 1, Receipts: []uint32{1, 200}, Epoch: 1 << 40}},
-		{"acknowledgement, refused", orders.Applied, &order.Applied{Number: 2, Refused: true, Epoch: 1 << 41}},
-		{"lease", orders.Lease, leaseState()},
-		{"lease, unasked and free", orders.Lease, &order.Lease{}},
-		{"heartbeat", orders.Beat, nil},
-		{"goodbye", orders.Bye, &order.Bye{Reason: "stopping", AgainAfterMs: 1500}},
+		{"join", controlstream.Join, join},
+		{"acknowledgement of the welcome", controlstream.Applied, &order.Applied{}},
+		{"load report", controlstream.Sums, report},
+		{"acknowledgement", controlstream.Applied, &order.Applied{Number: 1, Receipts: []uint32{1, 200}, Epoch: 1 << 40}},
+		{"acknowledgement, refused", controlstream.Applied, &order.Applied{Number: 2, Refused: true, Epoch: 1 << 41}},
+		{"lease", controlstream.Lease, leaseState()},
+		{"lease, unasked and free", controlstream.Lease, &order.Lease{}},
+		{"heartbeat", controlstream.Beat, nil},
+		{"goodbye", controlstream.Bye, &order.Bye{Reason: "stopping", AgainAfterMs: 1500}},
 	}
 }
 
@@ -134,15 +134,15 @@
 	}
 	claim := &order.Claim{Nonce: 7, Epoch: 1 << 40, Controller: "planner-1", Incarnation: incarnation, LeaseMs: 2000}
 	return []frame{
-		{"welcome", orders.Welcome, welcome},
-		{"standing", orders.Standing, &order.Standing{Controller: "planner-1", Incarnation: incarnation, Open: true}},
-		{"standing, closed", orders.Standing, &order.Standing{}},
-		{"lease request", orders.Claim, claim},
-		{"orders", orders.Orders, message},
-		{"orders, none", orders.Orders, &order.Orders{}},
-		{"release", orders.Release, &order.Release{Epoch: 1 << 40}},
-		{"heartbeat", orders.Beat, nil},
-		{"goodbye", orders.Bye, &order.Bye{Reason: "drained"}},
+		{"welcome", controlstream.Welcome, welcome},
+		{"standing", controlstream.Standing, &order.Standing{Controller: "planner-1", Incarnation: incarnation, Open: true}},
+		{"standing, closed", controlstream.Standing, &order.Standing{}},
+		{"lease request", controlstream.Claim, claim},
+		{"orders", controlstream.Orders, message},
+		{"orders, none", controlstream.Orders, &order.Orders{}},
+		{"release", controlstream.Release, &order.Release{Epoch: 1 << 40}},
+		{"heartbeat", controlstream.Beat, nil},
+		{"goodbye", controlstream.Bye, &order.Bye{Reason: "drained"}},
 	}
 }
 
@@ -153,10 +153,10 @@
 	}
 	whole := &order.Listing{Form: order.Listing_WHOLE, AsOfUnixMs: unixMs, Version: 41, Entries: entries}
 	return []frame{
-		{"endpoint list", orders.Listing, whole},
-		{"endpoint change", orders.Listing, &order.Listing{Form: order.Listing_CHANGE, Version: 42, Entries: entries[1:]}},
-		{"endpoint list, failed", orders.Listing, &order.Listing{Form: order.Listing_FAILED}},
-		{"heartbeat", orders.Beat, nil},
+		{"endpoint list", controlstream.Listing, whole},
+		{"endpoint change", controlstream.Listing, &order.Listing{Form: order.Listing_CHANGE, Version: 42, Entries: entries[1:]}},
+		{"endpoint list, failed", controlstream.Listing, &order.Listing{Form: order.Listing_FAILED}},
+		{"heartbeat", controlstream.Beat, nil},
 	}
 }
 
@@ -187,7 +187,7 @@
 	t.Helper()
 	var want []proto.Message
 	for _, f := range frames {
-		if f.kind != orders.Beat && f.kind != orders.Bye {
+		if f.kind != controlstream.Beat && f.kind != controlstream.Bye {
 			want = append(want, f.body)
 		}
 	}
@@ -204,10 +204,10 @@
 // TestGoldenConversation compares a conversation that has every kind of frame, byte for byte, and reads it back. Proxies and
 // planners of different releases run side by side, so the bytes may not change with a rename.
 func TestGoldenConversation(t *testing.T) {
-	planner := orders.NewPlannerEnd(conversationLimits, startMs)
-	proxy := orders.NewProxyEnd(conversationLimits, startMs)
-	listSource := orders.NewPlannerEnd(conversationLimits, startMs) // only its writing side is used
-	listReader := orders.NewListEnd(conversationLimits, startMs)
+	planner := controlstream.NewPlannerEnd(conversationLimits, startMs)
+	proxy := controlstream.NewProxyEnd(conversationLimits, startMs)
+	listSource := controlstream.NewPlannerEnd(conversationLimits, startMs) // only its writing side is used
+	listReader := controlstream.NewListEnd(conversationLimits, startMs)
 	var text strings.Builder
 	fromProxy := write(t, &text, "proxy", proxy, proxyFrames())
 	fromPlanner := write(t, &text, "planner", planner, plannerFrames())
@@ -227,9 +227,9 @@
 	checkReceived(t, "the planner", atPlanner.messages, proxyFrames())
 	checkReceived(t, "the proxy", atProxy.messages, plannerFrames())
 	checkReceived(t, "the list reader", atListReader.messages, listFrames())
-	for who, ended := range map[string]*orders.Ending{"planner": planner.Ended(), "proxy": proxy.Ended()} {
-		if ended == nil || ended.Reason != orders.Left {
-			t.Errorf("the %s's stream ended with %v, want %s", who, ended, orders.Left)
+	for who, ended := range map[string]*controlstream.Ending{"planner": planner.Ended(), "proxy": proxy.Ended()} {
+		if ended == nil || ended.Reason != controlstream.Left {
+			t.Errorf("the %s's stream ended with %v, want %s", who, ended, controlstream.Left)
 		}
 	}
 	if listReader.Ended() != nil {
@@ -241,7 +241,7 @@
 // the conversation.
 func TestConversationIsComplete(t *testing.T) {
 	const kinds = 12
-	seenKinds := map[orders.Kind]bool{}
+	seenKinds := map[controlstream.Kind]bool{}
 	seenFields := map[protoreflect.FullName]bool{}
 	for _, frames := range [][]frame{proxyFrames(), plannerFrames(), listFrames()} {
 		for _, f := range frames {
@@ -254,7 +254,7 @@
 	if len(seenKinds) != kinds {
 		t.Errorf("%d kinds of frames are in the conversation, want %d", len(seenKinds), kinds)
 	}
-	if next := orders.Kind(kinds + 1).String(); !strings.HasPrefix(next, "kind ") {
+	if next := controlstream.Kind(kinds + 1).String(); !strings.HasPrefix(next, "kind ") {
 		t.Errorf("the protocol has another kind, %q, that the conversation lacks", next)
 	}
 	checkFields(t, order.File_proto_order_order_proto.Messages(), seenFields)
--- a/internal/list/kept.go
+++ b/internal/discovery/cache.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"os"
 	"path/filepath"
 
-	"lichenpick/brain"
 	"lichenpick/internal/settings"
+	"lichenpick/policy"
 	pb "lichenpick/proto/settings"
 )
 
@@ -44,7 +44,7 @@
 		return u, false, err
 	}
 	u = fromFile(&l, 0)
-	u.Form, u.Restored = brain.Whole, true
+	u.Form, u.Restored = policy.Whole, true
 	if wallMs > l.KeptUnixMs {
 		u.AsOfMs += wallMs - l.KeptUnixMs
 	}
--- a/internal/list/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -1,4 +1,4 @@
-package list_test
+package discovery_test
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	"lichenpick/brain"
+	"lichenpick/internal/discovery"
 	"lichenpick/internal/golden"
-	"lichenpick/internal/list"
+	"lichenpick/policy"
 )
 
 const (
@@ -27,7 +27,7 @@
 // recordingHost prints what a memory makes known.
 type recordingHost struct{ text strings.Builder }
 
-func (h *recordingHost) Listed(form brain.ListForm, entries []brain.Entry) {
+func (h *recordingHost) Listed(form policy.ListForm, entries []policy.Entry) {
 	fmt.Fprintf(&h.text, "endpoints, form %d\n", int(form))
 	for _, entry := range entries {
 		fmt.Fprintf(&h.text, "  %s zone %d state %d size %g born at %g ms\n",
@@ -36,16 +36,16 @@
 }
 
 // recordedMemory holds servers of each state, with and without a birth, after a while.
-func recordedMemory() *list.Memory {
+func recordedMemory() *discovery.Memory {
 	const firstMs, cachedMs = 60_000, 160_000 // of the planner's clock
-	memory := list.NewMemory(zones, serverLimit)
+	memory := discovery.NewMemory(zones, serverLimit)
 	memory.Tick(firstMs)
-	memory.Told(list.Update{Form: brain.Whole, AsOfMs: sourceMs, Version: 4, Entries: []list.Entry{
-		{Server: "10.0.0.1:80", Zone: "east", State: brain.Ready, Size: 1},
-		{Server: "10.0.0.2:80", Zone: "west", State: brain.Draining, Size: 2.5},
-		{Server: "10.0.0.3:80", Zone: "west", State: brain.Gone, Size: 1},
-		{Server: "10.0.0.4:80", Zone: "east", State: brain.Ready, Size: 1.0 / 3, BornUnixMs: sourceMs - 12_345},
-		{Server: "10.0.0.5:80", Zone: "south", State: brain.Ready, Size: 1}, // a zone that is not known
+	memory.Told(discovery.Update{Form: policy.Whole, AsOfMs: sourceMs, Version: 4, Entries: []discovery.Entry{
+		{Server: "10.0.0.1:80", Zone: "east", State: policy.Ready, Size: 1},
+		{Server: "10.0.0.2:80", Zone: "west", State: policy.Draining, Size: 2.5},
+		{Server: "10.0.0.3:80", Zone: "west", State: policy.Gone, Size: 1},
+		{Server: "10.0.0.4:80", Zone: "east", State: policy.Ready, Size: 1.0 / 3, BornUnixMs: sourceMs - 12_345},
+		{Server: "10.0.0.5:80", Zone: "south", State: policy.Ready, Size: 1}, // a zone that is not known
 	}})
 	host := &recordingHost{}
 	for memory.Next(host) {
@@ -57,7 +57,7 @@
 // TestGoldenCachedList compares the file that is written now with the recorded one, byte for byte.
 func TestGoldenCachedList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	if err := list.Save(path, recordedMemory().Kept(writtenMs)); err != nil {
+	if err := discovery.Save(path, recordedMemory().Kept(writtenMs)); err != nil {
 		t.Fatal(err)
 	}
 	content, err := os.ReadFile(path)
@@ -70,7 +70,7 @@
 // TestRecordedCachedList reads a list that an earlier release cached, as a planner does at its start, and hands it to a
 // memory: servers must be of the same state, size and age as when it was written.
 func TestRecordedCachedList(t *testing.T) {
-	update, found, err := list.Restore(recordedList, writtenMs+restartMs)
+	update, found, err := discovery.Restore(recordedList, writtenMs+restartMs)
 	if err != nil || !found {
 		t.Fatalf("found %t, error %v", found, err)
 	}
@@ -82,7 +82,7 @@
 			entry.Server, entry.Zone, int(entry.State), entry.Size, entry.BornUnixMs)
 	}
 	const startMs = 300_000 // of the planner's clock
-	memory := list.NewMemory(zones, serverLimit)
+	memory := discovery.NewMemory(zones, serverLimit)
 	memory.Tick(startMs)
 	memory.Told(update)
 	for memory.Next(host) {
--- a/internal/list/source.go
+++ b/internal/discovery/source.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"os"
 	"time"
 
-	"lichenpick/brain"
 	"lichenpick/internal/clock"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
 	"lichenpick/internal/settings"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
 )
@@ -45,7 +45,7 @@
 		if err != nil {
 			if err.Error() != failed { // told once, not at each poll
 				failed = err.Error()
-				deliver(Update{Form: brain.Failed, Trouble: failed})
+				deliver(Update{Form: policy.Failed, Trouble: failed})
 			}
 		} else {
 			failed = ""
@@ -59,17 +59,17 @@
 }
 
 func fromFile(l *pb.List, version uint64) Update {
-	u := Update{Form: brain.Whole, AsOfMs: l.AsOfUnixMs, Version: version}
+	u := Update{Form: policy.Whole, AsOfMs: l.AsOfUnixMs, Version: version}
 	for _, e := range l.Servers {
 		u.Entries = append(u.Entries, Entry{
-			Server: e.Server, Zone: e.Zone, State: brain.State(e.State), Size: e.GetSize(),
+			Server: e.Server, Zone: e.Zone, State: policy.State(e.State), Size: e.GetSize(),
 			BornUnixMs: e.BornUnixMs,
 		})
 	}
 	return u
 }
 
-// Stream follows a source that pushes whole lists and changes over TCP, in the frames of package orders. A change
+// Stream follows a source that pushes whole lists and changes over TCP, in the frames of package controlstream. A change
 // whose version does not follow the last is a gap: the stream is dialled anew, which brings the whole list.
 type Stream struct {
 	Address    string
@@ -89,7 +89,7 @@
 		})
 		if ctx.Err() == nil && err != nil && err.Error() != failed {
 			failed = err.Error()
-			deliver(Update{Form: brain.Failed, Trouble: failed})
+			deliver(Update{Form: policy.Failed, Trouble: failed})
 		}
 		if clock.Sleep(ctx, s.Clock, s.RedialMs) != nil {
 			break
@@ -109,10 +109,10 @@
 	if f.gap {
 		return
 	}
-	u := Update{Form: brain.ListForm(m.Form), AsOfMs: m.AsOfUnixMs, Version: m.Version}
+	u := Update{Form: policy.ListForm(m.Form), AsOfMs: m.AsOfUnixMs, Version: m.Version}
 	switch m.Form {
 	case order.Listing_FAILED:
-		u = Update{Form: brain.Failed, Trouble: "the source says that it failed"}
+		u = Update{Form: policy.Failed, Trouble: "the source says that it failed"}
 	case order.Listing_CHANGE:
 		if f.version == 0 || m.Version != f.version+1 {
 			f.gap = true
@@ -120,13 +120,13 @@
 		}
 		fallthrough
 	case order.Listing_WHOLE:
-		f.version, u.Form = m.Version, brain.Whole
+		f.version, u.Form = m.Version, policy.Whole
 		if m.Form == order.Listing_CHANGE {
-			u.Form = brain.Change
+			u.Form = policy.Change
 		}
 		for _, e := range m.Entries {
 			u.Entries = append(u.Entries, Entry{
-				Server: e.Server, Zone: e.Zone, State: brain.State(e.State), Size: e.Size,
+				Server: e.Server, Zone: e.Zone, State: policy.State(e.State), Size: e.Size,
 				BornUnixMs: e.BornUnixMs,
 			})
 		}
@@ -145,7 +145,7 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	end := orders.NewListEnd(orders.Limits{FrameBytes: s.FrameBytes, JoinWithin: s.SilentMs, SilentAfter: s.SilentMs}, s.Clock.Mono())
+	end := controlstream.NewListEnd(controlstream.Limits{FrameBytes: s.FrameBytes, JoinWithin: s.SilentMs, SilentAfter: s.SilentMs}, s.Clock.Mono())
 	f := &follower{deliver: deliver}
 	buf := make([]byte, 1<<15)
 	for {
--- a/internal/list/list.go
+++ b/internal/discovery/tracker.go
@@ -1,6 +1,6 @@
-// Package list brings the list of servers to a planner: sources that poll or follow, and a memory between them
+// Package discovery brings the list of servers to a planner: sources that poll or follow, and a memory between them
 // and the module that doubts a list from which too much is missing at once.
-package list
+package discovery
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"lichenpick/brain"
+	"lichenpick/policy"
 	pb "lichenpick/proto/settings"
 )
 
@@ -16,15 +16,15 @@
 type Entry struct {
 	Server     string
 	Zone       string
-	State      brain.State
+	State      policy.State
 	Size       float64
 	BornUnixMs uint64 // latest start; 0: long past
 }
 
 // Update is one word of a source.
 type Update struct {
-	Form     brain.ListForm // Change, Whole or Failed
-	AsOfMs   uint64         // the source's clock, when it was true; births are counted from it
+	Form     policy.ListForm // Change, Whole or Failed
+	AsOfMs   uint64          // the source's clock, when it was true; births are counted from it
 	Version  uint64
 	Entries  []Entry
 	Trouble  string // of a Failed one
@@ -47,7 +47,7 @@
 
 // Host is told what to take as listed. Births are in ms of the planner's clock.
 type Host interface {
-	Listed(form brain.ListForm, list []brain.Entry)
+	Listed(form policy.ListForm, list []policy.Entry)
 }
 
 type held struct {
@@ -95,14 +95,14 @@
 
 // Told takes in a word of a source.
 func (m *Memory) Told(u Update) {
-	if u.Form == brain.Failed {
+	if u.Form == policy.Failed {
 		m.failed = true
 		return
 	}
 	m.news = true
 	m.stale = u.Restored && !m.fresh
 	m.fresh = true
-	if u.Form == brain.Whole {
+	if u.Form == policy.Whole {
 		for _, h := range m.servers {
 			h.listed = false
 		}
@@ -110,12 +110,12 @@
 	for _, e := range u.Entries {
 		m.take(e, u.AsOfMs)
 	}
-	if u.Form != brain.Whole {
+	if u.Form != policy.Whole {
 		return
 	}
 	missing, all := 0, 0
 	for _, h := range m.servers {
-		if h.State != brain.Gone {
+		if h.State != policy.Gone {
 			if all++; !h.listed {
 				missing++
 			}
@@ -125,14 +125,14 @@
 	m.Doubted = 0
 	for _, h := range m.servers {
 		switch {
-		case h.listed || h.State == brain.Gone:
+		case h.listed || h.State == policy.Gone:
 			h.vanish = math.Inf(1)
 		case !many:
 			h.vanish = m.now
 		case math.IsInf(h.vanish, 1):
 			h.vanish = m.now + doubtMs
 		}
-		if !h.listed && h.State != brain.Gone && h.vanish > m.now {
+		if !h.listed && h.State != policy.Gone && h.vanish > m.now {
 			m.Doubted++
 		}
 	}
@@ -165,7 +165,7 @@
 // forget makes room by a server that is gone and was told so.
 func (m *Memory) forget() bool {
 	for n, name := range m.order {
-		if h := m.servers[name]; h.State == brain.Gone && !h.changed {
+		if h := m.servers[name]; h.State == policy.Gone && !h.changed {
 			delete(m.servers, name)
 			m.order = append(m.order[:n], m.order[n+1:]...)
 			return true
@@ -178,39 +178,39 @@
 func (m *Memory) Next(h Host) bool {
 	if m.failed {
 		m.failed = false
-		h.Listed(brain.Failed, nil)
+		h.Listed(policy.Failed, nil)
 		return true
 	}
 	if !m.fresh || !m.news && m.now < m.due {
 		return false
 	}
 	m.news, m.due = false, math.Inf(1)
-	var list []brain.Entry
+	var list []policy.Entry
 	order := m.order[:0]
 	for _, name := range m.order {
 		s := m.servers[name]
-		if s.State == brain.Gone && !s.changed && m.now-s.gone > goneMs {
+		if s.State == policy.Gone && !s.changed && m.now-s.gone > goneMs {
 			delete(m.servers, name)
 			continue
 		}
 		order = append(order, name)
-		if !s.listed && s.State != brain.Gone && s.vanish <= m.now {
-			s.State, s.changed = brain.Gone, true
+		if !s.listed && s.State != policy.Gone && s.vanish <= m.now {
+			s.State, s.changed = policy.Gone, true
 			m.Doubted = max(m.Doubted-1, 0)
 		}
-		if !s.listed && s.State != brain.Gone {
+		if !s.listed && s.State != policy.Gone {
 			m.due = math.Min(m.due, s.vanish)
 		}
-		if s.changed || !m.told && s.State != brain.Gone {
+		if s.changed || !m.told && s.State != policy.Gone {
 			s.changed, s.gone = false, m.now
-			list = append(list, brain.Entry{Server: name, Zone: m.zones[s.Zone], State: s.State, Size: s.Size, BornMs: s.born})
+			list = append(list, policy.Entry{Server: name, Zone: m.zones[s.Zone], State: s.State, Size: s.Size, BornMs: s.born})
 		}
 	}
 	m.order = order
-	form := brain.Change
+	form := policy.Change
 	if !m.told {
-		if form, m.told = brain.Whole, true; m.stale {
-			form = brain.Restored
+		if form, m.told = policy.Whole, true; m.stale {
+			form = policy.Restored
 		}
 	} else if len(list) == 0 {
 		return false
@@ -231,9 +231,9 @@
 func (m *Memory) Servers() (ready, draining, gone int) {
 	for _, h := range m.servers {
 		switch h.State {
-		case brain.Ready:
+		case policy.Ready:
 			ready++
-		case brain.Draining:
+		case policy.Draining:
 			draining++
 		default:
 			gone++
@@ -251,7 +251,7 @@
 	}
 	for _, name := range m.order {
 		h := m.servers[name]
-		if h.State == brain.Gone {
+		if h.State == policy.Gone {
 			continue
 		}
 		e := &pb.List_Entry{Server: name, Zone: h.Zone, State: pb.List_State(h.State), Size: proto.Float64(h.Size)}
--- a/internal/list/list_test.go
+++ b/internal/discovery/tracker_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"context"
@@ -8,19 +8,19 @@
 	"strings"
 	"testing"
 
-	"lichenpick/brain"
 	"lichenpick/internal/clock"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 )
 
 // module keeps what the module would hold.
 type module struct {
-	states map[string]brain.State
+	states map[string]policy.State
 	born   map[string]float64
-	forms  []brain.ListForm
+	forms  []policy.ListForm
 }
 
-func (m *module) Listed(form brain.ListForm, list []brain.Entry) {
+func (m *module) Listed(form policy.ListForm, list []policy.Entry) {
 	m.forms = append(m.forms, form)
 	for _, e := range list {
 		m.states[e.Server], m.born[e.Server] = e.State, e.BornMs
@@ -29,7 +29,7 @@
 
 func (m *module) ready() (n int) {
 	for _, s := range m.states {
-		if s == brain.Ready {
+		if s == policy.Ready {
 			n++
 		}
 	}
@@ -37,7 +37,7 @@
 }
 
 func whole(n int) Update {
-	u := Update{Form: brain.Whole, AsOfMs: 1e12}
+	u := Update{Form: policy.Whole, AsOfMs: 1e12}
 	for i := range n {
 		u.Entries = append(u.Entries, Entry{Server: fmt.Sprint("s", i), Zone: "a", Size: 1})
 	}
@@ -46,7 +46,7 @@
 
 func TestMemory(t *testing.T) {
 	begin := func() (*Memory, *module, func(now float64, u ...Update)) {
-		m, h := NewMemory([]string{"a", "b"}, 100), &module{states: map[string]brain.State{}, born: map[string]float64{}}
+		m, h := NewMemory([]string{"a", "b"}, 100), &module{states: map[string]policy.State{}, born: map[string]float64{}}
 		return m, h, func(now float64, all ...Update) {
 			m.Tick(now)
 			for _, u := range all {
@@ -103,9 +103,9 @@
 		_, h, at := begin()
 		at(1000, whole(10))
 		u := whole(3)
-		u.Entries[0].State = brain.Draining
+		u.Entries[0].State = policy.Draining
 		at(1500, u)
-		if h.states["s0"] != brain.Draining || h.ready() != 9 {
+		if h.states["s0"] != policy.Draining || h.ready() != 9 {
 			t.Errorf("%v", h.states)
 		}
 	})
@@ -113,7 +113,7 @@
 		_, h, at := begin()
 		at(1000, whole(10))
 		at(1500, whole(9))
-		if h.states["s9"] != brain.Gone {
+		if h.states["s9"] != policy.Gone {
 			t.Errorf("%v", h.states)
 		}
 	})
@@ -149,17 +149,17 @@
 		if h.ready() != 100 || m.Refused != 20 {
 			t.Errorf("%d ready, %d refused", h.ready(), m.Refused)
 		}
-		at(2000, Update{Form: brain.Change, Entries: []Entry{{Server: "s0", Zone: "a", State: brain.Gone}}})
-		at(2500, Update{Form: brain.Change, Entries: []Entry{{Server: "new", Zone: "a"}, {Server: "odd", Zone: "nowhere"}}})
-		if h.states["new"] != brain.Ready || m.Refused != 21 {
+		at(2000, Update{Form: policy.Change, Entries: []Entry{{Server: "s0", Zone: "a", State: policy.Gone}}})
+		at(2500, Update{Form: policy.Change, Entries: []Entry{{Server: "new", Zone: "a"}, {Server: "odd", Zone: "nowhere"}}})
+		if h.states["new"] != policy.Ready || m.Refused != 21 {
 			t.Errorf("%v, %d refused", h.states["new"], m.Refused)
 		}
 	})
 	t.Run("a failed call changes nothing", func(t *testing.T) {
 		_, h, at := begin()
 		at(1000, whole(4))
-		at(2000, Update{Form: brain.Failed})
-		if h.ready() != 4 || fmt.Sprint(h.forms) != fmt.Sprint([]brain.ListForm{brain.Whole, brain.Failed}) {
+		at(2000, Update{Form: policy.Failed})
+		if h.ready() != 4 || fmt.Sprint(h.forms) != fmt.Sprint([]policy.ListForm{policy.Whole, policy.Failed}) {
 			t.Errorf("%v", h.forms)
 		}
 	})
@@ -180,16 +180,16 @@
 	defer stop()
 	got := make(chan Update, 10)
 	go (&File{Path: path, PollMs: 5, Clock: clock.NewReal()}).Run(ctx, func(u Update) { got <- u })
-	if u := <-got; u.Form != brain.Whole || len(u.Entries) != 1 {
+	if u := <-got; u.Form != policy.Whole || len(u.Entries) != 1 {
 		t.Errorf("%v", u)
 	}
 	// A file cut short is one failed call, named with its place; the whole file is read again afterwards.
 	write(`servers { server: "127.0.0.1:1" zone: "a`)
-	if u := <-got; u.Form != brain.Failed || !strings.Contains(u.Trouble, "list.txtpb:1:") {
+	if u := <-got; u.Form != policy.Failed || !strings.Contains(u.Trouble, "list.txtpb:1:") {
 		t.Errorf("%v", u)
 	}
 	write(`servers { server: "127.0.0.1:1" zone: "a" }`)
-	if u := <-got; u.Form != brain.Whole || u.Version != 2 {
+	if u := <-got; u.Form != policy.Whole || u.Version != 2 {
 		t.Errorf("%v", u)
 	}
 }
--- a/internal/standin/crowd.go
+++ b/internal/fake/loadgenerator.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
--- a/internal/standin/registry.go
+++ b/internal/fake/registry.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"lichenpick/internal/clock"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
 	"lichenpick/proto/order"
 )
 
@@ -89,9 +89,9 @@
 		s.conn.Close()
 	}()
 	sequence := uint64(0)
-	put := func(kind orders.Kind, m proto.Message) bool {
+	put := func(kind controlstream.Kind, m proto.Message) bool {
 		sequence++
-		frame, err := orders.AppendFrame(nil, kind, sequence, m)
+		frame, err := controlstream.AppendFrame(nil, kind, sequence, m)
 		if err == nil {
 			_, err = s.conn.Write(frame)
 		}
@@ -102,11 +102,11 @@
 		select {
 		case d, open := <-s.queue:
 			stop()
-			if !open || clock.Sleep(ctx, r.Clock, d.due-r.Clock.Mono()) != nil || !put(orders.Listing, d.m) {
+			if !open || clock.Sleep(ctx, r.Clock, d.due-r.Clock.Mono()) != nil || !put(controlstream.Listing, d.m) {
 				return
 			}
 		case <-fired:
-			if !put(orders.Beat, nil) {
+			if !put(controlstream.Beat, nil) {
 				return
 			}
 		case <-ctx.Done():
--- a/internal/standin/server.go
+++ b/internal/fake/server.go
@@ -1,6 +1,6 @@
-// Package standin holds what stands in for the outside: servers with cores, queues, cold starts and faults, a relay
+// Package fake holds what stands in for the outside: servers with cores, queues, cold starts and faults, a relay
 // that delays, cuts and records, clients with open-loop arrivals, and a list service. All are models, on loopback.
-package standin
+package fake
 
 import (
 	"context"
--- a/internal/standin/swarm.go
+++ b/internal/fake/stress.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"lichenpick/internal/clock"
-	"lichenpick/internal/list"
+	"lichenpick/internal/discovery"
 	"lichenpick/internal/proxy"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
@@ -129,7 +129,7 @@
 		}
 		l.Servers = append(l.Servers, e)
 	}
-	return list.Save(s.List, l)
+	return discovery.Save(s.List, l)
 }
 
 // member is one proxy of a swarm: the product's own part towards planners, with made-up flows.
--- a/internal/rules/rules.go
+++ b/internal/invariant/checker.go
@@ -1,7 +1,7 @@
-// Package rules judges the five rules from what passed on the sockets, apart from the code that keeps them: it is
+// Package invariant judges the five rules from what passed on the sockets, apart from the code that keeps them: it is
 // told of frames and flows as they pass, keeps its own picture of what each proxy was told, and names each breach
 // with its evidence.
-package rules
+package invariant
 
 import (
 	"fmt"
--- a/internal/rules/rules_test.go
+++ b/internal/invariant/checker_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"fmt"
--- a/internal/sharing/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -1,4 +1,4 @@
-package sharing_test
+package lease_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 
 	"lichenpick/internal/golden"
-	"lichenpick/internal/sharing"
+	"lichenpick/internal/lease"
 )
 
 const (
@@ -36,7 +36,7 @@
 	simulation  *simulation
 	name        string
 	incarnation uint64
-	manager     *sharing.Sharer
+	manager     *lease.Sharer
 	reserved    uint64 // what its store holds
 	diskFull    bool
 	open        bool
@@ -46,7 +46,7 @@
 
 type simulatedProxy struct {
 	name      string
-	grantor   sharing.Arbiter
+	grantor   lease.Arbiter
 	connected map[string]bool // by planner
 }
 
@@ -67,7 +67,7 @@
 func (p *simulatedPlanner) start() {
 	p.incarnation++
 	p.inbox, p.open, p.resumeMs = nil, true, 0
-	p.manager = sharing.NewSharer(p.name, p.incarnation, p.reserved, p.simulation.nowMs)
+	p.manager = lease.NewSharer(p.name, p.incarnation, p.reserved, p.simulation.nowMs)
 }
 
 func (p *simulatedPlanner) log(format string, args ...any) {
@@ -133,8 +133,8 @@
 	panic("no proxy " + name)
 }
 
-func (s *simulation) viewOf(proxy *simulatedProxy) sharing.View {
-	view := sharing.View{
+func (s *simulation) viewOf(proxy *simulatedProxy) lease.View {
+	view := lease.View{
 		Epoch:       proxy.grantor.Epoch,
 		Controller:  proxy.grantor.Controller,
 		Incarnation: proxy.grantor.Incarnation,
--- a/internal/sharing/arbiter.go
+++ b/internal/lease/grantor.go
@@ -1,13 +1,13 @@
-// Package sharing decides who commands which proxy where several controllers share one fleet. The proxy is the only
+// Package lease decides who commands which proxy where several controllers share one fleet. The proxy is the only
 // judge of that: it grants a lease under an epoch that only rises (Arbiter), and obeys nothing that was ordered under
 // another. A controller (Sharer) claims, renews, yields and gives back. Neither does I/O or reads a clock.
 //
 // Why no proxy has two commanders: a proxy counts a lease from when it grants it, its holder from before it asked, less what
 // their clocks may differ by. So the holder has stopped to believe before the proxy grants another, and what was under way by
 // then carries an epoch that is past.
-package sharing
+package lease
 
-// All constants of package sharing.
+// All constants of package lease.
 const (
 	LeaseMs       = 2000.0  // ms; how long a proxy is without a commander after one died, at the most, less a claim's way
 	renewMs       = 400.0   // ms between renewals; four may be lost before a lease ends
--- a/internal/sharing/sharer.go
+++ b/internal/lease/manager.go
@@ -1,4 +1,4 @@
-package sharing
+package lease
 
 import (
 	"container/heap"
--- a/internal/sharing/model/model.go
+++ b/internal/lease/model/model.go
@@ -1,4 +1,4 @@
-// Package model explores the lease protocol of package sharing exhaustively, at a small size and in whole ticks: two
+// Package model explores the lease protocol of package lease exhaustively, at a small size and in whole ticks: two
 // controllers that claim, renew, order and restart, proxies that judge by the product's own Arbiter, and messages
 // that are lost or take any time. A pause needs no state of its own: nobody must act
 // at any time, and what was decided may leave ever so late. It shows what no number of drawn runs can: that no order of events breaks a rule, or the
@@ -9,13 +9,13 @@
 	"fmt"
 	"strings"
 
-	"lichenpick/internal/sharing"
+	"lichenpick/internal/lease"
 )
 
 // Ticks of a lease, and of it those that a holder believes in. A controller's clock may stand still for one tick of a lease.
 const (
-	lease  = 3
-	belief = lease - 1
+	leaseState = 3
+	belief     = leaseState - 1
 )
 
 // Bounds keep the space finite.
@@ -144,8 +144,8 @@
 func name(c int) string { return string(rune('A' + c)) }
 
 // judge asks the product's own arbiter.
-func (e *explorer) judge(p *proxy, c int, process, epoch uint8, what func(a *sharing.Arbiter, who string, process uint64) bool) bool {
-	a := sharing.Arbiter{Lease: sharing.Lease{Epoch: uint64(p.epoch), Until: float64(p.left)}}
+func (e *explorer) judge(p *proxy, c int, process, epoch uint8, what func(a *lease.Arbiter, who string, process uint64) bool) bool {
+	a := lease.Arbiter{Lease: lease.Lease{Epoch: uint64(p.epoch), Until: float64(p.left)}}
 	if p.holder > 0 {
 		a.Controller, a.Incarnation = name(int(p.holder-1)), uint64(p.process)
 	}
@@ -200,7 +200,7 @@
 				may = false
 			}
 			if stands {
-				n.c[c].still = lease
+				n.c[c].still = leaseState
 				continue
 			}
 			n.c[c].still -= min(n.c[c].still, 1)
@@ -211,10 +211,10 @@
 					w.own = 0
 				}
 				if w.claim > 0 {
-					w.claimAge = min(w.claimAge+1, lease)
+					w.claimAge = min(w.claimAge+1, leaseState)
 				}
 				if w.answer > 0 {
-					w.answerAge = min(w.answerAge+1, lease)
+					w.answerAge = min(w.answerAge+1, leaseState)
 				}
 			}
 		}
@@ -260,8 +260,8 @@
 	if w.claim > 0 {
 		n := s
 		x := &n.w[c][p]
-		granted := e.judge(&n.p[p], c, w.claimProcess, w.claim, func(a *sharing.Arbiter, who string, process uint64) bool {
-			return a.Claim(who, process, uint64(w.claim), lease)
+		granted := e.judge(&n.p[p], c, w.claimProcess, w.claim, func(a *lease.Arbiter, who string, process uint64) bool {
+			return a.Claim(who, process, uint64(w.claim), leaseState)
 		})
 		x.claim, x.claimProcess, x.claimAge = 0, 0, 0
 		if granted {
@@ -282,7 +282,7 @@
 		if w.answerProcess == n.c[c].process {
 			left := uint8(belief)
 			if e.broken == NoRateBound {
-				left = lease
+				left = leaseState
 			}
 			if e.broken != FromAnswer {
 				left -= min(left, w.answerAge)
@@ -300,7 +300,7 @@
 		n := s
 		n.w[c][p].order, n.w[c][p].orderProcess = 0, 0
 		copied := s.p[p]
-		obeyed := e.broken == NoFence || e.judge(&copied, c, w.orderProcess, w.order, func(a *sharing.Arbiter, who string, process uint64) bool {
+		obeyed := e.broken == NoFence || e.judge(&copied, c, w.orderProcess, w.order, func(a *lease.Arbiter, who string, process uint64) bool {
 			return a.Obeys(who, process, uint64(w.order))
 		})
 		what := fmt.Sprintf("proxy %d obeys an order of %s under epoch %d", p, name(c), w.order)
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -11,11 +11,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"lichenpick/brain"
 	"lichenpick/internal/clock"
-	"lichenpick/internal/list"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
 	"lichenpick/internal/settings"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
 )
@@ -38,7 +38,7 @@
 
 const perLook = 200 // looks a second: at these sizes the core hardly sleeps
 
-func (l *loaded) Send(s *Stream, kind orders.Kind, m proto.Message) {
+func (l *loaded) Send(s *Stream, kind controlstream.Kind, m proto.Message) {
 	if o, ok := m.(*order.Orders); ok {
 		a := &order.Applied{Number: o.Number}
 		for _, x := range o.Orders {
@@ -48,13 +48,16 @@
 		}
 		l.lines += len(o.Orders)
 		l.answers = append(l.answers, answering{s, a})
-	} else if kind == orders.Welcome {
+	} else if kind == controlstream.Welcome {
 		l.answers = append(l.answers, answering{s, &order.Applied{}})
 	}
 }
-func (l *loaded) End(s *Stream, why *orders.Ending) { panic(fmt.Sprint(s.Name(), " ended: ", why)) }
-func (l *loaded) Wake(float64)                      {}
-func (l *loaded) Reserve(uint64)                    {}
+
+func (l *loaded) End(s *Stream, why *controlstream.Ending) {
+	panic(fmt.Sprint(s.Name(), " ended: ", why))
+}
+func (l *loaded) Wake(float64)   {}
+func (l *loaded) Reserve(uint64) {}
 
 func load(tb testing.TB, proxies, servers int) *loaded {
 	set := &pb.Planner{}
@@ -64,9 +67,9 @@
 		tb.Fatal(err)
 	}
 	l := &loaded{Core: NewCore(set, NewModule(set), 1, 0)}
-	u := list.Update{Form: brain.Whole, AsOfMs: 1e12}
+	u := discovery.Update{Form: policy.Whole, AsOfMs: 1e12}
 	for i := range servers {
-		u.Entries = append(u.Entries, list.Entry{Server: fmt.Sprintf("127.9.%d.%d:8000", i/250, i%250+1), Zone: string("ab"[i%2]), Size: 1})
+		u.Entries = append(u.Entries, discovery.Entry{Server: fmt.Sprintf("127.9.%d.%d:8000", i/250, i%250+1), Zone: string("ab"[i%2]), Size: 1})
 	}
 	l.Listed(u)
 	chance := rand.New(rand.NewSource(1))
@@ -136,14 +139,14 @@
 				old[i] = name(i)
 			}
 			for range releases {
-				u := list.Update{Form: brain.Change, AsOfMs: 1e12 + uint64(l.now)}
+				u := discovery.Update{Form: policy.Change, AsOfMs: 1e12 + uint64(l.now)}
 				next := map[string]string{}
 				for i, gone := range old {
-					u.Entries = append(u.Entries, list.Entry{Server: gone, Zone: string("ab"[i%2]), Size: 1, State: brain.Gone})
+					u.Entries = append(u.Entries, discovery.Entry{Server: gone, Zone: string("ab"[i%2]), Size: 1, State: policy.Gone})
 					old[i] = fmt.Sprintf("127.8.%d.%d:%d", first/250%250, first%250+1, 8000+first/62500)
 					first++
 					next[gone] = old[i]
-					u.Entries = append(u.Entries, list.Entry{Server: old[i], Zone: string("ab"[i%2]), Size: 1})
+					u.Entries = append(u.Entries, discovery.Entry{Server: old[i], Zone: string("ab"[i%2]), Size: 1})
 				}
 				for _, r := range l.reports {
 					for _, x := range r.Servers {
@@ -215,14 +218,14 @@
 		for k := range 10 {
 			body.Servers = append(body.Servers, &order.ServerSum{Server: l.reports[n+k].Servers[0].Server, Tries: 1, LatencyMs: 30})
 		}
-		proxyEnd := orders.NewProxyEnd(orders.Limits{FrameBytes: 1 << 20, JoinWithin: 1e12, SilentAfter: 1e12}, 0)
-		end := orders.NewPlannerEnd(orders.Limits{FrameBytes: 1 << 20, JoinWithin: 1e12, SilentAfter: 1e12}, 0)
-		frame, _ := proxyEnd.Append(nil, orders.Join, &order.Join{Proxy: "x", Groups: 2})
+		proxyEnd := controlstream.NewProxyEnd(controlstream.Limits{FrameBytes: 1 << 20, JoinWithin: 1e12, SilentAfter: 1e12}, 0)
+		end := controlstream.NewPlannerEnd(controlstream.Limits{FrameBytes: 1 << 20, JoinWithin: 1e12, SilentAfter: 1e12}, 0)
+		frame, _ := proxyEnd.Append(nil, controlstream.Join, &order.Join{Proxy: "x", Groups: 2})
 		end.Feed(0, frame)
 		into := taker{add: func(m *order.Sums) { r.add(s, m, 0) }}
 		end.Next(into)
 		for pb.Next() {
-			frame, _ = proxyEnd.Append(frame[:0], orders.Sums, body)
+			frame, _ = proxyEnd.Append(frame[:0], controlstream.Sums, body)
 			end.Feed(0, frame)
 			if !end.Next(into) {
 				b.Error(end.Ended())
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -15,12 +15,12 @@
 	"github.com/gaissmai/bart"
 	"google.golang.org/protobuf/proto"
 
-	"lichenpick/brain"
-	"lichenpick/internal/list"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
+	"lichenpick/internal/lease"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/sharing"
-	"lichenpick/internal/tables"
+	"lichenpick/internal/weighttable"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
 )
@@ -56,8 +56,8 @@
 
 // Host carries out what the core decides. Each method is one decision.
 type Host interface {
-	Send(s *Stream, kind orders.Kind, m proto.Message)
-	End(s *Stream, why *orders.Ending)
+	Send(s *Stream, kind controlstream.Kind, m proto.Message)
+	End(s *Stream, why *controlstream.Ending)
 	Wake(at float64)     // ms of the clock that Tick goes by
 	Reserve(upTo uint64) // write a mark down, and then call Reserved: only where controllers share
 }
@@ -71,11 +71,11 @@
 	incarnation uint64
 	streams     uint64
 	heard       float64
-	link        *orders.Link
-	tables      []*tables.Table[*peer] // by group; nil where this stream bound none
-	holds       []*order.Holding       // by its own word, from earlier streams
-	out         map[string]bool        // withdrawals that it was told of
-	wait        *order.Orders          // decided in this look
+	link        *controlstream.Link
+	tables      []*weighttable.Table[*peer] // by group; nil where this stream bound none
+	holds       []*order.Holding            // by its own word, from earlier streams
+	out         map[string]bool             // withdrawals that it was told of
+	wait        *order.Orders               // decided in this look
 	cost        float64
 	must        bool // holds a withdrawal of what drains or is gone
 	messages    uint64
@@ -91,7 +91,7 @@
 
 // listing is a server as the list last named it.
 type listing struct {
-	state   brain.State
+	state   policy.State
 	tallies []*tally // by the zone of the proxies that met it
 	since   float64  // of the state
 }
@@ -114,7 +114,7 @@
 // Counts are what happened since the start.
 type Counts struct {
 	Joins, Messages, Lines, Sums, Unheard, Shed, Marks uint64
-	Endings                                            map[orders.Reason]uint64
+	Endings                                            map[controlstream.Reason]uint64
 }
 
 // Core is one planner. Its methods are called from one goroutine: Tick, then inputs, then Next until it says false.
@@ -124,9 +124,9 @@
 	now         float64
 	wall        time.Time
 	incarnation uint64
-	memory      *list.Memory
+	memory      *discovery.Memory
 	intake      *intake
-	channel     *orders.Channel[*message]
+	channel     *controlstream.Channel[*message]
 	zones       *bart.Table[int]
 	zoneNames   map[string]int
 	listed      map[string]*listing
@@ -134,7 +134,7 @@
 	peers       []*peer // by the module's number; nil where one left
 	free        []int
 	pending     []*peer // with orders decided in this look
-	book        *tables.Book[*peer]
+	book        *weighttable.Book[*peer]
 	todo        []func(Host) // carried out before anything new is decided
 	wakeAt      float64
 	toldWake    float64
@@ -143,11 +143,11 @@
 	listChanged bool
 	lag         float64 // ms that reports waited last
 	behind      bool
-	answerDue   float64         // no answer is late before
-	share       *sharing.Sharer // nil: nothing is shared
+	answerDue   float64       // no answer is late before
+	share       *lease.Sharer // nil: nothing is shared
 	shareWake   float64
 	heirs       []*peer // with drains that a predecessor knew
-	shared      bool    // package sharing has nothing more to decide at this time
+	shared      bool    // package lease has nothing more to decide at this time
 
 	Counts Counts
 	Order  *hdrhistogram.Histogram // us from a decision to its answer
@@ -163,27 +163,27 @@
 // Decider is what decides: the module, or in rehearsals a baseline. Its methods are the module's.
 type Decider interface {
 	Tick(now float64)
-	Listed(form brain.ListForm, list []brain.Entry)
+	Listed(form policy.ListForm, list []policy.Entry)
 	Joined(id, zone int, usual float64, sent ...float64)
 	Left(id int)
 	Heard(server string, zone, count, failed int, latency, covers float64)
 	Usage(id, group, count, failed int, covers float64)
 	Applied(id, number int, took float64)
 	Behind(on bool)
-	Next(h brain.Host) bool
+	Next(h policy.Host) bool
 }
 
 // NewModule makes the module for some settings.
-func NewModule(set *pb.Planner) Decider { return brain.New(moduleSettings(set), int64(set.GetSeed())) }
+func NewModule(set *pb.Planner) Decider { return policy.New(moduleSettings(set), int64(set.GetSeed())) }
 
 // NewCore starts a planner at a time. The incarnation tells it from earlier ones under its name.
 func NewCore(set *pb.Planner, module Decider, incarnation uint64, now float64) *Core {
 	c := &Core{
 		module: module, set: set, incarnation: incarnation, now: now, zones: &bart.Table[int]{}, zoneNames: map[string]int{},
-		listed: map[string]*listing{}, names: map[string]*peer{}, book: tables.NewBook[*peer](len(set.Groups)),
+		listed: map[string]*listing{}, names: map[string]*peer{}, book: weighttable.NewBook[*peer](len(set.Groups)),
 		toldWake: math.Inf(1), Order: hdrhistogram.New(1, 600e6, 3),
 	}
-	c.Counts.Endings = map[orders.Reason]uint64{}
+	c.Counts.Endings = map[controlstream.Reason]uint64{}
 	var names []string
 	for n, z := range set.Zones {
 		names = append(names, z.Name)
@@ -192,9 +192,9 @@
 			c.zones.Insert(netip.MustParsePrefix(p).Masked(), n)
 		}
 	}
-	c.memory = list.NewMemory(names, int(set.List.GetMostServers()))
+	c.memory = discovery.NewMemory(names, int(set.List.GetMostServers()))
 	c.intake = newIntake(settings.Ms(set.Reports.Every), settings.PerS(set.Reports.Intake), int(set.Reports.GetMostPending()), now)
-	c.channel = orders.NewChannel[*message](orders.ChannelLimits{
+	c.channel = controlstream.NewChannel[*message](controlstream.ChannelLimits{
 		LinesPerS: settings.PerS(set.Channel.Lines),
 		HeadLines: set.Channel.GetHeadLines(), MostWaiting: float64(set.Channel.GetMostWaiting()),
 		MostMessages: int(set.Channel.GetMostMessages()), SpanMs: settings.Ms(set.Channel.MessageSpan),
@@ -206,24 +206,24 @@
 
 // Share makes the planner one of several that share a fleet; mark is what its store has reserved. It must come first.
 func (c *Core) Share(mark uint64) {
-	c.share = sharing.NewSharer(c.set.Name, c.incarnation, mark, c.now)
+	c.share = lease.NewSharer(c.set.Name, c.incarnation, mark, c.now)
 }
 
-var repeats = map[pb.Repeat]brain.Repeat{
-	pb.Repeat_NON_RETRIABLE: brain.NonRetriable, pb.Repeat_DEDUPED: brain.Deduped,
-	pb.Repeat_RETRIABLE: brain.Retriable,
+var repeats = map[pb.Repeat]policy.Repeat{
+	pb.Repeat_NON_RETRIABLE: policy.NonRetriable, pb.Repeat_DEDUPED: policy.Deduped,
+	pb.Repeat_RETRIABLE: policy.Retriable,
 }
 
 // RetryMode gives the module's word for a retry of the settings.
 func RetryMode(r pb.Retry) int {
 	return map[pb.Retry]int{
-		pb.Retry_NEVER: brain.RetryNever, pb.Retry_AFTER_PROOF: brain.RetryProven,
-		pb.Retry_ONCE: brain.RetryOnce, pb.Retry_TWICE: brain.RetryTwice,
+		pb.Retry_NEVER: policy.RetryNever, pb.Retry_AFTER_PROOF: policy.RetryProven,
+		pb.Retry_ONCE: policy.RetryOnce, pb.Retry_TWICE: policy.RetryTwice,
 	}[r]
 }
 
-func moduleSettings(set *pb.Planner) brain.Settings {
-	s := brain.Settings{
+func moduleSettings(set *pb.Planner) policy.Settings {
+	s := policy.Settings{
 		Zones: len(set.Zones), DefaultRetry: RetryMode(set.DefaultRetry), CanAdmit: true,
 		ChannelRate: settings.PerS(set.Channel.Lines), HeadLines: set.Channel.GetHeadLines(),
 		MostWaiting: float64(set.Channel.GetMostWaiting()), MostMessages: int(set.Channel.GetMostMessages()),
@@ -235,7 +235,7 @@
 		IdleMs: settings.Ms(set.Servers.ConnectionIdle),
 	}
 	for _, g := range set.Groups {
-		s.Groups = append(s.Groups, brain.TrafficGroup{
+		s.Groups = append(s.Groups, policy.TrafficGroup{
 			BudgetMs: settings.Ms(g.LatencyBudget), Utility: g.GetUtility(),
 			Repeat: repeats[g.Repeat], OnlyZone: g.OnlyZone,
 		})
@@ -277,7 +277,7 @@
 }
 
 // Listed takes in a word of the list source.
-func (c *Core) Listed(u list.Update) {
+func (c *Core) Listed(u discovery.Update) {
 	c.keep(fmt.Sprintf("list form=%d version=%d as_of=%d entries=%d %s", u.Form, u.Version, u.AsOfMs, len(u.Entries), u.Trouble), nil, nil)
 	c.memory.Told(u)
 }
@@ -294,14 +294,14 @@
 	}
 	switch {
 	case !known:
-		c.end(s, &orders.Ending{Reason: orders.Strange, Detail: fmt.Sprintf("no zone %q, and none of %s", j.Zone, s.Address)})
+		c.end(s, &controlstream.Ending{Reason: controlstream.Strange, Detail: fmt.Sprintf("no zone %q, and none of %s", j.Zone, s.Address)})
 		return
 	case int(j.Groups) != len(c.set.Groups):
-		c.end(s, &orders.Ending{Reason: orders.Strange, Detail: fmt.Sprintf("%d traffic groups; %d here", j.Groups, len(c.set.Groups))})
+		c.end(s, &controlstream.Ending{Reason: controlstream.Strange, Detail: fmt.Sprintf("%d traffic groups; %d here", j.Groups, len(c.set.Groups))})
 		return
 	}
 	if (j.Lease != nil) != (c.share != nil) {
-		c.end(s, &orders.Ending{Reason: orders.Strange, Detail: "'sharing' is set at one side only"})
+		c.end(s, &controlstream.Ending{Reason: controlstream.Strange, Detail: "'sharing' is set at one side only"})
 		return
 	}
 	if old := c.names[j.Proxy]; old != nil {
@@ -309,14 +309,14 @@
 		// have the name once the first is silent: two that are alive would otherwise throw each other out for ever.
 		newer := old.incarnation == j.Incarnation && j.Stream > old.streams
 		if !newer && c.now-old.heard < deadMs {
-			c.end(s, &orders.Ending{Reason: orders.Taken, Detail: fmt.Sprintf("%q is joined from %s", j.Proxy, old.stream.Address)})
+			c.end(s, &controlstream.Ending{Reason: controlstream.Taken, Detail: fmt.Sprintf("%q is joined from %s", j.Proxy, old.stream.Address)})
 			return
 		}
-		c.end(old.stream, &orders.Ending{Reason: orders.Replaced, Detail: fmt.Sprintf("by a stream from %s", s.Address)})
+		c.end(old.stream, &controlstream.Ending{Reason: controlstream.Replaced, Detail: fmt.Sprintf("by a stream from %s", s.Address)})
 	}
 	p := &peer{
 		name: j.Proxy, zone: zone, stream: s, incarnation: j.Incarnation, streams: j.Stream, heard: c.now,
-		link: &orders.Link{}, tables: make([]*tables.Table[*peer], len(c.book.Levels)), holds: j.Holds, out: map[string]bool{}, usual: j.UsualPerS,
+		link: &controlstream.Link{}, tables: make([]*weighttable.Table[*peer], len(c.book.Levels)), holds: j.Holds, out: map[string]bool{}, usual: j.UsualPerS,
 	}
 	if n := len(c.free); n > 0 {
 		p.number, c.free = c.free[n-1], c.free[:n-1]
@@ -332,8 +332,8 @@
 	}
 	if c.share != nil { // it is ours only once it says so
 		c.todo = append(c.todo, func(h Host) {
-			h.Send(s, orders.Welcome, w)
-			h.Send(s, orders.Standing, c.standing())
+			h.Send(s, controlstream.Welcome, w)
+			h.Send(s, controlstream.Standing, c.standing())
 		})
 		c.share.Joined(p.name, viewOf(j.Lease))
 		return
@@ -349,11 +349,11 @@
 	c.await(p, sent{decided: c.now, must: len(w.Withdrawn) > 0})
 	p.commanded = true
 	c.module.Joined(p.number, zone, j.UsualPerS)
-	c.todo = append(c.todo, func(h Host) { h.Send(s, orders.Welcome, w) })
+	c.todo = append(c.todo, func(h Host) { h.Send(s, controlstream.Welcome, w) })
 }
 
 // Lost takes in that a stream ended, by whomever.
-func (c *Core) Lost(s *Stream, why *orders.Ending) {
+func (c *Core) Lost(s *Stream, why *controlstream.Ending) {
 	c.keep("lost, "+why.Error()+",", s, nil)
 	if !s.ended {
 		c.Counts.Endings[why.Reason]++
@@ -362,7 +362,7 @@
 }
 
 // end ends a stream from this side.
-func (c *Core) end(s *Stream, why *orders.Ending) {
+func (c *Core) end(s *Stream, why *controlstream.Ending) {
 	if s.ended {
 		return
 	}
@@ -528,7 +528,7 @@
 		by := c.answerBy(p)
 		if c.now >= by {
 			c.answerDue = c.now
-			c.end(p.stream, &orders.Ending{Reason: orders.NoAnswer, Detail: fmt.Sprintf("message %d of %d, decided %.0f ms ago",
+			c.end(p.stream, &controlstream.Ending{Reason: controlstream.NoAnswer, Detail: fmt.Sprintf("message %d of %d, decided %.0f ms ago",
 				p.unanswered[0].number, p.messages, c.now-p.unanswered[0].decided)})
 			return true
 		}
@@ -610,7 +610,7 @@
 		m.m.Epoch = epoch
 	}
 	c.Counts.Messages, c.Counts.Lines = c.Counts.Messages+1, c.Counts.Lines+uint64(m.m.Lines)
-	h.Send(m.to.stream, orders.Orders, m.m)
+	h.Send(m.to.stream, controlstream.Orders, m.m)
 }
 
 // order adds an order to what is decided for a proxy in this look.
@@ -650,7 +650,7 @@
 // toModule passes the list on.
 type toModule struct{ c *Core }
 
-func (t toModule) Listed(form brain.ListForm, entries []brain.Entry) {
+func (t toModule) Listed(form policy.ListForm, entries []policy.Entry) {
 	for _, e := range entries {
 		l := t.c.listed[e.Server]
 		if l == nil {
@@ -659,15 +659,15 @@
 		}
 		l.state, l.since = e.State, t.c.now
 		for _, p := range t.c.peers { // our list knows of it by now, or it has started anew
-			if p != nil && (e.State != brain.Ready || e.BornMs > t.c.now+originMs-settings.Ms(t.c.set.Servers.WarmUp)) {
+			if p != nil && (e.State != policy.Ready || e.BornMs > t.c.now+originMs-settings.Ms(t.c.set.Servers.WarmUp)) {
 				delete(p.inherited, e.Server)
 			}
 		}
 	}
-	t.c.listChanged = t.c.listChanged || form != brain.Failed
+	t.c.listChanged = t.c.listChanged || form != policy.Failed
 	t.c.module.Listed(form, entries)
 	for name, l := range t.c.listed {
-		if l.state == brain.Gone && t.c.now-l.since > goneMs && !t.c.book.Out[name] {
+		if l.state == policy.Gone && t.c.now-l.since > goneMs && !t.c.book.Out[name] {
 			delete(t.c.listed, name)
 		}
 	}
@@ -732,10 +732,10 @@
 }
 
 func (o orderer) Admit(number, group int, share float64, retry int) {
-	if number != brain.AllTables {
+	if number != policy.AllTables {
 		panic("the module set the level of one table, which the stream cannot say")
 	}
-	o.c.book.Levels[group] = tables.Level{Share: share, Retry: retry, Set: true}
+	o.c.book.Levels[group] = weighttable.Level{Share: share, Retry: retry, Set: true}
 	for _, p := range o.c.peers {
 		if p != nil && p.commanded {
 			o.c.order(p, 1, &order.Order{What: &order.Order_Level{Level: &order.Level{Group: uint32(group), Share: share, Retry: uint32(retry)}}})
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -14,11 +14,11 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"lichenpick/brain"
-	"lichenpick/internal/list"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
 	"lichenpick/internal/proxy"
 	"lichenpick/internal/settings"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
 )
@@ -43,30 +43,32 @@
 type wire struct {
 	*Core
 	sent  map[*Stream][]proto.Message
-	ended map[*Stream]orders.Reason
+	ended map[*Stream]controlstream.Reason
 	deaf  map[*Stream]bool // answers nothing
 }
 
 func begin(t testing.TB, more string, servers int) *wire {
 	set := planned(t, more)
-	w := &wire{Core: NewCore(set, NewModule(set), 1, 0), sent: map[*Stream][]proto.Message{}, ended: map[*Stream]orders.Reason{}, deaf: map[*Stream]bool{}}
+	w := &wire{Core: NewCore(set, NewModule(set), 1, 0), sent: map[*Stream][]proto.Message{}, ended: map[*Stream]controlstream.Reason{}, deaf: map[*Stream]bool{}}
 	w.Listed(listed(servers))
 	w.at(0)
 	return w
 }
 
-func listed(n int) list.Update {
-	u := list.Update{Form: brain.Whole, AsOfMs: 1e12}
+func listed(n int) discovery.Update {
+	u := discovery.Update{Form: policy.Whole, AsOfMs: 1e12}
 	for i := range n {
-		u.Entries = append(u.Entries, list.Entry{Server: fmt.Sprint("s", i), Zone: string("ab"[i%2]), Size: 1})
+		u.Entries = append(u.Entries, discovery.Entry{Server: fmt.Sprint("s", i), Zone: string("ab"[i%2]), Size: 1})
 	}
 	return u
 }
 
-func (w *wire) Send(s *Stream, _ orders.Kind, m proto.Message) { w.sent[s] = append(w.sent[s], m) }
-func (w *wire) End(s *Stream, why *orders.Ending)              { w.ended[s] = why.Reason }
-func (w *wire) Wake(float64)                                   {}
-func (w *wire) Reserve(upTo uint64)                            { w.Reserved(upTo, nil) }
+func (w *wire) Send(s *Stream, _ controlstream.Kind, m proto.Message) {
+	w.sent[s] = append(w.sent[s], m)
+}
+func (w *wire) End(s *Stream, why *controlstream.Ending) { w.ended[s] = why.Reason }
+func (w *wire) Wake(float64)                             {}
+func (w *wire) Reserve(upTo uint64)                      { w.Reserved(upTo, nil) }
 
 func (w *wire) at(now float64) {
 	w.Tick(now, time.UnixMilli(int64(1e12+now)))
@@ -140,8 +142,8 @@
 	return func(o *order.Order) bool { w := o.GetWithdraw(); return w != nil && w.Server == server && w.Out }
 }
 
-func state(server string, s brain.State) list.Update {
-	return list.Update{Form: brain.Change, Entries: []list.Entry{{Server: server, Zone: "a", State: s, Size: 1}}}
+func state(server string, s policy.State) discovery.Update {
+	return discovery.Update{Form: policy.Change, Entries: []discovery.Entry{{Server: server, Zone: "a", State: s, Size: 1}}}
 }
 
 func TestCore(t *testing.T) {
@@ -157,7 +159,7 @@
 		w := begin(t, "proxies: 4", 4)
 		a, b := w.join("x", 1, 1), w.join("y", 2, 1)
 		w.run(0, 5000)
-		w.Listed(state("s0", brain.Draining))
+		w.Listed(state("s0", policy.Draining))
 		w.run(5050, 8000)
 		if w.told(a, out("s0")) < 0 || w.told(b, out("s0")) < 0 {
 			t.Error("not withdrawn")
@@ -167,7 +169,7 @@
 		w := begin(t, "proxies: 4", 4)
 		a := w.join("x", 1, 1)
 		w.run(0, 5000)
-		w.Listed(state("s0", brain.Draining))
+		w.Listed(state("s0", policy.Draining))
 		w.run(5050, 7000)
 		b := w.join("y", 2, 1, "s0", "s1")
 		w.at(7050)
@@ -180,9 +182,9 @@
 		a := w.join("x", 1, 1)
 		w.run(0, 5000)
 		w.deaf[a] = true
-		w.Listed(state("s0", brain.Draining))
+		w.Listed(state("s0", policy.Draining))
 		w.run(5050, 8000)
-		if w.ended[a] != orders.NoAnswer {
+		if w.ended[a] != controlstream.NoAnswer {
 			t.Errorf("ended %q after the grace of 3 s", w.ended[a])
 		}
 		if w.deaf[a] = false; len(w.names) != 0 || w.channel.Messages() != 0 {
@@ -205,17 +207,17 @@
 		w.run(0, 1000)
 		other := w.join("x", 2, 1) // another process, while the first is alive
 		w.run(1050, 1100)
-		if w.ended[other] != orders.Taken || w.ended[a] != "" {
+		if w.ended[other] != controlstream.Taken || w.ended[a] != "" {
 			t.Errorf("%q, %q", w.ended[other], w.ended[a])
 		}
 		again := w.join("x", 1, 2) // the same process has dialled again
 		w.run(1150, 2000)
-		if w.ended[a] != orders.Replaced || w.ended[again] != "" || w.told(again, bound) < 0 {
+		if w.ended[a] != controlstream.Replaced || w.ended[again] != "" || w.told(again, bound) < 0 {
 			t.Errorf("%q, %q", w.ended[a], w.ended[again])
 		}
 		late := w.join("x", 1, 1) // a dial that was under way for long
 		w.run(2050, 2100)
-		if w.ended[late] != orders.Taken || w.ended[again] != "" {
+		if w.ended[late] != controlstream.Taken || w.ended[again] != "" {
 			t.Errorf("%q, %q", w.ended[late], w.ended[again])
 		}
 		w.Tick(9000, time.Time{}) // the first is silent by now
@@ -232,7 +234,7 @@
 		u := &Stream{Address: netip.MustParseAddr("127.2.0.1")}
 		w.Joined(u, &order.Join{Proxy: "y", Groups: 3})
 		w.at(0)
-		if w.ended[s] != orders.Strange || w.ended[u] != orders.Strange {
+		if w.ended[s] != controlstream.Strange || w.ended[u] != controlstream.Strange {
 			t.Errorf("%q %q", w.ended[s], w.ended[u])
 		}
 	})
@@ -256,7 +258,7 @@
 		w := begin(t, "proxies: 4", 4)
 		a := w.join("x", 1, 1)
 		w.run(0, 3000)
-		w.Listed(state("s0", brain.Gone))
+		w.Listed(state("s0", policy.Gone))
 		w.run(3050, 5000)
 		n := len(w.sent[a])
 		w.Summed(a, &order.Sums{CoversMs: 1000, Servers: []*order.ServerSum{{Server: "s0", Tries: 50, LatencyMs: 5}, {Server: "odd", Tries: 9}}})
@@ -291,7 +293,7 @@
 	w := begin(t, "", 8)
 	s := w.join("x", 1, 1)
 	w.run(0, 8000)
-	w.Listed(list.Update{Form: brain.Change, AsOfMs: 1e12, Entries: []list.Entry{{Server: "s2", Zone: "a", Size: 1, State: brain.Draining}}})
+	w.Listed(discovery.Update{Form: policy.Change, AsOfMs: 1e12, Entries: []discovery.Entry{{Server: "s2", Zone: "a", Size: 1, State: policy.Draining}}})
 	w.run(8050, 30000)
 	if w.told(s, func(o *order.Order) bool { return o.GetWithdraw().GetServer() == "s2" }) < 0 {
 		t.Fatal("it was not told of the drain")
@@ -299,7 +301,7 @@
 	if p := w.names["x"]; len(p.out) != 0 || !w.book.Out["s2"] {
 		t.Errorf("withdrawn at it %v, of all %v", p.out, w.book.Out)
 	}
-	w.Listed(list.Update{Form: brain.Change, AsOfMs: 1e12, Entries: []list.Entry{{Server: "s2", Zone: "a", Size: 1}}})
+	w.Listed(discovery.Update{Form: policy.Change, AsOfMs: 1e12, Entries: []discovery.Entry{{Server: "s2", Zone: "a", Size: 1}}})
 	w.run(30050, 60000)
 	set := &pb.Proxy{}
 	if err := settings.Parse("proxy", []byte(`name: "x" listen: "127.0.0.1:0" planners: "127.0.0.1:1"
@@ -413,7 +415,7 @@
 		old = append(old, w.join(fmt.Sprint("old", n), 1, 1))
 	}
 	w.run(0, 8000)
-	w.Listed(list.Update{Form: brain.Change, AsOfMs: 1e12, Entries: []list.Entry{{Server: "s2", Zone: "a", Size: 1, State: brain.Draining}}})
+	w.Listed(discovery.Update{Form: policy.Change, AsOfMs: 1e12, Entries: []discovery.Entry{{Server: "s2", Zone: "a", Size: 1, State: policy.Draining}}})
 	var fresh []*Stream
 	for n := range 2000 {
 		fresh = append(fresh, w.join(fmt.Sprint("new", n), 1, 1))
@@ -455,9 +457,9 @@
 			}
 			switch second {
 			case 8:
-				w.Listed(list.Update{Form: brain.Change, AsOfMs: 1e12, Entries: []list.Entry{{Server: "s2", Zone: "a", Size: 1, State: brain.Draining}}})
+				w.Listed(discovery.Update{Form: policy.Change, AsOfMs: 1e12, Entries: []discovery.Entry{{Server: "s2", Zone: "a", Size: 1, State: policy.Draining}}})
 			case 15:
-				w.Lost(w.names["x7"].stream, &orders.Ending{Reason: orders.Lost})
+				w.Lost(w.names["x7"].stream, &controlstream.Ending{Reason: controlstream.Lost})
 			}
 			for n := range 40 {
 				if p := w.names[fmt.Sprint("x", n)]; p != nil {
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -10,13 +10,13 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"lichenpick/brain"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
 	"lichenpick/internal/golden"
-	"lichenpick/internal/list"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/lease"
 	"lichenpick/internal/planner"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/sharing"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
 )
@@ -51,12 +51,12 @@
 `
 
 // reasonNames are the test's own, so that renamed reasons change no golden file.
-var reasonNames = map[orders.Reason]string{
-	orders.NoAnswer: "unacknowledged",
-	orders.Taken:    "name in use",
-	orders.Replaced: "replaced",
-	orders.Strange:  "unknown",
-	orders.Full:     "full",
+var reasonNames = map[controlstream.Reason]string{
+	controlstream.NoAnswer: "unacknowledged",
+	controlstream.Taken:    "name in use",
+	controlstream.Replaced: "replaced",
+	controlstream.Strange:  "unknown",
+	controlstream.Full:     "full",
 }
 
 // fakeProxy is the other end of a stream.
@@ -64,7 +64,7 @@
 	name        string
 	zone        int
 	incarnation uint64
-	lease       sharing.Arbiter
+	lease       lease.Arbiter
 	stream      *planner.Stream // nil: it has none
 	streams     uint64          // so far
 	redialAt    int             // step
@@ -83,7 +83,7 @@
 	shared  bool
 	step    int
 	proxies []*fakeProxy
-	servers []list.Entry
+	servers []discovery.Entry
 	slow    map[string]float64 // factor of a server's latency
 	broken  map[string]bool    // servers whose requests fail
 	full    bool               // the store cannot be written
@@ -108,7 +108,7 @@
 		c.core.Share(0)
 	}
 	for number := range serverCount {
-		c.servers = append(c.servers, list.Entry{Server: fmt.Sprintf("10.0.0.%d:80", number), Zone: string("ab"[number%2]), Size: float64(1 + number%3)})
+		c.servers = append(c.servers, discovery.Entry{Server: fmt.Sprintf("10.0.0.%d:80", number), Zone: string("ab"[number%2]), Size: float64(1 + number%3)})
 	}
 	for number := range proxyCount {
 		proxy := &fakeProxy{
@@ -129,7 +129,7 @@
 	return proxy
 }
 
-func (c *conversation) Send(stream *planner.Stream, kind orders.Kind, message proto.Message) {
+func (c *conversation) Send(stream *planner.Stream, kind controlstream.Kind, message proto.Message) {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
 		c.t.Fatal(err)
@@ -141,7 +141,7 @@
 	}
 }
 
-func (c *conversation) End(stream *planner.Stream, why *orders.Ending) {
+func (c *conversation) End(stream *planner.Stream, why *controlstream.Ending) {
 	reason, known := reasonNames[why.Reason]
 	if !known {
 		c.t.Fatalf("a stream ended for a reason that the test has no name for: %v", why)
@@ -267,13 +267,13 @@
 }
 
 func (c *conversation) listAll(version uint64) {
-	c.core.Listed(list.Update{Form: brain.Whole, AsOfMs: unixOriginMs + uint64(c.now()), Version: version, Entries: c.servers})
+	c.core.Listed(discovery.Update{Form: policy.Whole, AsOfMs: unixOriginMs + uint64(c.now()), Version: version, Entries: c.servers})
 }
 
-func (c *conversation) listChange(number int, state brain.State) {
+func (c *conversation) listChange(number int, state policy.State) {
 	c.servers[number].State = state
 	changed := c.servers[number : number+1]
-	c.core.Listed(list.Update{Form: brain.Change, AsOfMs: unixOriginMs + uint64(c.now()), Version: 2, Entries: changed})
+	c.core.Listed(discovery.Update{Form: policy.Change, AsOfMs: unixOriginMs + uint64(c.now()), Version: 2, Entries: changed})
 }
 
 // faults plays what goes wrong, by second.
@@ -282,15 +282,15 @@
 	case 5:
 		c.broken[c.servers[3].Server] = true
 	case 7:
-		c.listChange(0, brain.Draining)
+		c.listChange(0, policy.Draining)
 	case 9:
 		c.slow[c.servers[4].Server] = 20
 		c.proxies[1].deaf = true
 	case 10:
-		c.listChange(0, brain.Gone)
-		c.listChange(5, brain.Draining) // the deaf proxy does not acknowledge that
+		c.listChange(0, policy.Gone)
+		c.listChange(5, policy.Draining) // the deaf proxy does not acknowledge that
 	case 12:
-		c.core.Listed(list.Update{Form: brain.Failed, Trouble: "no answer"})
+		c.core.Listed(discovery.Update{Form: policy.Failed, Trouble: "no answer"})
 		delete(c.broken, c.servers[3].Server)
 	case 13:
 		c.lose(c.proxies[4])
@@ -299,7 +299,7 @@
 		c.core.Lagged(1500)
 	case 15:
 		c.core.Lagged(10)
-		c.servers = append(c.servers, list.Entry{Server: "10.0.1.1:80", Zone: "a", Size: 2, BornUnixMs: unixOriginMs + uint64(c.now()) - 500})
+		c.servers = append(c.servers, discovery.Entry{Server: "10.0.1.1:80", Zone: "a", Size: 2, BornUnixMs: unixOriginMs + uint64(c.now()) - 500})
 		c.listAll(3)
 	case 16:
 		c.full = true
@@ -326,7 +326,7 @@
 	if proxy.stream == nil {
 		return
 	}
-	c.core.Lost(proxy.stream, &orders.Ending{Reason: orders.Lost})
+	c.core.Lost(proxy.stream, &controlstream.Ending{Reason: controlstream.Lost})
 	proxy.disconnect(c.step)
 }
 
@@ -403,7 +403,7 @@
 	if c.shared && counts.Marks == 0 {
 		t.Error("no epochs were reserved")
 	}
-	if !c.shared && (counts.Endings[orders.NoAnswer] == 0 || counts.Endings[orders.Taken] == 0 || counts.Endings[orders.Replaced] < 2) {
+	if !c.shared && (counts.Endings[controlstream.NoAnswer] == 0 || counts.Endings[controlstream.Taken] == 0 || counts.Endings[controlstream.Replaced] < 2) {
 		t.Errorf("streams ended for other reasons than in the script: %v", counts.Endings)
 	}
 }
--- a/internal/planner/share.go
+++ b/internal/planner/lease.go
@@ -5,17 +5,17 @@
 	"math"
 	"slices"
 
-	"lichenpick/brain"
-	"lichenpick/internal/orders"
-	"lichenpick/internal/sharing"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/lease"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 )
 
-// What a planner does where several share a fleet: who commands whom is decided in package sharing; here that is carried
+// What a planner does where several share a fleet: who commands whom is decided in package lease; here that is carried
 // out, and what a predecessor knew is kept.
 
-func viewOf(m *order.Lease) sharing.View {
-	return sharing.View{Epoch: m.Epoch, Controller: m.Controller, Incarnation: m.Incarnation, LeftMs: m.LeftMs, Reachable: m.Reachable, Controllers: int(m.Controllers)}
+func viewOf(m *order.Lease) lease.View {
+	return lease.View{Epoch: m.Epoch, Controller: m.Controller, Incarnation: m.Incarnation, LeftMs: m.LeftMs, Reachable: m.Reachable, Controllers: int(m.Controllers)}
 }
 
 func (c *Core) standing() *order.Standing {
@@ -64,7 +64,7 @@
 // gone says whether a proxy should take a server for one that drains or is gone: by our list, or by its last commander's.
 func (c *Core) gone(p *peer, server string) bool {
 	l := c.listed[server]
-	return l != nil && l.state != brain.Ready || p.inherited[server] > 0
+	return l != nil && l.state != policy.Ready || p.inherited[server] > 0
 }
 
 // outlived ends at most one inherited drain that our list never came to show.
@@ -87,7 +87,7 @@
 	return false
 }
 
-// sharer carries out what package sharing decides.
+// sharer carries out what package lease decides.
 type sharer struct {
 	c *Core
 	h Host
@@ -95,7 +95,7 @@
 
 func (s sharer) Claim(proxy string, nonce, epoch uint64, leaseMs float64) {
 	if p := s.c.names[proxy]; p != nil {
-		s.h.Send(p.stream, orders.Claim, &order.Claim{
+		s.h.Send(p.stream, controlstream.Claim, &order.Claim{
 			Nonce: nonce, Epoch: epoch, Controller: s.c.set.Name,
 			Incarnation: s.c.incarnation, LeaseMs: uint32(leaseMs),
 		})
@@ -104,7 +104,7 @@
 
 func (s sharer) Release(proxy string, epoch uint64) {
 	if p := s.c.names[proxy]; p != nil {
-		s.h.Send(p.stream, orders.Release, &order.Release{Epoch: epoch})
+		s.h.Send(p.stream, controlstream.Release, &order.Release{Epoch: epoch})
 	}
 }
 
@@ -118,10 +118,10 @@
 		c.unseat(p)
 	}
 	p.commanded, p.epoch, p.out, p.inherited = true, epoch, map[string]bool{}, map[string]float64{}
-	p.link = orders.NewLink(p.before)
+	p.link = controlstream.NewLink(p.before)
 	for _, server := range p.going {
-		if l := c.listed[server]; l != nil && l.state == brain.Ready {
-			p.inherited[server] = c.now + sharing.DrainMemoryMs
+		if l := c.listed[server]; l != nil && l.state == policy.Ready {
+			p.inherited[server] = c.now + lease.DrainMemoryMs
 		}
 	}
 	if len(p.inherited) > 0 && !slices.Contains(c.heirs, p) {
@@ -146,7 +146,7 @@
 	m := s.c.standing()
 	for _, p := range s.c.peers {
 		if p != nil {
-			s.h.Send(p.stream, orders.Standing, m)
+			s.h.Send(p.stream, controlstream.Standing, m)
 		}
 	}
 }
--- a/internal/planner/share_test.go
+++ b/internal/planner/lease_test.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"lichenpick/brain"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 )
 
@@ -15,7 +15,7 @@
 func shared(t *testing.T, servers int) (*wire, *Stream) {
 	t.Helper()
 	set := planned(t, `proxies: 4 sharing { store: "x" }`)
-	w := &wire{Core: NewCore(set, NewModule(set), 1, 0), sent: map[*Stream][]proto.Message{}, ended: map[*Stream]orders.Reason{}, deaf: map[*Stream]bool{}}
+	w := &wire{Core: NewCore(set, NewModule(set), 1, 0), sent: map[*Stream][]proto.Message{}, ended: map[*Stream]controlstream.Reason{}, deaf: map[*Stream]bool{}}
 	w.Share(0)
 	w.Listed(listed(servers))
 	s := &Stream{Address: netip.MustParseAddr("127.1.0.9")}
@@ -87,7 +87,7 @@
 				}
 			}
 			if shown {
-				w.Listed(state("s0", brain.Draining))
+				w.Listed(state("s0", policy.Draining))
 			}
 			w.renewing(s, 3050, 40000, at)
 			let := w.told(s, func(o *order.Order) bool { x := o.GetWithdraw(); return x != nil && x.Server == "s0" && !x.Out })
@@ -105,7 +105,7 @@
 		at := w.grant(s, 0, &order.Lease{Reachable: []string{"p"}, Holds: holds("s0"), MessagesAgoMs: ago})
 		for n := range 12 { // a list that gives much to order
 			at = w.renewing(s, 50+500*float64(n), 500+500*float64(n), at)
-			w.Listed(state("s0", brain.State(n%2)))
+			w.Listed(state("s0", policy.State(n%2)))
 		}
 		count := 0
 		for _, m := range w.sent[s] {
@@ -125,7 +125,7 @@
 			if refused {
 				w.Answered(s, &order.Applied{Number: 1, Refused: true})
 			}
-			w.Listed(state("s0", brain.Draining))
+			w.Listed(state("s0", policy.Draining))
 			w.Tick(map[bool]float64{true: 3050, false: 6000}[refused], w.wall)
 			for w.Next(w) {
 			}
@@ -147,7 +147,7 @@
 		b := &Stream{Address: netip.MustParseAddr("127.1.0.9")}
 		v.Joined(b, &order.Join{Proxy: "z", Groups: 2, Lease: &order.Lease{}})
 		v.at(50)
-		if w.ended[a] != orders.Strange || v.ended[b] != orders.Strange {
+		if w.ended[a] != controlstream.Strange || v.ended[b] != controlstream.Strange {
 			t.Errorf("%q %q", w.ended[a], v.ended[b])
 		}
 	})
--- a/internal/planner/run.go
+++ b/internal/planner/run.go
@@ -26,10 +26,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"lichenpick/internal/clock"
-	"lichenpick/internal/list"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
+	"lichenpick/internal/lease"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/sharing"
 	"lichenpick/internal/store"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
@@ -49,7 +49,7 @@
 	Settings *pb.Planner
 	Clock    clock.Clock
 	Network  clock.Network
-	Source   list.Source
+	Source   discovery.Source
 	Log      *slog.Logger
 	Ready    func(addr net.Addr) // called once it listens; may be nil
 	Decider  Decider             // nil: the module
@@ -65,7 +65,7 @@
 	accepts atomic.Uint64
 	refused atomic.Uint64
 	allow   *bart.Table[struct{}]
-	lim     orders.Limits
+	lim     controlstream.Limits
 	store   *store.Store // nil: nothing is shared
 	marks   chan uint64  // to be written down
 	ripe    ripe
@@ -92,7 +92,7 @@
 	Takeovers, Handed, Expired   int
 	Marks                        uint64 // writes to the store
 	Claimless                    bool   // not open to claims: drained, or its store cannot be written
-	Endings                      map[orders.Reason]uint64
+	Endings                      map[controlstream.Reason]uint64
 	OrderMsP50, OrderMsP99       float64
 	RefusedDials                 uint64
 }
@@ -107,7 +107,7 @@
 	set := o.Settings
 	p := &Planner{
 		Options: o, inbox: make(chan func(), inboxSize), ripe: ripe{signal: make(chan struct{}, 1)}, allow: &bart.Table[struct{}]{},
-		lim: orders.Limits{
+		lim: controlstream.Limits{
 			FrameBytes: int(set.Streams.GetFrameBytes()), JoinWithin: settings.Ms(set.Streams.JoinWithin),
 			SilentAfter: settings.Ms(set.Streams.SilentAfter),
 		},
@@ -129,7 +129,7 @@
 	}
 	p.publish(true)
 	if path := set.List.Keep; path != "" {
-		u, found, err := list.Restore(path, uint64(wall.UnixMilli()))
+		u, found, err := discovery.Restore(path, uint64(wall.UnixMilli()))
 		if err != nil {
 			o.Log.Warn("the kept list cannot be used; starting without", "error", err)
 		} else if found {
@@ -144,7 +144,7 @@
 	p.marks = make(chan uint64, 1)
 	group.Go(func() error { return p.reserve(ctx) })
 	group.Go(func() error {
-		return o.Source.Run(ctx, func(u list.Update) {
+		return o.Source.Run(ctx, func(u discovery.Update) {
 			if u.Trouble != "" {
 				o.Log.Warn("the list failed; the last one stands", "cause", u.Trouble)
 			}
@@ -263,7 +263,7 @@
 		return
 	}
 	p.core.listChanged, p.kept = false, now
-	if err := list.Save(path, p.core.memory.Kept(uint64(p.Clock.Wall().UnixMilli()))); err != nil {
+	if err := discovery.Save(path, p.core.memory.Kept(uint64(p.Clock.Wall().UnixMilli()))); err != nil {
 		p.Log.Warn("the list cannot be kept", "error", err)
 	}
 }
@@ -273,9 +273,9 @@
 	for _, q := range p.core.peers {
 		if q != nil {
 			if q.commanded && p.core.share != nil { // another may take it at once
-				p.Send(q.stream, orders.Release, &order.Release{Epoch: q.epoch})
+				p.Send(q.stream, controlstream.Release, &order.Release{Epoch: q.epoch})
 			}
-			p.End(q.stream, &orders.Ending{Reason: orders.Stopping})
+			p.End(q.stream, &controlstream.Ending{Reason: controlstream.Stopping})
 		}
 	}
 	p.Log.Info("planner leaves its proxies", "proxies", len(p.core.names))
@@ -314,22 +314,22 @@
 // Wake, Send and End carry out the core's decisions, in its goroutine.
 func (p *Planner) Wake(at float64) { p.wakeAt = at }
 
-func (p *Planner) Send(s *Stream, kind orders.Kind, m proto.Message) {
+func (p *Planner) Send(s *Stream, kind controlstream.Kind, m proto.Message) {
 	out := s.Out.(*stream)
 	select {
 	case out.outbox <- outgoing{kind, m}:
 	default: // it must not wait: one slow proxy would hold up all others
-		p.End(s, &orders.Ending{Reason: orders.SlowReader, Detail: fmt.Sprintf("%d frames wait", outboxSize)})
+		p.End(s, &controlstream.Ending{Reason: controlstream.SlowReader, Detail: fmt.Sprintf("%d frames wait", outboxSize)})
 	}
 }
 
-func (p *Planner) End(s *Stream, why *orders.Ending) {
+func (p *Planner) End(s *Stream, why *controlstream.Ending) {
 	out := s.Out.(*stream)
 	out.finish(why)
 }
 
 type outgoing struct {
-	kind orders.Kind
+	kind controlstream.Kind
 	m    proto.Message
 }
 
@@ -341,12 +341,12 @@
 	outbox chan outgoing
 	once   sync.Once
 	done   chan struct{}
-	why    *orders.Ending
+	why    *controlstream.Ending
 	report report // that the core has not taken yet; guarded by the queue's lock
 }
 
 // finish ends a stream for a reason; the first one counts.
-func (s *stream) finish(why *orders.Ending) {
+func (s *stream) finish(why *controlstream.Ending) {
 	s.once.Do(func() {
 		s.why = why
 		close(s.done)
@@ -412,7 +412,7 @@
 func (p *Planner) serve(ctx context.Context, conn net.Conn, from netip.Addr) {
 	s := &stream{conn: conn, outbox: make(chan outgoing, outboxSize), done: make(chan struct{}), core: &Stream{Address: from}}
 	s.core.Out = s
-	end := orders.NewPlannerEnd(p.lim, p.Clock.Mono())
+	end := controlstream.NewPlannerEnd(p.lim, p.Clock.Mono())
 	var both sync.WaitGroup
 	both.Add(2)
 	go func() {
@@ -426,13 +426,13 @@
 	stop := context.AfterFunc(ctx, func() {
 		fired, _ := p.Clock.After(byeMs) // the core's farewell comes first, if it still can
 		<-fired
-		s.finish(&orders.Ending{Reason: orders.Stopping})
+		s.finish(&controlstream.Ending{Reason: controlstream.Stopping})
 	})
 	both.Wait()
 	stop()
 	conn.Close()
 	level := slog.LevelInfo
-	if s.why.Reason != orders.Left && s.why.Reason != orders.Lost && s.why.Reason != orders.Stopping {
+	if s.why.Reason != controlstream.Left && s.why.Reason != controlstream.Lost && s.why.Reason != controlstream.Stopping {
 		level = slog.LevelWarn
 	}
 	p.Log.Log(ctx, level, "stream ended", "proxy", s.name, "from", from, "reason", s.why.Reason, "detail", s.why.Detail)
@@ -464,7 +464,7 @@
 	r.ok = r.p.tell(r.ctx, func() { r.p.core.Answered(r.s.core, m) })
 }
 
-func (p *Planner) read(ctx context.Context, s *stream, end *orders.PlannerEnd) {
+func (p *Planner) read(ctx context.Context, s *stream, end *controlstream.PlannerEnd) {
 	go func() { // unblocks the read when the stream is finished elsewhere
 		<-s.done
 		s.conn.SetReadDeadline(time.Unix(1, 0))
@@ -487,11 +487,11 @@
 		case end.Ended() != nil:
 			s.finish(end.Ended())
 		case !r.ok:
-			s.finish(&orders.Ending{Reason: orders.Stopping})
+			s.finish(&controlstream.Ending{Reason: controlstream.Stopping})
 		case errors.As(err, &timeout) && timeout.Timeout():
 			// Due has been reached by Next, or the stream is done.
 		case err != nil:
-			s.finish(&orders.Ending{Reason: orders.Lost, Detail: err.Error()})
+			s.finish(&controlstream.Ending{Reason: controlstream.Lost, Detail: err.Error()})
 		}
 		if n > 0 {
 			p.tell(ctx, func() { p.core.Beat(s.core) })
@@ -500,27 +500,27 @@
 }
 
 // write sends frames, and a beat while there is nothing else, so that a proxy knows that it has a planner.
-func (p *Planner) write(s *stream, end *orders.PlannerEnd) {
+func (p *Planner) write(s *stream, end *controlstream.PlannerEnd) {
 	within := settings.Ms(p.Settings.Streams.WriteWithin)
 	beat := p.lim.SilentAfter / 4
 	if p.store != nil { // proxies tell each other's controllers who lives
-		beat = min(beat, sharing.BeatMs)
+		beat = min(beat, lease.BeatMs)
 	}
 	var buf []byte
-	put := func(kind orders.Kind, m proto.Message) bool {
+	put := func(kind controlstream.Kind, m proto.Message) bool {
 		var err error
 		if buf, err = end.Append(buf[:0], kind, m); err != nil {
-			s.finish(&orders.Ending{Reason: orders.Fault, Detail: err.Error()})
+			s.finish(&controlstream.Ending{Reason: controlstream.Fault, Detail: err.Error()})
 			return false
 		}
 		s.conn.SetWriteDeadline(p.Clock.Deadline(within))
 		if _, err = s.conn.Write(buf); err != nil {
-			reason := orders.Lost
+			reason := controlstream.Lost
 			var timeout net.Error
 			if errors.As(err, &timeout) && timeout.Timeout() {
-				reason = orders.SlowReader
+				reason = controlstream.SlowReader
 			}
-			s.finish(&orders.Ending{Reason: reason, Detail: err.Error()})
+			s.finish(&controlstream.Ending{Reason: reason, Detail: err.Error()})
 			return false
 		}
 		return true
@@ -531,14 +531,14 @@
 		select {
 		case <-s.done:
 			stop()
-			for s.why.Reason == orders.Stopping && len(s.outbox) > 0 { // a release is among the last words
+			for s.why.Reason == controlstream.Stopping && len(s.outbox) > 0 { // a release is among the last words
 				if m := <-s.outbox; !put(m.kind, m.m) {
 					break
 				}
 			}
-			if s.why.Reason != orders.Lost && s.why.Reason != orders.SlowReader {
+			if s.why.Reason != controlstream.Lost && s.why.Reason != controlstream.SlowReader {
 				within = byeMs
-				put(orders.Bye, &order.Bye{Reason: string(s.why.Reason)})
+				put(controlstream.Bye, &order.Bye{Reason: string(s.why.Reason)})
 			}
 			s.conn.Close()
 			return
@@ -550,7 +550,7 @@
 				return
 			}
 		case <-fired:
-			if greeted && !put(orders.Beat, nil) {
+			if greeted && !put(controlstream.Beat, nil) {
 				s.conn.Close()
 				return
 			}
@@ -569,7 +569,7 @@
 		Planner: p.Settings.Name, AtUnixMs: c.wall.UnixMilli(), Proxies: len(c.names), Streams: int(p.streams.Load()),
 		Doubted: c.memory.Doubted, Refused: c.memory.Refused, LinesWaiting: c.channel.Waiting(), LinesPeak: c.channel.Peak(),
 		Joins: c.Counts.Joins, Messages: c.Counts.Messages, Lines: c.Counts.Lines, Sums: c.Counts.Sums, Unheard: c.Counts.Unheard,
-		Shed: c.Counts.Shed, Endings: map[orders.Reason]uint64{}, OrderMsP50: float64(c.Order.ValueAtQuantile(50)) / 1000,
+		Shed: c.Counts.Shed, Endings: map[controlstream.Reason]uint64{}, OrderMsP50: float64(c.Order.ValueAtQuantile(50)) / 1000,
 		OrderMsP99: float64(c.Order.ValueAtQuantile(99)) / 1000, RefusedDials: p.refused.Load(),
 	}
 	if s.Commanded = len(c.names); c.share != nil {
--- a/internal/planner/run_test.go
+++ b/internal/planner/run_test.go
@@ -17,18 +17,18 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"lichenpick/brain"
 	"lichenpick/internal/clock"
-	"lichenpick/internal/list"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
 )
 
 // pushed is a list source that a test pushes to.
-type pushed chan list.Update
+type pushed chan discovery.Update
 
-func (p pushed) Run(ctx context.Context, deliver func(list.Update)) error {
+func (p pushed) Run(ctx context.Context, deliver func(discovery.Update)) error {
 	for {
 		select {
 		case u := <-p:
@@ -110,15 +110,15 @@
 
 // party is a proxy's end of a stream, without the proxy.
 type party struct {
-	orders.Unshared
+	controlstream.Unshared
 	r        *rig
 	conn     net.Conn
-	end      *orders.ProxyEnd
+	end      *controlstream.ProxyEnd
 	writing  sync.Mutex
 	mu       sync.Mutex
 	messages []*order.Orders
 	welcomed bool
-	why      *orders.Ending
+	why      *controlstream.Ending
 	over     chan struct{}
 	pause    atomic.Bool // reads no more
 }
@@ -127,7 +127,7 @@
 	p.mu.Lock()
 	p.welcomed = true
 	p.mu.Unlock()
-	p.put(orders.Applied, &order.Applied{})
+	p.put(controlstream.Applied, &order.Applied{})
 }
 
 func (p *party) Ordered(m *order.Orders) {
@@ -140,10 +140,10 @@
 			a.Receipts = append(a.Receipts, x.Receipt)
 		}
 	}
-	p.put(orders.Applied, a)
+	p.put(controlstream.Applied, a)
 }
 
-func (p *party) put(kind orders.Kind, m proto.Message) {
+func (p *party) put(kind controlstream.Kind, m proto.Message) {
 	p.writing.Lock()
 	defer p.writing.Unlock()
 	if frame, err := p.end.Append(nil, kind, m); err == nil {
@@ -158,10 +158,10 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	p := &party{r: r, conn: conn, over: make(chan struct{}), end: orders.NewProxyEnd(orders.Limits{FrameBytes: 1 << 20, JoinWithin: 60000, SilentAfter: 60000}, 0)}
+	p := &party{r: r, conn: conn, over: make(chan struct{}), end: controlstream.NewProxyEnd(controlstream.Limits{FrameBytes: 1 << 20, JoinWithin: 60000, SilentAfter: 60000}, 0)}
 	r.t.Cleanup(func() { conn.Close() })
 	if name != "" {
-		p.put(orders.Join, &order.Join{Proxy: name, UsualPerS: 10, Incarnation: incarnation, Stream: streams, Groups: 2})
+		p.put(controlstream.Join, &order.Join{Proxy: name, UsualPerS: 10, Incarnation: incarnation, Stream: streams, Groups: 2})
 	}
 	go func() {
 		defer close(p.over)
@@ -208,11 +208,11 @@
 	}
 }
 
-func (p *party) ended(reason orders.Reason) func() bool {
+func (p *party) ended(reason controlstream.Reason) func() bool {
 	return func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.why != nil && p.why.Reason == orders.Left && p.why.Detail == string(reason)
+		return p.why != nil && p.why.Reason == controlstream.Left && p.why.Detail == string(reason)
 	}
 }
 
@@ -235,16 +235,16 @@
 	// Each odd peer has one end, told once in the log and counted; a sound proxy beside it goes on.
 	for name, c := range map[string]struct {
 		say    []byte
-		reason orders.Reason
+		reason controlstream.Reason
 	}{
-		"garbage":       {[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), orders.BadMagic},
-		"half a frame":  {frame(t, orders.Join, &order.Join{Proxy: "y"})[:15], orders.NoJoin},
-		"nothing":       {nil, orders.NoJoin},
-		"another zone":  {frame(t, orders.Join, &order.Join{Proxy: "y", Zone: "mars", Groups: 2}), orders.Strange},
-		"sums unasked":  {frame(t, orders.Sums, &order.Sums{}), orders.BadState},
-		"a huge claim":  {[]byte{'L', 'P', 1, 1, 0xff, 0xff, 0xff, 0xff}, orders.BadSize},
-		"a joined name": {frame(t, orders.Join, &order.Join{Proxy: "sound", Incarnation: 9, Groups: 2}), orders.Taken},
-		"a hang-up":     {frame(t, orders.Bye, &order.Bye{Reason: "never mind"}), orders.Left},
+		"garbage":       {[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), controlstream.BadMagic},
+		"half a frame":  {frame(t, controlstream.Join, &order.Join{Proxy: "y"})[:15], controlstream.NoJoin},
+		"nothing":       {nil, controlstream.NoJoin},
+		"another zone":  {frame(t, controlstream.Join, &order.Join{Proxy: "y", Zone: "mars", Groups: 2}), controlstream.Strange},
+		"sums unasked":  {frame(t, controlstream.Sums, &order.Sums{}), controlstream.BadState},
+		"a huge claim":  {[]byte{'L', 'P', 1, 1, 0xff, 0xff, 0xff, 0xff}, controlstream.BadSize},
+		"a joined name": {frame(t, controlstream.Join, &order.Join{Proxy: "sound", Incarnation: 9, Groups: 2}), controlstream.Taken},
+		"a hang-up":     {frame(t, controlstream.Bye, &order.Bye{Reason: "never mind"}), controlstream.Left},
 	} {
 		t.Run("an odd peer: "+name, func(t *testing.T) {
 			t.Parallel()
@@ -276,7 +276,7 @@
 		time.Sleep(1000 * time.Millisecond)
 		stuck.pause.Store(true)
 		told := time.Now()
-		r.source <- state("s0", brain.Draining)
+		r.source <- state("s0", policy.Draining)
 		until(t, "the drain", func() bool { return sound.has(out("s0")) })
 		until(t, "the end of the stuck stream", func() bool { return r.log.count("reason=answer") == 1 })
 		if took := time.Since(told); took > 3*time.Second {
@@ -292,12 +292,12 @@
 		until(t, "a table", func() bool { return first.has(bound) })
 		second := r.dial("x", 7, 2)
 		until(t, "a table", func() bool { return second.has(bound) })
-		until(t, "the end of the first", first.ended(orders.Replaced))
+		until(t, "the end of the first", first.ended(controlstream.Replaced))
 	})
 	t.Run("a date that is stepped by an hour and back changes nothing", func(t *testing.T) {
 		t.Parallel()
 		r := launch(t, planned(t, "proxies: 4"), nil, 0)
-		born := func(asOf uint64) list.Update {
+		born := func(asOf uint64) discovery.Update {
 			u := listed(4)
 			u.AsOfMs = asOf
 			for n := range u.Entries {
@@ -331,7 +331,7 @@
 			all = append(all, p)
 			go func() {
 				for range 200 {
-					p.put(orders.Sums, &order.Sums{CoversMs: 5, Servers: []*order.ServerSum{{Server: "s1", Tries: 9, LatencyMs: 3}}})
+					p.put(controlstream.Sums, &order.Sums{CoversMs: 5, Servers: []*order.ServerSum{{Server: "s1", Tries: 9, LatencyMs: 3}}})
 				}
 			}()
 		}
@@ -342,7 +342,7 @@
 		for n, p := range all {
 			<-p.over
 			p.mu.Lock()
-			if p.why != nil && (p.why.Reason != orders.Left || p.why.Detail != string(orders.Stopping)) {
+			if p.why != nil && (p.why.Reason != controlstream.Left || p.why.Detail != string(controlstream.Stopping)) {
 				t.Errorf("stream %d: %v", n, p.why)
 			}
 			p.mu.Unlock()
@@ -392,8 +392,8 @@
 	return string(b), err
 }
 
-func frame(t *testing.T, kind orders.Kind, m proto.Message) []byte {
-	b, err := orders.AppendFrame(nil, kind, 1, m)
+func frame(t *testing.T, kind controlstream.Kind, m proto.Message) []byte {
+	b, err := controlstream.AppendFrame(nil, kind, 1, m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -445,7 +445,7 @@
 		go func() {
 			defer sending.Done()
 			for range reports {
-				p.put(orders.Sums, &order.Sums{CoversMs: 1, Servers: []*order.ServerSum{{Server: "s1", Tries: 2, LatencyMs: 30}}})
+				p.put(controlstream.Sums, &order.Sums{CoversMs: 1, Servers: []*order.ServerSum{{Server: "s1", Tries: 2, LatencyMs: 30}}})
 			}
 		}()
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -8,9 +8,9 @@
 	"slices"
 	"strconv"
 
-	"lichenpick/brain"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/wire"
+	"lichenpick/internal/simulator"
+	"lichenpick/policy"
 )
 
 const mostConfig = 16 << 20 // bytes of a configuration
@@ -21,9 +21,9 @@
 	Seed                    int64
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Version                 int64         // of Known
-	Known                   []brain.Entry // perhaps old
-	Site                    wire.Site
+	Version                 int64          // of Known
+	Known                   []policy.Entry // perhaps old
+	Site                    simulator.Site
 }
 
 // ReadConfig loads and checks a configuration. It is refused whole, with an error of the program's kind for bad input.
@@ -70,7 +70,7 @@
 	if len(f.Settings) == 0 {
 		return bad("settings are missing")
 	}
-	site, err := wire.ReadSettings(f.Settings)
+	site, err := simulator.ReadSettings(f.Settings)
 	if err != nil {
 		return bad("settings: %v", err)
 	}
@@ -92,7 +92,7 @@
 }
 
 // check looks for what the module or the lines could not work with.
-func check(s wire.Site) error {
+func check(s simulator.Site) error {
 	m := s.Module
 	switch {
 	case len(s.Zones) == 0 || len(s.Groups) == 0:
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -10,9 +10,9 @@
 	"math"
 	"slices"
 
-	"lichenpick/brain"
-	"lichenpick/internal/tables"
-	"lichenpick/internal/wire"
+	"lichenpick/internal/simulator"
+	"lichenpick/internal/weighttable"
+	"lichenpick/policy"
 )
 
 const (
@@ -54,11 +54,11 @@
 	id, zone int
 	usual    float64
 	conn     *Conn
-	held     []*tables.Table[*proxy] // by group; nil where this stream bound none
-	wait     *pending                // decided in this look
-	sent     []float64               // times of the last messages on this stream: rule 5 counts from the joining
-	marks    []mark                  // asked for and not answered, oldest first
-	asleep   bool                    // silent for so long that the module takes it for left
+	held     []*weighttable.Table[*proxy] // by group; nil where this stream bound none
+	wait     *pending                     // decided in this look
+	sent     []float64                    // times of the last messages on this stream: rule 5 counts from the joining
+	marks    []mark                       // asked for and not answered, oldest first
+	asleep   bool                         // silent for so long that the module takes it for left
 }
 
 type mark struct {
@@ -75,7 +75,7 @@
 
 // pending is what a look has decided for a proxy. What tables and levels hold is read when the message is written.
 type pending struct {
-	bound        []*tables.Table[*proxy] // to be written whole
+	bound        []*weighttable.Table[*proxy] // to be written whole
 	changed      []change
 	levels       []bool // by group
 	drop, undrop []string
@@ -84,14 +84,14 @@
 }
 
 type change struct {
-	table  *tables.Table[*proxy]
+	table  *weighttable.Table[*proxy]
 	server string
 }
 
 // server is one that the list has named.
 type server struct {
 	name  string
-	state brain.State
+	state policy.State
 	since float64
 	// By proxy id: told to shut it out by us; perhaps told so by another planner, or by us before we started.
 	told, maybe []uint64
@@ -123,10 +123,10 @@
 // Core is one planner. Its methods are called by one at a time: Tick, then inputs, then Next until it says false.
 // Times are Unix ms by a clock that never jumps.
 type Core struct {
-	site    wire.Site
-	module  *brain.Planner
+	site    simulator.Site
+	module  *policy.Planner
 	now     float64
-	book    *tables.Book[*proxy]
+	book    *weighttable.Book[*proxy]
 	zones   map[string]int
 	groups  map[string]int
 	servers map[string]*server
@@ -150,10 +150,10 @@
 }
 
 // NewCore starts a planner at a time.
-func NewCore(site wire.Site, seed int64, now float64) *Core {
+func NewCore(site simulator.Site, seed int64, now float64) *Core {
 	site.Module.EndsByLine = true // as Withdraw and align do
 	c := &Core{
-		site: site, module: brain.New(site.Module, seed), book: tables.NewBook[*proxy](len(site.Groups)),
+		site: site, module: policy.New(site.Module, seed), book: weighttable.NewBook[*proxy](len(site.Groups)),
 		zones: map[string]int{}, groups: map[string]int{}, servers: map[string]*server{}, conns: map[*Conn]bool{},
 		proxies: make([]*proxy, site.Module.Proxies), sources: make([][]*Conn, len(site.Zones)), told: math.Inf(1), MostPartial: math.MaxInt,
 	}
@@ -174,8 +174,8 @@
 }
 
 // Listed takes in a word of discovery, or with Restored what the configuration had of it.
-func (c *Core) Listed(form brain.ListForm, list []brain.Entry) {
-	if form != brain.Failed {
+func (c *Core) Listed(form policy.ListForm, list []policy.Entry) {
+	if form != policy.Failed {
 		c.Counts.Lists++
 	}
 	named := map[string]bool{}
@@ -192,10 +192,10 @@
 		named[e.Server] = true
 	}
 	for name, s := range c.servers {
-		if form != brain.Change && form != brain.Failed && !named[name] && s.state != brain.Gone {
-			s.state, s.since = brain.Gone, c.now
+		if form != policy.Change && form != policy.Failed && !named[name] && s.state != policy.Gone {
+			s.state, s.since = policy.Gone, c.now
 		}
-		if s.state == brain.Gone && c.now-s.since > forgetMs && !c.book.Out[name] {
+		if s.state == policy.Gone && c.now-s.since > forgetMs && !c.book.Out[name] {
 			delete(c.servers, name)
 		}
 	}
@@ -389,7 +389,7 @@
 	if w.err != nil {
 		return
 	}
-	p := &proxy{id: id, zone: zone, usual: usual, conn: k, held: make([]*tables.Table[*proxy], len(c.site.Groups))}
+	p := &proxy{id: id, zone: zone, usual: usual, conn: k, held: make([]*weighttable.Table[*proxy], len(c.site.Groups))}
 	if old := c.proxies[id]; old != nil { // its stream has broken, even if nobody has told us
 		c.leave(old)
 		c.turnAway(old.conn, "replaced by a newer stream of its proxy")
@@ -660,7 +660,7 @@
 		} else {
 			for n, x := range w.changed {
 				if x.table == t && !slices.Contains(w.changed[:n], x) {
-					u.rows = append(u.rows, tables.Line{Server: x.server, Weight: t.Weight(x.server)})
+					u.rows = append(u.rows, weighttable.Line{Server: x.server, Weight: t.Weight(x.server)})
 				}
 			}
 		}
@@ -770,7 +770,7 @@
 		return
 	}
 	for _, p := range o.c.order {
-		holds := slices.ContainsFunc(p.held, func(t *tables.Table[*proxy]) bool { return t == nil || t.Find(name) >= 0 })
+		holds := slices.ContainsFunc(p.held, func(t *weighttable.Table[*proxy]) bool { return t == nil || t.Find(name) >= 0 })
 		if !p.asleep && holds && (out || bit(s.told, p.id)) {
 			o.c.shut(p, s, out)
 		}
@@ -778,10 +778,10 @@
 }
 
 func (o orderer) Admit(number, group int, share float64, retry int) {
-	if number != brain.AllTables {
+	if number != policy.AllTables {
 		panic("the module set the level of one table, which this front does not know")
 	}
-	o.c.book.Levels[group] = tables.Level{Share: share, Retry: retry, Set: true}
+	o.c.book.Levels[group] = weighttable.Level{Share: share, Retry: retry, Set: true}
 	for _, p := range o.c.order {
 		if !p.asleep {
 			o.c.wait(p).levels[group] = true
--- a/internal/platform/core_test.go
+++ b/internal/platform/core_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"lichenpick/brain"
-	"lichenpick/internal/wire"
+	"lichenpick/internal/simulator"
+	"lichenpick/policy"
 )
 
 const origin = 1.8e12 // Unix ms; the platform's times are of this size
@@ -20,9 +20,9 @@
  "ReloadSpanMs":10000,"ReportEveryMs":1000,"TransitMaxMs":900,"DataPlaneSize":8,"SmallestConnTable":300},
  "Rules":{"ColdShare":0.3,"WarmUpMs":8000,"FallMs":3000,"StopSendingWithinMs":3000},"Limits":{"ConnIdleMs":15000}}`
 
-func site(t testing.TB) wire.Site {
+func site(t testing.TB) simulator.Site {
 	t.Helper()
-	s, err := wire.ReadSettings([]byte(siteText))
+	s, err := simulator.ReadSettings([]byte(siteText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,13 +44,13 @@
 		Core: NewCore(site(t), 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{},
 		why: map[*Conn]string{},
 	}
-	s.Listed(brain.Restored, entries(servers, brain.Ready))
+	s.Listed(policy.Restored, entries(servers, policy.Ready))
 	return s
 }
 
-func entries(n int, state brain.State) (list []brain.Entry) {
+func entries(n int, state policy.State) (list []policy.Entry) {
 	for k := range n {
-		list = append(list, brain.Entry{Server: fmt.Sprintf("s-%d", k), Zone: k % 2, Size: 1, State: state})
+		list = append(list, policy.Entry{Server: fmt.Sprintf("s-%d", k), Zone: k % 2, Size: 1, State: state})
 	}
 	return list
 }
@@ -136,9 +136,9 @@
 		}
 	})
 	t.Run("a server that drains is shut out within the grace", func(t *testing.T) {
-		list := entries(1, brain.Draining)
+		list := entries(1, policy.Draining)
 		s.Tick(origin + s.at)
-		s.Listed(brain.Change, list)
+		s.Listed(policy.Change, list)
 		s.pass(1500)
 		if !strings.Contains(s.said[k], "drop=s-0") && !strings.Contains(s.said[k], "s-0:0") {
 			t.Errorf("it was told nothing of it: %q", s.said[k])
@@ -217,7 +217,7 @@
 				t.Fatalf("it was taken for left after %d ms", 200*n)
 			}
 			if s.answer(other, 6); n%20 == 0 { // something to be told, and to be answered
-				s.Listed(brain.Change, []brain.Entry{{Server: "s-0", Size: 1, State: brain.State(1 - n/20%2)}})
+				s.Listed(policy.Change, []policy.Entry{{Server: "s-0", Size: 1, State: policy.State(1 - n/20%2)}})
 			}
 		}
 		if !k.proxy.asleep || s.ended[k] || other.proxy.asleep {
@@ -300,7 +300,7 @@
 		Core: NewCore(set, 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{},
 		why: map[*Conn]string{},
 	}
-	s.Listed(brain.Restored, entries(30, brain.Ready))
+	s.Listed(policy.Restored, entries(30, policy.Ready))
 	conns := make([]*Conn, 150)
 	for id := range conns {
 		k := &Conn{}
@@ -328,10 +328,10 @@
 // the module did not count was found in it: withdrawals to proxies not bound yet, servers let back at proxies whose
 // tables hold them no more, and what others' withdrawals cost where a table gets a server that it had not.
 func TestAChannelThatStandsStillIsNotOverfilled(t *testing.T) {
-	for name, set := range map[string]func(*wire.Site){
-		"few lines may wait":   func(s *wire.Site) { s.Module.MostWaiting = 2000 },
-		"many lines may wait":  func(s *wire.Site) { s.Module.MostWaiting = 9000 },
-		"no limit on messages": func(s *wire.Site) { s.Module.MostWaiting, s.Module.MostMessages = 3000, 0 },
+	for name, set := range map[string]func(*simulator.Site){
+		"few lines may wait":   func(s *simulator.Site) { s.Module.MostWaiting = 2000 },
+		"many lines may wait":  func(s *simulator.Site) { s.Module.MostWaiting = 9000 },
+		"no limit on messages": func(s *simulator.Site) { s.Module.MostWaiting, s.Module.MostMessages = 3000, 0 },
 	} {
 		for _, fresh := range []int{0, 1} {
 			t.Run(fmt.Sprintf("%s, new=%d", name, fresh), func(t *testing.T) {
@@ -339,7 +339,7 @@
 				site.Module.Proxies = 60
 				set(&site)
 				s := &story{Core: NewCore(site, 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{}, why: map[*Conn]string{}}
-				s.Listed(brain.Restored, entries(40, brain.Ready))
+				s.Listed(policy.Restored, entries(40, policy.Ready))
 				at := func() float64 { return s.now }
 				collector := s.open("collector site=a")
 				drains := 0
@@ -352,8 +352,8 @@
 					}
 					if n%5 == 2 { // servers drain, and new ones come
 						for range 3 {
-							s.Listed(brain.Change, []brain.Entry{
-								{Server: fmt.Sprintf("s-%d", drains), Zone: drains % 2, Size: 1, State: brain.Draining},
+							s.Listed(policy.Change, []policy.Entry{
+								{Server: fmt.Sprintf("s-%d", drains), Zone: drains % 2, Size: 1, State: policy.Draining},
 								{Server: fmt.Sprintf("n-%d", drains), Zone: drains % 2, Size: 1, BornMs: at()},
 							})
 							drains++
@@ -530,7 +530,7 @@
 	one := `{"version":%s,"full":%s,"servers":[{"id":"s-1","addr":"x:1","zone":"b","kind":"m","cell":3,"state":"%s","weight":1.5,"started_ms":%s}]}`
 	f := follower{zones: zones, version: 41}
 	l, ok, err := f.take([]byte(fmt.Sprintf(one, "43", "false", "draining", "1.8e12")))
-	if e := (brain.Entry{Server: "s-1", Zone: 1, State: brain.Draining, Size: 1.5, BornMs: 1.8e12}); err != nil || !ok || l.entries[0] != e || f.version != 43 {
+	if e := (policy.Entry{Server: "s-1", Zone: 1, State: policy.Draining, Size: 1.5, BornMs: 1.8e12}); err != nil || !ok || l.entries[0] != e || f.version != 43 {
 		t.Errorf("%+v %t %v", l, ok, err)
 	}
 	if _, ok, err := f.take(nil); ok || err != nil {
--- a/internal/platform/digest_test.go
+++ b/internal/platform/digest_test.go
@@ -9,10 +9,10 @@
 	"strings"
 	"testing"
 
-	"lichenpick/brain"
 	"lichenpick/internal/golden"
 	"lichenpick/internal/platform"
-	"lichenpick/internal/wire"
+	"lichenpick/internal/simulator"
+	"lichenpick/policy"
 )
 
 const (
@@ -134,7 +134,7 @@
 
 func newConversation(t *testing.T, seed int64) *conversation {
 	t.Helper()
-	site, err := wire.ReadSettings([]byte(digestSite))
+	site, err := simulator.ReadSettings([]byte(digestSite))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,14 +152,14 @@
 		c.core.MostPartial = partialMost
 	}
 	c.core.Doubt = func(string) { c.doubts++ }
-	c.core.Listed(brain.Restored, digestEntries())
+	c.core.Listed(policy.Restored, digestEntries())
 	return c
 }
 
-func digestEntries() []brain.Entry {
-	var entries []brain.Entry
+func digestEntries() []policy.Entry {
+	var entries []policy.Entry
 	for index := range digestServers {
-		entries = append(entries, brain.Entry{Server: fmt.Sprint("s-", index), Zone: index % 2, Size: 1})
+		entries = append(entries, policy.Entry{Server: fmt.Sprint("s-", index), Zone: index % 2, Size: 1})
 	}
 	return entries
 }
@@ -260,7 +260,7 @@
 // phases starts what happens at set times.
 func (c *conversation) phases() {
 	reached := func(at float64) bool { return c.atMs >= at && c.atMs < at+digestStepMs }
-	change := func(entry brain.Entry) { c.core.Listed(brain.Change, []brain.Entry{entry}) }
+	change := func(entry policy.Entry) { c.core.Listed(policy.Change, []policy.Entry{entry}) }
 	for id := range digestProxies {
 		if reached(500 + 150*float64(id)) {
 			c.join(id, 1)
@@ -271,23 +271,23 @@
 		c.collect(0)
 		c.collect(1)
 	case reached(completeListMs):
-		c.core.Listed(brain.Whole, digestEntries())
+		c.core.Listed(policy.Whole, digestEntries())
 	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // something to acknowledge
-		change(brain.Entry{Server: "s-4", Size: 1, State: brain.Draining})
+		change(policy.Entry{Server: "s-4", Size: 1, State: policy.Draining})
 	case reached(silentFromMs + 3000), reached(silentFromMs + 9000):
-		change(brain.Entry{Server: "s-4", Size: 1, State: brain.Ready})
+		change(policy.Entry{Server: "s-4", Size: 1, State: policy.Ready})
 	case reached(drainMs):
-		change(brain.Entry{Server: "s-2", Size: 1, State: brain.Draining})
+		change(policy.Entry{Server: "s-2", Size: 1, State: policy.Draining})
 	case reached(drainMs + goneAfterMs):
-		change(brain.Entry{Server: "s-2", Size: 1, State: brain.Gone})
+		change(policy.Entry{Server: "s-2", Size: 1, State: policy.Gone})
 	case reached(missingMs):
-		c.core.Listed(brain.Whole, slices.Delete(digestEntries(), 2, 4))
+		c.core.Listed(policy.Whole, slices.Delete(digestEntries(), 2, 4))
 	case reached(failedListMs):
-		c.core.Listed(brain.Failed, nil)
+		c.core.Listed(policy.Failed, nil)
 	case reached(coldMs):
-		change(brain.Entry{Server: "cold", Zone: 1, Size: 2, BornMs: digestOriginMs + c.atMs})
+		change(policy.Entry{Server: "cold", Zone: 1, Size: 2, BornMs: digestOriginMs + c.atMs})
 	case reached(returnMs):
-		change(brain.Entry{Server: "s-2", Size: 1, BornMs: digestOriginMs + c.atMs})
+		change(policy.Entry{Server: "s-2", Size: 1, BornMs: digestOriginMs + c.atMs})
 	}
 	quiet := within(c.atMs, silentFromMs, silentForMs)
 	for id, p := range c.proxies {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"lichenpick/brain"
 	"lichenpick/internal/clock"
+	"lichenpick/policy"
 )
 
 const (
@@ -33,7 +33,7 @@
 	clock   clock.Clock
 	network clock.Network
 	log     *slog.Logger
-	deliver func(brain.ListForm, []brain.Entry)
+	deliver func(policy.ListForm, []policy.Entry)
 	follow  follower
 	since   atomic.Int64 // µs of Mono: when what is being read was asked for, or the last line ended
 }
@@ -111,9 +111,9 @@
 	if err != nil || !ok {
 		return err
 	}
-	form := brain.Change
+	form := policy.Change
 	if l.full {
-		form = brain.Whole
+		form = policy.Whole
 	}
 	a.deliver(form, l.entries)
 	return nil
--- a/internal/platform/listing.go
+++ b/internal/platform/endpoints.go
@@ -5,17 +5,17 @@
 	"fmt"
 	"math"
 
-	"lichenpick/brain"
+	"lichenpick/policy"
 )
 
 // listing is one word of discovery.
 type listing struct {
 	version int64
 	full    bool
-	entries []brain.Entry // births in Unix ms, by which the module's clock goes here
+	entries []policy.Entry // births in Unix ms, by which the module's clock goes here
 }
 
-var states = map[string]brain.State{"ready": brain.Ready, "draining": brain.Draining, "gone": brain.Gone}
+var states = map[string]policy.State{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Gone}
 
 // readListing decodes discovery's form of a list, whole or not at all.
 func readListing(raw []byte, zones []string) (listing, error) {
@@ -38,7 +38,7 @@
 	}
 	l := listing{version: *m.Version, full: m.Full}
 	for _, s := range m.Servers {
-		e := brain.Entry{Server: s.ID, Zone: -1, Size: 1, BornMs: s.Started}
+		e := policy.Entry{Server: s.ID, Zone: -1, Size: 1, BornMs: s.Started}
 		for n, z := range zones {
 			if z == s.Zone {
 				e.Zone = n
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -13,8 +13,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"lichenpick/brain"
 	"lichenpick/internal/clock"
+	"lichenpick/policy"
 )
 
 const (
@@ -122,7 +122,7 @@
 	s.core = NewCore(o.Config.Site, o.Config.Seed, s.now())
 	s.core.MostPartial = max(memory<<20/partialPart, mostLine)
 	s.core.Doubt = func(what string) { s.Log.Debug("message not heard", "why", what) }
-	s.core.Listed(brain.Restored, o.Config.Known)
+	s.core.Listed(policy.Restored, o.Config.Known)
 	return s
 }
 
@@ -214,7 +214,7 @@
 	a := &agent{clock: s.Clock, network: s.Network, log: s.Log, follow: follower{
 		zones: s.Config.Site.Zones, version: s.Config.Version,
 		whole: s.Config.Version == 0,
-	}, deliver: func(form brain.ListForm, list []brain.Entry) {
+	}, deliver: func(form policy.ListForm, list []policy.Entry) {
 		s.with(func() { s.core.Listed(form, list) })
 		s.stirred()
 	}}
--- a/internal/platform/update.go
+++ b/internal/platform/update.go
@@ -4,15 +4,15 @@
 	"strconv"
 	"strings"
 
-	"lichenpick/internal/tables"
+	"lichenpick/internal/weighttable"
 )
 
 // update is one part of a message to a proxy. What is empty is left out; a level is present where it is Set.
 type update struct {
 	groups       []string // none: all
 	replace      bool
-	rows         []tables.Line
-	level        tables.Level
+	rows         []weighttable.Line
+	level        weighttable.Level
 	drop, undrop []string
 	stamp        int // a mark to be answered, where stamped
 	stamped      bool
--- a/internal/proxy/follow.go
+++ b/internal/proxy/controlclient.go
@@ -15,9 +15,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"lichenpick/internal/clock"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/lease"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/sharing"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
 )
@@ -101,7 +101,7 @@
 			told = cause
 			p.Log.Info("no planner; going by the tables at hand", "proxy", p.Settings.Name, "planner", planners[n%len(planners)], "cause", err)
 		}
-		if !joined || errors.As(err, new(*orders.Ending)) {
+		if !joined || errors.As(err, new(*controlstream.Ending)) {
 			n++
 		}
 		if clock.Sleep(ctx, p.Clock, wait*(0.5+chance.Float64())) != nil {
@@ -145,12 +145,12 @@
 }
 
 type outgoing struct {
-	kind orders.Kind
+	kind controlstream.Kind
 	m    proto.Message
 }
 
 // put queues a frame. It must not wait, as it is called with the proxy's lock held.
-func (s *session) put(kind orders.Kind, m proto.Message) {
+func (s *session) put(kind controlstream.Kind, m proto.Message) {
 	select {
 	case s.out <- outgoing{kind, m}:
 	default:
@@ -169,7 +169,7 @@
 	s.joined, s.controller, s.process = true, w.Planner, w.Incarnation
 	if !p.Settings.Sharing {
 		p.core.Welcomed(w)
-		s.put(orders.Applied, &order.Applied{})
+		s.put(controlstream.Applied, &order.Applied{})
 		return
 	}
 	s.open = true
@@ -184,7 +184,7 @@
 	now := p.Clock.Mono()
 	p.core.Met(now)
 	if p.Settings.Sharing && !p.core.Commanded(now, s.controller, m) && !p.Unfenced {
-		s.put(orders.Applied, &order.Applied{Number: m.Number, Refused: true, Epoch: p.core.arbiter.Epoch})
+		s.put(controlstream.Applied, &order.Applied{Number: m.Number, Refused: true, Epoch: p.core.arbiter.Epoch})
 		return
 	}
 	receipts := p.core.Ordered(m)
@@ -194,7 +194,7 @@
 	if p.changed != nil {
 		p.changed()
 	}
-	s.put(orders.Applied, &order.Applied{Number: m.Number, Receipts: receipts, Epoch: p.core.arbiter.Epoch})
+	s.put(controlstream.Applied, &order.Applied{Number: m.Number, Receipts: receipts, Epoch: p.core.arbiter.Epoch})
 }
 
 func (s *session) Claimed(m *order.Claim) {
@@ -216,7 +216,7 @@
 	}
 	w := p.word(now, fresh)
 	w.Nonce, w.Granted = m.Nonce, granted
-	s.put(orders.Lease, w)
+	s.put(controlstream.Lease, w)
 	if before != p.core.arbiter.Controller {
 		p.spread(s)
 	}
@@ -252,7 +252,7 @@
 // reachable names the controllers that are open to claims and were heard lately: a paused one keeps its streams.
 func (p *Follower) reachable(now float64) (names []string) {
 	for _, s := range p.sessions {
-		if s.open && now-s.heard < sharing.HeardMs {
+		if s.open && now-s.heard < lease.HeardMs {
 			names = append(names, s.controller)
 		}
 	}
@@ -265,7 +265,7 @@
 	p.named = w.Reachable
 	for _, s := range p.sessions {
 		if s != but {
-			s.put(orders.Lease, w)
+			s.put(controlstream.Lease, w)
 		}
 	}
 }
@@ -288,7 +288,7 @@
 		return false, err
 	}
 	defer conn.Close()
-	end := orders.NewProxyEnd(orders.Limits{
+	end := controlstream.NewProxyEnd(controlstream.Limits{
 		FrameBytes: int(p.Settings.GetFrameBytes()), JoinWithin: joinMs,
 		SilentAfter: settings.Ms(p.Settings.SilentAfter),
 	}, p.Clock.Mono())
@@ -304,7 +304,7 @@
 		join.Holds = p.core.Holds()
 	}
 	p.mu.Unlock()
-	s.put(orders.Join, join)
+	s.put(controlstream.Join, join)
 	streaming, stop := context.WithCancel(ctx)
 	var writer sync.WaitGroup
 	writer.Add(1)
@@ -347,10 +347,10 @@
 
 // write sends what is queued, and sums every while: to the planner that commands the proxy. The first come at a moment
 // drawn by the proxy's seed, as all proxies would otherwise report at once after a planner's restart.
-func (p *Follower) write(streaming, proxy context.Context, s *session, conn net.Conn, end *orders.ProxyEnd) {
+func (p *Follower) write(streaming, proxy context.Context, s *session, conn net.Conn, end *controlstream.ProxyEnd) {
 	defer conn.Close()
 	var buf []byte
-	put := func(kind orders.Kind, m proto.Message) bool {
+	put := func(kind controlstream.Kind, m proto.Message) bool {
 		var err error
 		if buf, err = end.Append(buf[:0], kind, m); err != nil {
 			return false
@@ -367,7 +367,7 @@
 		case <-streaming.Done():
 			stop()
 			if proxy.Err() != nil {
-				put(orders.Bye, &order.Bye{Reason: "the proxy ends"})
+				put(controlstream.Bye, &order.Bye{Reason: "the proxy ends"})
 			}
 			return
 		case <-s.broken:
@@ -388,7 +388,7 @@
 }
 
 // report gives what is to be said to a planner now: sums if it commands the proxy, else that the proxy lives.
-func (p *Follower) report(s *session) (orders.Kind, proto.Message) {
+func (p *Follower) report(s *session) (controlstream.Kind, proto.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !s.joined {
@@ -398,8 +398,8 @@
 	if p.Settings.Sharing {
 		p.core.arbiter.Tick(now)
 		if a := &p.core.arbiter; a.Controller != s.controller || a.Incarnation != s.process {
-			return orders.Beat, nil
+			return controlstream.Beat, nil
 		}
 	}
-	return orders.Sums, p.core.Sums(now)
+	return controlstream.Sums, p.core.Sums(now)
 }
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -8,9 +8,9 @@
 	"math/rand"
 	"slices"
 
-	"lichenpick/brain"
+	"lichenpick/internal/lease"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/sharing"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
 )
@@ -66,7 +66,7 @@
 	servers map[string]*sum
 	came    []sum // by group: flows that came, and those let in without an answer
 	since   float64
-	arbiter sharing.Arbiter
+	arbiter lease.Arbiter
 	going   map[string]float64 // withdrawn as they drain or are gone, by whomever, and when
 	words   uint64
 	recent  []float64 // times of the last messages of orders
@@ -100,8 +100,8 @@
 
 func retryMode(r pb.Retry) int {
 	return map[pb.Retry]int{
-		pb.Retry_NEVER: brain.RetryNever, pb.Retry_AFTER_PROOF: brain.RetryProven,
-		pb.Retry_ONCE: brain.RetryOnce, pb.Retry_TWICE: brain.RetryTwice,
+		pb.Retry_NEVER: policy.RetryNever, pb.Retry_AFTER_PROOF: policy.RetryProven,
+		pb.Retry_ONCE: policy.RetryOnce, pb.Retry_TWICE: policy.RetryTwice,
 	}[r]
 }
 
@@ -298,9 +298,9 @@
 // its kind cannot bear, whatever was ordered.
 func (c *Core) further(f *Flow, o Outcome) int {
 	retry := c.levels[f.Group].retry
-	most := [...]int{brain.RetryNever: 0, brain.RetryProven: 1, brain.RetryOnce: 1, brain.RetryTwice: 2}[retry]
+	most := [...]int{policy.RetryNever: 0, policy.RetryProven: 1, policy.RetryOnce: 1, policy.RetryTwice: 2}[retry]
 	proven := o == Unrun
-	if !proven && (retry == brain.RetryProven || c.groups[f.Group].Repeat != pb.Repeat_RETRIABLE) {
+	if !proven && (retry == policy.RetryProven || c.groups[f.Group].Repeat != pb.Repeat_RETRIABLE) {
 		return 0
 	}
 	return max(most+1-f.Tries, 0)
--- a/internal/proxy/core_test.go
+++ b/internal/proxy/core_test.go
@@ -5,8 +5,8 @@
 	"math"
 	"testing"
 
-	"lichenpick/brain"
 	"lichenpick/internal/settings"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
 )
@@ -122,14 +122,14 @@
 			outcome Outcome
 			want    int // tries in all
 		}{
-			"never":                             {0, brain.RetryNever, Unrun, 1},
-			"after proof":                       {0, brain.RetryProven, Unrun, 2},
-			"no proof":                          {0, brain.RetryProven, Dropped, 1},
-			"once":                              {0, brain.RetryOnce, Dropped, 2},
-			"twice":                             {0, brain.RetryTwice, Dropped, 3},
-			"non-retriable, told to repeat":     {1, brain.RetryTwice, Dropped, 1},
-			"non-retriable, with proof":         {1, brain.RetryProven, Unrun, 2},
-			"non-retriable, twice, with proofs": {1, brain.RetryTwice, Unrun, 3},
+			"never":                             {0, policy.RetryNever, Unrun, 1},
+			"after proof":                       {0, policy.RetryProven, Unrun, 2},
+			"no proof":                          {0, policy.RetryProven, Dropped, 1},
+			"once":                              {0, policy.RetryOnce, Dropped, 2},
+			"twice":                             {0, policy.RetryTwice, Dropped, 3},
+			"non-retriable, told to repeat":     {1, policy.RetryTwice, Dropped, 1},
+			"non-retriable, with proof":         {1, policy.RetryProven, Unrun, 2},
+			"non-retriable, twice, with proofs": {1, policy.RetryTwice, Unrun, 3},
 		} {
 			c := begin(t, "")
 			c.Welcomed(&order.Welcome{})
@@ -165,7 +165,7 @@
 		c := begin(t, "")
 		c.Welcomed(&order.Welcome{})
 		c.Ordered(bindTo(1, nil, "a", 0.5, "b", 0.5))
-		c.Ordered(levelOf(0, 1, brain.RetryOnce))
+		c.Ordered(levelOf(0, 1, policy.RetryOnce))
 		f, _ := c.Admit(0, 0)
 		s, within, _ := c.Pick(0, f)
 		if within != 720 {
--- a/internal/rehearsal/baseline.go
+++ b/internal/scenario/baseline.go
@@ -1,17 +1,17 @@
-package rehearsal
+package scenario
 
 import (
 	"slices"
 
-	"lichenpick/brain"
 	"lichenpick/internal/planner"
+	"lichenpick/policy"
 )
 
 // even is a baseline, for comparison only: one table of all listed servers for all proxies, changed at once. It
 // judges no server, sets no level and counts no line.
 type even struct {
 	bySize  bool
-	entries map[string]brain.Entry
+	entries map[string]policy.Entry
 	order   []string
 	sent    map[string]float64 // weights of the table
 	out     map[string]bool
@@ -21,7 +21,7 @@
 }
 
 func newEven(bySize bool, groups int) planner.Decider {
-	e := &even{bySize: bySize, entries: map[string]brain.Entry{}, sent: map[string]float64{}, out: map[string]bool{}}
+	e := &even{bySize: bySize, entries: map[string]policy.Entry{}, sent: map[string]float64{}, out: map[string]bool{}}
 	for g := range groups {
 		e.groups = append(e.groups, g)
 	}
@@ -30,8 +30,8 @@
 
 func (e *even) Tick(float64) { e.woken = false }
 
-func (e *even) Listed(form brain.ListForm, list []brain.Entry) {
-	if form == brain.Failed {
+func (e *even) Listed(form policy.ListForm, list []policy.Entry) {
+	if form == policy.Failed {
 		return
 	}
 	for _, x := range list {
@@ -51,14 +51,14 @@
 func (e *even) Applied(int, int, float64)                     {}
 func (e *even) Behind(bool)                                   {}
 
-func (e *even) Next(h brain.Host) bool {
+func (e *even) Next(h policy.Host) bool {
 	for _, name := range e.order {
 		x := e.entries[name]
 		want := 1.0
 		if e.bySize {
 			want = x.Size
 		}
-		if x.State != brain.Ready {
+		if x.State != policy.Ready {
 			if !e.out[name] {
 				e.out[name] = true
 				h.Withdraw(name, true)
--- a/internal/rehearsal/control.go
+++ b/internal/scenario/control.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"context"
@@ -19,11 +19,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"lichenpick/internal/clock"
-	"lichenpick/internal/list"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
+	"lichenpick/internal/fake"
 	"lichenpick/internal/planner"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/standin"
 	"lichenpick/internal/store"
 	pb "lichenpick/proto/settings"
 )
@@ -33,10 +33,10 @@
 type control struct {
 	f         *fleet
 	name      string
-	relay     *standin.Relay // between proxies and it
-	listRelay *standin.Relay // between the list and it
-	node      *node          // stands for it in link rules
-	status    string         // address, of a process
+	relay     *fake.Relay // between proxies and it
+	listRelay *fake.Relay // between the list and it
+	node      *node       // stands for it in link rules
+	status    string      // address, of a process
 
 	stop  func() // ends the one in this process
 	ended chan struct{}
@@ -58,13 +58,13 @@
 func (f *fleet) newControl(ctx context.Context, n int, registry string) (*control, error) {
 	c := &control{f: f, name: fmt.Sprintf("planner-%d", n+1)}
 	c.node = &node{control: c, zone: -1}
-	c.listRelay = &standin.Relay{Clock: f.clock, Network: f.net, Watch: func(netip.Addr) standin.Watch {
-		return &listWatch{j: f.judge, planner: c.name, down: orders.NewDecoder(watchedFrame)}
+	c.listRelay = &fake.Relay{Clock: f.clock, Network: f.net, Watch: func(netip.Addr) fake.Watch {
+		return &listWatch{j: f.judge, planner: c.name, down: controlstream.NewDecoder(watchedFrame)}
 	}}
 	if _, err := c.listRelay.Start(ctx, "127.0.0.1:0", registry); err != nil {
 		return nil, err
 	}
-	c.relay = &standin.Relay{Clock: f.clock, Network: f.net, Watch: func(netip.Addr) standin.Watch { return newStreamWatch(f.judge, c.name) }}
+	c.relay = &fake.Relay{Clock: f.clock, Network: f.net, Watch: func(netip.Addr) fake.Watch { return newStreamWatch(f.judge, c.name) }}
 	_, err := c.relay.Start(ctx, "127.0.0.1:0", "")
 	return c, err
 }
@@ -123,7 +123,7 @@
 		defer close(ended)
 		err := planner.Run(running, planner.Options{
 			Settings: set, Clock: f.clock, Network: f.net, Log: f.log, Decider: decider,
-			Source: &list.Stream{Address: c.listRelay.Address(), RedialMs: 200, SilentMs: 5000, FrameBytes: 16 << 20, Clock: f.clock, Network: f.net},
+			Source: &discovery.Stream{Address: c.listRelay.Address(), RedialMs: 200, SilentMs: 5000, FrameBytes: 16 << 20, Clock: f.clock, Network: f.net},
 			Ready:  func(a net.Addr) { ready <- a }, Status: c.keep,
 		})
 		if err != nil {
@@ -276,7 +276,7 @@
 	f := c.f
 	relinked := func() {}
 	if kill && after > 0 {
-		relinked = f.link(func(_ netip.Addr, to *node) standin.Link { return standin.Link{Cut: to == c.node, After: after} })
+		relinked = f.link(func(_ netip.Addr, to *node) fake.Link { return fake.Link{Cut: to == c.node, After: after} })
 		clock.Sleep(context.Background(), f.clock, 50)
 	}
 	switch {
@@ -291,7 +291,7 @@
 		c.cmd.Process.Signal(signal)
 	default:
 		if kill && after == 0 {
-			relinked = f.link(func(_ netip.Addr, to *node) standin.Link { return standin.Link{Cut: to == c.node} })
+			relinked = f.link(func(_ netip.Addr, to *node) fake.Link { return fake.Link{Cut: to == c.node} })
 		}
 		c.stop()
 	}
--- a/internal/rehearsal/trouble.go
+++ b/internal/scenario/faults.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"syscall"
 
 	"lichenpick/internal/clock"
+	"lichenpick/internal/fake"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/standin"
 	"lichenpick/proto/order"
 	"lichenpick/proto/script"
 )
@@ -36,11 +36,11 @@
 		nodes := f.draw(int(w.Hang.GetServers()), nil)
 		period := settings.Ms(w.Hang.Period)
 		if period == 0 {
-			f.faulty(nodes, func(x *standin.Fault) { x.Hang = true })
+			f.faulty(nodes, func(x *fake.Fault) { x.Hang = true })
 			wait()
 		}
 		for begun := f.clock.Mono(); period > 0 && f.clock.Mono()-begun < lasts && ctx.Err() == nil; {
-			f.faulty(nodes, func(x *standin.Fault) { x.Hang = !x.Hang })
+			f.faulty(nodes, func(x *fake.Fault) { x.Hang = !x.Hang })
 			clock.Sleep(ctx, f.clock, period)
 		}
 		f.sound(nodes)
@@ -52,20 +52,20 @@
 			if w.Slow.Gradual {
 				factor = 1 + (factor-1)*float64(n)/steps
 			}
-			f.faulty(nodes, func(x *standin.Fault) { x.Slow = factor })
+			f.faulty(nodes, func(x *fake.Fault) { x.Slow = factor })
 			clock.Sleep(ctx, f.clock, lasts/steps)
 		}
 		f.sound(nodes)
 	case *script.Trouble_Failing:
 		nodes := f.draw(int(w.Failing.GetServers()), nil)
-		f.faulty(nodes, func(x *standin.Fault) {
+		f.faulty(nodes, func(x *fake.Fault) {
 			x.Errors, x.Reset, x.Refuse = w.Failing.GetErrors(), w.Failing.GetResets(), w.Failing.Refuse
 		})
 		wait()
 		f.sound(nodes)
 	case *script.Trouble_Handshakes:
 		delay := settings.Ms(w.Handshakes.Delay)
-		during(func(_ netip.Addr, to *node) (l standin.Link) {
+		during(func(_ netip.Addr, to *node) (l fake.Link) {
 			if to.control == nil {
 				l.ConnectMs = delay
 			}
@@ -80,7 +80,7 @@
 		return f.crash(ctx, nodes, true, wait)
 	case *script.Trouble_ZoneCut:
 		zone := f.zone(w.ZoneCut.Zone)
-		during(func(from netip.Addr, to *node) (l standin.Link) {
+		during(func(from netip.Addr, to *node) (l fake.Link) {
 			if to.control == nil {
 				l.Cut = (zoneOf(from) == zone) != (to.zone == zone)
 			}
@@ -102,9 +102,9 @@
 		}
 	case *script.Trouble_ControllerCut:
 		c, zone := f.control(w.ControllerCut.GetController()), f.zone(w.ControllerCut.Zone)
-		during(func(from netip.Addr, to *node) standin.Link {
+		during(func(from netip.Addr, to *node) fake.Link {
 			hit := to == c.node && (zone < 0 || zoneOf(from) == zone)
-			return standin.Link{Cut: hit && !w.ControllerCut.Hold, Stall: hit && w.ControllerCut.Hold}
+			return fake.Link{Cut: hit && !w.ControllerCut.Hold, Stall: hit && w.ControllerCut.Hold}
 		})
 	case *script.Trouble_ControllerDrain:
 		if c := f.control(w.ControllerDrain.GetController()); c.cmd != nil {
@@ -131,8 +131,8 @@
 		}
 	case *script.Trouble_StuckProxy:
 		zone := int(f.roll() * float64(len(f.script.Places)))
-		during(func(from netip.Addr, to *node) standin.Link {
-			return standin.Link{Stall: to.control != nil && zoneOf(from) == zone}
+		during(func(from netip.Addr, to *node) fake.Link {
+			return fake.Link{Stall: to.control != nil && zoneOf(from) == zone}
 		})
 	case *script.Trouble_Deploy:
 		return f.deploy(ctx, int(w.Deploy.GetServers()), settings.Ms(w.Deploy.Drain), lasts)
@@ -154,13 +154,13 @@
 		for _, n := range nodes {
 			hit[n] = true
 		}
-		during(func(from netip.Addr, to *node) standin.Link {
-			return standin.Link{Cut: hit[to] && zoneOf(from) == zone}
+		during(func(from netip.Addr, to *node) fake.Link {
+			return fake.Link{Cut: hit[to] && zoneOf(from) == zone}
 		})
 		f.sound(nodes)
 	case *script.Trouble_SlowStreams:
 		delay := settings.Ms(w.SlowStreams.Delay)
-		during(func(_ netip.Addr, to *node) (l standin.Link) {
+		during(func(_ netip.Addr, to *node) (l fake.Link) {
 			if to.control != nil {
 				l.DelayMs = delay
 			}
@@ -217,7 +217,7 @@
 	return drawn
 }
 
-func (f *fleet) faulty(nodes []*node, change func(*standin.Fault)) {
+func (f *fleet) faulty(nodes []*node, change func(*fake.Fault)) {
 	for _, n := range nodes {
 		change(&n.fault)
 		n.server.Set(n.fault)
@@ -225,7 +225,7 @@
 }
 
 func (f *fleet) sound(nodes []*node) {
-	f.faulty(nodes, func(x *standin.Fault) { *x = standin.Fault{} })
+	f.faulty(nodes, func(x *fake.Fault) { *x = fake.Fault{} })
 	f.mu.Lock()
 	for _, n := range nodes {
 		n.taken = false
--- a/internal/rehearsal/fleet.go
+++ b/internal/scenario/fleet.go
@@ -1,6 +1,6 @@
-// Package rehearsal plays scripted days on loopback: a real planner, plain proxies, stand-in servers and clients, with
+// Package scenario plays scripted days on loopback: a real planner, plain proxies, stand-in servers and clients, with
 // all links through relays, and the rules judged from what passed.
-package rehearsal
+package scenario
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 	"google.golang.org/protobuf/proto"
 
 	"lichenpick/internal/clock"
+	"lichenpick/internal/fake"
+	"lichenpick/internal/invariant"
 	"lichenpick/internal/planner"
 	"lichenpick/internal/proxy"
-	"lichenpick/internal/rules"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/standin"
 	"lichenpick/proto/script"
 	pb "lichenpick/proto/settings"
 )
@@ -30,12 +30,12 @@
 type node struct {
 	name    string
 	zone    int
-	server  *standin.Server
+	server  *fake.Server
 	set     *pb.Server
-	relay   *standin.Relay
+	relay   *fake.Relay
 	address string
 	size    float64
-	fault   standin.Fault
+	fault   fake.Fault
 	taken   bool // a trouble has it
 	control *control
 }
@@ -65,9 +65,9 @@
 	group   *errgroup.Group
 	running context.Context // of the whole day
 
-	registry *standin.Registry
+	registry *fake.Registry
 	controls []*control
-	crowd    *standin.Crowd
+	crowd    *fake.Crowd
 
 	mu      sync.Mutex
 	nodes   []*node
@@ -82,7 +82,7 @@
 }
 
 // linkRule says what is wrong with links from a zone's address to a server, or to a planner: a node with a control.
-type linkRule func(from netip.Addr, to *node) standin.Link
+type linkRule func(from netip.Addr, to *node) fake.Link
 
 // zoneAddress is where a zone's proxies dial from, and listenAddress where its parties listen: a port that is listened at
 // again after a restart must not have gone to a connection meanwhile.
@@ -95,7 +95,7 @@
 		script: s, hooks: h, clock: c, net: clock.TCP{}, log: log, chance: rand.New(rand.NewSource(int64(s.GetSeed()))),
 		dir: dir, links: map[int]linkRule{},
 	}
-	lim := rules.Limits{
+	lim := invariant.Limits{
 		BareMs: settings.Ms(s.BareWithin), GraceMs: settings.Ms(s.Limits.DrainGrace), WarmUpMs: settings.Ms(s.Limits.WarmUp),
 		MissingMs: 10000, FallMs: settings.Ms(s.Limits.FallWindow), FallMultiple: s.Servers.GetFallMultiple(),
 		WorkMs: settings.Ms(s.Servers.Work), HandshakeMs: settings.Ms(s.Servers.Handshake),
@@ -103,14 +103,14 @@
 		SpanMs: settings.Ms(s.Channel.MessageSpan), SlackMs: 100, Capacity: f.coldCapacity,
 	}
 	for _, g := range s.Groups {
-		lim.Repeats = append(lim.Repeats, map[pb.Repeat]rules.Repeat{
-			pb.Repeat_NON_RETRIABLE: rules.Never, pb.Repeat_DEDUPED: rules.Keyed,
-			pb.Repeat_RETRIABLE: rules.Always,
+		lim.Repeats = append(lim.Repeats, map[pb.Repeat]invariant.Repeat{
+			pb.Repeat_NON_RETRIABLE: invariant.Never, pb.Repeat_DEDUPED: invariant.Keyed,
+			pb.Repeat_RETRIABLE: invariant.Always,
 		}[g.Repeat])
 		lim.OnlyZone = append(lim.OnlyZone, g.OnlyZone)
 	}
 	wall := float64(c.Wall().UnixMicro())/1000 - c.Mono()
-	f.judge = &judge{checker: rules.NewChecker(lim), odd: map[string]int{}, toMono: func(us uint64) float64 { return float64(us)/1000 - wall }}
+	f.judge = &judge{checker: invariant.NewChecker(lim), odd: map[string]int{}, toMono: func(us uint64) float64 { return float64(us)/1000 - wall }}
 	return f
 }
 
@@ -124,7 +124,7 @@
 			if born == 0 || at-born >= settings.Ms(n.set.WarmUp) {
 				return 0
 			}
-			return standin.Capacity(n.set, at-born, true)
+			return fake.Capacity(n.set, at-born, true)
 		}
 	}
 	return 0
@@ -133,7 +133,7 @@
 // start brings up everything but the clients.
 func (f *fleet) start(ctx context.Context, group *errgroup.Group) error {
 	f.group, f.running = group, ctx
-	f.registry = &standin.Registry{Clock: f.clock, LateMs: settings.Ms(f.script.ListedLate)}
+	f.registry = &fake.Registry{Clock: f.clock, LateMs: settings.Ms(f.script.ListedLate)}
 	at, err := f.registry.Start(ctx, f.net)
 	if err != nil {
 		return err
@@ -174,7 +174,7 @@
 		Waiting: s.Waiting, Connections: f.script.Limits.LeastConnections, Handshake: s.Handshake, ColdShare: f.script.Limits.ColdShare,
 		WarmUp: f.script.Limits.WarmUp, FallWindow: f.script.Limits.FallWindow, FallMultiple: s.FallMultiple, DedupWindow: "2.5s", Seed: &seed,
 	}
-	n := &node{name: name, zone: zone, set: set, size: float64(s.GetCores()), server: standin.NewServer(set, f.clock, f.net, f.log, &standin.Dedup{})}
+	n := &node{name: name, zone: zone, set: set, size: float64(s.GetCores()), server: fake.NewServer(set, f.clock, f.net, f.log, &fake.Dedup{})}
 	at, err := n.server.Start(ctx, cold)
 	if err != nil {
 		return nil, err
@@ -183,7 +183,7 @@
 	for g, row := range f.script.Groups {
 		groups[row.Name] = g
 	}
-	n.relay = &standin.Relay{Clock: f.clock, Network: f.net, Watch: func(netip.Addr) standin.Watch {
+	n.relay = &fake.Relay{Clock: f.clock, Network: f.net, Watch: func(netip.Addr) fake.Watch {
 		f.judge.mu.Lock()
 		f.judge.checker.Connected(n.address, f.clock.Mono())
 		f.judge.mu.Unlock()
@@ -219,11 +219,11 @@
 			all = append(all, r)
 		}
 	}
-	join := func(to *node) func(netip.Addr) standin.Link {
+	join := func(to *node) func(netip.Addr) fake.Link {
 		if len(all) == 0 {
 			return nil
 		}
-		return func(from netip.Addr) (sum standin.Link) {
+		return func(from netip.Addr) (sum fake.Link) {
 			for _, r := range all {
 				l := r(from, to)
 				sum.DelayMs, sum.ConnectMs = max(sum.DelayMs, l.DelayMs), max(sum.ConnectMs, l.ConnectMs)
--- a/internal/rehearsal/run.go
+++ b/internal/scenario/run.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"lichenpick/internal/clock"
+	"lichenpick/internal/fake"
+	"lichenpick/internal/invariant"
 	"lichenpick/internal/planner"
-	"lichenpick/internal/rules"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/standin"
 	"lichenpick/proto/script"
 )
 
@@ -29,7 +29,7 @@
 // Group is what became of one traffic group's flows.
 type Group struct {
 	Name string
-	standin.Tally
+	fake.Tally
 	Service float64 // utility delivered within the latency budget, over utility asked for
 }
 
@@ -45,7 +45,7 @@
 	OrderMsP50  float64
 	OrderMsP99  float64
 	LinesPeak   float64
-	Breaches    []rules.Breach
+	Breaches    []invariant.Breach
 	Broken      map[string]int
 	Endings     map[string]uint64
 	Unread      map[string]int // what the watch of the sockets could not read; it must be empty
@@ -72,7 +72,7 @@
 }
 
 // takeovers sums up those after each proxy's first.
-func (d *Day) takeovers(all []rules.Takeover) {
+func (d *Day) takeovers(all []invariant.Takeover) {
 	first := map[string]bool{}
 	var bare []float64
 	for _, t := range all {
@@ -155,7 +155,7 @@
 		}
 		return nil, err
 	}
-	f.crowd = &standin.Crowd{
+	f.crowd = &fake.Crowd{
 		Clock: f.clock, Groups: s.Groups, Shares: shares(s), PerS: settings.PerS(s.Traffic.Rate),
 		Repeats: int(s.Traffic.GetRepeats()), PauseMs: settings.Ms(s.Traffic.Pause), Seed: int64(s.GetSeed()),
 	}
@@ -220,7 +220,7 @@
 	return out
 }
 
-func (f *fleet) day(breaches []rules.Breach, broken map[rules.Rule]int) *Day {
+func (f *fleet) day(breaches []invariant.Breach, broken map[invariant.Rule]int) *Day {
 	kind := f.hooks.Baseline
 	if f.hooks.Apart {
 		kind = "apart"
@@ -260,7 +260,7 @@
 	return d
 }
 
-func share(t standin.Tally) float64 { return t.Utility / max(t.Possible, 1e-9) }
+func share(t fake.Tally) float64 { return t.Utility / max(t.Possible, 1e-9) }
 
 // Print writes a report for people.
 func (r *Report) Print(w io.Writer) {
--- a/internal/rehearsal/rehearsal_test.go
+++ b/internal/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"google.golang.org/protobuf/encoding/prototext"
 	"google.golang.org/protobuf/proto"
 
-	"lichenpick/brain"
 	"lichenpick/internal/clock"
-	"lichenpick/internal/list"
+	"lichenpick/internal/discovery"
 	"lichenpick/internal/planner"
 	"lichenpick/internal/settings"
+	"lichenpick/policy"
 	"lichenpick/proto/script"
 	pb "lichenpick/proto/settings"
 )
@@ -58,7 +58,7 @@
 		from := set.List.GetStream()
 		err := planner.Run(ctx, planner.Options{
 			Settings: set, Clock: c, Network: clock.TCP{}, Log: quiet(),
-			Source: &list.Stream{Address: from.Address, RedialMs: 200, SilentMs: 5000, FrameBytes: 16 << 20, Clock: c, Network: clock.TCP{}},
+			Source: &discovery.Stream{Address: from.Address, RedialMs: 200, SilentMs: 5000, FrameBytes: 16 << 20, Clock: c, Network: clock.TCP{}},
 		})
 		if err != nil {
 			panic(err)
@@ -109,7 +109,7 @@
 	planner.Decider
 	now   float64
 	cold  map[string]bool
-	host  brain.Host
+	host  policy.Host
 	line  func(e *edited, table int, server string, weight float64)
 	mask  func(e *edited, server string, out bool)
 	admit func(e *edited, table, group int, share float64, retry int)
@@ -122,14 +122,14 @@
 	e.Decider.Tick(now)
 }
 
-func (e *edited) Listed(form brain.ListForm, list []brain.Entry) {
+func (e *edited) Listed(form policy.ListForm, list []policy.Entry) {
 	for _, x := range list {
 		e.cold[x.Server] = x.BornMs > 0
 	}
 	e.Decider.Listed(form, list)
 }
 
-func (e *edited) Next(h brain.Host) bool {
+func (e *edited) Next(h policy.Host) bool {
 	e.host = h
 	if e.fresh && e.first != nil {
 		e.fresh = false
--- a/internal/rehearsal/watch.go
+++ b/internal/scenario/watch.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"bufio"
@@ -10,16 +10,16 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/invariant"
 	"lichenpick/internal/proxy"
-	"lichenpick/internal/rules"
 	"lichenpick/proto/order"
 )
 
 // judge lets watches of many connections tell one checker, in turn.
 type judge struct {
 	mu      sync.Mutex
-	checker *rules.Checker
+	checker *invariant.Checker
 	toMono  func(unixUs uint64) float64
 	up      int            // bytes that proxies sent to planners
 	down    int            // and these to them
@@ -32,7 +32,7 @@
 type streamWatch struct {
 	j            *judge
 	planner      string
-	up, down     *orders.Decoder
+	up, down     *controlstream.Decoder
 	proxy        string
 	passed       int // bytes that came from the planner
 	reached      int // and went out to the proxy
@@ -49,7 +49,7 @@
 const watchedFrame = 32 << 20 // bytes; no limit of either end is larger
 
 func newStreamWatch(j *judge, planner string) *streamWatch {
-	return &streamWatch{j: j, planner: planner, up: orders.NewDecoder(watchedFrame), down: orders.NewDecoder(watchedFrame)}
+	return &streamWatch{j: j, planner: planner, up: controlstream.NewDecoder(watchedFrame), down: controlstream.NewDecoder(watchedFrame)}
 }
 
 func (w *streamWatch) ToTarget(at float64, p []byte) {
@@ -66,20 +66,20 @@
 		if !ok {
 			return
 		}
-		if f.Kind == orders.Join {
+		if f.Kind == controlstream.Join {
 			var m order.Join
 			if proto.Unmarshal(f.Body, &m) == nil {
 				w.proxy = m.Proxy
 				w.j.checker.Joined(m.Proxy, w.planner, at, &m)
 			}
 		}
-		if f.Kind == orders.Lease {
+		if f.Kind == controlstream.Lease {
 			var m order.Lease
 			if proto.Unmarshal(f.Body, &m) == nil {
 				w.j.checker.Leased(w.proxy, w.planner, at, &m)
 			}
 		}
-		if f.Kind == orders.Applied {
+		if f.Kind == controlstream.Applied {
 			var m order.Applied
 			if proto.Unmarshal(f.Body, &m) == nil {
 				w.j.checker.Obeyed(w.proxy, w.planner, at, &m)
@@ -108,12 +108,12 @@
 		}
 		end += 20 + len(f.Body)
 		switch f.Kind {
-		case orders.Welcome:
+		case controlstream.Welcome:
 			m := &order.Welcome{}
 			if proto.Unmarshal(f.Body, m) == nil {
 				w.undelivered = append(w.undelivered, undelivered{end: end, welcome: m})
 			}
-		case orders.Orders:
+		case controlstream.Orders:
 			m := &order.Orders{}
 			if proto.Unmarshal(f.Body, m) == nil {
 				w.undelivered = append(w.undelivered, undelivered{end: end, orders: m})
@@ -152,7 +152,7 @@
 type listWatch struct {
 	j       *judge
 	planner string
-	down    *orders.Decoder
+	down    *controlstream.Decoder
 }
 
 func (w *listWatch) ToTarget(float64, []byte) {}
@@ -170,7 +170,7 @@
 			return
 		}
 		m := &order.Listing{}
-		if f.Kind == orders.Listing && proto.Unmarshal(f.Body, m) == nil {
+		if f.Kind == controlstream.Listing && proto.Unmarshal(f.Body, m) == nil {
 			w.j.checker.Listed(w.planner, at, m)
 		}
 	}
@@ -219,7 +219,7 @@
 	server   string
 	groups   map[string]int
 	up, down heads
-	now      rules.Flow
+	now      invariant.Flow
 }
 
 func (w *flowWatch) ToTarget(at float64, p []byte) {
@@ -227,7 +227,7 @@
 	defer w.j.mu.Unlock()
 	w.up.feed(p, func(_ string, h textproto.MIMEHeader) {
 		try, _ := strconv.Atoi(h.Get(proxy.TryHeader))
-		w.now = rules.Flow{ID: h.Get(proxy.FlowHeader), Group: w.groups[h.Get(proxy.GroupHeader)], Try: try, Proxy: h.Get(proxy.ProxyHeader)}
+		w.now = invariant.Flow{ID: h.Get(proxy.FlowHeader), Group: w.groups[h.Get(proxy.GroupHeader)], Try: try, Proxy: h.Get(proxy.ProxyHeader)}
 		w.j.checker.Sent(w.server, at, w.now)
 	})
 	if w.up.bad {
--- a/internal/emulator/trouble.go
+++ b/internal/simulation/faults.go
@@ -1,10 +1,10 @@
-package emulator
+package simulation
 
 import (
 	"fmt"
 
-	"lichenpick/brain"
 	"lichenpick/internal/settings"
+	"lichenpick/policy"
 	"lichenpick/proto/script"
 )
 
@@ -77,7 +77,7 @@
 		s.end()
 	}
 	if listed {
-		f.tellList(late, brain.Change, hit)
+		f.tellList(late, policy.Change, hit)
 	}
 }
 
@@ -85,7 +85,7 @@
 	for _, s := range hit {
 		s.start()
 	}
-	f.tellList(late, brain.Change, hit)
+	f.tellList(late, policy.Change, hit)
 }
 
 // replace drains a server, and starts a cold one in its place.
@@ -98,10 +98,10 @@
 		}
 		next.start()
 		s.drained = true
-		f.tellList(late, brain.Change, []*server{s, next})
+		f.tellList(late, policy.Change, []*server{s, next})
 		f.after(drain, func() {
 			s.end()
-			f.tellList(late, brain.Change, []*server{s})
+			f.tellList(late, policy.Change, []*server{s})
 		})
 	}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/simulation/fleet.go
@@ -1,4 +1,4 @@
-package emulator
+package simulation
 
 import (
 	"fmt"
@@ -9,13 +9,13 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"lichenpick/brain"
-	"lichenpick/internal/list"
-	"lichenpick/internal/orders"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
+	"lichenpick/internal/fake"
 	"lichenpick/internal/planner"
 	"lichenpick/internal/proxy"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/standin"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 	"lichenpick/proto/script"
 	pb "lichenpick/proto/settings"
@@ -29,9 +29,9 @@
 
 // Result of a day.
 type Result struct {
-	Groups   []standin.Tally
-	Seconds  []standin.Tally // by second of asking
-	Service  float64         // utility within the latency budget, over utility asked for
+	Groups   []fake.Tally
+	Seconds  []fake.Tally // by second of asking
+	Service  float64      // utility within the latency budget, over utility asked for
 	Messages int
 	Lines    float64
 	Fell     int
@@ -72,7 +72,7 @@
 			return nil, err
 		}
 	}
-	f.result.Groups, f.result.Seconds = make([]standin.Tally, len(s.Groups)), make([]standin.Tally, int(length/1000)+1)
+	f.result.Groups, f.result.Seconds = make([]fake.Tally, len(s.Groups)), make([]fake.Tally, int(length/1000)+1)
 	f.after(warm, func() { f.client(warm, warm+length) })
 	last := 0.0 // flows in hand still end
 	for _, g := range s.Groups {
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	f.tellList(0, brain.Whole, f.servers)
+	f.tellList(0, policy.Whole, f.servers)
 	total := 0.0
 	for g := range s.Groups {
 		x := 1.0
@@ -174,15 +174,15 @@
 }
 
 // tellList has the planner hear of servers as they are now, after some ms.
-func (f *fleet) tellList(ms float64, form brain.ListForm, servers []*server) {
-	u := list.Update{Form: form, AsOfMs: uint64(epoch + f.now)}
+func (f *fleet) tellList(ms float64, form policy.ListForm, servers []*server) {
+	u := discovery.Update{Form: form, AsOfMs: uint64(epoch + f.now)}
 	for _, s := range servers {
-		e := list.Entry{Server: s.name, Zone: f.script.Places[s.zone].Name, Size: float64(s.set.GetCores())} // speed shows in floors only
+		e := discovery.Entry{Server: s.name, Zone: f.script.Places[s.zone].Name, Size: float64(s.set.GetCores())} // speed shows in floors only
 		switch {
 		case s.down:
-			e.State = brain.Gone
+			e.State = policy.Gone
 		case s.drained:
-			e.State = brain.Draining
+			e.State = policy.Draining
 		}
 		if s.born > 0 {
 			e.BornUnixMs = uint64(epoch + s.born)
@@ -212,12 +212,12 @@
 	})
 }
 
-func (f *fleet) Send(s *planner.Stream, _ orders.Kind, m proto.Message) {
+func (f *fleet) Send(s *planner.Stream, _ controlstream.Kind, m proto.Message) {
 	e := s.Out.(*edge)
 	f.after(orderMs, func() { e.obey(m) })
 }
 
-func (f *fleet) End(s *planner.Stream, why *orders.Ending) {
+func (f *fleet) End(s *planner.Stream, why *controlstream.Ending) {
 	if f.failed == nil {
 		f.failed = fmt.Errorf("at %.0f ms the planner ended the stream of %s: %w", f.now, s.Name(), why)
 	}
--- a/internal/emulator/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -1,14 +1,14 @@
-package emulator_test
+package simulation_test
 
 import (
 	"encoding/json"
 	"path/filepath"
 	"testing"
 
-	"lichenpick/internal/emulator"
+	"lichenpick/internal/fake"
 	"lichenpick/internal/golden"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/standin"
+	"lichenpick/internal/simulation"
 	"lichenpick/proto/script"
 )
 
@@ -36,7 +36,7 @@
 	Seconds  []requestCounts `json:"seconds"`
 }
 
-func countsOf(tallies []standin.Tally) []requestCounts {
+func countsOf(tallies []fake.Tally) []requestCounts {
 	counts := make([]requestCounts, 0, len(tallies))
 	for _, tally := range tallies {
 		counts = append(counts, requestCounts{
@@ -59,7 +59,7 @@
 	if err := settings.Load(path, scenario); err != nil {
 		t.Fatal(err)
 	}
-	result, err := emulator.Play(scenario)
+	result, err := simulation.Play(scenario)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/server.go
+++ b/internal/simulation/server.go
@@ -1,11 +1,11 @@
-package emulator
+package simulation
 
 import (
 	"math"
 	"math/rand"
 
+	"lichenpick/internal/fake"
 	"lichenpick/internal/settings"
-	"lichenpick/internal/standin"
 	pb "lichenpick/proto/settings"
 )
 
@@ -65,7 +65,7 @@
 
 func (s *server) begin(t *try) {
 	s.busy++
-	pace := standin.Capacity(s.set, s.sim.now-s.born, s.born > 0) / float64(s.set.GetCores()) / math.Max(s.slow, 1)
+	pace := fake.Capacity(s.set, s.sim.now-s.born, s.born > 0) / float64(s.set.GetCores()) / math.Max(s.slow, 1)
 	born := s.born
 	s.sim.after(t.work/pace, func() {
 		if s.down || s.born != born { // it was ended meanwhile
@@ -98,7 +98,7 @@
 	for _, a := range s.came {
 		sum += a.work
 	}
-	if sum > s.set.GetFallMultiple()*standin.Capacity(s.set, now-s.born, true)*window {
+	if sum > s.set.GetFallMultiple()*fake.Capacity(s.set, now-s.born, true)*window {
 		s.fallen = true
 		s.fell++
 	}
--- a/internal/emulator/sim.go
+++ b/internal/simulation/sim.go
@@ -1,6 +1,6 @@
-// Package emulator plays a fleet in made-up time: servers, clients and links are models; planner core, module and proxies are the
+// Package simulation plays a fleet in made-up time: servers, clients and links are models; planner core, module and proxies are the
 // product's own state machines. One seed gives one run.
-package emulator
+package simulation
 
 import "container/heap"
 
--- a/internal/emulator/emulator_test.go
+++ b/internal/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulation
 
 import (
 	"reflect"
--- a/internal/wire/wire.go
+++ b/internal/simulator/adapter.go
@@ -1,6 +1,6 @@
-// Package wire is the door between the simulator's wire and the decision module: it decodes
+// Package simulator is the door between the simulator's wire and the decision module: it decodes
 // batches into calls on planners and writes their decisions as messages. It decides nothing.
-package wire
+package simulator
 
 import (
 	"bufio"
@@ -11,13 +11,13 @@
 	"io"
 	"strconv"
 
-	"lichenpick/brain"
+	"lichenpick/policy"
 )
 
 // instance is one planner and the host it decides through.
 type instance struct {
 	name    string
-	planner *brain.Planner
+	planner *policy.Planner
 	out     *writer
 	timer   uint64
 	touched bool
--- a/internal/wire/events.go
+++ b/internal/simulator/events.go
@@ -1,10 +1,10 @@
-package wire
+package simulator
 
 import (
 	"encoding/json"
 	"fmt"
 
-	"lichenpick/brain"
+	"lichenpick/policy"
 )
 
 // readers decode a message and, where the instance runs, call its planner.
@@ -19,11 +19,11 @@
 			W      float64
 			Hall   int
 		}
-		return decode(in, raw, &m, func(p *brain.Planner) { p.Joined(m.Proxy, m.Hall, m.W) })
+		return decode(in, raw, &m, func(p *policy.Planner) { p.Joined(m.Proxy, m.Hall, m.W) })
 	},
 	"LostStream": func(in *instance, raw []byte) error {
 		var m struct{ Proxy int }
-		return decode(in, raw, &m, func(p *brain.Planner) { p.Left(m.Proxy) })
+		return decode(in, raw, &m, func(p *policy.Planner) { p.Left(m.Proxy) })
 	},
 	"Stats": func(in *instance, raw []byte) error {
 		var m struct {
@@ -32,7 +32,7 @@
 			TookMs, CoversMs    float64
 			Metrics             []float64
 		}
-		return decode(in, raw, &m, func(p *brain.Planner) {
+		return decode(in, raw, &m, func(p *policy.Planner) {
 			p.Heard(m.Server, m.Hall, m.Count, m.Failed, m.TookMs, m.CoversMs)
 		})
 	},
@@ -41,7 +41,7 @@
 			Proxy, Service, Count, Failed int
 			CoversMs                      float64
 		}
-		return decode(in, raw, &m, func(p *brain.Planner) {
+		return decode(in, raw, &m, func(p *policy.Planner) {
 			p.Usage(m.Proxy, m.Service, m.Count, m.Failed, m.CoversMs)
 		})
 	},
@@ -50,7 +50,7 @@
 			Proxy, Number int
 			TookMs        float64
 		}
-		return decode(in, raw, &m, func(p *brain.Planner) { p.Applied(m.Proxy, m.Number, m.TookMs) })
+		return decode(in, raw, &m, func(p *policy.Planner) { p.Applied(m.Proxy, m.Number, m.TookMs) })
 	},
 	"Ring": skip, // being called is all that a timer is for
 	// Known and not needed: probes, slices, and messages among instances.
@@ -63,7 +63,7 @@
 
 func skip(*instance, []byte) error { return nil }
 
-func decode(in *instance, raw []byte, into any, call func(*brain.Planner)) error {
+func decode(in *instance, raw []byte, into any, call func(*policy.Planner)) error {
 	if err := json.Unmarshal(raw, into); err != nil {
 		return err
 	}
@@ -87,11 +87,11 @@
 			BornMs       float64
 		}
 	}
-	forms := map[string]brain.ListForm{
-		"update": brain.Change, "replace": brain.Whole,
-		"restored": brain.Restored, "unavailable": brain.Failed,
+	forms := map[string]policy.ListForm{
+		"update": policy.Change, "replace": policy.Whole,
+		"restored": policy.Restored, "unavailable": policy.Failed,
 	}
-	states := map[string]brain.State{"SERVING": brain.Ready, "DRAINING": brain.Draining, "DELETED": brain.Gone}
+	states := map[string]policy.State{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Gone}
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return err
 	}
@@ -99,13 +99,13 @@
 	if !ok {
 		return fmt.Errorf("field Form holds %q, which is no kind of list", m.Form)
 	}
-	list := make([]brain.Entry, 0, len(m.NodesList))
+	list := make([]policy.Entry, 0, len(m.NodesList))
 	for _, e := range m.NodesList {
 		state, ok := states[e.Availability]
 		if !ok {
 			return fmt.Errorf("field NodesList.Availability holds %q, which is no state", e.Availability)
 		}
-		list = append(list, brain.Entry{Server: e.Server, Zone: e.Hall, State: state, Size: e.W, BornMs: e.BornMs})
+		list = append(list, policy.Entry{Server: e.Server, Zone: e.Hall, State: state, Size: e.W, BornMs: e.BornMs})
 	}
 	if in != nil && in.planner != nil {
 		in.planner.Listed(form, list)
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	in := &instance{name: who, out: &s.out, planner: brain.New(site.Module, int64(m.RandomSeed))}
+	in := &instance{name: who, out: &s.out, planner: policy.New(site.Module, int64(m.RandomSeed))}
 	in.planner.Tick(now)
 	s.instances[who] = in
 	return in, nil
--- a/internal/wire/settings.go
+++ b/internal/simulator/settings.go
@@ -1,14 +1,14 @@
-package wire
+package simulator
 
 import (
 	"encoding/json"
 
-	"lichenpick/brain"
+	"lichenpick/policy"
 )
 
 // Site is what the operators' settings tell: the module's part, and the names that are needed beside it.
 type Site struct {
-	Module   brain.Settings
+	Module   policy.Settings
 	Zones    []string // by the module's number, like Groups
 	Groups   []string
 	PeriodMs float64 // least time between two looks
@@ -44,8 +44,8 @@
 		return Site{}, err
 	}
 	f := &i.FamilyInfo
-	repeats := map[string]brain.Repeat{"read_like": brain.Retriable, "idempotency_key": brain.Deduped}
-	s := Site{Zones: i.Azs, PeriodMs: i.PeriodMs, Module: brain.Settings{
+	repeats := map[string]policy.Repeat{"read_like": policy.Retriable, "idempotency_key": policy.Deduped}
+	s := Site{Zones: i.Azs, PeriodMs: i.PeriodMs, Module: policy.Settings{
 		Zones: len(i.Azs), DefaultRetry: f.DefaultRetry, CanAdmit: f.Admit == "share",
 		MustFollow: i.Discovery == "subscribe", AskWithinMs: i.Rules.AskWithinMs,
 		Sliced: f.Slices > 0, ChannelRate: f.ChannelRate, HeadLines: f.PerMessage, MostWaiting: f.MostWaiting,
@@ -57,7 +57,7 @@
 	}}
 	for k, c := range i.Classes {
 		s.Groups = append(s.Groups, c.Name)
-		s.Module.Groups = append(s.Module.Groups, brain.TrafficGroup{
+		s.Module.Groups = append(s.Module.Groups, policy.TrafficGroup{
 			BudgetMs: c.AimMs, Utility: c.Worth,
 			Repeat: repeats[c.Repeat], OnlyZone: k < len(f.StaysLocal) && f.StaysLocal[k],
 		})
--- a/internal/wire/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"fmt"
--- a/internal/tables/tables.go
+++ b/internal/weighttable/registry.go
@@ -1,6 +1,6 @@
-// Package tables keeps what the module's tables hold, who goes by them, what is withdrawn and which levels are set.
+// Package weighttable keeps what the module's tables hold, who goes by them, what is withdrawn and which levels are set.
 // It is bookkeeping alone: the fronts that speak to proxies ask it what a proxy has to be told.
-package tables
+package weighttable
 
 import "slices"
 
--- a/internal/tables/tables_test.go
+++ b/internal/weighttable/registry_test.go
@@ -1,4 +1,4 @@
-package tables
+package weighttable
 
 import "testing"
 
--- a/brain/digest_test.go
+++ b/policy/digest_test.go
@@ -1,4 +1,4 @@
-package brain_test
+package policy_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"slices"
 	"testing"
 
-	"lichenpick/brain"
 	"lichenpick/internal/golden"
+	"lichenpick/policy"
 )
 
 const (
@@ -67,18 +67,18 @@
 	requests     float64 // per second and proxy, in calm
 	earlyRestart bool
 	lateReports  bool // load reports come rarely, and cover lateReportMs
-	settings     brain.Settings
+	settings     policy.Settings
 }
 
 func scenarios() []scenario {
 	small := digestSettings(2, 6)
 	wide := digestSettings(3, 9)
-	wide.Groups = append(wide.Groups, brain.TrafficGroup{BudgetMs: 400, Utility: 3, Repeat: brain.Deduped, OnlyZone: true})
+	wide.Groups = append(wide.Groups, policy.TrafficGroup{BudgetMs: 400, Utility: 3, Repeat: policy.Deduped, OnlyZone: true})
 	wide.CrossPrice = 0.1
 	wide.MustFollow = true
 	many := digestSettings(1, 12)
 	many.ChannelRate = 150
-	many.DefaultRetry = brain.RetryTwice
+	many.DefaultRetry = policy.RetryTwice
 	many.EndsByLine = true
 	shared := digestSettings(4, 16)
 	shared.Planners = 2
@@ -87,7 +87,7 @@
 	tight.MostMessages = 5
 	tight.MostWaiting = 140
 	tight.ChannelRate = 60
-	tight.DefaultRetry = brain.RetryOnce
+	tight.DefaultRetry = policy.RetryOnce
 	narrow := digestSettings(2, 8)
 	narrow.MostWaiting = 130
 	narrow.ChannelRate = 50
@@ -101,14 +101,14 @@
 	}
 }
 
-func digestSettings(zones, proxies int) brain.Settings {
-	return brain.Settings{
+func digestSettings(zones, proxies int) policy.Settings {
+	return policy.Settings{
 		Zones: zones,
-		Groups: []brain.TrafficGroup{
-			{BudgetMs: 600, Utility: 1, Repeat: brain.Retriable},
-			{BudgetMs: 1000, Utility: 5, Repeat: brain.NonRetriable},
+		Groups: []policy.TrafficGroup{
+			{BudgetMs: 600, Utility: 1, Repeat: policy.Retriable},
+			{BudgetMs: 1000, Utility: 5, Repeat: policy.NonRetriable},
 		},
-		DefaultRetry:  brain.RetryProven,
+		DefaultRetry:  policy.RetryProven,
 		CanAdmit:      true,
 		AskWithinMs:   10e3,
 		ChannelRate:   2500,
@@ -131,7 +131,7 @@
 
 // simServer is a server of the model: its latency rises with its load, and what exceeds its capacity fails.
 type simServer struct {
-	brain.Entry
+	policy.Entry
 	baseMs      float64
 	capacity    float64 // requests per second
 	phase       int     // step within a report period at which its reports come
@@ -169,7 +169,7 @@
 // simulation drives a planner with a closed loop and records each of its decisions.
 type simulation struct {
 	scenario
-	planner     *brain.Planner
+	planner     *policy.Planner
 	random      *rand.Rand // of the model alone
 	nowMs       float64    // policy time
 	servers     []*simServer
@@ -207,7 +207,7 @@
 	size := 0.6 + 0.8*s.random.Float64()
 	demand := s.requests * float64(s.proxyCount) / float64(s.serverCount)
 	return &simServer{
-		Entry:    brain.Entry{Server: name, Zone: zone, Size: size},
+		Entry:    policy.Entry{Server: name, Zone: zone, Size: size},
 		baseMs:   60 + 60*s.random.Float64(),
 		capacity: 1.6 * size * demand,
 		phase:    s.random.Intn(s.reportPhases()),
@@ -216,20 +216,20 @@
 
 // startPlanner starts a planner anew. Proxies keep the tables that they hold.
 func (s *simulation) startPlanner(seed int64) {
-	s.planner = brain.New(s.settings, seed)
+	s.planner = policy.New(s.settings, seed)
 	s.planner.Tick(s.nowMs)
 	s.tables = map[int]map[string]float64{}
 	s.withdrawn = map[string]bool{}
 	s.levels = slices.Repeat([]float64{1}, len(s.settings.Groups))
 	s.answers = nil
-	s.planner.Listed(brain.Restored, s.list())
+	s.planner.Listed(policy.Restored, s.list())
 }
 
 // list is what discovery would name: every server but those that it left out, and gone ones.
-func (s *simulation) list() []brain.Entry {
-	var entries []brain.Entry
+func (s *simulation) list() []policy.Entry {
+	var entries []policy.Entry
 	for _, server := range s.servers {
-		if !server.unlisted && server.State != brain.Gone {
+		if !server.unlisted && server.State != policy.Gone {
 			entries = append(entries, server.Entry)
 		}
 	}
@@ -302,13 +302,13 @@
 	server := s.find(name)
 	warm := s.nowMs-server.BornMs > s.settings.WarmUpMs
 	switch {
-	case out && server.State == brain.Ready && warm:
+	case out && server.State == policy.Ready && warm:
 		s.observed.ejections++
-	case out && server.State != brain.Ready:
+	case out && server.State != policy.Ready:
 		s.observed.drains++
-	case !out && server.State == brain.Ready:
+	case !out && server.State == policy.Ready:
 		s.observed.returns++
-	case !out && server.State == brain.Gone:
+	case !out && server.State == policy.Gone:
 		s.observed.forgotten++
 	}
 }
@@ -414,7 +414,7 @@
 	if s.nowMs < server.slowUntilMs {
 		latencyMs *= slowerBy
 	}
-	if s.nowMs < server.failUntilMs || server.State == brain.Gone {
+	if s.nowMs < server.failUntilMs || server.State == policy.Gone {
 		failed = 1
 	}
 	for zone, requests := range load {
@@ -447,7 +447,7 @@
 
 // change tells the planner what became of a server.
 func (s *simulation) change(server *simServer) {
-	s.planner.Listed(brain.Change, []brain.Entry{server.Entry})
+	s.planner.Listed(policy.Change, []policy.Entry{server.Entry})
 }
 
 func (s *simulation) add(name string, bornMs float64) {
@@ -459,7 +459,7 @@
 
 func (s *simulation) restartServer(server *simServer) {
 	server.BornMs = s.nowMs
-	server.State = brain.Ready
+	server.State = policy.Ready
 	server.firstWeight = 0
 	s.change(server)
 }
@@ -474,7 +474,7 @@
 		s.join(proxy, recent...)
 		s.planner.Brings(proxy.id)
 	}
-	s.planner.Listed(brain.Whole, s.list())
+	s.planner.Listed(policy.Whole, s.list())
 }
 
 // phases starts whatever the scenario has at this time. Each has servers of its own, so that they do not mix.
@@ -486,7 +486,7 @@
 	}
 	switch {
 	case reached(listAtMs):
-		s.planner.Listed(brain.Whole, append(s.list(), brain.Entry{Server: "elsewhere", Zone: 99, Size: 1}))
+		s.planner.Listed(policy.Whole, append(s.list(), policy.Entry{Server: "elsewhere", Zone: 99, Size: 1}))
 	case reached(failAtMs):
 		s.servers[0].failUntilMs = s.nowMs + failForMs
 	case reached(slowAtMs):
@@ -499,21 +499,21 @@
 		s.add("unknown", 0)
 		s.find("unknown").failUntilMs = s.nowMs + failForMs
 	case reached(drainAtMs):
-		s.servers[2].State = brain.Draining
+		s.servers[2].State = policy.Draining
 		s.change(s.servers[2])
 	case reached(drainAtMs + goneAfterMs):
-		s.servers[2].State = brain.Gone
+		s.servers[2].State = policy.Gone
 		s.change(s.servers[2])
 	case reached(missingAtMs):
 		s.servers[3].unlisted = true
-		s.servers[3].State = brain.Gone
-		s.planner.Listed(brain.Whole, s.list())
+		s.servers[3].State = policy.Gone
+		s.planner.Listed(policy.Whole, s.list())
 	case reached(takeOverAtMs), reached(slowChannelAtMs + slowChannelForMs/2):
 		s.takeOver()
 	case reached(behindAtMs), reached(behindAtMs + behindForMs):
 		s.planner.Behind(reached(behindAtMs))
 	case reached(failedListsAtMs), reached(failedListsAtMs + 1000), reached(failedListsAtMs + 3000):
-		s.planner.Listed(brain.Failed, nil)
+		s.planner.Listed(policy.Failed, nil)
 	case reached(coldRestartsAtMs):
 		for _, server := range s.servers[4:] {
 			s.restartServer(server)
@@ -524,11 +524,11 @@
 	some := s.servers[4 : 4+len(s.servers)/3]
 	for index, server := range some {
 		if reached(drainSomeAtMs + drainNextMs*float64(index)) {
-			server.State = brain.Draining
+			server.State = policy.Draining
 			s.change(server)
 		}
 		if reached(drainSomeAtMs + drainSomeForMs) {
-			server.State = brain.Ready
+			server.State = policy.Ready
 			s.change(server)
 		}
 	}
@@ -597,7 +597,7 @@
 	s.planner.Tick(s.nowMs)
 	if s.asked && !within(s.elapsed(), failedListsAtMs, 5000) {
 		s.asked = false
-		s.planner.Listed(brain.Whole, s.list())
+		s.planner.Listed(policy.Whole, s.list())
 	}
 	s.phases()
 	s.churn()
@@ -644,7 +644,7 @@
 }
 
 // TestDigest compares all decisions of seeded scenarios, and their times, with those recorded in testdata. Record them
-// again, with go test ./brain -run Digest -update, only in a commit that says which behaviour changed and why.
+// again, with go test ./policy -run Digest -update, only in a commit that says which behaviour changed and why.
 func TestDigest(t *testing.T) {
 	for _, s := range scenarios() {
 		t.Run(fmt.Sprint("seed", s.seed), func(t *testing.T) {
--- a/brain/host.go
+++ b/policy/host.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 // Repeat says what happens when a flow of a traffic group runs twice.
 type Repeat int
--- a/brain/host_test.go
+++ b/policy/host_test.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import (
 	"fmt"
--- a/brain/brain.go
+++ b/policy/policy.go
@@ -1,9 +1,9 @@
-// Package brain decides for one planner: which tables its proxies follow, and when they hear of it.
+// Package policy decides for one planner: which tables its proxies follow, and when they hear of it.
 //
 // How to call it: New at each start, then the input methods after a Tick with the time; they only update what
 // is known. Then Next until it says false: each call makes at most one decision, by one call on the Host. The
 // interface is in host.go, the reasons in docs/design.md.
-package brain
+package policy
 
 import (
 	"cmp"
