--- a/cmd/lichenpick/main_test.go
+++ b/cmd/lichenpick/main_test.go
@@ -58,10 +58,10 @@
 		"no file":            {[]string{"planner", "-c", filepath.Join(dir, "none")}, 2, "no such file"},
 		"no flag":            {[]string{"planner"}, 2, "needs -c FILE"},
 		"an unknown flag":    {[]string{"proxy", "--odd"}, 2, "--odd"},
-		"a bad script":       {[]string{"rehearse", write("script", day+`troubles { at: "1s" zone_loss { zone: "mars" } }`)}, 2, `holds "mars", which is no place`},
-		"a day that is kept": {[]string{"rehearse", write("day", day)}, 0, ""},
+		"a bad script":       {[]string{"scenario", write("script", day+`troubles { at: "1s" zone_loss { zone: "mars" } }`)}, 2, `holds "mars", which is no place`},
+		"a day that is kept": {[]string{"scenario", write("day", day)}, 0, ""},
 		// A cold server that can do nothing: any flow pushes it over.
-		"a day that breaks a rule": {[]string{"rehearse", write("broken", strings.NewReplacer(`"2s"`, `"6s"`, "20/s", "100/s").Replace(day)+
+		"a day that breaks a rule": {[]string{"scenario", write("broken", strings.NewReplacer(`"2s"`, `"6s"`, "20/s", "100/s").Replace(day)+
 			`servers { work: "1s" fall_multiple: 1 } limits { cold_share: 0.001 fall_window: "100ms" }
 			troubles { at: "200ms" lasts: "300ms" crash { servers: 1 listed: true } }`)}, 1, "broke a rule"},
 	} {
@@ -172,7 +172,7 @@
 	if testing.Short() {
 		t.Skip("six seconds")
 	}
-	c, said := program("swarm", "-c", "deploy/examples/planner-sharing.txtpb", "--spawn", "3", "--proxies", "30", "--servers", "12", "--length", "6s",
+	c, said := program("stress", "-c", "deploy/examples/planner-sharing.txtpb", "--spawn", "3", "--proxies", "30", "--servers", "12", "--length", "6s",
 		"--kill-at-ms", "2000", "--back-after-ms", "30000")
 	out, err := c.Output()
 	if err != nil {
--- a/cmd/lichenpick/scenario.go
+++ b/cmd/lichenpick/scenario.go
@@ -28,7 +28,7 @@
 func rehearseCommand() *cobra.Command {
 	var report, level, form string
 	c := &cobra.Command{
-		Use: "rehearse SCRIPT", Short: "Play a scripted day on loopback and judge the rules", Args: exactly(1),
+		Use: "scenario SCRIPT", Short: "Play a scripted day on loopback and judge the rules", Args: exactly(1),
 		Long: "Plays a day with a real planner, plain proxies and stand-in servers on loopback, and judges the rules from what\n" +
 			"passed on the sockets. Exit 0: all rules kept; 1: one was broken, or the day failed; 2: the script is bad.",
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/lichenpick/simulate.go
+++ b/cmd/lichenpick/simulate.go
@@ -16,7 +16,7 @@
 func emulateCommand() *cobra.Command {
 	var seeds int
 	c := &cobra.Command{
-		Use: "emulate SCRIPT", Short: "Play a rehearsal's day in made-up time, with models for servers, clients and links", Args: exactly(1),
+		Use: "simulate SCRIPT", Short: "Play a rehearsal's day in made-up time, with models for servers, clients and links", Args: exactly(1),
 		Long: "Planner core, module and proxies are the program's own; the rest is modelled. One seed gives one run. Troubles that only\n" +
 			"sockets can have are refused.",
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/lichenpick/stress.go
+++ b/cmd/lichenpick/stress.go
@@ -32,7 +32,7 @@
 	var spawned, cores int
 	var killAt, backAfter float64
 	c := &cobra.Command{
-		Use: "swarm -c PLANNER-FILE", Short: "Load planners with many stand-in proxies that only speak the order stream", Args: exactly(0),
+		Use: "stress -c PLANNER-FILE", Short: "Load planners with many stand-in proxies that only speak the order stream", Args: exactly(0),
 		Long: "Reads a planner's settings for its address, zones, groups and list file, writes that list, and joins. Flows are made up by the\n" +
 			"weights that the proxies hold. For measurements of planners at large sizes. With --spawn it also starts planners made from\n" +
 			"that file in a directory of their own, on the next ports, and says at the end what each used.",
@@ -44,7 +44,7 @@
 			from, ok := set.List.From.(*pb.ListSource_File)
 			ms := settings.Ms(length)
 			if !ok || ms <= 0 || s.Proxies <= 0 || s.Servers <= 0 || spawned < 0 || spawned > 16 {
-				return usage{fmt.Errorf("swarm needs a planner with a list file, a --length such as 20s, proxies and servers above 0, and --spawn up to 16")}
+				return usage{fmt.Errorf("stress needs a planner with a list file, a --length such as 20s, proxies and servers above 0, and --spawn up to 16")}
 			}
 			s.Clock, s.Network, s.Planners, s.List, s.Groups = clock.NewReal(), machine, []string{set.Listen}, from.File.Path, set.Groups
 			s.EveryMs, s.Sharing = settings.Ms(set.Reports.Every), set.Sharing != nil
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -57,7 +57,7 @@
 			f.after(at+lasts*float64(k)/float64(n), func() { f.replace(drain, late) })
 		}
 	default:
-		return fmt.Errorf("the emulator does not play the trouble at %s: it is one of sockets; use 'rehearse'", t.At)
+		return fmt.Errorf("the emulator does not play the trouble at %s: it is one of sockets; use 'scenario'", t.At)
 	}
 	return nil
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -68,7 +68,7 @@
 		if err := settings.Parse("day", []byte(day+`troubles { at: "1s" lasts: "1s" stuck_proxy {} }`), s); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Play(s); err == nil || !strings.Contains(err.Error(), "rehearse") {
+		if _, err := Play(s); err == nil || !strings.Contains(err.Error(), "scenario") {
 			t.Errorf("%v", err)
 		}
 	})
