--- a/cmd/lichenpick/load.go
+++ b/cmd/lichenpick/load.go
@@ -24,7 +24,7 @@
 		RunE: func(c *cobra.Command, _ []string) (err error) {
 			o.Clock, o.Rates = clock.NewReal(), []float64{rate}
 			if to != "" {
-				o.To = strings.Split(to, ",")
+				o.Targets = strings.Split(to, ",")
 			}
 			if ramp != "" {
 				var a, b, by float64
@@ -35,21 +35,21 @@
 					return usage{err}
 				}
 			}
-			o.StepMs, o.ExpiryMs, o.BudgetMs = settings.Ms(length), settings.Ms(expiry), settings.Ms(budget)
+			o.StepMs, o.DeadlineMs, o.LatencyObjectiveMs = settings.Milliseconds(length), settings.Milliseconds(expiry), settings.Milliseconds(budget)
 			if err := o.Check(); err != nil {
 				return usage{err}
 			}
 			o.Progress = func(s load.Step) {
-				fmt.Fprintf(c.ErrOrStderr(), "%g/s: %d due, %d delivered, p50 %.1f ms, p99 %.1f ms\n", s.Rate, s.Due, s.Delivered, s.P50, s.P99)
+				fmt.Fprintf(c.ErrOrStderr(), "%g/s: %d due, %d delivered, p50 %.1f ms, p99 %.1f ms\n", s.Rate, s.Due, s.Succeeded, s.P50, s.P99)
 			}
 			steps, err := load.Run(c.Context(), o)
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "rate/s\tdue\tdelivered\tblocked\tdropped\tunsent\tp50 ms\tp90\tp99\tp99.9\tmax\ttool late ms\tholds")
 			knee := 0.0
 			for _, s := range steps {
-				fmt.Fprintf(t, "%g\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%t\n", s.Rate, s.Due, s.Delivered, s.Blocked, s.Dropped, s.Unsent,
-					s.P50, s.P90, s.P99, s.P999, s.Max, s.LateMs, o.Holds(s))
-				if o.Holds(s) {
+				fmt.Fprintf(t, "%g\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%t\n", s.Rate, s.Due, s.Succeeded, s.Rejected, s.Failed, s.Unsent,
+					s.P50, s.P90, s.P99, s.P999, s.Max, s.LateMs, o.MeetsObjective(s))
+				if o.MeetsObjective(s) {
 					knee = s.Rate
 				}
 			}
@@ -69,11 +69,11 @@
 	c.Flags().Float64Var(&rate, "rate", 100, "flows a second")
 	c.Flags().StringVar(&length, "length", "10s", "how long, or how long each step of a ramp")
 	c.Flags().StringVar(&ramp, "ramp", "", "FROM:TO:BY flows a second")
-	c.Flags().StringVar(&o.Group, "group", "", "traffic group; none: the proxies' first")
+	c.Flags().StringVar(&o.Class, "group", "", "traffic group; none: the proxies' first")
 	c.Flags().StringVar(&expiry, "expiry", "5s", "time after which a flow counts as dropped")
 	c.Flags().StringVar(&budget, "budget", "500ms", "p99 that a rate must keep to hold")
-	c.Flags().Float64Var(&o.LeastGood, "least", 0.99, "part that must be delivered for a rate to hold")
-	c.Flags().IntVar(&o.MostFlows, "most", 10000, "flows in hand; more are not sent, and counted")
+	c.Flags().Float64Var(&o.MinSuccessRatio, "least", 0.99, "part that must be delivered for a rate to hold")
+	c.Flags().IntVar(&o.MaxInFlight, "most", 10000, "flows in hand; more are not sent, and counted")
 	c.Flags().Int64Var(&o.Seed, "seed", 1, "seed of chance")
 	return c
 }
--- a/cmd/lichenpick/main.go
+++ b/cmd/lichenpick/main.go
@@ -48,7 +48,7 @@
 		SilenceErrors: true, SilenceUsage: true,
 	}
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
-	c.AddCommand(plannerCommand(), serveCommand(), proxyCommand(), serverCommand(), rehearseCommand(), swarmCommand(), loadCommand(), emulateCommand(), storeCommand(), settingsCommand(), versionCommand())
+	c.AddCommand(plannerCommand(), serveCommand(), proxyCommand(), serverCommand(), scenarioCommand(), stressCommand(), loadCommand(), simulateCommand(), storeCommand(), settingsCommand(), versionCommand())
 	return c
 }
 
--- a/cmd/lichenpick/run.go
+++ b/cmd/lichenpick/run.go
@@ -75,12 +75,12 @@
 func source(l *pb.ListSource, c clock.Clock) discovery.Source {
 	switch from := l.From.(type) {
 	case *pb.ListSource_Stream:
-		return &discovery.Stream{
-			Address: from.Stream.Address, RedialMs: settings.Ms(from.Stream.Redial), SilentMs: 10000, FrameBytes: 16 << 20,
+		return &discovery.StreamSource{
+			Address: from.Stream.Address, ReconnectDelayMs: settings.Milliseconds(from.Stream.Redial), HeartbeatTimeoutMs: 10000, MaxFrameBytes: 16 << 20,
 			Clock: c, Network: machine,
 		}
 	case *pb.ListSource_File:
-		return &discovery.File{Path: from.File.Path, PollMs: settings.Ms(from.File.Poll), Clock: c}
+		return &discovery.FileSource{Path: from.File.Path, PollIntervalMs: settings.Milliseconds(from.File.Poll), Clock: c}
 	}
 	panic("settings without a list source passed their check")
 }
--- a/cmd/lichenpick/scenario.go
+++ b/cmd/lichenpick/scenario.go
@@ -25,7 +25,7 @@
 	return cmd
 }
 
-func rehearseCommand() *cobra.Command {
+func scenarioCommand() *cobra.Command {
 	var report, level, form string
 	c := &cobra.Command{
 		Use: "scenario SCRIPT", Short: "Play a scripted day on loopback and judge the rules", Args: exactly(1),
@@ -51,7 +51,7 @@
 					return err
 				}
 			}
-			if !r.Kept() {
+			if !r.Passed() {
 				return errors.New("the day broke a rule")
 			}
 			return nil
--- a/cmd/lichenpick/settings.go
+++ b/cmd/lichenpick/settings.go
@@ -53,7 +53,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			m, err := load(args)
 			if err == nil {
-				fmt.Fprint(c.OutOrStdout(), settings.Print(m))
+				fmt.Fprint(c.OutOrStdout(), settings.Format(m))
 			}
 			return err
 		},
--- a/cmd/lichenpick/simulate.go
+++ b/cmd/lichenpick/simulate.go
@@ -13,7 +13,7 @@
 	"lichenpick/proto/script"
 )
 
-func emulateCommand() *cobra.Command {
+func simulateCommand() *cobra.Command {
 	var seeds int
 	c := &cobra.Command{
 		Use: "simulate SCRIPT", Short: "Play a rehearsal's day in made-up time, with models for servers, clients and links", Args: exactly(1),
@@ -37,20 +37,20 @@
 			for n := range uint64(seeds) {
 				seed := first + n
 				s.Seed = &seed
-				begun := c0.Mono()
+				begun := c0.Monotonic()
 				r, err := simulation.Play(s)
 				if err != nil {
 					return err
 				}
 				var shares []string
 				late, blocked, dropped := 0, 0, 0
-				for _, g := range r.Groups {
-					shares = append(shares, fmt.Sprintf("%.3f", g.Utility/max(g.Possible, 1e-9)))
-					late, blocked, dropped = late+g.Late, blocked+g.Blocked+g.Bare, dropped+g.Dropped
+				for _, g := range r.Classes {
+					shares = append(shares, fmt.Sprintf("%.3f", g.Value/max(g.MaxValue, 1e-9)))
+					late, blocked, dropped = late+g.Late, blocked+g.Rejected+g.NoServer, dropped+g.Failed
 				}
-				all := settings.Ms(s.Warm) + settings.Ms(s.Length)
+				all := settings.Milliseconds(s.Warm) + settings.Milliseconds(s.Length)
 				fmt.Fprintf(t, "%d\t%.3f\t%s\t%d\t%d\t%d\t%d\t%.0f\t%d\t%d\t%.0f\n", seed, r.Service, strings.Join(shares, "\t"), late, blocked, dropped,
-					r.Messages, r.Lines, r.Fell, r.Events, all/(c0.Mono()-begun))
+					r.Messages, r.Entries, r.ColdOverloads, r.Events, all/(c0.Monotonic()-begun))
 			}
 			return t.Flush()
 		},
--- a/cmd/lichenpick/store.go
+++ b/cmd/lichenpick/store.go
@@ -44,7 +44,7 @@
 				return err
 			}
 			defer s.Close()
-			fmt.Fprintf(c.OutOrStdout(), "controller %s, epochs reserved up to %d\n", set.Name, s.Mark())
+			fmt.Fprintf(c.OutOrStdout(), "controller %s, epochs reserved up to %d\n", set.Name, s.ReservedEpoch())
 			return nil
 		},
 	})
--- a/cmd/lichenpick/stress.go
+++ b/cmd/lichenpick/stress.go
@@ -26,8 +26,8 @@
 	pb "lichenpick/proto/settings"
 )
 
-func swarmCommand() *cobra.Command {
-	s := &fake.Swarm{}
+func stressCommand() *cobra.Command {
+	s := &fake.StressTest{}
 	var file, length string
 	var spawned, cores int
 	var killAt, backAfter float64
@@ -42,12 +42,12 @@
 				return err
 			}
 			from, ok := set.List.From.(*pb.ListSource_File)
-			ms := settings.Ms(length)
+			ms := settings.Milliseconds(length)
 			if !ok || ms <= 0 || s.Proxies <= 0 || s.Servers <= 0 || spawned < 0 || spawned > 16 {
 				return usage{fmt.Errorf("stress needs a planner with a list file, a --length such as 20s, proxies and servers above 0, and --spawn up to 16")}
 			}
-			s.Clock, s.Network, s.Planners, s.List, s.Groups = clock.NewReal(), machine, []string{set.Listen}, from.File.Path, set.Groups
-			s.EveryMs, s.Sharing = settings.Ms(set.Reports.Every), set.Sharing != nil
+			s.Clock, s.Network, s.Planners, s.List, s.Classes = clock.NewReal(), machine, []string{set.Listen}, from.File.Path, set.Groups
+			s.ReportIntervalMs, s.SharedFleet = settings.Milliseconds(set.Reports.Every), set.Sharing != nil
 			for _, z := range set.Zones {
 				s.Zones = append(s.Zones, z.Name)
 			}
@@ -91,8 +91,8 @@
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(t, "proxies x servers\tdials\tbound\tall bound ms\tmessages\torders\tapplied ms p50\tp99\tp99.9\tmax\tmost messages in 10 s\tbytes up, down a proxy and s\ttakeovers\tbare ms p50\tp99\tmax")
 			each := float64(s.Proxies) * ms / 1000
-			fmt.Fprintf(t, "%dx%d\t%d\t%d\t%.0f\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%.0f, %.0f\t%d\t%.1f\t%.1f\t%.1f\n", s.Proxies, s.Servers, r.Dials, r.Bound, r.AllBoundMs,
-				r.Messages, r.Orders, r.P50Ms, r.P99Ms, r.P999Ms, r.MaxMs, r.MostMessages, float64(r.Up)/each, float64(r.Down)/each, r.Takeovers, r.BareP50, r.BareP99, r.BareMax)
+			fmt.Fprintf(t, "%dx%d\t%d\t%d\t%.0f\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%.0f, %.0f\t%d\t%.1f\t%.1f\t%.1f\n", s.Proxies, s.Servers, r.Dials, r.Assigned, r.AllAssignedMs,
+				r.Messages, r.Orders, r.P50Ms, r.P99Ms, r.P999Ms, r.MaxMs, r.MaxMessages, float64(r.BytesUp)/each, float64(r.BytesDown)/each, r.Takeovers, r.WithoutLeaderP50, r.WithoutLeaderP99, r.WithoutLeaderMax)
 			t.Flush()
 			if pack != nil {
 				return pack.report(c.OutOrStdout())
@@ -103,9 +103,9 @@
 	c.Flags().StringVarP(&file, "config", "c", "", "the planner's settings file")
 	c.Flags().IntVar(&s.Proxies, "proxies", 100, "proxies")
 	c.Flags().IntVar(&s.Servers, "servers", 50, "servers in the list")
-	c.Flags().Float64Var(&s.PerS, "rate", 5, "flows a proxy and second")
-	c.Flags().Float64Var(&s.FlipMs, "flip-ms", 2000, "ms between changes of the list: one server drains, or is ready again")
-	c.Flags().Float64Var(&s.JoinOver, "join-over-ms", 100, "ms over which the joins are spread")
+	c.Flags().Float64Var(&s.RequestsPerSecond, "rate", 5, "flows a proxy and second")
+	c.Flags().Float64Var(&s.DrainIntervalMs, "flip-ms", 2000, "ms between changes of the list: one server drains, or is ready again")
+	c.Flags().Float64Var(&s.JoinSpreadMs, "join-over-ms", 100, "ms over which the joins are spread")
 	c.Flags().Int64Var(&s.Seed, "seed", 1, "seed of chance")
 	c.Flags().StringVar(&length, "length", "20s", "how long")
 	c.Flags().IntVar(&spawned, "spawn", 0, "planners to start; 0: one runs already")
@@ -162,7 +162,7 @@
 			}
 		}
 		path := filepath.Join(dir, set.Name+".txtpb")
-		if err := os.WriteFile(path, []byte(settings.Print(set)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(settings.Format(set)), 0o600); err != nil {
 			return nil, err
 		}
 		p.files, p.addresses, p.statuses = append(p.files, path), append(p.addresses, set.Listen), append(p.statuses, set.Status)
@@ -223,9 +223,9 @@
 
 // watch asks the planners now and then, for the last time shortly before the end, and kills one if that is wanted.
 func (p *pack) watch(ctx context.Context, c clock.Clock, killAt, backAfter, ms float64) {
-	start, killed, back := c.Mono(), killAt <= 0 || len(p.files) < 2, false
+	start, killed, back := c.Monotonic(), killAt <= 0 || len(p.files) < 2, false
 	for clock.Sleep(ctx, c, 100) == nil {
-		now := c.Mono() - start
+		now := c.Monotonic() - start
 		if !killed && now >= killAt {
 			killed = true
 			p.end(1, os.Kill)
@@ -234,7 +234,7 @@
 			back, p.backAt = true, now
 			p.run(1)
 		}
-		if p.backAt > 0 && p.level == 0 && p.running[1] != nil && p.ask(1) == nil && p.last[1].Commanded*len(p.files)*10 >= 9*p.proxies {
+		if p.backAt > 0 && p.level == 0 && p.running[1] != nil && p.ask(1) == nil && p.last[1].LeasesHeld*len(p.files)*10 >= 9*p.proxies {
 			p.level = now - p.backAt
 		}
 		for n := range p.files {
@@ -256,8 +256,8 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "planner\tCPU s\tmost memory MB\tcommands\ttakeovers\thanded over\tran out\twrites to the store\tmessages\tlines waiting at most\tsums heard\tshed\treports merged\tlag ms")
 	for n, s := range p.last {
-		fmt.Fprintf(t, "%s\t%.2f\t%.0f\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%d\t%d\t%d\t%.1f\n", s.Planner, p.used[n].Seconds(), float64(p.rss[n])/1e6, s.Commanded,
-			s.Takeovers, s.Handed, s.Expired, s.Marks, s.Messages, s.LinesMost, s.Sums, s.Shed, s.Merged, s.LagMs)
+		fmt.Fprintf(t, "%s\t%.2f\t%.0f\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%d\t%d\t%d\t%.1f\n", s.Planner, p.used[n].Seconds(), float64(p.rss[n])/1e6, s.LeasesHeld,
+			s.Takeovers, s.Transferred, s.Expired, s.EpochReservations, s.Messages, s.MaxBacklog, s.LoadReports, s.Shed, s.Merged, s.LagMs)
 	}
 	if p.level > 0 {
 		fmt.Fprintf(t, "the one killed had nine tenths of its share %.1f s after it was started again\n", p.level/1000)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Clock tells time. Mono never jumps and is for spans, limits and deadlines; Wall is the date, may be stepped by
+// Clock tells time. Monotonic never jumps and is for spans, limits and deadlines; WallTime is the date, may be stepped by
 // whoever sets the machine's clock, and is only ever shown or sent along.
 type Clock interface {
-	Mono() float64 // ms since an arbitrary origin
-	Wall() time.Time
-	After(ms float64) (<-chan time.Time, func()) // fires once; the func releases it early
-	Deadline(ms float64) time.Time               // so long from now, for reads and writes; no step of the date moves it
+	Monotonic() float64 // ms since an arbitrary origin
+	WallTime() time.Time
+	NewTimer(ms float64) (<-chan time.Time, func()) // fires once; the func releases it early
+	Deadline(ms float64) time.Time                  // so long from now, for reads and writes; no step of the date moves it
 }
 
 // Network dials and listens.
@@ -27,15 +27,15 @@
 // Real is the machine's clock.
 type Real struct{ origin time.Time }
 
-// NewReal starts the machine's clock with Mono at a little over 0.
+// NewReal starts the machine's clock with Monotonic at a little over 0.
 func NewReal() *Real { return &Real{origin: time.Now()} }
 
-// Mono goes by the runtime's monotonic reading, which steps of the date do not touch.
-func (r *Real) Mono() float64 { return float64(time.Since(r.origin)) / float64(time.Millisecond) }
+// Monotonic goes by the runtime's monotonic reading, which steps of the date do not touch.
+func (r *Real) Monotonic() float64 { return float64(time.Since(r.origin)) / float64(time.Millisecond) }
 
-func (r *Real) Wall() time.Time { return time.Now() }
+func (r *Real) WallTime() time.Time { return time.Now() }
 
-func (r *Real) After(ms float64) (<-chan time.Time, func()) {
+func (r *Real) NewTimer(ms float64) (<-chan time.Time, func()) {
 	t := time.NewTimer(time.Duration(max(ms, 0) * float64(time.Millisecond)))
 	return t.C, func() { t.Stop() }
 }
@@ -46,7 +46,7 @@
 
 // Sleep waits for a while, or until the context ends, which it then says.
 func Sleep(ctx context.Context, c Clock, ms float64) error {
-	fired, stop := c.After(ms)
+	fired, stop := c.NewTimer(ms)
 	defer stop()
 	select {
 	case <-fired:
--- a/internal/controlstream/controlstream_test.go
+++ b/internal/controlstream/controlstream_test.go
@@ -11,24 +11,26 @@
 	"lichenpick/proto/order"
 )
 
-var limits = Limits{FrameBytes: 4096, JoinWithin: 1000, SilentAfter: 5000}
+var limits = Limits{MaxFrameBytes: 4096, HandshakeTimeoutMs: 1000, HeartbeatTimeoutMs: 5000}
 
 // heard keeps what an end tells.
 type heard struct {
-	Unshared
+	SingleController
 	told []string
 }
 
-func (h *heard) Leased(m *order.Lease) { h.told = append(h.told, "lease") }
+func (h *heard) OnLease(m *order.Lease) { h.told = append(h.told, "lease") }
 
-func (h *heard) Joined(m *order.Join) { h.told = append(h.told, "join "+m.Proxy) }
-func (h *heard) Summed(m *order.Sums) { h.told = append(h.told, fmt.Sprint("sums ", len(m.Servers))) }
+func (h *heard) OnJoin(m *order.Join) { h.told = append(h.told, "join "+m.Proxy) }
+func (h *heard) OnLoadReport(m *order.Sums) {
+	h.told = append(h.told, fmt.Sprint("sums ", len(m.Servers)))
+}
 
-func (h *heard) Answered(m *order.Applied) {
+func (h *heard) OnAck(m *order.Applied) {
 	h.told = append(h.told, fmt.Sprint("applied ", m.Number))
 }
-func (h *heard) Welcomed(*order.Welcome) { h.told = append(h.told, "welcome") }
-func (h *heard) Ordered(m *order.Orders) {
+func (h *heard) OnWelcome(*order.Welcome) { h.told = append(h.told, "welcome") }
+func (h *heard) OnOrders(m *order.Orders) {
 	h.told = append(h.told, fmt.Sprint("orders ", m.Number, " ", len(m.Orders)))
 }
 
@@ -37,7 +39,7 @@
 	for n := 0; n < len(messages); n += 2 {
 		body, _ := messages[n+1].(proto.Message)
 		var err error
-		if out, err = AppendFrame(out, messages[n].(Kind), uint64(n/2+1), body); err != nil {
+		if out, err = AppendFrame(out, messages[n].(FrameKind), uint64(n/2+1), body); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -47,20 +49,20 @@
 func TestPlannerEnd(t *testing.T) {
 	join := &order.Join{Proxy: "edge-1", UsualPerS: 5}
 	t.Run("frames come in any pieces", func(t *testing.T) {
-		all := frames(t, Join, join, Beat, nil, Sums, &order.Sums{CoversMs: 1000}, Applied, &order.Applied{Number: 3})
+		all := frames(t, FrameJoin, join, FrameHeartbeat, nil, FrameLoadReport, &order.Sums{CoversMs: 1000}, FrameAck, &order.Applied{Number: 3})
 		for size := 1; size <= len(all); size++ {
-			e, h := NewPlannerEnd(limits, 0), &heard{}
+			e, h := NewPlannerSession(limits, 0), &heard{}
 			for at := 0; at < len(all); at += size {
 				e.Feed(1, all[at:min(at+size, len(all))])
 				for e.Next(h) {
 				}
 			}
-			if got := fmt.Sprint(h.told); got != "[join edge-1 sums 0 applied 3]" || e.Ended() != nil {
-				t.Fatalf("in pieces of %d: %s %v", size, got, e.Ended())
+			if got := fmt.Sprint(h.told); got != "[join edge-1 sums 0 applied 3]" || e.CloseCause() != nil {
+				t.Fatalf("in pieces of %d: %s %v", size, got, e.CloseCause())
 			}
 		}
 	})
-	whole := frames(t, Join, join)
+	whole := frames(t, FrameJoin, join)
 	flip := func(at int, to byte) []byte {
 		b := append([]byte(nil), whole...)
 		b[at] = to
@@ -70,38 +72,38 @@
 	for name, c := range map[string]struct {
 		in   []byte
 		wait float64
-		want Reason
+		want CloseReason
 	}{
-		"garbage":              {[]byte("GET / HTTP/1.1\r\n\r\n"), 0, BadMagic},
-		"another version":      {flip(2, 9), 0, BadVersion},
-		"a body beyond all":    {flip(4, 0xff), 0, BadSize},
-		"a flipped bit":        {flip(25, whole[25]^1), 0, BadChecksum},
-		"no kind":              {frames(t, kinds, nil), 0, BadKind},
-		"sums before the join": {frames(t, Sums, &order.Sums{}), 0, BadState},
-		"a planner's frame":    {append(append([]byte(nil), whole...), frames(t, Join, join, Orders, &order.Orders{})[len(whole):]...), 0, BadState},
-		"two joins":            {frames(t, Join, join, Join, join), 0, BadState},
-		"a frame twice":        {append(append([]byte(nil), whole...), whole...), 0, BadSequence},
-		"half a join":          {whole[:len(whole)/2], 1000, NoJoin},
-		"silence":              {whole, 5000, Silent},
-		"a body that is none":  {frames(t, Join, &order.Join{Proxy: "x", UsualPerS: math.NaN()}), 0, BadBody},
-		"no name":              {frames(t, Join, &order.Join{}), 0, BadBody},
-		"more dropped than tried": {frames(t, Join, join, Sums,
-			&order.Sums{Servers: []*order.ServerSum{{Server: "a", Tries: 1, Dropped: 2}}}), 0, BadBody},
-		"goodbye": {frames(t, Join, join, Bye, &order.Bye{Reason: "done"}), 0, Left},
+		"garbage":              {[]byte("GET / HTTP/1.1\r\n\r\n"), 0, ReasonBadMagic},
+		"another version":      {flip(2, 9), 0, ReasonBadVersion},
+		"a body beyond all":    {flip(4, 0xff), 0, ReasonBadSize},
+		"a flipped bit":        {flip(25, whole[25]^1), 0, ReasonBadChecksum},
+		"no kind":              {frames(t, kinds, nil), 0, ReasonBadKind},
+		"sums before the join": {frames(t, FrameLoadReport, &order.Sums{}), 0, ReasonUnexpectedFrame},
+		"a planner's frame":    {append(append([]byte(nil), whole...), frames(t, FrameJoin, join, FrameOrders, &order.Orders{})[len(whole):]...), 0, ReasonUnexpectedFrame},
+		"two joins":            {frames(t, FrameJoin, join, FrameJoin, join), 0, ReasonUnexpectedFrame},
+		"a frame twice":        {append(append([]byte(nil), whole...), whole...), 0, ReasonBadSequence},
+		"half a join":          {whole[:len(whole)/2], 1000, ReasonJoinTimeout},
+		"silence":              {whole, 5000, ReasonHeartbeatTimeout},
+		"a body that is none":  {frames(t, FrameJoin, &order.Join{Proxy: "x", UsualPerS: math.NaN()}), 0, ReasonBadBody},
+		"no name":              {frames(t, FrameJoin, &order.Join{}), 0, ReasonBadBody},
+		"more dropped than tried": {frames(t, FrameJoin, join, FrameLoadReport,
+			&order.Sums{Servers: []*order.ServerSum{{Server: "a", Tries: 1, Dropped: 2}}}), 0, ReasonBadBody},
+		"goodbye": {frames(t, FrameJoin, join, FrameClose, &order.Bye{Reason: "done"}), 0, ReasonPeerClosed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e, h := NewPlannerEnd(limits, 0), &heard{}
+			e, h := NewPlannerSession(limits, 0), &heard{}
 			e.Feed(0, c.in)
 			for e.Next(h) {
 			}
-			e.Tick(c.wait)
+			e.SetTime(c.wait)
 			for e.Next(h) {
 			}
-			if e.Ended() == nil || e.Ended().Reason != c.want {
-				t.Errorf("ended %v, want %s; told %v", e.Ended(), c.want, h.told)
+			if e.CloseCause() == nil || e.CloseCause().Reason != c.want {
+				t.Errorf("ended %v, want %s; told %v", e.CloseCause(), c.want, h.told)
 			}
 			told := len(h.told)
-			e.Feed(c.wait, frames(t, Join, join))
+			e.Feed(c.wait, frames(t, FrameJoin, join))
 			if e.Next(h) || len(h.told) != told {
 				t.Error("an ended stream goes on")
 			}
@@ -121,70 +123,70 @@
 	line := &order.Order{What: &order.Order_Line{Line: &order.SetLine{Table: 1, Line: &order.Line{Server: "a", Weight: 0.5}}}}
 	t.Run("a message is told whole or not at all", func(t *testing.T) {
 		bad := &order.Order{What: &order.Order_Level{Level: &order.Level{Share: math.Inf(1)}}}
-		e, h := NewProxyEnd(limits, 0), &heard{}
-		e.Feed(0, frames(t, Welcome, &order.Welcome{}, Orders, &order.Orders{Number: 2, Orders: []*order.Order{line}},
-			Orders, &order.Orders{Orders: []*order.Order{line, bad}}))
+		e, h := NewProxySession(limits, 0), &heard{}
+		e.Feed(0, frames(t, FrameWelcome, &order.Welcome{}, FrameOrders, &order.Orders{Number: 2, Orders: []*order.Order{line}},
+			FrameOrders, &order.Orders{Orders: []*order.Order{line, bad}}))
 		for e.Next(h) {
 		}
-		if got := fmt.Sprint(h.told); got != "[welcome orders 2 1]" || e.Ended() == nil || e.Ended().Reason != BadBody {
-			t.Errorf("%s, ended %v", got, e.Ended())
+		if got := fmt.Sprint(h.told); got != "[welcome orders 2 1]" || e.CloseCause() == nil || e.CloseCause().Reason != ReasonBadBody {
+			t.Errorf("%s, ended %v", got, e.CloseCause())
 		}
 	})
 	t.Run("an order of a kind that is not known is refused", func(t *testing.T) {
-		e, h := NewProxyEnd(limits, 0), &heard{}
-		e.Feed(0, frames(t, Welcome, &order.Welcome{}, Orders, &order.Orders{Orders: []*order.Order{{}}}))
+		e, h := NewProxySession(limits, 0), &heard{}
+		e.Feed(0, frames(t, FrameWelcome, &order.Welcome{}, FrameOrders, &order.Orders{Orders: []*order.Order{{}}}))
 		for e.Next(h) {
 		}
-		if e.Ended() == nil || e.Ended().Reason != BadBody {
-			t.Errorf("ended %v", e.Ended())
+		if e.CloseCause() == nil || e.CloseCause().Reason != ReasonBadBody {
+			t.Errorf("ended %v", e.CloseCause())
 		}
 	})
 }
 
 func TestChannel(t *testing.T) {
-	lim := ChannelLimits{LinesPerS: 1000, HeadLines: 4, MostWaiting: 100, MostMessages: 3, SpanMs: 10000}
+	lim := SendQueueLimits{EntriesPerSecond: 1000, MessageOverhead: 4, MaxBacklog: 100, MaxMessages: 3, WindowMs: 10000}
 	t.Run("messages leave one after the other, at the stated rate", func(t *testing.T) {
-		c, a := NewChannel[int](lim), &Link{}
-		c.Put(0, a, 6, 1)
-		c.Put(0, a, 16, 2)
+		c, a := NewSendQueue[int](lim), &MessageWindow{}
+		c.Push(0, a, 6, 1)
+		c.Push(0, a, 16, 2)
 		var at []float64
 		for now := 0.0; now < 100; now++ {
-			if m, ok := c.Next(now); ok {
-				at = append(at, now, float64(m.What))
+			if m, ok := c.Pop(now); ok {
+				at = append(at, now, float64(m.Payload))
 			}
 		}
-		if fmt.Sprint(at) != "[10 1 30 2]" || c.Waiting() != 0 {
-			t.Errorf("%v, %g wait", at, c.Waiting())
+		if fmt.Sprint(at) != "[10 1 30 2]" || c.Backlog() != 0 {
+			t.Errorf("%v, %g wait", at, c.Backlog())
 		}
 	})
 	t.Run("neither more lines nor more messages than allowed", func(t *testing.T) {
-		c, a, b := NewChannel[int](lim), &Link{}, &Link{}
-		if c.Put(0, a, 90, 1) != nil || c.Put(0, b, 3, 1) == nil {
+		c, a, b := NewSendQueue[int](lim), &MessageWindow{}, &MessageWindow{}
+		if c.Push(0, a, 90, 1) != nil || c.Push(0, b, 3, 1) == nil {
 			t.Error("the queue's limit does not hold")
 		}
-		c.Next(1000)
+		c.Pop(1000)
 		for n := range 3 {
-			if err := c.Put(1000, a, 1, n); (err == nil) != (n < 2) {
+			if err := c.Push(1000, a, 1, n); (err == nil) != (n < 2) {
 				t.Errorf("message %d: %v", n+2, err)
 			}
 		}
-		if c.Put(10001, a, 1, 0) != nil {
+		if c.Push(10001, a, 1, 0) != nil {
 			t.Error("the span does not move on")
 		}
 	})
 	t.Run("what waits for a proxy that left takes no time", func(t *testing.T) {
-		c, a, b := NewChannel[int](lim), &Link{}, &Link{}
-		c.Put(0, a, 86, 1)
-		c.Put(0, b, 6, 2)
-		c.Drop(a)
-		if m, ok := c.Next(10); !ok || m.What != 2 || c.Waiting() != 0 {
+		c, a, b := NewSendQueue[int](lim), &MessageWindow{}, &MessageWindow{}
+		c.Push(0, a, 86, 1)
+		c.Push(0, b, 6, 2)
+		c.Remove(a)
+		if m, ok := c.Pop(10); !ok || m.Payload != 2 || c.Backlog() != 0 {
 			t.Errorf("%v %v", m, ok)
 		}
 	})
 	t.Run("an idle channel saves up nothing", func(t *testing.T) {
-		c, a := NewChannel[int](lim), &Link{}
-		c.Put(5000, a, 6, 1)
-		if _, ok := c.Next(5009); ok {
+		c, a := NewSendQueue[int](lim), &MessageWindow{}
+		c.Push(5000, a, 6, 1)
+		if _, ok := c.Pop(5009); ok {
 			t.Error("left before its lines were sent")
 		}
 	})
@@ -192,7 +194,7 @@
 
 // FuzzDecoder feeds bytes in two pieces: no panic, no more held than was fed, and frames that read back equal.
 func FuzzDecoder(f *testing.F) {
-	f.Add(frames(f, Join, &order.Join{Proxy: "x"}, Beat, nil), 7)
+	f.Add(frames(f, FrameJoin, &order.Join{Proxy: "x"}, FrameHeartbeat, nil), 7)
 	f.Add([]byte("LP\x01\x01\xff\xff\xff\xff"), 3)
 	f.Fuzz(func(t *testing.T, in []byte, cut int) {
 		cut = max(0, min(cut, len(in)))
@@ -202,9 +204,9 @@
 			for {
 				fr, ok, err := d.Next()
 				if err != nil {
-					var e *Ending
-					if !errors.As(err, &e) || d.Held() != 0 {
-						t.Fatalf("%v, %d held", err, d.Held())
+					var e *CloseError
+					if !errors.As(err, &e) || d.Buffered() != 0 {
+						t.Fatalf("%v, %d held", err, d.Buffered())
 					}
 				}
 				if !ok {
@@ -223,23 +225,23 @@
 
 // FuzzEnds feeds whole frames with arbitrary bodies to both ends: no panic, and an end for good.
 func FuzzEnds(f *testing.F) {
-	f.Add(uint8(Sums), []byte{0x0a, 0x00})
-	f.Add(uint8(Orders), []byte{0x2a, 0x02, 0x0a, 0x00})
+	f.Add(uint8(FrameLoadReport), []byte{0x0a, 0x00})
+	f.Add(uint8(FrameOrders), []byte{0x2a, 0x02, 0x0a, 0x00})
 	f.Fuzz(func(t *testing.T, kind uint8, body []byte) {
-		for _, first := range []Kind{Join, Welcome} {
-			raw, _ := AppendFrame(nil, Kind(kind), 2, &order.Bye{})
+		for _, first := range []FrameKind{FrameJoin, FrameWelcome} {
+			raw, _ := AppendFrame(nil, FrameKind(kind), 2, &order.Bye{})
 			raw = append(raw[:headerBytes:headerBytes], body...)
 			raw[4], raw[5], raw[6], raw[7] = 0, byte(len(body)>>16), byte(len(body)>>8), byte(len(body))
-			s := sumOf(raw)
+			s := checksum(raw)
 			raw[16], raw[17], raw[18], raw[19] = byte(s>>24), byte(s>>16), byte(s>>8), byte(s)
 			in, h := append(frames(t, first, &order.Join{Proxy: "p"}), raw...), &heard{}
-			if first == Join {
-				e := NewPlannerEnd(limits, 0)
+			if first == FrameJoin {
+				e := NewPlannerSession(limits, 0)
 				e.Feed(0, in)
 				for e.Next(h) {
 				}
 			} else {
-				e := NewProxyEnd(limits, 0)
+				e := NewProxySession(limits, 0)
 				e.Feed(0, in)
 				for e.Next(h) {
 				}
@@ -260,7 +262,7 @@
 		buf := make([]byte, 0, 4096)
 		b.ReportAllocs()
 		for n := range b.N {
-			buf, _ = AppendFrame(buf[:0], Orders, uint64(n), message)
+			buf, _ = AppendFrame(buf[:0], FrameOrders, uint64(n), message)
 		}
 		b.SetBytes(int64(len(buf)))
 	})
@@ -268,7 +270,7 @@
 		var raw []byte
 		ends := []int{0}
 		for n := range 256 {
-			raw, _ = AppendFrame(raw, Orders, uint64(n+1), message)
+			raw, _ = AppendFrame(raw, FrameOrders, uint64(n+1), message)
 			ends = append(ends, len(raw))
 		}
 		b.ReportAllocs()
@@ -284,7 +286,7 @@
 		}
 	})
 	b.Run("read", func(b *testing.B) {
-		raw, _ := AppendFrame(nil, Orders, 1, message)
+		raw, _ := AppendFrame(nil, FrameOrders, 1, message)
 		b.ReportAllocs()
 		for b.Loop() {
 			if err := proto.Unmarshal(raw[headerBytes:], &order.Orders{}); err != nil {
--- a/internal/controlstream/frame.go
+++ b/internal/controlstream/frame.go
@@ -23,26 +23,26 @@
 	version     = 1
 )
 
-// Kind of a frame.
-type Kind uint8
+// FrameKind of a frame.
+type FrameKind uint8
 
 const (
-	Join     Kind = 1 + iota // proxy: opens the stream
-	Welcome                  // planner: answers it
-	Orders                   // planner
-	Applied                  // proxy: answers Orders
-	Sums                     // proxy
-	Beat                     // both: empty, while there is nothing else to say
-	Bye                      // both: ends the stream with a reason
-	Listing                  // a list source
-	Claim                    // planner: asks to command the proxy, where controllers share
-	Release                  // planner: gives that back
-	Lease                    // proxy: who commands it
-	Standing                 // planner: whether it is open to claims
+	FrameJoin             FrameKind = 1 + iota // proxy: opens the stream
+	FrameWelcome                               // planner: answers it
+	FrameOrders                                // planner
+	FrameAck                                   // proxy: answers FrameOrders
+	FrameLoadReport                            // proxy
+	FrameHeartbeat                             // both: empty, while there is nothing else to say
+	FrameClose                                 // both: ends the stream with a reason
+	FrameEndpoints                             // a list source
+	FrameLeaseRequest                          // planner: asks to command the proxy, where controllers share
+	FrameLeaseRelease                          // planner: gives that back
+	FrameLease                                 // proxy: who commands it
+	FrameControllerStatus                      // planner: whether it is open to claims
 	kinds
 )
 
-func (k Kind) String() string {
+func (k FrameKind) String() string {
 	names := [...]string{"none", "join", "welcome", "orders", "applied", "sums", "beat", "bye", "listing", "claim", "release", "lease", "standing"}
 	if int(k) < len(names) {
 		return names[k]
@@ -50,52 +50,52 @@
 	return fmt.Sprint("kind ", uint8(k))
 }
 
-// Reason says in one word why a stream ended; there are few, so that they can be counted.
-type Reason string
+// CloseReason says in one word why a stream ended; there are few, so that they can be counted.
+type CloseReason string
 
 const (
-	BadMagic    Reason = "magic"
-	BadVersion  Reason = "version"
-	BadSize     Reason = "size"
-	BadChecksum Reason = "checksum"
-	BadSequence Reason = "sequence"
-	BadKind     Reason = "kind"
-	BadBody     Reason = "body"
-	BadState    Reason = "state"    // a frame that may not come now
-	NoJoin      Reason = "no join"  // nothing within the time for it
-	Silent      Reason = "silent"   // nothing for too long
-	NoAnswer    Reason = "answer"   // orders were not answered in time
-	SlowReader  Reason = "reader"   // does not read what is sent
-	Taken       Reason = "taken"    // the proxy's name is in use
-	Replaced    Reason = "replaced" // the same proxy has a newer stream
-	Strange     Reason = "strange"  // a zone, address or count of groups that the planner does not know
-	Full        Reason = "full"     // more streams, lines or messages than the settings allow
-	Lost        Reason = "lost"     // the connection broke
-	Left        Reason = "left"     // the peer said so
-	Stopping    Reason = "stopping" // this side ends
-	Fault       Reason = "fault"    // this side failed
+	ReasonBadMagic         CloseReason = "magic"
+	ReasonBadVersion       CloseReason = "version"
+	ReasonBadSize          CloseReason = "size"
+	ReasonBadChecksum      CloseReason = "checksum"
+	ReasonBadSequence      CloseReason = "sequence"
+	ReasonBadKind          CloseReason = "kind"
+	ReasonBadBody          CloseReason = "body"
+	ReasonUnexpectedFrame  CloseReason = "state"    // a frame that may not come now
+	ReasonJoinTimeout      CloseReason = "no join"  // nothing within the time for it
+	ReasonHeartbeatTimeout CloseReason = "silent"   // nothing for too long
+	ReasonAckTimeout       CloseReason = "answer"   // orders were not answered in time
+	ReasonSlowReader       CloseReason = "reader"   // does not read what is sent
+	ReasonNameInUse        CloseReason = "taken"    // the proxy's name is in use
+	ReasonSuperseded       CloseReason = "replaced" // the same proxy has a newer stream
+	ReasonUnknownPeer      CloseReason = "strange"  // a zone, address or count of groups that the planner does not know
+	ReasonLimitExceeded    CloseReason = "full"     // more streams, lines or messages than the settings allow
+	ReasonConnectionLost   CloseReason = "lost"     // the connection broke
+	ReasonPeerClosed       CloseReason = "left"     // the peer said so
+	ReasonShutdown         CloseReason = "stopping" // this side ends
+	ReasonInternalError    CloseReason = "fault"    // this side failed
 )
 
-// Ending is why a stream ended, as an error.
-type Ending struct {
-	Reason Reason
+// CloseError is why a stream ended, as an error.
+type CloseError struct {
+	Reason CloseReason
 	Detail string
 }
 
-func (e *Ending) Error() string {
+func (e *CloseError) Error() string {
 	if e.Detail == "" {
 		return string(e.Reason)
 	}
 	return string(e.Reason) + ": " + e.Detail
 }
 
-func ending(r Reason, format string, args ...any) *Ending {
-	return &Ending{r, fmt.Sprintf(format, args...)}
+func newCloseError(r CloseReason, format string, args ...any) *CloseError {
+	return &CloseError{r, fmt.Sprintf(format, args...)}
 }
 
 // Frame is one frame as read; its body is valid until the next Feed.
 type Frame struct {
-	Kind     Kind
+	Kind     FrameKind
 	Sequence uint64
 	Body     []byte
 }
@@ -103,7 +103,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // AppendFrame appends a frame with a body, nil for none.
-func AppendFrame(dst []byte, kind Kind, sequence uint64, body proto.Message) ([]byte, error) {
+func AppendFrame(dst []byte, kind FrameKind, sequence uint64, body proto.Message) ([]byte, error) {
 	at := len(dst)
 	dst = append(dst, make([]byte, headerBytes)...)
 	if body != nil {
@@ -116,11 +116,11 @@
 	h[0], h[1], h[2], h[3] = 'L', 'P', version, byte(kind)
 	binary.BigEndian.PutUint32(h[4:], uint32(len(h)-headerBytes))
 	binary.BigEndian.PutUint64(h[8:], sequence)
-	binary.BigEndian.PutUint32(h[16:], sumOf(h))
+	binary.BigEndian.PutUint32(h[16:], checksum(h))
 	return dst, nil
 }
 
-func sumOf(frame []byte) uint32 {
+func checksum(frame []byte) uint32 {
 	return crc32.Update(crc32.Checksum(frame[:16], castagnoli), castagnoli, frame[headerBytes:])
 }
 
@@ -131,7 +131,7 @@
 	buf   []byte
 	read  int // of buf
 	last  uint64
-	end   *Ending
+	end   *CloseError
 }
 
 // NewDecoder makes one that refuses bodies over the limit, in bytes.
@@ -156,14 +156,14 @@
 	}
 	b := d.buf[d.read:]
 	if len(b) >= 2 && (b[0] != 'L' || b[1] != 'P') || len(b) == 1 && b[0] != 'L' {
-		return d.fail(ending(BadMagic, "bytes % x", b[:min(len(b), 2)]))
+		return d.fail(newCloseError(ReasonBadMagic, "bytes % x", b[:min(len(b), 2)]))
 	}
 	if len(b) >= 3 && b[2] != version {
-		return d.fail(ending(BadVersion, "%d; this side speaks %d", b[2], version))
+		return d.fail(newCloseError(ReasonBadVersion, "%d; this side speaks %d", b[2], version))
 	}
 	if len(b) >= 8 {
 		if n := binary.BigEndian.Uint32(b[4:]); uint64(n) > uint64(d.limit) {
-			return d.fail(ending(BadSize, "%d bytes; at most %d", n, d.limit))
+			return d.fail(newCloseError(ReasonBadSize, "%d bytes; at most %d", n, d.limit))
 		}
 	}
 	if len(b) < headerBytes {
@@ -174,24 +174,24 @@
 		return f, false, nil
 	}
 	b = b[:headerBytes+n]
-	if sum := binary.BigEndian.Uint32(b[16:]); sum != sumOf(b) {
-		return d.fail(ending(BadChecksum, "%08x, counted %08x", sum, sumOf(b)))
+	if sum := binary.BigEndian.Uint32(b[16:]); sum != checksum(b) {
+		return d.fail(newCloseError(ReasonBadChecksum, "%08x, counted %08x", sum, checksum(b)))
 	}
-	f = Frame{Kind: Kind(b[3]), Sequence: binary.BigEndian.Uint64(b[8:]), Body: b[headerBytes:]}
+	f = Frame{Kind: FrameKind(b[3]), Sequence: binary.BigEndian.Uint64(b[8:]), Body: b[headerBytes:]}
 	if f.Kind == 0 || f.Kind >= kinds {
-		return d.fail(ending(BadKind, "%s", f.Kind))
+		return d.fail(newCloseError(ReasonBadKind, "%s", f.Kind))
 	}
 	if f.Sequence != d.last+1 {
-		return d.fail(ending(BadSequence, "%d after %d", f.Sequence, d.last))
+		return d.fail(newCloseError(ReasonBadSequence, "%d after %d", f.Sequence, d.last))
 	}
 	d.last, d.read = f.Sequence, d.read+len(b)
 	return f, true, nil
 }
 
-func (d *Decoder) fail(e *Ending) (Frame, bool, error) {
+func (d *Decoder) fail(e *CloseError) (Frame, bool, error) {
 	d.end, d.buf, d.read = e, nil, 0
 	return Frame{}, false, e
 }
 
-// Held is how many bytes wait for the rest of their frame.
-func (d *Decoder) Held() int { return len(d.buf) - d.read }
+// Buffered is how many bytes wait for the rest of their frame.
+func (d *Decoder) Buffered() int { return len(d.buf) - d.read }
--- a/internal/controlstream/golden_test.go
+++ b/internal/controlstream/golden_test.go
@@ -16,7 +16,7 @@
 
 // sender is one end of a stream as far as writing goes.
 type sender interface {
-	Append(dst []byte, kind controlstream.Kind, body proto.Message) ([]byte, error)
+	Append(dst []byte, kind controlstream.FrameKind, body proto.Message) ([]byte, error)
 }
 
 // receiver collects each message that an end hands to its host.
@@ -24,21 +24,21 @@
 
 func (r *receiver) add(message proto.Message) { r.messages = append(r.messages, message) }
 
-func (r *receiver) Joined(m *order.Join)      { r.add(m) }
-func (r *receiver) Summed(m *order.Sums)      { r.add(m) }
-func (r *receiver) Answered(m *order.Applied) { r.add(m) }
-func (r *receiver) Leased(m *order.Lease)     { r.add(m) }
-func (r *receiver) Welcomed(m *order.Welcome) { r.add(m) }
-func (r *receiver) Ordered(m *order.Orders)   { r.add(m) }
-func (r *receiver) Claimed(m *order.Claim)    { r.add(m) }
-func (r *receiver) Released(m *order.Release) { r.add(m) }
-func (r *receiver) Stood(m *order.Standing)   { r.add(m) }
-func (r *receiver) Listed(m *order.Listing)   { r.add(m) }
+func (r *receiver) OnJoin(m *order.Join)                 { r.add(m) }
+func (r *receiver) OnLoadReport(m *order.Sums)           { r.add(m) }
+func (r *receiver) OnAck(m *order.Applied)               { r.add(m) }
+func (r *receiver) OnLease(m *order.Lease)               { r.add(m) }
+func (r *receiver) OnWelcome(m *order.Welcome)           { r.add(m) }
+func (r *receiver) OnOrders(m *order.Orders)             { r.add(m) }
+func (r *receiver) OnLeaseRequest(m *order.Claim)        { r.add(m) }
+func (r *receiver) OnLeaseRelease(m *order.Release)      { r.add(m) }
+func (r *receiver) OnControllerStatus(m *order.Standing) { r.add(m) }
+func (r *receiver) OnEndpoints(m *order.Listing)         { r.add(m) }
 
 // frame is one frame of the conversation. The label is the test's own, so that renamed Go names change no golden file.
 type frame struct {
 	label string
-	kind  controlstream.Kind
+	kind  controlstream.FrameKind
 	body  proto.Message // nil: an empty frame
 }
 
@@ -52,7 +52,7 @@
 	incarnation = 0xfedcba9876543210
 )
 
-var conversationLimits = controlstream.Limits{FrameBytes: frameLimit, JoinWithin: withinMs, SilentAfter: silentMs}
+var conversationLimits = controlstream.Limits{MaxFrameBytes: frameLimit, HandshakeTimeoutMs: withinMs, HeartbeatTimeoutMs: silentMs}
 
 func weightTable() *order.Holding {
 	return &order.Holding{
@@ -89,15 +89,15 @@
 		Groups: []*order.GroupSum{{Group: 2, Came: 310, Dropped: 1}, {}},
 	}
 	return []frame{
-		{"join", controlstream.Join, join},
-		{"acknowledgement of the welcome", controlstream.Applied, &order.Applied{}},
-		{"load report", controlstream.Sums, report},
-		{"acknowledgement", controlstream.Applied, &order.Applied{Number: 1, Receipts: []uint32{1, 200}, Epoch: 1 << 40}},
-		{"acknowledgement, refused", controlstream.Applied, &order.Applied{Number: 2, Refused: true, Epoch: 1 << 41}},
-		{"lease", controlstream.Lease, leaseState()},
-		{"lease, unasked and free", controlstream.Lease, &order.Lease{}},
-		{"heartbeat", controlstream.Beat, nil},
-		{"goodbye", controlstream.Bye, &order.Bye{Reason: "stopping", AgainAfterMs: 1500}},
+		{"join", controlstream.FrameJoin, join},
+		{"acknowledgement of the welcome", controlstream.FrameAck, &order.Applied{}},
+		{"load report", controlstream.FrameLoadReport, report},
+		{"acknowledgement", controlstream.FrameAck, &order.Applied{Number: 1, Receipts: []uint32{1, 200}, Epoch: 1 << 40}},
+		{"acknowledgement, refused", controlstream.FrameAck, &order.Applied{Number: 2, Refused: true, Epoch: 1 << 41}},
+		{"lease", controlstream.FrameLease, leaseState()},
+		{"lease, unasked and free", controlstream.FrameLease, &order.Lease{}},
+		{"heartbeat", controlstream.FrameHeartbeat, nil},
+		{"goodbye", controlstream.FrameClose, &order.Bye{Reason: "stopping", AgainAfterMs: 1500}},
 	}
 }
 
@@ -134,15 +134,15 @@
 	}
 	claim := &order.Claim{Nonce: 7, Epoch: 1 << 40, Controller: "planner-1", Incarnation: incarnation, LeaseMs: 2000}
 	return []frame{
-		{"welcome", controlstream.Welcome, welcome},
-		{"standing", controlstream.Standing, &order.Standing{Controller: "planner-1", Incarnation: incarnation, Open: true}},
-		{"standing, closed", controlstream.Standing, &order.Standing{}},
-		{"lease request", controlstream.Claim, claim},
-		{"orders", controlstream.Orders, message},
-		{"orders, none", controlstream.Orders, &order.Orders{}},
-		{"release", controlstream.Release, &order.Release{Epoch: 1 << 40}},
-		{"heartbeat", controlstream.Beat, nil},
-		{"goodbye", controlstream.Bye, &order.Bye{Reason: "drained"}},
+		{"welcome", controlstream.FrameWelcome, welcome},
+		{"standing", controlstream.FrameControllerStatus, &order.Standing{Controller: "planner-1", Incarnation: incarnation, Open: true}},
+		{"standing, closed", controlstream.FrameControllerStatus, &order.Standing{}},
+		{"lease request", controlstream.FrameLeaseRequest, claim},
+		{"orders", controlstream.FrameOrders, message},
+		{"orders, none", controlstream.FrameOrders, &order.Orders{}},
+		{"release", controlstream.FrameLeaseRelease, &order.Release{Epoch: 1 << 40}},
+		{"heartbeat", controlstream.FrameHeartbeat, nil},
+		{"goodbye", controlstream.FrameClose, &order.Bye{Reason: "drained"}},
 	}
 }
 
@@ -153,10 +153,10 @@
 	}
 	whole := &order.Listing{Form: order.Listing_WHOLE, AsOfUnixMs: unixMs, Version: 41, Entries: entries}
 	return []frame{
-		{"endpoint list", controlstream.Listing, whole},
-		{"endpoint change", controlstream.Listing, &order.Listing{Form: order.Listing_CHANGE, Version: 42, Entries: entries[1:]}},
-		{"endpoint list, failed", controlstream.Listing, &order.Listing{Form: order.Listing_FAILED}},
-		{"heartbeat", controlstream.Beat, nil},
+		{"endpoint list", controlstream.FrameEndpoints, whole},
+		{"endpoint change", controlstream.FrameEndpoints, &order.Listing{Form: order.Listing_CHANGE, Version: 42, Entries: entries[1:]}},
+		{"endpoint list, failed", controlstream.FrameEndpoints, &order.Listing{Form: order.Listing_FAILED}},
+		{"heartbeat", controlstream.FrameHeartbeat, nil},
 	}
 }
 
@@ -187,7 +187,7 @@
 	t.Helper()
 	var want []proto.Message
 	for _, f := range frames {
-		if f.kind != controlstream.Beat && f.kind != controlstream.Bye {
+		if f.kind != controlstream.FrameHeartbeat && f.kind != controlstream.FrameClose {
 			want = append(want, f.body)
 		}
 	}
@@ -204,10 +204,10 @@
 // TestGoldenConversation compares a conversation that has every kind of frame, byte for byte, and reads it back. Proxies and
 // planners of different releases run side by side, so the bytes may not change with a rename.
 func TestGoldenConversation(t *testing.T) {
-	planner := controlstream.NewPlannerEnd(conversationLimits, startMs)
-	proxy := controlstream.NewProxyEnd(conversationLimits, startMs)
-	listSource := controlstream.NewPlannerEnd(conversationLimits, startMs) // only its writing side is used
-	listReader := controlstream.NewListEnd(conversationLimits, startMs)
+	planner := controlstream.NewPlannerSession(conversationLimits, startMs)
+	proxy := controlstream.NewProxySession(conversationLimits, startMs)
+	listSource := controlstream.NewPlannerSession(conversationLimits, startMs) // only its writing side is used
+	listReader := controlstream.NewEndpointSession(conversationLimits, startMs)
 	var text strings.Builder
 	fromProxy := write(t, &text, "proxy", proxy, proxyFrames())
 	fromPlanner := write(t, &text, "planner", planner, plannerFrames())
@@ -227,13 +227,13 @@
 	checkReceived(t, "the planner", atPlanner.messages, proxyFrames())
 	checkReceived(t, "the proxy", atProxy.messages, plannerFrames())
 	checkReceived(t, "the list reader", atListReader.messages, listFrames())
-	for who, ended := range map[string]*controlstream.Ending{"planner": planner.Ended(), "proxy": proxy.Ended()} {
-		if ended == nil || ended.Reason != controlstream.Left {
-			t.Errorf("the %s's stream ended with %v, want %s", who, ended, controlstream.Left)
+	for who, ended := range map[string]*controlstream.CloseError{"planner": planner.CloseCause(), "proxy": proxy.CloseCause()} {
+		if ended == nil || ended.Reason != controlstream.ReasonPeerClosed {
+			t.Errorf("the %s's stream ended with %v, want %s", who, ended, controlstream.ReasonPeerClosed)
 		}
 	}
-	if listReader.Ended() != nil {
-		t.Errorf("the list reader's stream ended with %v", listReader.Ended())
+	if listReader.CloseCause() != nil {
+		t.Errorf("the list reader's stream ended with %v", listReader.CloseCause())
 	}
 }
 
@@ -241,7 +241,7 @@
 // the conversation.
 func TestConversationIsComplete(t *testing.T) {
 	const kinds = 12
-	seenKinds := map[controlstream.Kind]bool{}
+	seenKinds := map[controlstream.FrameKind]bool{}
 	seenFields := map[protoreflect.FullName]bool{}
 	for _, frames := range [][]frame{proxyFrames(), plannerFrames(), listFrames()} {
 		for _, f := range frames {
@@ -254,7 +254,7 @@
 	if len(seenKinds) != kinds {
 		t.Errorf("%d kinds of frames are in the conversation, want %d", len(seenKinds), kinds)
 	}
-	if next := controlstream.Kind(kinds + 1).String(); !strings.HasPrefix(next, "kind ") {
+	if next := controlstream.FrameKind(kinds + 1).String(); !strings.HasPrefix(next, "kind ") {
 		t.Errorf("the protocol has another kind, %q, that the conversation lacks", next)
 	}
 	checkFields(t, order.File_proto_order_order_proto.Messages(), seenFields)
--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = f.WriteString(settings.Print(l))
+	_, err = f.WriteString(settings.Format(l))
 	if e := f.Sync(); err == nil {
 		err = e
 	}
@@ -44,7 +44,7 @@
 		return u, false, err
 	}
 	u = fromFile(&l, 0)
-	u.Form, u.Restored = policy.Whole, true
+	u.Kind, u.Restored = policy.FullUpdate, true
 	if wallMs > l.KeptUnixMs {
 		u.AsOfMs += wallMs - l.KeptUnixMs
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -27,37 +27,37 @@
 // recordingHost prints what a memory makes known.
 type recordingHost struct{ text strings.Builder }
 
-func (h *recordingHost) Listed(form policy.ListForm, entries []policy.Entry) {
+func (h *recordingHost) UpdateEndpoints(form policy.UpdateKind, entries []policy.Endpoint) {
 	fmt.Fprintf(&h.text, "endpoints, form %d\n", int(form))
 	for _, entry := range entries {
 		fmt.Fprintf(&h.text, "  %s zone %d state %d size %g born at %g ms\n",
-			entry.Server, entry.Zone, int(entry.State), entry.Size, entry.BornMs)
+			entry.Server, entry.Zone, int(entry.State), entry.RelativeCapacity, entry.StartedMs)
 	}
 }
 
 // recordedMemory holds servers of each state, with and without a birth, after a while.
-func recordedMemory() *discovery.Memory {
+func recordedMemory() *discovery.Tracker {
 	const firstMs, cachedMs = 60_000, 160_000 // of the planner's clock
-	memory := discovery.NewMemory(zones, serverLimit)
-	memory.Tick(firstMs)
-	memory.Told(discovery.Update{Form: policy.Whole, AsOfMs: sourceMs, Version: 4, Entries: []discovery.Entry{
-		{Server: "10.0.0.1:80", Zone: "east", State: policy.Ready, Size: 1},
-		{Server: "10.0.0.2:80", Zone: "west", State: policy.Draining, Size: 2.5},
-		{Server: "10.0.0.3:80", Zone: "west", State: policy.Gone, Size: 1},
-		{Server: "10.0.0.4:80", Zone: "east", State: policy.Ready, Size: 1.0 / 3, BornUnixMs: sourceMs - 12_345},
-		{Server: "10.0.0.5:80", Zone: "south", State: policy.Ready, Size: 1}, // a zone that is not known
+	memory := discovery.NewTracker(zones, serverLimit)
+	memory.SetTime(firstMs)
+	memory.RecordUpdate(discovery.Update{Kind: policy.FullUpdate, AsOfMs: sourceMs, Version: 4, Endpoints: []discovery.Endpoint{
+		{Server: "10.0.0.1:80", Zone: "east", State: policy.Ready, RelativeCapacity: 1},
+		{Server: "10.0.0.2:80", Zone: "west", State: policy.Draining, RelativeCapacity: 2.5},
+		{Server: "10.0.0.3:80", Zone: "west", State: policy.Removed, RelativeCapacity: 1},
+		{Server: "10.0.0.4:80", Zone: "east", State: policy.Ready, RelativeCapacity: 1.0 / 3, StartedUnixMs: sourceMs - 12_345},
+		{Server: "10.0.0.5:80", Zone: "south", State: policy.Ready, RelativeCapacity: 1}, // a zone that is not known
 	}})
 	host := &recordingHost{}
 	for memory.Next(host) {
 	}
-	memory.Tick(cachedMs)
+	memory.SetTime(cachedMs)
 	return memory
 }
 
 // TestGoldenCachedList compares the file that is written now with the recorded one, byte for byte.
 func TestGoldenCachedList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	if err := discovery.Save(path, recordedMemory().Kept(writtenMs)); err != nil {
+	if err := discovery.Save(path, recordedMemory().Snapshot(writtenMs)); err != nil {
 		t.Fatal(err)
 	}
 	content, err := os.ReadFile(path)
@@ -76,15 +76,15 @@
 	}
 	host := &recordingHost{}
 	fmt.Fprintf(&host.text, "form %d, as of %d ms, version %d, restored %t, trouble %q\n",
-		int(update.Form), update.AsOfMs, update.Version, update.Restored, update.Trouble)
-	for _, entry := range update.Entries {
+		int(update.Kind), update.AsOfMs, update.Version, update.Restored, update.Fault)
+	for _, entry := range update.Endpoints {
 		fmt.Fprintf(&host.text, "  %s zone %s state %d size %g born %d ms\n",
-			entry.Server, entry.Zone, int(entry.State), entry.Size, entry.BornUnixMs)
+			entry.Server, entry.Zone, int(entry.State), entry.RelativeCapacity, entry.StartedUnixMs)
 	}
 	const startMs = 300_000 // of the planner's clock
-	memory := discovery.NewMemory(zones, serverLimit)
-	memory.Tick(startMs)
-	memory.Told(update)
+	memory := discovery.NewTracker(zones, serverLimit)
+	memory.SetTime(startMs)
+	memory.RecordUpdate(update)
 	for memory.Next(host) {
 	}
 	golden.Check(t, "testdata/cached-list-read.golden.txt", []byte(host.text.String()))
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -16,15 +16,15 @@
 	pb "lichenpick/proto/settings"
 )
 
-// File polls a list file. A file that cannot be read whole is a failed call: what was listed stands. Whoever writes
+// FileSource polls a list file. A file that cannot be read whole is a failed call: what was listed stands. Whoever writes
 // it should write another and rename it.
-type File struct {
-	Path   string
-	PollMs float64
-	Clock  clock.Clock
+type FileSource struct {
+	Path           string
+	PollIntervalMs float64
+	Clock          clock.Clock
 }
 
-func (f *File) Run(ctx context.Context, deliver func(Update)) error {
+func (f *FileSource) Run(ctx context.Context, deliver func(Update)) error {
 	var last [sha256.Size]byte
 	var version uint64
 	failed := ""
@@ -33,7 +33,7 @@
 		var l pb.List
 		if err == nil {
 			if sum := sha256.Sum256(text); sum == last && failed == "" {
-				if err := clock.Sleep(ctx, f.Clock, f.PollMs); err != nil {
+				if err := clock.Sleep(ctx, f.Clock, f.PollIntervalMs); err != nil {
 					return nil
 				}
 				continue
@@ -45,42 +45,42 @@
 		if err != nil {
 			if err.Error() != failed { // told once, not at each poll
 				failed = err.Error()
-				deliver(Update{Form: policy.Failed, Trouble: failed})
+				deliver(Update{Kind: policy.FailedUpdate, Fault: failed})
 			}
 		} else {
 			failed = ""
 			version++
 			deliver(fromFile(&l, version))
 		}
-		if err := clock.Sleep(ctx, f.Clock, f.PollMs); err != nil {
+		if err := clock.Sleep(ctx, f.Clock, f.PollIntervalMs); err != nil {
 			return nil
 		}
 	}
 }
 
 func fromFile(l *pb.List, version uint64) Update {
-	u := Update{Form: policy.Whole, AsOfMs: l.AsOfUnixMs, Version: version}
+	u := Update{Kind: policy.FullUpdate, AsOfMs: l.AsOfUnixMs, Version: version}
 	for _, e := range l.Servers {
-		u.Entries = append(u.Entries, Entry{
-			Server: e.Server, Zone: e.Zone, State: policy.State(e.State), Size: e.GetSize(),
-			BornUnixMs: e.BornUnixMs,
+		u.Endpoints = append(u.Endpoints, Endpoint{
+			Server: e.Server, Zone: e.Zone, State: policy.State(e.State), RelativeCapacity: e.GetSize(),
+			StartedUnixMs: e.BornUnixMs,
 		})
 	}
 	return u
 }
 
-// Stream follows a source that pushes whole lists and changes over TCP, in the frames of package controlstream. A change
+// StreamSource follows a source that pushes whole lists and changes over TCP, in the frames of package controlstream. A change
 // whose version does not follow the last is a gap: the stream is dialled anew, which brings the whole list.
-type Stream struct {
-	Address    string
-	RedialMs   float64
-	SilentMs   float64 // without a frame, the source is taken to be dead
-	FrameBytes int
-	Clock      clock.Clock
-	Network    clock.Network
+type StreamSource struct {
+	Address            string
+	ReconnectDelayMs   float64
+	HeartbeatTimeoutMs float64 // without a frame, the source is taken to be dead
+	MaxFrameBytes      int
+	Clock              clock.Clock
+	Network            clock.Network
 }
 
-func (s *Stream) Run(ctx context.Context, deliver func(Update)) error {
+func (s *StreamSource) Run(ctx context.Context, deliver func(Update)) error {
 	failed := ""
 	for ctx.Err() == nil {
 		err := s.follow(ctx, func(u Update) {
@@ -89,9 +89,9 @@
 		})
 		if ctx.Err() == nil && err != nil && err.Error() != failed {
 			failed = err.Error()
-			deliver(Update{Form: policy.Failed, Trouble: failed})
+			deliver(Update{Kind: policy.FailedUpdate, Fault: failed})
 		}
-		if clock.Sleep(ctx, s.Clock, s.RedialMs) != nil {
+		if clock.Sleep(ctx, s.Clock, s.ReconnectDelayMs) != nil {
 			break
 		}
 	}
@@ -105,14 +105,14 @@
 	gap     bool
 }
 
-func (f *follower) Listed(m *order.Listing) {
+func (f *follower) OnEndpoints(m *order.Listing) {
 	if f.gap {
 		return
 	}
-	u := Update{Form: policy.ListForm(m.Form), AsOfMs: m.AsOfUnixMs, Version: m.Version}
+	u := Update{Kind: policy.UpdateKind(m.Form), AsOfMs: m.AsOfUnixMs, Version: m.Version}
 	switch m.Form {
 	case order.Listing_FAILED:
-		u = Update{Form: policy.Failed, Trouble: "the source says that it failed"}
+		u = Update{Kind: policy.FailedUpdate, Fault: "the source says that it failed"}
 	case order.Listing_CHANGE:
 		if f.version == 0 || m.Version != f.version+1 {
 			f.gap = true
@@ -120,14 +120,14 @@
 		}
 		fallthrough
 	case order.Listing_WHOLE:
-		f.version, u.Form = m.Version, policy.Whole
+		f.version, u.Kind = m.Version, policy.FullUpdate
 		if m.Form == order.Listing_CHANGE {
-			u.Form = policy.Change
+			u.Kind = policy.DeltaUpdate
 		}
 		for _, e := range m.Entries {
-			u.Entries = append(u.Entries, Entry{
-				Server: e.Server, Zone: e.Zone, State: policy.State(e.State), Size: e.Size,
-				BornUnixMs: e.BornUnixMs,
+			u.Endpoints = append(u.Endpoints, Endpoint{
+				Server: e.Server, Zone: e.Zone, State: policy.State(e.State), RelativeCapacity: e.Size,
+				StartedUnixMs: e.BornUnixMs,
 			})
 		}
 	}
@@ -136,8 +136,8 @@
 
 var errGap = errors.New("a change does not follow the last list; dialling again for the whole one")
 
-func (s *Stream) follow(ctx context.Context, deliver func(Update)) error {
-	dialling, cancel := context.WithTimeout(ctx, time.Duration(s.SilentMs)*time.Millisecond)
+func (s *StreamSource) follow(ctx context.Context, deliver func(Update)) error {
+	dialling, cancel := context.WithTimeout(ctx, time.Duration(s.HeartbeatTimeoutMs)*time.Millisecond)
 	conn, err := s.Network.Dial(dialling, netip.Addr{}, s.Address)
 	cancel()
 	if err != nil {
@@ -145,20 +145,20 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	end := controlstream.NewListEnd(controlstream.Limits{FrameBytes: s.FrameBytes, JoinWithin: s.SilentMs, SilentAfter: s.SilentMs}, s.Clock.Mono())
+	end := controlstream.NewEndpointSession(controlstream.Limits{MaxFrameBytes: s.MaxFrameBytes, HandshakeTimeoutMs: s.HeartbeatTimeoutMs, HeartbeatTimeoutMs: s.HeartbeatTimeoutMs}, s.Clock.Monotonic())
 	f := &follower{deliver: deliver}
 	buf := make([]byte, 1<<15)
 	for {
-		conn.SetReadDeadline(s.Clock.Deadline(s.SilentMs))
+		conn.SetReadDeadline(s.Clock.Deadline(s.HeartbeatTimeoutMs))
 		n, err := conn.Read(buf)
-		end.Feed(s.Clock.Mono(), buf[:n])
+		end.Feed(s.Clock.Monotonic(), buf[:n])
 		for end.Next(f) {
 		}
 		switch {
 		case f.gap:
 			return errGap
-		case end.Ended() != nil:
-			return end.Ended()
+		case end.CloseCause() != nil:
+			return end.CloseCause()
 		case err != nil:
 			return err
 		}
--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -18,20 +18,26 @@
 
 // Tally is what became of one traffic group's flows; a client's repeats belong to its first ask.
 type Tally struct {
-	Asked, Delivered, Late, Blocked, Bare, Dropped int
-	Utility, Possible                              float64
+	Requested int     `json:"Asked"`
+	Succeeded int     `json:"Delivered"`
+	Late      int     `json:"Late"`
+	Rejected  int     `json:"Blocked"`
+	NoServer  int     `json:"Bare"`
+	Failed    int     `json:"Dropped"`
+	Value     float64 `json:"Utility"`
+	MaxValue  float64 `json:"Possible"`
 }
 
-// Crowd sends flows at times drawn ahead, whether earlier ones were answered or not.
-type Crowd struct {
-	Clock   clock.Clock
-	Groups  []*pb.Group
-	Shares  []float64 // of groups; they add up to 1
-	PerS    float64
-	Repeats int
-	PauseMs float64
-	Proxies []string // addresses
-	Seed    int64
+// LoadGenerator sends flows at times drawn ahead, whether earlier ones were answered or not.
+type LoadGenerator struct {
+	Clock             clock.Clock
+	Classes           []*pb.Group
+	Shares            []float64 // of groups; they add up to 1
+	RequestsPerSecond float64
+	MaxRetries        int
+	BackoffMs         float64
+	Proxies           []string // addresses
+	Seed              int64
 
 	mu      sync.Mutex
 	factor  float64
@@ -40,32 +46,32 @@
 	asks    int
 }
 
-const mostAsks = 20000 // flows in hand at once; beyond it the crowd stops asking and says so
+const maxInFlight = 20000 // flows in hand at once; beyond it the crowd stops asking and says so
 
-// Factor multiplies the rate from now on.
-func (c *Crowd) Factor(f float64) {
+// SetRateFactor multiplies the rate from now on.
+func (c *LoadGenerator) SetRateFactor(f float64) {
 	c.mu.Lock()
 	c.factor = f
 	c.mu.Unlock()
 }
 
 // Run asks until the context ends or the time is over, then waits for the last answers.
-func (c *Crowd) Run(ctx context.Context, ms float64) error {
+func (c *LoadGenerator) Run(ctx context.Context, ms float64) error {
 	c.mu.Lock()
 	if c.factor == 0 {
 		c.factor = 1
 	}
-	c.tallies = make([]Tally, len(c.Groups))
+	c.tallies = make([]Tally, len(c.Classes))
 	c.seconds = make([]Tally, int(ms/1000)+1)
 	c.mu.Unlock()
 	chance := rand.New(rand.NewSource(c.Seed))
 	line := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
 	defer line.CloseIdleConnections()
 	client := &http.Client{Transport: line}
-	inHand := make(chan struct{}, mostAsks)
+	inHand := make(chan struct{}, maxInFlight)
 	var all sync.WaitGroup
 	defer all.Wait()
-	start := c.Clock.Mono()
+	start := c.Clock.Monotonic()
 	for n, next := 0, 0.0; ; n++ {
 		c.mu.Lock()
 		factor := c.factor
@@ -73,11 +79,11 @@
 		if factor <= 0 {
 			factor = 1e-3
 		}
-		next += chance.ExpFloat64() / (c.PerS * factor) * 1000
+		next += chance.ExpFloat64() / (c.RequestsPerSecond * factor) * 1000
 		if next >= ms {
 			return nil
 		}
-		if wait := start + next - c.Clock.Mono(); wait > 0 && clock.Sleep(ctx, c.Clock, wait) != nil {
+		if wait := start + next - c.Clock.Monotonic(); wait > 0 && clock.Sleep(ctx, c.Clock, wait) != nil {
 			return nil
 		}
 		group, x := 0, chance.Float64()
@@ -90,7 +96,7 @@
 		select {
 		case inHand <- struct{}{}:
 		default:
-			return fmt.Errorf("more than %d flows in hand", mostAsks)
+			return fmt.Errorf("more than %d flows in hand", maxInFlight)
 		}
 		all.Add(1)
 		go func() {
@@ -102,19 +108,19 @@
 }
 
 // flow is one client's: it asks, and asks again another proxy where its flow bears it.
-func (c *Crowd) flow(ctx context.Context, client *http.Client, n, group, to int, seed int64, second int) {
-	g := c.Groups[group]
+func (c *LoadGenerator) flow(ctx context.Context, client *http.Client, n, group, to int, seed int64, second int) {
+	g := c.Classes[group]
 	chance := rand.New(rand.NewSource(seed))
-	begun := c.Clock.Mono()
-	expiry := settings.Ms(g.Expiry)
+	begun := c.Clock.Monotonic()
+	expiry := settings.Milliseconds(g.Expiry)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(expiry*float64(time.Millisecond)))
 	defer cancel()
 	outcome, asks := "", 0
-	for pause := c.PauseMs; ; pause *= 2 {
+	for pause := c.BackoffMs; ; pause *= 2 {
 		outcome = c.ask(ctx, client, fmt.Sprintf("%d.%d", n, asks), fmt.Sprint(n), g, c.Proxies[to])
 		asks++
 		safe := g.Repeat == pb.Repeat_RETRIABLE || outcome == "blocked" || outcome == "bare"
-		if outcome == "ok" || !safe || asks > c.Repeats || c.Clock.Mono()-begun+pause > expiry*0.8 {
+		if outcome == "ok" || !safe || asks > c.MaxRetries || c.Clock.Monotonic()-begun+pause > expiry*0.8 {
 			break
 		}
 		if clock.Sleep(ctx, c.Clock, pause*(0.5+chance.Float64())) != nil {
@@ -122,40 +128,40 @@
 		}
 		to = chance.Intn(len(c.Proxies))
 	}
-	took := c.Clock.Mono() - begun
+	took := c.Clock.Monotonic() - begun
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.asks += asks
-	c.tallies[group].Count(g, outcome, took)
-	c.seconds[second].Count(g, outcome, took)
+	c.tallies[group].Record(g, outcome, took)
+	c.seconds[second].Record(g, outcome, took)
 }
 
-// Count adds a flow of a group by its outcome, after some ms.
-func (t *Tally) Count(g *pb.Group, outcome string, took float64) {
-	t.Asked++
-	t.Possible += g.GetUtility()
+// Record adds a flow of a group by its outcome, after some ms.
+func (t *Tally) Record(g *pb.Group, outcome string, took float64) {
+	t.Requested++
+	t.MaxValue += g.GetUtility()
 	switch {
-	case outcome == "ok" && took <= settings.Ms(g.LatencyBudget):
-		t.Delivered++
-		t.Utility += g.GetUtility()
+	case outcome == "ok" && took <= settings.Milliseconds(g.LatencyBudget):
+		t.Succeeded++
+		t.Value += g.GetUtility()
 	case outcome == "ok":
 		t.Late++
 	case outcome == "blocked":
-		t.Blocked++
+		t.Rejected++
 	case outcome == "bare":
-		t.Bare++
+		t.NoServer++
 	default:
-		t.Dropped++
+		t.Failed++
 	}
 }
 
-func (c *Crowd) ask(ctx context.Context, client *http.Client, id, key string, g *pb.Group, at string) string {
+func (c *LoadGenerator) ask(ctx context.Context, client *http.Client, id, key string, g *pb.Group, at string) string {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+"/", http.NoBody)
 	if err != nil {
 		return "odd"
 	}
-	r.Header.Set(proxy.GroupHeader, g.Name)
-	r.Header.Set(proxy.FlowHeader, id)
+	r.Header.Set(proxy.ClassHeader, g.Name)
+	r.Header.Set(proxy.RequestHeader, id)
 	if g.Repeat == pb.Repeat_DEDUPED {
 		r.Header.Set(KeyHeader, key)
 	}
@@ -177,7 +183,7 @@
 }
 
 // Tallies gives what became of the flows, by group and by second, and how often proxies were asked.
-func (c *Crowd) Tallies() (groups, seconds []Tally, asks int) {
+func (c *LoadGenerator) Tallies() (groups, seconds []Tally, asks int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Tally(nil), c.tallies...), append([]Tally(nil), c.seconds...), c.asks
--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -12,10 +12,10 @@
 	"lichenpick/proto/order"
 )
 
-// Registry is a list service: whoever dials gets the whole list, then changes, each late by a stated time.
-type Registry struct {
-	Clock  clock.Clock
-	LateMs float64
+// EndpointRegistry is a list service: whoever dials gets the whole list, then changes, each late by a stated time.
+type EndpointRegistry struct {
+	Clock   clock.Clock
+	DelayMs float64
 
 	mu      sync.Mutex
 	entries []*order.Listing_Entry
@@ -40,7 +40,7 @@
 )
 
 // Start listens until the context ends, and gives the address.
-func (r *Registry) Start(ctx context.Context, n clock.Network) (string, error) {
+func (r *EndpointRegistry) Start(ctx context.Context, n clock.Network) (string, error) {
 	l, err := n.Listen(ctx, "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -56,7 +56,7 @@
 			s := &subscriber{conn: conn, queue: make(chan dated, registryQueue)}
 			r.mu.Lock()
 			r.subs[s] = true
-			s.queue <- dated{r.Clock.Mono() + r.LateMs, r.whole()}
+			s.queue <- dated{r.Clock.Monotonic() + r.DelayMs, r.whole()}
 			r.mu.Unlock()
 			go r.serve(ctx, s)
 		}
@@ -64,9 +64,9 @@
 	return l.Addr().String(), nil
 }
 
-func (r *Registry) now() uint64 { return uint64(r.Clock.Wall().UnixMilli()) }
+func (r *EndpointRegistry) now() uint64 { return uint64(r.Clock.WallTime().UnixMilli()) }
 
-func (r *Registry) whole() *order.Listing {
+func (r *EndpointRegistry) whole() *order.Listing {
 	m := &order.Listing{Form: order.Listing_WHOLE, AsOfUnixMs: r.now(), Version: r.version}
 	list := r.entries
 	if r.lie != nil {
@@ -80,7 +80,7 @@
 	return m
 }
 
-func (r *Registry) serve(ctx context.Context, s *subscriber) {
+func (r *EndpointRegistry) serve(ctx context.Context, s *subscriber) {
 	defer context.AfterFunc(ctx, func() { s.conn.Close() })()
 	defer func() {
 		r.mu.Lock()
@@ -89,7 +89,7 @@
 		s.conn.Close()
 	}()
 	sequence := uint64(0)
-	put := func(kind controlstream.Kind, m proto.Message) bool {
+	put := func(kind controlstream.FrameKind, m proto.Message) bool {
 		sequence++
 		frame, err := controlstream.AppendFrame(nil, kind, sequence, m)
 		if err == nil {
@@ -98,15 +98,15 @@
 		return err == nil
 	}
 	for {
-		fired, stop := r.Clock.After(beatMs)
+		fired, stop := r.Clock.NewTimer(beatMs)
 		select {
 		case d, open := <-s.queue:
 			stop()
-			if !open || clock.Sleep(ctx, r.Clock, d.due-r.Clock.Mono()) != nil || !put(controlstream.Listing, d.m) {
+			if !open || clock.Sleep(ctx, r.Clock, d.due-r.Clock.Monotonic()) != nil || !put(controlstream.FrameEndpoints, d.m) {
 				return
 			}
 		case <-fired:
-			if !put(controlstream.Beat, nil) {
+			if !put(controlstream.FrameHeartbeat, nil) {
 				return
 			}
 		case <-ctx.Done():
@@ -117,10 +117,10 @@
 }
 
 // push sends a list to all; the lock is held.
-func (r *Registry) push(m *order.Listing) {
+func (r *EndpointRegistry) push(m *order.Listing) {
 	for s := range r.subs {
 		select {
-		case s.queue <- dated{r.Clock.Mono() + r.LateMs, m}:
+		case s.queue <- dated{r.Clock.Monotonic() + r.DelayMs, m}:
 		default:
 			close(s.queue)
 			delete(r.subs, s)
@@ -128,8 +128,8 @@
 	}
 }
 
-// Set adds or changes a server: state 0 ready, 1 draining, 2 gone.
-func (r *Registry) Set(server, zone string, state uint32, size float64, bornUnixMs uint64) {
+// SetEndpoint adds or changes a server: state 0 ready, 1 draining, 2 gone.
+func (r *EndpointRegistry) SetEndpoint(server, zone string, state uint32, size float64, bornUnixMs uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := &order.Listing_Entry{Server: server, Zone: zone, State: state, Size: size, BornUnixMs: bornUnixMs}
@@ -150,8 +150,8 @@
 	r.push(&order.Listing{Form: order.Listing_CHANGE, AsOfUnixMs: r.now(), Version: r.version, Entries: []*order.Listing_Entry{proto.Clone(e).(*order.Listing_Entry)}})
 }
 
-// Lie shows another list than the true one, until it is called with nil; each time the whole list is sent.
-func (r *Registry) Lie(lie func([]*order.Listing_Entry) []*order.Listing_Entry) {
+// Override shows another list than the true one, until it is called with nil; each time the whole list is sent.
+func (r *EndpointRegistry) Override(lie func([]*order.Listing_Entry) []*order.Listing_Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lie = lie
@@ -159,8 +159,8 @@
 	r.push(r.whole())
 }
 
-// Entries gives the true list, without those gone.
-func (r *Registry) Entries() (list []*order.Listing_Entry) {
+// Endpoints gives the true list, without those gone.
+func (r *EndpointRegistry) Endpoints() (list []*order.Listing_Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.entries {
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -9,8 +9,8 @@
 	"lichenpick/internal/clock"
 )
 
-// Link is what is wrong between two parties; the zero value is nothing.
-type Link struct {
+// LinkFault is what is wrong between two parties; the zero value is nothing.
+type LinkFault struct {
 	DelayMs   float64 // each way, in order
 	ConnectMs float64 // before a connection is passed on
 	Cut       bool    // connections break and none opens
@@ -18,8 +18,8 @@
 	After     int     // with Cut: bytes that still pass towards the source, so that a frame may break in its middle
 }
 
-// Watch is told what passes on one connection. Bytes are told when they come in, and delivered when they went out.
-type Watch interface {
+// Observer is told what passes on one connection. Bytes are told when they come in, and delivered when they went out.
+type Observer interface {
 	ToTarget(at float64, p []byte)
 	FromTarget(at float64, p []byte)
 	Delivered(at float64, n int) // bytes that reached the source
@@ -30,14 +30,14 @@
 type Relay struct {
 	Clock   clock.Clock
 	Network clock.Network
-	Watch   func(from netip.Addr) Watch // for each connection; may be nil
+	Observe func(from netip.Addr) Observer // for each connection; may be nil
 
 	mu     sync.Mutex
 	ctx    context.Context
 	listen net.Listener // nil while shut
 	at0    string
 	target string
-	link   func(from netip.Addr) Link
+	link   func(from netip.Addr) LinkFault
 	moved  chan struct{} // closed and made anew when the link changes
 	conns  map[net.Conn]netip.Addr
 }
@@ -55,7 +55,7 @@
 	}
 	r.ctx, r.listen, r.at0 = ctx, l, l.Addr().String()
 	r.target, r.moved, r.conns = target, make(chan struct{}), map[net.Conn]netip.Addr{}
-	context.AfterFunc(ctx, r.Shut)
+	context.AfterFunc(ctx, r.Close)
 	go r.accept(l)
 	return r.at0, nil
 }
@@ -70,8 +70,8 @@
 	}
 }
 
-// Shut stops listening and breaks all connections: dials are refused, as by a machine whose process is gone.
-func (r *Relay) Shut() {
+// Close stops listening and breaks all connections: dials are refused, as by a machine whose process is gone.
+func (r *Relay) Close() {
 	r.mu.Lock()
 	if r.listen != nil {
 		r.listen.Close()
@@ -81,8 +81,8 @@
 	r.breakAll(func(netip.Addr) bool { return true })
 }
 
-// Open listens again at the same address.
-func (r *Relay) Open() error {
+// Reopen listens again at the same address.
+func (r *Relay) Reopen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.listen != nil || r.ctx.Err() != nil {
@@ -97,15 +97,15 @@
 	return nil
 }
 
-// Target sends new connections elsewhere.
-func (r *Relay) Target(to string) {
+// SetTarget sends new connections elsewhere.
+func (r *Relay) SetTarget(to string) {
 	r.mu.Lock()
 	r.target = to
 	r.mu.Unlock()
 }
 
-// Set changes what is wrong with the links, by the address they come from. Cut ones break at once.
-func (r *Relay) Set(link func(from netip.Addr) Link) {
+// SetFaults changes what is wrong with the links, by the address they come from. Cut ones break at once.
+func (r *Relay) SetFaults(link func(from netip.Addr) LinkFault) {
 	r.mu.Lock()
 	r.link = link
 	close(r.moved)
@@ -116,8 +116,8 @@
 	}
 }
 
-// Break ends the connections of some sources.
-func (r *Relay) Break(which func(from netip.Addr) bool) { r.breakAll(which) }
+// Disconnect ends the connections of some sources.
+func (r *Relay) Disconnect(which func(from netip.Addr) bool) { r.breakAll(which) }
 
 func (r *Relay) breakAll(which func(netip.Addr) bool) {
 	r.mu.Lock()
@@ -129,11 +129,11 @@
 	}
 }
 
-func (r *Relay) at(from netip.Addr) (Link, chan struct{}) {
+func (r *Relay) at(from netip.Addr) (LinkFault, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.link == nil {
-		return Link{}, r.moved
+		return LinkFault{}, r.moved
 	}
 	return r.link(from), r.moved
 }
@@ -165,14 +165,14 @@
 	r.mu.Lock()
 	r.conns[source], r.conns[target] = from, from
 	r.mu.Unlock()
-	var watch Watch
-	if r.Watch != nil {
-		watch = r.Watch(from)
+	var watch Observer
+	if r.Observe != nil {
+		watch = r.Observe(from)
 	}
 	var once sync.Once
 	closed := func() {
 		if watch != nil {
-			once.Do(func() { watch.Closed(r.Clock.Mono()) })
+			once.Do(func() { watch.Closed(r.Clock.Monotonic()) })
 		}
 	}
 	var both sync.WaitGroup
@@ -198,7 +198,7 @@
 }
 
 // pump passes one direction.
-func (r *Relay) pump(ctx context.Context, from netip.Addr, in, out net.Conn, watch Watch, toTarget bool, closed func()) {
+func (r *Relay) pump(ctx context.Context, from netip.Addr, in, out net.Conn, watch Observer, toTarget bool, closed func()) {
 	pieces := make(chan piece, relayPieces)
 	done := make(chan struct{})
 	go func() {
@@ -206,7 +206,7 @@
 		defer out.Close()
 		left := -1
 		for p := range pieces {
-			if wait := p.due - r.Clock.Mono(); wait > 0 && clock.Sleep(ctx, r.Clock, wait) != nil {
+			if wait := p.due - r.Clock.Monotonic(); wait > 0 && clock.Sleep(ctx, r.Clock, wait) != nil {
 				return
 			}
 			link, moved := r.at(from)
@@ -230,7 +230,7 @@
 					return
 				}
 				if watch != nil && !toTarget {
-					watch.Delivered(r.Clock.Mono(), len(p.p))
+					watch.Delivered(r.Clock.Monotonic(), len(p.p))
 				}
 			}
 			if left == 0 {
@@ -246,7 +246,7 @@
 		buf := make([]byte, relayBytes)
 		n, err := in.Read(buf)
 		if n > 0 {
-			now := r.Clock.Mono()
+			now := r.Clock.Monotonic()
 			if watch != nil && toTarget {
 				watch.ToTarget(now, buf[:n])
 			} else if watch != nil {
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -31,14 +31,14 @@
 	Reset  float64 // share of flows that run and whose connection then breaks
 }
 
-// Dedup is what the servers of one scope share: a deduped flow that runs twice within the window has one effect.
-type Dedup struct {
+// Deduplicator is what the servers of one scope share: a deduped flow that runs twice within the window has one effect.
+type Deduplicator struct {
 	mu   sync.Mutex
 	seen map[string]float64
 }
 
 // first says whether a key is new within the window, and remembers it.
-func (d *Dedup) first(key string, now, windowMs float64) bool {
+func (d *Deduplicator) first(key string, now, windowMs float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.seen == nil {
@@ -57,7 +57,7 @@
 }
 
 // Counts are what a server met.
-type Counts struct{ Came, Delivered, Refused, Failed, Deduped, Fell int }
+type Counts struct{ Received, Succeeded, Rejected, Failed, Deduplicated, ColdOverloads int }
 
 // Server is a stand-in server, which can be started, crashed and replaced.
 type Server struct {
@@ -65,7 +65,7 @@
 	clock clock.Clock
 	net   clock.Network
 	log   *slog.Logger
-	dedup *Dedup
+	dedup *Deduplicator
 
 	mu      sync.Mutex
 	chance  *rand.Rand
@@ -84,7 +84,7 @@
 type arrival struct{ at, work float64 }
 
 // NewServer makes one that does not listen yet.
-func NewServer(set *pb.Server, c clock.Clock, n clock.Network, log *slog.Logger, dedup *Dedup) *Server {
+func NewServer(set *pb.Server, c clock.Clock, n clock.Network, log *slog.Logger, dedup *Deduplicator) *Server {
 	s := &Server{
 		set: set, clock: c, net: n, log: log, dedup: dedup, chance: rand.New(rand.NewSource(int64(set.GetSeed()))),
 		cores: make(chan struct{}, set.GetCores()), address: set.Listen, conns: map[net.Conn]bool{},
@@ -102,7 +102,7 @@
 	s.mu.Lock()
 	s.running, s.address, s.fallen, s.came, s.fault = server, l.Addr().String(), false, nil, Fault{}
 	if s.born = 0; cold {
-		s.born = math.Max(s.clock.Mono(), 1)
+		s.born = math.Max(s.clock.Monotonic(), 1)
 	}
 	s.mu.Unlock()
 	go server.Serve(l)
@@ -120,8 +120,8 @@
 	}
 }
 
-// Set changes what is wrong with it.
-func (s *Server) Set(f Fault) {
+// SetFault changes what is wrong with it.
+func (s *Server) SetFault(f Fault) {
 	s.mu.Lock()
 	s.fault = f
 	s.mu.Unlock()
@@ -134,8 +134,8 @@
 	return s.counts
 }
 
-// Born is when it was last started cold, in ms of the clock; 0: long past.
-func (s *Server) Born() float64 {
+// StartedMs is when it was last started cold, in ms of the clock; 0: long past.
+func (s *Server) StartedMs() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.born
@@ -144,7 +144,7 @@
 // Capacity is the work that it can do now, in ms of one core at speed 1 per ms. A cold server's rises evenly.
 func Capacity(set *pb.Server, age float64, cold bool) float64 {
 	full := float64(set.GetCores()) * set.GetSpeed()
-	warm := settings.Ms(set.WarmUp)
+	warm := settings.Milliseconds(set.WarmUp)
 	if !cold || age >= warm {
 		return full
 	}
@@ -164,8 +164,8 @@
 			return
 		}
 		s.conns[c] = true
-		s.came = append(s.came, arrival{s.clock.Mono(), settings.Ms(s.set.Handshake)})
-		go s.work(context.Background(), settings.Ms(s.set.Handshake))
+		s.came = append(s.came, arrival{s.clock.Monotonic(), settings.Milliseconds(s.set.Handshake)})
+		go s.work(context.Background(), settings.Milliseconds(s.set.Handshake))
 	case http.StateClosed, http.StateHijacked:
 		delete(s.conns, c)
 	}
@@ -180,7 +180,7 @@
 	}
 	defer func() { <-s.cores }()
 	s.mu.Lock()
-	pace := s.capacity(s.clock.Mono()) / float64(s.set.GetCores())
+	pace := s.capacity(s.clock.Monotonic()) / float64(s.set.GetCores())
 	if s.fault.Slow > 0 {
 		pace /= s.fault.Slow
 	}
@@ -191,12 +191,12 @@
 // fall notes what came to a cold server and says whether it was too much for it: all of a window's work against a
 // multiple of what it can do.
 func (s *Server) fall(now, work float64) bool {
-	window := settings.Ms(s.set.FallWindow)
+	window := settings.Milliseconds(s.set.FallWindow)
 	s.came = append(s.came, arrival{now, work})
 	for len(s.came) > 0 && s.came[0].at <= now-window {
 		s.came = s.came[1:]
 	}
-	if s.born == 0 || now-s.born >= settings.Ms(s.set.WarmUp) || s.fallen {
+	if s.born == 0 || now-s.born >= settings.Milliseconds(s.set.WarmUp) || s.fallen {
 		return s.fallen
 	}
 	sum := 0.0
@@ -205,25 +205,25 @@
 	}
 	if sum > s.set.GetFallMultiple()*s.capacity(now)*window {
 		s.fallen = true
-		s.counts.Fell++
+		s.counts.ColdOverloads++
 	}
 	return s.fallen
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20))
-	now := s.clock.Mono()
+	now := s.clock.Monotonic()
 	s.mu.Lock()
-	s.counts.Came++
+	s.counts.Received++
 	f := s.fault
-	work := settings.Ms(s.set.Work) * (0.25 + 0.75*s.chance.ExpFloat64()) // a part of each flow is the same
+	work := settings.Milliseconds(s.set.Work) * (0.25 + 0.75*s.chance.ExpFloat64()) // a part of each flow is the same
 	hang := f.Hang || s.fall(now, work)
 	full := s.waiting >= int(s.set.GetWaiting())+int(s.set.GetCores())
 	roll, again := s.chance.Float64(), false
 	if !hang && !full && !f.Refuse {
 		s.waiting++
 	} else if !hang {
-		s.counts.Refused++
+		s.counts.Rejected++
 	}
 	s.mu.Unlock()
 	switch {
@@ -231,13 +231,13 @@
 		<-r.Context().Done()
 		return
 	case full || f.Refuse:
-		w.Header().Set(proxy.RanHeader, "no")
+		w.Header().Set(proxy.ProcessedHeader, "no")
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
 	}
 	if key := r.Header.Get(KeyHeader); key != "" && s.dedup != nil {
-		again = !s.dedup.first(key, now, settings.Ms(s.set.DedupWindow))
+		again = !s.dedup.first(key, now, settings.Milliseconds(s.set.DedupWindow))
 	}
 	ok := s.work(r.Context(), work)
 	s.mu.Lock()
@@ -247,8 +247,8 @@
 	case roll < f.Errors+f.Reset:
 		s.counts.Failed++
 	default:
-		if s.counts.Delivered++; again {
-			s.counts.Deduped++
+		if s.counts.Succeeded++; again {
+			s.counts.Deduplicated++
 		}
 	}
 	s.mu.Unlock()
@@ -270,7 +270,7 @@
 
 // RunServer serves one stand-in until the context ends: the sub-command.
 func RunServer(ctx context.Context, set *pb.Server, c clock.Clock, n clock.Network, log *slog.Logger) error {
-	s := NewServer(set, c, n, log, &Dedup{})
+	s := NewServer(set, c, n, log, &Deduplicator{})
 	at, err := s.Start(ctx, set.Cold)
 	if err != nil {
 		return err
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -17,21 +17,21 @@
 type Rule int
 
 const (
-	Bare         Rule = 1 + iota // a joined proxy without a server to pick
-	Twice                        // an effect twice
-	Drain                        // sent to what drains or is gone
-	PushOver                     // a cold server sent too much
-	Queue                        // lines waiting, messages to one proxy
-	OneCommander                 // orders decided for a proxy that had granted another
-	StaleOrder                   // orders obeyed under an epoch that is past
+	NoServer        Rule = 1 + iota // a joined proxy without a server to pick
+	DuplicateEffect                 // an effect twice
+	SentToDraining                  // sent to what drains or is gone
+	ColdOverload                    // a cold server sent too much
+	BacklogExceeded                 // lines waiting, messages to one proxy
+	SingleLeader                    // orders decided for a proxy that had granted another
+	StaleEpoch                      // orders obeyed under an epoch that is past
 )
 
 func (r Rule) String() string {
 	return [...]string{"none", "bare", "twice", "drain", "push-over", "queue", "one-commander", "stale-order"}[r]
 }
 
-// Breach is one rule broken, once.
-type Breach struct {
+// Violation is one rule broken, once.
+type Violation struct {
 	Rule     Rule
 	AtMs     float64
 	Evidence string
@@ -39,39 +39,39 @@
 
 // Limits are the figures of the rules. Times in ms.
 type Limits struct {
-	BareMs, GraceMs, WarmUpMs, MissingMs float64 // MissingMs: after which a server that lists only lack counts as gone
-	FallMs, FallMultiple                 float64
-	WorkMs, HandshakeMs                  float64 // mean work of a flow, and of a connection
-	MostWaiting                          float64
-	MostMessages                         int
-	SpanMs                               float64
-	SlackMs                              float64 // between a frame's passing and its obeying, or a flow's pick and its passing
-	Repeats                              []Repeat
-	OnlyZone                             []bool
-	Capacity                             func(server string, at float64) float64 // of a stand-in, work a ms; 0 for one not known
+	NoServerMs, DrainGraceMs, SlowStartMs, MissingMs float64 // MissingMs: after which a server that lists only lack counts as gone
+	ColdOverloadWindowMs, ColdOverloadMultiple       float64
+	WorkMs, HandshakeMs                              float64 // mean work of a flow, and of a connection
+	MaxBacklog                                       float64
+	MaxMessages                                      int
+	MessageWindowMs                                  float64
+	SlackMs                                          float64 // between a frame's passing and its obeying, or a flow's pick and its passing
+	Idempotency                                      []Idempotency
+	SameZoneOnly                                     []bool
+	Capacity                                         func(server string, at float64) float64 // of a stand-in, work a ms; 0 for one not known
 }
 
-// Repeat is what a traffic group bears.
-type Repeat int
+// Idempotency is what a traffic group bears.
+type Idempotency int
 
 const (
-	Never Repeat = iota
-	Keyed        // within WindowMs
-	Always
+	NonIdempotent Idempotency = iota
+	Deduplicated              // within WindowMs
+	Idempotent
 )
 
 const (
 	chanceSlack = 1.15 // of a cold server's budget; work is counted by its mean
-	mostTold    = 20   // breaches kept of each rule
+	maxReported = 20   // breaches kept of each rule
 	knowing     = 2.0 / 3
 )
 
-// Flow is a try as its head passed.
-type Flow struct {
-	ID    string
-	Group int
-	Try   int
-	Proxy string
+// Attempt is a try as its head passed.
+type Attempt struct {
+	ID     string
+	Class  int
+	Number int
+	Proxy  string
 }
 
 type listing struct {
@@ -129,8 +129,8 @@
 
 // Takeover is one proxy that granted a controller anew, and since when it had none.
 type Takeover struct {
-	Proxy, Controller     string
-	SpokeMs, FreeMs, AtMs float64 // last frame of the one before; end of its lease; the grant
+	Proxy, Controller                 string
+	LastFrameMs, ExpiredMs, GrantedMs float64 // last frame of the one before; end of its lease; the grant
 }
 
 // Checker judges. Its methods are called in order of time, by one goroutine at a time.
@@ -141,29 +141,29 @@
 	flows    map[string][]*try // by flow and proxy
 	old      []string          // flows in order of coming, to forget
 	cold     map[string][]sentWork
-	breaches map[Rule][]Breach
+	breaches map[Rule][]Violation
 	counts   map[Rule]int
 	Messages int
-	Lines    float64
-	Flows    int
+	Entries  float64
+	Requests int
 
-	Takeovers []Takeover
-	Refused   int // messages that proxies refused, as they were past
-	Reissued  int // lines of tables that later commanders bound
+	Takeovers     []Takeover
+	Rejected      int // messages that proxies refused, as they were past
+	ResentEntries int // lines of tables that later commanders bound
 }
 
 // NewChecker makes one that has seen nothing.
 func NewChecker(lim Limits) *Checker {
 	return &Checker{
 		lim: lim, planners: map[string]*planner{}, proxies: map[string]*proxy{}, flows: map[string][]*try{},
-		cold: map[string][]sentWork{}, breaches: map[Rule][]Breach{}, counts: map[Rule]int{},
+		cold: map[string][]sentWork{}, breaches: map[Rule][]Violation{}, counts: map[Rule]int{},
 	}
 }
 
 func (c *Checker) broke(r Rule, at float64, format string, args ...any) {
 	c.counts[r]++
-	if len(c.breaches[r]) < mostTold {
-		c.breaches[r] = append(c.breaches[r], Breach{r, at, fmt.Sprintf(format, args...)})
+	if len(c.breaches[r]) < maxReported {
+		c.breaches[r] = append(c.breaches[r], Violation{r, at, fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -176,8 +176,8 @@
 	return p
 }
 
-// Listed saw a list on its way to a planner.
-func (c *Checker) Listed(name string, at float64, m *order.Listing) {
+// RecordEndpoints saw a list on its way to a planner.
+func (c *Checker) RecordEndpoints(name string, at float64, m *order.Listing) {
 	if m.Form == order.Listing_FAILED {
 		return
 	}
@@ -212,23 +212,23 @@
 	}
 }
 
-// PlannerGone saw that a planner ended: what it knew of the list is void.
-func (c *Checker) PlannerGone(name string, at float64) {
+// RecordPlannerExit saw that a planner ended: what it knew of the list is void.
+func (c *Checker) RecordPlannerExit(name string, at float64) {
 	delete(c.planners, name)
 	for id, q := range c.proxies {
 		if q.planner == name {
-			c.Broken(id, name, at)
+			c.RecordDisconnect(id, name, at)
 		}
 	}
 }
 
-// Joined saw a proxy's first frame on its way to a planner.
-func (c *Checker) Joined(name, planner string, at float64, j *order.Join) {
+// RecordJoin saw a proxy's first frame on its way to a planner.
+func (c *Checker) RecordJoin(name, planner string, at float64, j *order.Join) {
 	if old := c.proxies[name]; j.Lease != nil && old != nil && old.shared {
 		return // a further stream; who commands is in its word
 	}
 	q := &proxy{planner: planner, joined: at, zone: j.Zone, tables: map[uint32]*lines{}, out: map[string]bool{}}
-	for range c.lim.Repeats {
+	for range c.lim.Idempotency {
 		q.slots, q.bare, q.told = append(q.slots, &lines{}), append(q.bare, math.Inf(1)), append(q.told, false)
 	}
 	for _, h := range j.Holds {
@@ -252,8 +252,8 @@
 	c.look(name, q, at)
 }
 
-// Leased saw a proxy's word on who commands it pass towards a controller.
-func (c *Checker) Leased(name, controller string, at float64, m *order.Lease) {
+// RecordLease saw a proxy's word on who commands it pass towards a controller.
+func (c *Checker) RecordLease(name, controller string, at float64, m *order.Lease) {
 	q := c.proxies[name]
 	if q == nil || !q.shared {
 		return
@@ -261,7 +261,7 @@
 	// Words of a proxy pass each other on its streams; their count and epoch tell which is older.
 	switch {
 	case m.Granted && m.Epoch < q.epoch && m.Count > q.count:
-		c.broke(StaleOrder, at, "proxy %s granted epoch %d after %d", name, m.Epoch, q.epoch)
+		c.broke(StaleEpoch, at, "proxy %s granted epoch %d after %d", name, m.Epoch, q.epoch)
 	case m.Granted && m.Epoch > q.epoch:
 		free := q.free
 		if q.holder != "" { // its holder claimed it anew, on another stream
@@ -278,8 +278,8 @@
 	}
 }
 
-// Spoke saw a frame of a controller pass towards a proxy.
-func (c *Checker) Spoke(name, controller string, at float64) {
+// RecordFrame saw a frame of a controller pass towards a proxy.
+func (c *Checker) RecordFrame(name, controller string, at float64) {
 	if q := c.proxies[name]; q != nil && q.holder == controller {
 		q.spoke = at
 	}
@@ -309,8 +309,8 @@
 	c.look(name, q, at)
 }
 
-// Holders counts each controller's proxies now.
-func (c *Checker) Holders() map[string]int {
+// CountByController counts each controller's proxies now.
+func (c *Checker) CountByController() map[string]int {
 	held := map[string]int{}
 	for _, q := range c.proxies {
 		if q.holder != "" {
@@ -320,8 +320,8 @@
 	return held
 }
 
-// Obeyed saw a proxy's answer to a message of a controller: whether it obeyed is its own word.
-func (c *Checker) Obeyed(name, controller string, at float64, m *order.Applied) {
+// RecordAck saw a proxy's answer to a message of a controller: whether it obeyed is its own word.
+func (c *Checker) RecordAck(name, controller string, at float64, m *order.Applied) {
 	q := c.proxies[name]
 	if q == nil || !q.shared {
 		return
@@ -329,23 +329,23 @@
 	epoch, known := q.passed[controller][m.Number]
 	delete(q.passed[controller], m.Number)
 	if known && !m.Refused && epoch != m.Epoch {
-		c.broke(StaleOrder, at, "proxy %s obeyed message %d of %s under epoch %d, when it had granted %d", name, m.Number, controller, epoch, m.Epoch)
+		c.broke(StaleEpoch, at, "proxy %s obeyed message %d of %s under epoch %d, when it had granted %d", name, m.Number, controller, epoch, m.Epoch)
 	}
 	if m.Refused {
-		c.Refused++
+		c.Rejected++
 	}
 }
 
-// Broken saw that a proxy's stream ended.
-func (c *Checker) Broken(name, planner string, at float64) {
+// RecordDisconnect saw that a proxy's stream ended.
+func (c *Checker) RecordDisconnect(name, planner string, at float64) {
 	if q := c.proxies[name]; q != nil && q.planner == planner {
 		c.look(name, q, at)
 		q.planner = ""
 	}
 }
 
-// Welcomed saw the answer to a join reach the proxy.
-func (c *Checker) Welcomed(name string, at float64, w *order.Welcome) {
+// RecordWelcome saw the answer to a join reach the proxy.
+func (c *Checker) RecordWelcome(name string, at float64, w *order.Welcome) {
 	if q := c.proxies[name]; q != nil {
 		for _, s := range w.Withdrawn {
 			q.out[s] = true
@@ -354,10 +354,10 @@
 	}
 }
 
-// Queued saw a message leave its planner, decided at a time by the same clock.
-func (c *Checker) Queued(name, by string, at, decided float64, m *order.Orders) {
+// RecordSend saw a message leave its planner, decided at a time by the same clock.
+func (c *Checker) RecordSend(name, by string, at, decided float64, m *order.Orders) {
 	c.Messages++
-	c.Lines += m.Lines
+	c.Entries += m.Lines
 	p := c.planner(by)
 	p.waiting = append(p.waiting, message{decided, at, m.Lines})
 	q := c.proxies[name]
@@ -366,7 +366,7 @@
 	}
 	if q.shared {
 		if q.holder != "" && q.holder != by && q.granted < decided {
-			c.broke(OneCommander, at, "%s decided orders for proxy %s %.1f ms after %s was granted epoch %d", by, name, decided-q.granted, q.holder, q.epoch)
+			c.broke(SingleLeader, at, "%s decided orders for proxy %s %.1f ms after %s was granted epoch %d", by, name, decided-q.granted, q.holder, q.epoch)
 		}
 		if q.passed[by] == nil {
 			q.passed[by] = map[uint64]uint64{}
@@ -374,14 +374,16 @@
 		q.passed[by][m.Number] = m.Epoch
 	}
 	q.messages = append(q.messages, decided)
-	q.messages = slices.DeleteFunc(q.messages, func(t float64) bool { return t <= decided-c.lim.SpanMs || !q.shared && t < q.joined-c.lim.SlackMs })
-	if c.lim.MostMessages > 0 && len(q.messages) > c.lim.MostMessages {
-		c.broke(Queue, at, "proxy %s: %d messages within %g ms, %d allowed", name, len(q.messages), c.lim.SpanMs, c.lim.MostMessages)
+	q.messages = slices.DeleteFunc(q.messages, func(t float64) bool {
+		return t <= decided-c.lim.MessageWindowMs || !q.shared && t < q.joined-c.lim.SlackMs
+	})
+	if c.lim.MaxMessages > 0 && len(q.messages) > c.lim.MaxMessages {
+		c.broke(BacklogExceeded, at, "proxy %s: %d messages within %g ms, %d allowed", name, len(q.messages), c.lim.MessageWindowMs, c.lim.MaxMessages)
 	}
 }
 
-// Ordered saw a message reach a proxy.
-func (c *Checker) Ordered(name, by string, at, decided float64, m *order.Orders) {
+// RecordDelivery saw a message reach a proxy.
+func (c *Checker) RecordDelivery(name, by string, at, decided float64, m *order.Orders) {
 	q := c.proxies[name]
 	if q == nil || q.shared && (q.holder != by || q.epoch != m.Epoch) {
 		return
@@ -391,7 +393,7 @@
 		switch w := o.What.(type) {
 		case *order.Order_Bind:
 			if q.grants > 1 {
-				c.Reissued += len(w.Bind.Lines)
+				c.ResentEntries += len(w.Bind.Lines)
 			}
 			t := &lines{weights: map[string]float64{}, out: q.out}
 			for _, l := range w.Bind.Lines {
@@ -439,14 +441,14 @@
 		}
 		listed := false
 		for _, l := range p.list {
-			warm := l.born == 0 || at-l.bornAt >= c.lim.WarmUpMs
-			if l.told > at && warm && (!c.lim.OnlyZone[g] || l.zone == q.zone) {
+			warm := l.born == 0 || at-l.bornAt >= c.lim.SlowStartMs
+			if l.told > at && warm && (!c.lim.SameZoneOnly[g] || l.zone == q.zone) {
 				listed = true
 			}
 		}
-		if since := q.bare[g]; at-since > c.lim.BareMs && !q.told[g] {
+		if since := q.bare[g]; at-since > c.lim.NoServerMs && !q.told[g] {
 			q.told[g] = true
-			c.broke(Bare, at, "proxy %s had nothing to pick for group %d from %.0f to %.0f ms", name, g, since, at)
+			c.broke(NoServer, at, "proxy %s had nothing to pick for group %d from %.0f to %.0f ms", name, g, since, at)
 		}
 		switch {
 		case !bare || !listed:
@@ -457,20 +459,20 @@
 	}
 }
 
-// Connected saw a connection open towards a server.
-func (c *Checker) Connected(server string, at float64) {
+// RecordConnection saw a connection open towards a server.
+func (c *Checker) RecordConnection(server string, at float64) {
 	c.load(server, at, c.lim.HandshakeMs, false)
 }
 
-// Sent saw the head of a try pass towards a server.
-func (c *Checker) Sent(server string, at float64, f Flow) {
-	c.Flows++
+// RecordAttempt saw the head of a try pass towards a server.
+func (c *Checker) RecordAttempt(server string, at float64, f Attempt) {
+	c.Requests++
 	key := f.ID + "\x00" + f.Proxy
-	if f.Group < len(c.lim.Repeats) && c.lim.Repeats[f.Group] != Always {
+	if f.Class < len(c.lim.Idempotency) && c.lim.Idempotency[f.Class] != Idempotent {
 		for _, t := range c.flows[key] {
 			if !t.unrun {
-				c.broke(Twice, at, "proxy %s sent flow %s of group %d to %s (try %d) at %.0f ms, after %s got it at %.0f ms and never proved that it did not run",
-					f.Proxy, f.ID, f.Group, server, f.Try, at, t.server, t.at)
+				c.broke(DuplicateEffect, at, "proxy %s sent flow %s of group %d to %s (try %d) at %.0f ms, after %s got it at %.0f ms and never proved that it did not run",
+					f.Proxy, f.ID, f.Class, server, f.Number, at, t.server, t.at)
 			}
 		}
 	}
@@ -486,16 +488,16 @@
 	}
 	l := c.planner(q.planner).list[server]
 	if l != nil {
-		if from := math.Max(l.told, q.joined); at > from+c.lim.GraceMs+c.lim.SlackMs {
-			c.broke(Drain, at, "proxy %s sent a flow to %s %.0f ms after its planner could know that it goes; the grace is %.0f ms",
-				f.Proxy, server, at-from, c.lim.GraceMs)
+		if from := math.Max(l.told, q.joined); at > from+c.lim.DrainGraceMs+c.lim.SlackMs {
+			c.broke(SentToDraining, at, "proxy %s sent a flow to %s %.0f ms after its planner could know that it goes; the grace is %.0f ms",
+				f.Proxy, server, at-from, c.lim.DrainGraceMs)
 		}
 	}
-	c.load(server, at, c.lim.WorkMs, l != nil && (q.decided > l.bornAt || at > l.bornAt+c.lim.GraceMs))
+	c.load(server, at, c.lim.WorkMs, l != nil && (q.decided > l.bornAt || at > l.bornAt+c.lim.DrainGraceMs))
 }
 
-// Answered saw a server's answer to a try; unrun is its proof that it did not begin.
-func (c *Checker) Answered(server string, at float64, f Flow, unrun bool) {
+// RecordAnswer saw a server's answer to a try; unrun is its proof that it did not begin.
+func (c *Checker) RecordAnswer(server string, at float64, f Attempt, unrun bool) {
 	for _, t := range c.flows[f.ID+"\x00"+f.Proxy] {
 		if t.server == server {
 			t.unrun = t.unrun || unrun
@@ -514,7 +516,7 @@
 		return
 	}
 	in := append(c.cold[server], sentWork{at, work, knows})
-	in = slices.DeleteFunc(in, func(s sentWork) bool { return s.at <= at-c.lim.FallMs })
+	in = slices.DeleteFunc(in, func(s sentWork) bool { return s.at <= at-c.lim.ColdOverloadWindowMs })
 	c.cold[server] = in
 	sum, known := 0.0, 0.0
 	for _, s := range in {
@@ -522,9 +524,9 @@
 			known += s.work
 		}
 	}
-	if most := c.lim.FallMultiple * able * c.lim.FallMs * chanceSlack; sum > most && known >= knowing*sum {
-		c.broke(PushOver, at, "cold server %s was sent %.0f ms of work within %.0f ms, %.0f allowed; %.0f%% by proxies that could know",
-			server, sum, c.lim.FallMs, most, 100*known/sum)
+	if most := c.lim.ColdOverloadMultiple * able * c.lim.ColdOverloadWindowMs * chanceSlack; sum > most && known >= knowing*sum {
+		c.broke(ColdOverload, at, "cold server %s was sent %.0f ms of work within %.0f ms, %.0f allowed; %.0f%% by proxies that could know",
+			server, sum, c.lim.ColdOverloadWindowMs, most, 100*known/sum)
 		delete(c.cold, server)
 	}
 }
@@ -536,14 +538,14 @@
 }
 
 // Finish judges what can be judged only at the end, and gives all breaches by time, and their number by rule.
-func (c *Checker) Finish(at float64) ([]Breach, map[Rule]int) {
+func (c *Checker) Finish(at float64) ([]Violation, map[Rule]int) {
 	for name, q := range c.proxies {
 		c.look(name, q, at)
 	}
 	for name, p := range c.planners {
 		c.queue(name, p)
 	}
-	var all []Breach
+	var all []Violation
 	for _, b := range c.breaches {
 		all = append(all, b...)
 	}
@@ -567,7 +569,7 @@
 			most, when = waiting, e.at
 		}
 	}
-	if most > c.lim.MostWaiting {
-		c.broke(Queue, when, "planner %s: %.0f lines waited, %.0f allowed", name, most, c.lim.MostWaiting)
+	if most > c.lim.MaxBacklog {
+		c.broke(BacklogExceeded, when, "planner %s: %.0f lines waited, %.0f allowed", name, most, c.lim.MaxBacklog)
 	}
 }
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -36,7 +36,7 @@
 	simulation  *simulation
 	name        string
 	incarnation uint64
-	manager     *lease.Sharer
+	manager     *lease.Manager
 	reserved    uint64 // what its store holds
 	diskFull    bool
 	open        bool
@@ -46,7 +46,7 @@
 
 type simulatedProxy struct {
 	name      string
-	grantor   lease.Arbiter
+	grantor   lease.Grantor
 	connected map[string]bool // by planner
 }
 
@@ -67,30 +67,30 @@
 func (p *simulatedPlanner) start() {
 	p.incarnation++
 	p.inbox, p.open, p.resumeMs = nil, true, 0
-	p.manager = lease.NewSharer(p.name, p.incarnation, p.reserved, p.simulation.nowMs)
+	p.manager = lease.NewManager(p.name, p.incarnation, p.reserved, p.simulation.nowMs)
 }
 
 func (p *simulatedPlanner) log(format string, args ...any) {
 	p.simulation.digest.Add(p.simulation.nowMs, p.name+" "+format, args...)
 }
 
-func (p *simulatedPlanner) Claim(proxyName string, nonce, epoch uint64, leaseMs float64) {
+func (p *simulatedPlanner) RequestLease(proxyName string, nonce, epoch uint64, leaseMs float64) {
 	p.log("claims %s nonce %d epoch %d for %g ms", proxyName, nonce, epoch, leaseMs)
 	proxy := p.simulation.proxyNamed(proxyName)
 	if !proxy.connected[p.name] {
 		return
 	}
 	before := proxy.grantor.Controller
-	granted := proxy.grantor.Claim(p.name, p.incarnation, epoch, leaseMs)
+	granted := proxy.grantor.Grant(p.name, p.incarnation, epoch, leaseMs)
 	p.log("is granted %s: %t", proxyName, granted)
 	view := p.simulation.viewOf(proxy)
-	p.inbox = append(p.inbox, func() { p.manager.Answered(proxyName, nonce, granted, view) })
+	p.inbox = append(p.inbox, func() { p.manager.HandleAnswer(proxyName, nonce, granted, view) })
 	if proxy.grantor.Controller != before {
 		p.simulation.spread(proxy)
 	}
 }
 
-func (p *simulatedPlanner) Release(proxyName string, epoch uint64) {
+func (p *simulatedPlanner) ReleaseLease(proxyName string, epoch uint64) {
 	p.log("releases %s epoch %d", proxyName, epoch)
 	proxy := p.simulation.proxyNamed(proxyName)
 	if proxy.connected[p.name] && proxy.grantor.Release(p.name, p.incarnation, epoch) {
@@ -98,25 +98,25 @@
 	}
 }
 
-func (p *simulatedPlanner) Command(proxyName string, epoch uint64) {
+func (p *simulatedPlanner) StartCommand(proxyName string, epoch uint64) {
 	p.log("commands %s epoch %d", proxyName, epoch)
 }
 
-func (p *simulatedPlanner) Yield(proxyName string) { p.log("yields %s", proxyName) }
+func (p *simulatedPlanner) StopCommand(proxyName string) { p.log("yields %s", proxyName) }
 
-func (p *simulatedPlanner) Wake(atMs float64) { p.log("wakes at %g", atMs) }
+func (p *simulatedPlanner) SetTimer(atMs float64) { p.log("wakes at %g", atMs) }
 
-func (p *simulatedPlanner) Reserve(upTo uint64) {
+func (p *simulatedPlanner) ReserveEpochs(upTo uint64) {
 	p.log("reserves %d, disk full %t", upTo, p.diskFull)
 	if p.diskFull {
-		p.manager.NotReserved()
+		p.manager.ReservationFailed()
 		return
 	}
 	p.reserved = upTo
-	p.manager.Reserved(upTo)
+	p.manager.EpochsReserved(upTo)
 }
 
-func (p *simulatedPlanner) Stand(open bool) {
+func (p *simulatedPlanner) SetOpen(open bool) {
 	p.log("is open: %t", open)
 	p.open = open
 	for _, proxy := range p.simulation.proxies {
@@ -133,13 +133,13 @@
 	panic("no proxy " + name)
 }
 
-func (s *simulation) viewOf(proxy *simulatedProxy) lease.View {
-	view := lease.View{
-		Epoch:       proxy.grantor.Epoch,
-		Controller:  proxy.grantor.Controller,
-		Incarnation: proxy.grantor.Incarnation,
-		LeftMs:      proxy.grantor.Left(),
-		Controllers: plannerNum,
+func (s *simulation) viewOf(proxy *simulatedProxy) lease.ProxyView {
+	view := lease.ProxyView{
+		Epoch:             proxy.grantor.Epoch,
+		Controller:        proxy.grantor.Controller,
+		Incarnation:       proxy.grantor.Incarnation,
+		RemainingMs:       proxy.grantor.RemainingMs(),
+		DialedControllers: plannerNum,
 	}
 	for _, planner := range s.planners {
 		if proxy.connected[planner.name] && planner.open {
@@ -154,7 +154,7 @@
 	view := s.viewOf(proxy)
 	for _, planner := range s.planners {
 		if proxy.connected[planner.name] {
-			planner.inbox = append(planner.inbox, func() { planner.manager.Heard(proxy.name, view) })
+			planner.inbox = append(planner.inbox, func() { planner.manager.UpdateLease(proxy.name, view) })
 		}
 	}
 }
@@ -162,7 +162,7 @@
 func (s *simulation) connect(proxy *simulatedProxy, planner *simulatedPlanner) {
 	proxy.connected[planner.name] = true
 	view := s.viewOf(proxy)
-	planner.inbox = append(planner.inbox, func() { planner.manager.Joined(proxy.name, view) })
+	planner.inbox = append(planner.inbox, func() { planner.manager.AddProxy(proxy.name, view) })
 	s.spread(proxy)
 }
 
@@ -171,7 +171,7 @@
 		return
 	}
 	proxy.connected[planner.name] = false
-	planner.inbox = append(planner.inbox, func() { planner.manager.Lost(proxy.name) })
+	planner.inbox = append(planner.inbox, func() { planner.manager.RemoveProxy(proxy.name) })
 	s.spread(proxy)
 }
 
@@ -191,9 +191,9 @@
 	case 9000:
 		s.restart(s.planners[1])
 	case 14000:
-		s.planners[2].manager.Drain(true)
+		s.planners[2].manager.SetDraining(true)
 	case 19000:
-		s.planners[2].manager.Drain(false)
+		s.planners[2].manager.SetDraining(false)
 	case 22000:
 		s.planners[0].diskFull = true
 	case 23000:
@@ -221,7 +221,7 @@
 		s.randomFaults()
 	}
 	for _, proxy := range s.proxies {
-		if proxy.grantor.Tick(s.nowMs) {
+		if proxy.grantor.SetTime(s.nowMs) {
 			s.digest.Add(s.nowMs, "lease of %s expires", proxy.name)
 			s.spread(proxy)
 		}
@@ -241,15 +241,15 @@
 func (p *simulatedPlanner) decide() {
 	inbox := p.inbox
 	p.inbox = nil
-	p.manager.Tick(p.simulation.nowMs)
+	p.manager.SetTime(p.simulation.nowMs)
 	for _, hear := range inbox {
 		hear()
 	}
 	for p.manager.Next(p) {
 	}
 	for _, proxy := range p.simulation.proxies {
-		if epoch, ok := p.manager.Commands(proxy.name); ok {
-			obeyed := proxy.grantor.Obeys(p.name, p.incarnation, epoch)
+		if epoch, ok := p.manager.HoldsLease(proxy.name); ok {
+			obeyed := proxy.grantor.Accepts(p.name, p.incarnation, epoch)
 			p.log("may order %s under %d, obeyed %t", proxy.name, epoch, obeyed)
 		}
 	}
@@ -264,9 +264,9 @@
 	}
 	for _, planner := range s.planners {
 		manager := planner.manager
-		held, all := manager.Held()
+		held, all := manager.CountHeld()
 		s.digest.Add(s.nowMs, "%s holds %d of %d, takeovers %d, handed over %d, expired %d, refused %d", planner.name, held, all,
-			manager.Takeovers, manager.Handed, manager.Expired, manager.Refusals)
+			manager.Takeovers, manager.Transferred, manager.Expired, manager.Rejections)
 	}
 	golden.Check(t, "testdata/leases.golden.txt", s.digest.Finish(runMs))
 	for _, proxy := range s.proxies {
@@ -275,7 +275,7 @@
 		}
 	}
 	for _, planner := range s.planners {
-		if held, _ := planner.manager.Held(); held == 0 {
+		if held, _ := planner.manager.CountHeld(); held == 0 {
 			t.Errorf("%s holds no proxy at the end", planner.name)
 		}
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -32,7 +32,7 @@
 	name        string
 	incarnation uint64
 	mark        uint64 // what its store holds
-	s           *Sharer
+	s           *Manager
 	rate, skew  float64 // of its clock
 	pausedTill  float64
 	dead        bool
@@ -44,7 +44,7 @@
 type edge struct {
 	w       *world
 	name    string
-	a       Arbiter
+	a       Grantor
 	rate    float64
 	link    map[string]bool // streams that are up
 	highest uint64
@@ -71,7 +71,7 @@
 
 func (c *controller) start() {
 	c.incarnation = c.w.chance.Uint64()
-	c.s = NewSharer(c.name, c.incarnation, c.mark, c.time())
+	c.s = NewManager(c.name, c.incarnation, c.mark, c.time())
 	c.dead = false
 }
 
@@ -79,8 +79,8 @@
 
 func (c *controller) running() bool { return !c.dead && c.w.now >= c.pausedTill }
 
-func (p *edge) view() View {
-	v := View{Epoch: p.a.Epoch, Controller: p.a.Controller, Incarnation: p.a.Incarnation, LeftMs: p.a.Left() / p.rate, Controllers: len(p.w.names)}
+func (p *edge) view() ProxyView {
+	v := ProxyView{Epoch: p.a.Epoch, Controller: p.a.Controller, Incarnation: p.a.Incarnation, RemainingMs: p.a.RemainingMs() / p.rate, DialedControllers: len(p.w.names)}
 	for _, c := range p.w.names {
 		if p.link[c] && p.w.ctl[c].open && (!p.w.heard || p.w.ctl[c].running()) {
 			v.Reachable = append(v.Reachable, c)
@@ -95,7 +95,7 @@
 	}
 	p.link[c.name] = true
 	v := p.view()
-	c.later(func() { c.s.Joined(p.name, v) })
+	c.later(func() { c.s.AddProxy(p.name, v) })
 	p.tell(c.name)
 }
 
@@ -114,7 +114,7 @@
 		return
 	}
 	p.link[c.name] = false
-	c.later(func() { c.s.Lost(p.name) })
+	c.later(func() { c.s.RemoveProxy(p.name) })
 	p.tell("")
 }
 
@@ -123,7 +123,7 @@
 	v := p.view()
 	for _, n := range p.w.names {
 		if c := p.w.ctl[n]; p.link[n] && n != but {
-			c.later(func() { c.s.Heard(p.name, v) })
+			c.later(func() { c.s.UpdateLease(p.name, v) })
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	return w.proxies[slices.IndexFunc(w.proxies, func(p *edge) bool { return p.name == name })]
 }
 
-func (c *controller) Claim(proxy string, nonce, epoch uint64, lease float64) {
+func (c *controller) RequestLease(proxy string, nonce, epoch uint64, lease float64) {
 	p := c.w.proxy(proxy)
 	c.w.messages++
 	inc := c.incarnation
@@ -140,9 +140,9 @@
 		c.w.cut(p, c)
 		return
 	}
-	p.a.Tick(c.w.now * p.rate)
+	p.a.SetTime(c.w.now * p.rate)
 	was := p.a.Lease
-	granted := p.a.Claim(c.name, inc, epoch, lease)
+	granted := p.a.Grant(c.name, inc, epoch, lease)
 	if granted && p.a.Epoch < p.highest {
 		c.w.fail("epoch of %s fell to %d from %d", proxy, p.a.Epoch, p.highest)
 	}
@@ -152,13 +152,13 @@
 		p.since = math.Inf(1)
 	}
 	v := p.view()
-	c.later(func() { c.s.Answered(proxy, nonce, granted, v) })
+	c.later(func() { c.s.HandleAnswer(proxy, nonce, granted, v) })
 	if was.Controller != p.a.Controller {
 		p.tell(c.name)
 	}
 }
 
-func (c *controller) Release(proxy string, epoch uint64) {
+func (c *controller) ReleaseLease(proxy string, epoch uint64) {
 	p := c.w.proxy(proxy)
 	if p.link[c.name] && p.a.Release(c.name, c.incarnation, epoch) {
 		p.since = c.w.now
@@ -166,25 +166,25 @@
 	}
 }
 
-func (c *controller) Command(string, uint64) {}
-func (c *controller) Yield(string)           {}
-func (c *controller) Reserve(upTo uint64) {
+func (c *controller) StartCommand(string, uint64) {}
+func (c *controller) StopCommand(string)          {}
+func (c *controller) ReserveEpochs(upTo uint64) {
 	s := c.s
 	if c.full {
-		s.NotReserved()
+		s.ReservationFailed()
 		return
 	}
 	c.mark = upTo
-	s.Reserved(upTo)
+	s.EpochsReserved(upTo)
 }
 
-func (c *controller) Stand(open bool) {
+func (c *controller) SetOpen(open bool) {
 	c.open = open
 	for _, p := range c.w.proxies {
 		p.tell("")
 	}
 }
-func (c *controller) Wake(float64) {}
+func (c *controller) SetTimer(float64) {}
 
 func (w *world) fail(format string, args ...any) {
 	if w.wrong == "" {
@@ -196,7 +196,7 @@
 func (w *world) step() {
 	w.now++
 	for _, p := range w.proxies {
-		if p.a.Tick(w.now * p.rate) {
+		if p.a.SetTime(w.now * p.rate) {
 			p.since = w.now
 			p.tell("")
 		}
@@ -208,7 +208,7 @@
 		}
 		heard := c.pending
 		c.pending = nil
-		c.s.Tick(c.time())
+		c.s.SetTime(c.time())
 		for _, f := range heard {
 			f()
 		}
@@ -225,8 +225,8 @@
 			if c.dead {
 				continue
 			}
-			c.s.Tick(c.time()) // a paused one believes nothing else when it wakes: its clock went on
-			epoch, ok := c.s.Commands(p.name)
+			c.s.SetTime(c.time()) // a paused one believes nothing else when it wakes: its clock went on
+			epoch, ok := c.s.HoldsLease(p.name)
 			if !ok {
 				continue
 			}
@@ -236,7 +236,7 @@
 			}
 			inc, decided := c.incarnation, epoch
 			deliver := func() {
-				if w.broken || p.a.Obeys(n, inc, decided) {
+				if w.broken || p.a.Accepts(n, inc, decided) {
 					w.obeyed++
 					if decided < p.a.Epoch || p.a.Controller != n {
 						w.fail("%s obeyed %s under epoch %d; it has granted %d to %q", p.name, n, decided, p.a.Epoch, p.a.Controller)
@@ -294,7 +294,7 @@
 		for _, p := range w.proxies {
 			w.cut(p, b)
 		}
-		w.run(int(LeaseMs*1.1 + 3*staggerMs))
+		w.run(int(DurationMs*1.1 + 3*staggerMs))
 		if got := w.commanders(); got["B"] != 0 || got[""] != 0 {
 			t.Errorf("%v", got)
 		}
@@ -341,7 +341,7 @@
 			w.run(200)
 			join(c)
 			w.run(8000)
-			if n := a.s.Handed + b.s.Handed + c.s.Handed; n != 0 || w.commanders()["C"] < 10 {
+			if n := a.s.Transferred + b.s.Transferred + c.s.Transferred; n != 0 || w.commanders()["C"] < 10 {
 				t.Errorf("%d handed over, %v", n, w.commanders())
 			}
 		})
@@ -350,12 +350,12 @@
 		w := newWorld(t, 3, 3, 30)
 		w.run(3000)
 		w.longest = 0
-		w.ctl["A"].s.Drain(true)
+		w.ctl["A"].s.SetDraining(true)
 		w.run(3000)
 		if got := w.commanders(); got["A"] != 0 || got[""] != 0 || w.longest > 300 {
 			t.Errorf("%v, longest %.0f ms", got, w.longest)
 		}
-		w.ctl["A"].s.Drain(false)
+		w.ctl["A"].s.SetDraining(false)
 		w.run(6000)
 		if got := w.commanders(); got["A"] == 0 || w.wrong != "" {
 			t.Errorf("%v %s", got, w.wrong)
@@ -410,11 +410,11 @@
 	t.Run("two controllers of one identity", func(t *testing.T) {
 		w := newWorld(t, 6, 2, 10)
 		w.ctl["B"].name = "A" // its links stay its own, its word is another's
-		w.ctl["B"].s = NewSharer("A", 77, 0, w.ctl["B"].time())
+		w.ctl["B"].s = NewManager("A", 77, 0, w.ctl["B"].time())
 		w.ctl["B"].incarnation = 77
 		for _, p := range w.proxies {
 			v := p.view()
-			w.ctl["B"].later(func() { w.ctl["B"].s.Joined(p.name, v) })
+			w.ctl["B"].later(func() { w.ctl["B"].s.AddProxy(p.name, v) })
 		}
 		w.run(5000)
 		if w.wrong != "" {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -8,38 +8,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is a proxy's last word, as a controller heard it.
-type View struct {
-	Epoch       uint64
-	Controller  string // empty: free
-	Incarnation uint64
-	LeftMs      float64
-	Reachable   []string
-	Controllers int // that it dials
+// ProxyView is a proxy's last word, as a controller heard it.
+type ProxyView struct {
+	Epoch             uint64
+	Controller        string // empty: free
+	Incarnation       uint64
+	RemainingMs       float64
+	Reachable         []string
+	DialedControllers int // that it dials
 }
 
 // Host carries out a controller's decisions. Each method is one decision.
 type Host interface {
-	Claim(proxy string, nonce, epoch uint64, leaseMs float64)
-	Release(proxy string, epoch uint64)
-	Command(proxy string, epoch uint64) // it is ours from now on
-	Yield(proxy string)                 // and no longer
-	Reserve(upTo uint64)                // write down that epochs up to here may be used; answer by Reserved or NotReserved
-	Stand(open bool)                    // tell all proxies whether this controller is open to claims
-	Wake(at float64)
+	RequestLease(proxy string, nonce, epoch uint64, leaseMs float64)
+	ReleaseLease(proxy string, epoch uint64)
+	StartCommand(proxy string, epoch uint64) // it is ours from now on
+	StopCommand(proxy string)                // and no longer
+	ReserveEpochs(upTo uint64)               // write down that epochs up to here may be used; answer by EpochsReserved or ReservationFailed
+	SetOpen(open bool)                       // tell all proxies whether this controller is open to claims
+	SetTimer(at float64)
 }
 
 // holding is a proxy as a controller knows it.
 type holding struct {
 	name      string
-	view      View
-	seen      float64 // when the view came
-	joined    float64 // when its stream came up
-	placed    float64 // since when the same controllers have been reachable
-	freeSince float64 // since when it has been free by that; infinite: it is not
-	asks      []ask   // claims not answered yet, oldest first
-	epoch     uint64  // under which it is ours; 0: it is not
-	until     float64 // believed ours until then
+	view      ProxyView
+	seen      float64        // when the view came
+	joined    float64        // when its stream came up
+	placed    float64        // since when the same controllers have been reachable
+	freeSince float64        // since when it has been free by that; infinite: it is not
+	asks      []leaseRequest // claims not answered yet, oldest first
+	epoch     uint64         // under which it is ours; 0: it is not
+	until     float64        // believed ours until then
 	commanded bool
 	better    float64 // since when a better placed controller has been reachable; infinite: none is
 	back      int     // times that it was handed over and came back, as the other did not claim it
@@ -70,14 +70,14 @@
 	return x
 }
 
-// ask is a claim under way.
-type ask struct {
+// leaseRequest is a claim under way.
+type leaseRequest struct {
 	nonce, epoch uint64
 	at           float64
 }
 
-// mostAsks bounds the claims under way to one proxy; older ones can no longer be of use.
-const mostAsks = 8
+// maxRequests bounds the claims under way to one proxy; older ones can no longer be of use.
+const maxRequests = 8
 
 // lastAsked is when the last claim went out; long ago if none is under way.
 func (h *holding) lastAsked() float64 {
@@ -87,8 +87,8 @@
 	return h.asks[len(h.asks)-1].at
 }
 
-// Sharer is one controller's part in sharing a fleet.
-type Sharer struct {
+// Manager is one controller's part in sharing a fleet.
+type Manager struct {
 	name        string
 	incarnation uint64
 	now         float64
@@ -102,63 +102,63 @@
 	unable      bool    // the last write failed: nothing new can be claimed
 	draining    bool
 	told        bool // whether proxies know of draining
-	handed      float64
+	transferred float64
 	wokenAt     float64
 
-	Takeovers, Handed, Expired, Refusals int // counts since the start
+	Takeovers, Transferred, Expired, Rejections int // counts since the start
 }
 
-// NewSharer starts a controller that may use epochs above what its store says was reserved, once it has reserved more.
-func NewSharer(name string, incarnation, reserved uint64, now float64) *Sharer {
-	return &Sharer{
+// NewManager starts a controller that may use epochs above what its store says was reserved, once it has reserved more.
+func NewManager(name string, incarnation, reserved uint64, now float64) *Manager {
+	return &Manager{
 		name: name, incarnation: incarnation, now: now, proxies: map[string]*holding{}, used: reserved, reserved: reserved,
-		told: true, handed: math.Inf(-1), retryAt: math.Inf(-1),
+		told: true, transferred: math.Inf(-1), retryAt: math.Inf(-1),
 	}
 }
 
-// Tick tells the time, in ms of a clock that never jumps.
-func (s *Sharer) Tick(now float64) { s.now = now }
+// SetTime tells the time, in ms of a clock that never jumps.
+func (s *Manager) SetTime(now float64) { s.now = now }
 
-// Joined takes in a proxy's new stream, with its word. What was believed of an older stream is void.
-func (s *Sharer) Joined(proxy string, v View) {
-	s.Lost(proxy)
+// AddProxy takes in a proxy's new stream, with its word. What was believed of an older stream is void.
+func (s *Manager) AddProxy(proxy string, v ProxyView) {
+	s.RemoveProxy(proxy)
 	h := &holding{name: proxy, better: math.Inf(1), freeSince: math.Inf(1), handedAt: math.Inf(-1), joined: s.now}
 	s.proxies[proxy] = h
 	heap.Push(&s.queue, h)
 	s.hear(h, v)
 }
 
-// Lost takes in that the stream of a proxy ended. It is ours no longer: no order can reach it any more.
-func (s *Sharer) Lost(proxy string) {
+// RemoveProxy takes in that the stream of a proxy ended. It is ours no longer: no order can reach it any more.
+func (s *Manager) RemoveProxy(proxy string) {
 	if h := s.proxies[proxy]; h != nil {
 		delete(s.proxies, proxy)
 		heap.Remove(&s.queue, h.at)
 	}
 }
 
-// Heard takes in a proxy's word, unasked.
-func (s *Sharer) Heard(proxy string, v View) {
+// UpdateLease takes in a proxy's word, unasked.
+func (s *Manager) UpdateLease(proxy string, v ProxyView) {
 	if h := s.proxies[proxy]; h != nil {
 		s.hear(h, v)
 	}
 }
 
-// Answered takes in a proxy's word on a claim. A late answer to an older claim says nothing about what was granted.
-func (s *Sharer) Answered(proxy string, nonce uint64, granted bool, v View) {
+// HandleAnswer takes in a proxy's word on a claim. A late answer to an older claim says nothing about what was granted.
+func (s *Manager) HandleAnswer(proxy string, nonce uint64, granted bool, v ProxyView) {
 	h := s.proxies[proxy]
 	if h == nil {
 		return
 	}
 	s.hear(h, v)
 	defer s.plan(h)
-	at := slices.IndexFunc(h.asks, func(a ask) bool { return a.nonce == nonce })
+	at := slices.IndexFunc(h.asks, func(a leaseRequest) bool { return a.nonce == nonce })
 	if at < 0 {
 		return
 	}
 	asked := h.asks[at]
 	h.asks = slices.Delete(h.asks, 0, at+1) // answers come in order
 	if !granted {
-		s.Refusals++
+		s.Rejections++
 		if asked.epoch == h.epoch {
 			h.until = math.Inf(-1)
 		}
@@ -175,40 +175,40 @@
 		}
 		h.epoch, h.until, h.commanded = asked.epoch, math.Inf(-1), false
 	}
-	h.until = max(h.until, heldUntil(asked.at, LeaseMs))
+	h.until = max(h.until, heldUntil(asked.at, DurationMs))
 }
 
-// Refused takes in that a proxy did not obey, as it has granted another epoch.
-func (s *Sharer) Refused(proxy string) {
+// OrdersRejected takes in that a proxy did not obey, as it has granted another epoch.
+func (s *Manager) OrdersRejected(proxy string) {
 	if h := s.proxies[proxy]; h != nil && h.epoch > 0 {
-		s.Refusals++
+		s.Rejections++
 		h.until = math.Inf(-1)
 		s.plan(h)
 	}
 }
 
-// Reserved takes in that the store holds a mark; NotReserved that it could not be written.
-func (s *Sharer) Reserved(upTo uint64) {
+// EpochsReserved takes in that the store holds a mark; ReservationFailed that it could not be written.
+func (s *Manager) EpochsReserved(upTo uint64) {
 	s.told = s.told && !s.unable
 	s.reserved, s.reserving, s.unable = max(s.reserved, upTo), false, false
 	s.planAll()
 }
 
-// NotReserved is followed by another attempt a while later. Until one succeeds nothing new is claimed, what is held is
+// ReservationFailed is followed by another attempt a while later. Until one succeeds nothing new is claimed, what is held is
 // kept, and proxies are told that this controller is not open: others would hand it proxies that it cannot take.
-func (s *Sharer) NotReserved() {
+func (s *Manager) ReservationFailed() {
 	s.told = s.told && s.unable
 	s.reserving, s.unable, s.retryAt = false, true, s.now+answerMs
 	s.planAll()
 }
 
-// Drain makes the controller hand over all that it holds, and claim nothing; or ends that.
-func (s *Sharer) Drain(on bool) {
+// SetDraining makes the controller hand over all that it holds, and claim nothing; or ends that.
+func (s *Manager) SetDraining(on bool) {
 	s.told, s.draining = s.told && s.draining == on, on
 	s.planAll()
 }
 
-func (s *Sharer) hear(h *holding, v View) {
+func (s *Manager) hear(h *holding, v ProxyView) {
 	if !slices.Equal(v.Reachable, h.view.Reachable) {
 		h.placed = s.now
 	}
@@ -231,7 +231,7 @@
 
 // place ranks the controllers that a proxy can reach, by rendezvous hashing: all that hear the same word rank the same, and
 // one that comes or goes moves its own share only.
-func (s *Sharer) place(h *holding) (rank int, first string) {
+func (s *Manager) place(h *holding) (rank int, first string) {
 	best, own := uint64(0), weight(s.name, h.name)
 	for _, c := range h.view.Reachable {
 		w := weight(c, h.name)
@@ -248,10 +248,10 @@
 func weight(controller, proxy string) uint64 { return xxhash.Sum64String(controller + "\x00" + proxy) }
 
 // ours says whether a proxy is believed to be ours now.
-func (s *Sharer) ours(h *holding) bool { return h.epoch > 0 && s.now < h.until }
+func (s *Manager) ours(h *holding) bool { return h.epoch > 0 && s.now < h.until }
 
-// Commands says whether orders may be sent to a proxy now, and under which epoch. It is to be asked right before each.
-func (s *Sharer) Commands(proxy string) (epoch uint64, ok bool) {
+// HoldsLease says whether orders may be sent to a proxy now, and under which epoch. It is to be asked right before each.
+func (s *Manager) HoldsLease(proxy string) (epoch uint64, ok bool) {
 	h := s.proxies[proxy]
 	if h == nil || !h.commanded || !s.ours(h) {
 		return 0, false
@@ -260,10 +260,10 @@
 }
 
 // Open says whether this controller takes proxies.
-func (s *Sharer) Open() bool { return !s.draining && !s.unable }
+func (s *Manager) Open() bool { return !s.draining && !s.unable }
 
-// Held counts the proxies that are believed to be ours, and all that have a stream.
-func (s *Sharer) Held() (ours, all int) {
+// CountHeld counts the proxies that are believed to be ours, and all that have a stream.
+func (s *Manager) CountHeld() (ours, all int) {
 	for _, h := range s.queue {
 		if s.ours(h) {
 			ours++
@@ -273,10 +273,10 @@
 }
 
 // Next carries out at most one decision, and says whether it did; what has been due longest goes first.
-func (s *Sharer) Next(h Host) bool {
+func (s *Manager) Next(h Host) bool {
 	if !s.told {
 		s.told = true
-		h.Stand(s.Open())
+		h.SetOpen(s.Open())
 		return true
 	}
 	if s.unable && s.reserve(s.used+1, h) {
@@ -301,33 +301,33 @@
 	}
 	if due != s.wokenAt && !math.IsInf(due, 1) {
 		s.wokenAt = due
-		h.Wake(due)
+		h.SetTimer(due)
 		return true
 	}
 	return false
 }
 
-func (s *Sharer) one(x *holding, h Host) bool {
+func (s *Manager) one(x *holding, h Host) bool {
 	switch {
 	case x.epoch > 0 && !s.ours(x):
 		x.epoch, x.asks = 0, nil
 		s.Expired++
 		if x.commanded {
 			x.commanded = false
-			h.Yield(x.name)
+			h.StopCommand(x.name)
 			return true
 		}
 	case x.epoch > 0 && !x.commanded:
 		x.commanded = true
-		h.Command(x.name, x.epoch)
+		h.StartCommand(x.name, x.epoch)
 		return true
-	case x.epoch > 0 && s.now >= s.handAt(x):
-		return s.hand(x, h)
+	case x.epoch > 0 && s.now >= s.transferAt(x):
+		return s.transfer(x, h)
 	case x.epoch > 0 && s.now >= s.renewAt(x):
-		s.ask(x, x.epoch, h)
+		s.requestLease(x, x.epoch, h)
 		return true
 	}
-	if x.epoch > 0 || s.draining || s.now < s.claimAt(x) {
+	if x.epoch > 0 || s.draining || s.now < s.requestAt(x) {
 		return false
 	}
 	epoch := max(s.used, x.view.Epoch) + 1
@@ -335,49 +335,49 @@
 		return s.reserve(epoch, h)
 	}
 	s.used = epoch
-	s.ask(x, epoch, h)
+	s.requestLease(x, epoch, h)
 	return true
 }
 
 // reserve has more epochs written down, if that is not under way.
-func (s *Sharer) reserve(epoch uint64, h Host) bool {
+func (s *Manager) reserve(epoch uint64, h Host) bool {
 	if s.reserving || s.now < s.retryAt {
 		return false
 	}
 	s.reserving = true
-	h.Reserve(epoch + reserveAhead)
+	h.ReserveEpochs(epoch + reserveAhead)
 	return true
 }
 
-func (s *Sharer) ask(x *holding, epoch uint64, h Host) {
+func (s *Manager) requestLease(x *holding, epoch uint64, h Host) {
 	s.nonce++
-	if len(x.asks) >= mostAsks {
+	if len(x.asks) >= maxRequests {
 		x.asks = slices.Delete(x.asks, 0, 1)
 	}
-	x.asks = append(x.asks, ask{s.nonce, epoch, s.now})
-	h.Claim(x.name, s.nonce, epoch, LeaseMs)
+	x.asks = append(x.asks, leaseRequest{s.nonce, epoch, s.now})
+	h.RequestLease(x.name, s.nonce, epoch, DurationMs)
 }
 
 // renewAt is when a lease is to be asked for again: a while after it was last asked for, answered or not.
-func (s *Sharer) renewAt(x *holding) float64 {
-	return renewMs + max(x.lastAsked(), x.until-heldUntil(0, LeaseMs))
+func (s *Manager) renewAt(x *holding) float64 {
+	return renewMs + max(x.lastAsked(), x.until-heldUntil(0, DurationMs))
 }
 
-// claimAt is when a proxy is free, or its lease over by its own word, and our turn has come.
-func (s *Sharer) claimAt(x *holding) float64 {
+// requestAt is when a proxy is free, or its lease over by its own word, and our turn has come.
+func (s *Manager) requestAt(x *holding) float64 {
 	at := x.lastAsked() + answerMs
 	if x.view.Controller == s.name && x.view.Incarnation == s.incarnation { // by an older stream
 		return at
 	}
-	free := math.Min(x.freeSince, x.seen+x.view.LeftMs*(1+rateBound)+marginMs)
-	if len(x.view.Reachable) < x.view.Controllers { // else each start would hand most proxies over a while later
+	free := math.Min(x.freeSince, x.seen+x.view.RemainingMs*(1+rateBound)+marginMs)
+	if len(x.view.Reachable) < x.view.DialedControllers { // else each start would hand most proxies over a while later
 		at = max(at, x.joined+gatherMs)
 	}
 	return max(at, max(free, x.placed)+staggerMs*float64(x.rank))
 }
 
-// handAt is when a proxy should go to a better placed controller: one that has been reachable for a while, at a pace.
-func (s *Sharer) handAt(x *holding) float64 {
+// transferAt is when a proxy should go to a better placed controller: one that has been reachable for a while, at a pace.
+func (s *Manager) transferAt(x *holding) float64 {
 	at := math.Inf(1)
 	if !math.IsInf(x.better, 1) {
 		at = x.better + settledMs*math.Exp2(float64(x.back))
@@ -385,34 +385,34 @@
 	if s.draining && len(x.view.Reachable) > 0 {
 		at = s.now
 	}
-	return max(at, s.handed+1000/handPerS)
+	return max(at, s.transferred+1000/transfersPerSecond)
 }
 
-func (s *Sharer) hand(x *holding, h Host) bool {
+func (s *Manager) transfer(x *holding, h Host) bool {
 	epoch := x.epoch
 	x.handedAt = s.now
-	s.handed, x.epoch, x.until, x.asks = s.now, 0, math.Inf(-1), nil
+	s.transferred, x.epoch, x.until, x.asks = s.now, 0, math.Inf(-1), nil
 	x.freeSince = s.now + answerMs // another is to come first
-	x.view.Controller, x.view.LeftMs, x.seen = "", 0, s.now
-	s.Handed++
+	x.view.Controller, x.view.RemainingMs, x.seen = "", 0, s.now
+	s.Transferred++
 	if x.commanded {
 		x.commanded = false
-		h.Yield(x.name)
+		h.StopCommand(x.name)
 	}
-	h.Release(x.name, epoch)
+	h.ReleaseLease(x.name, epoch)
 	return true
 }
 
 // plan works out anew when a proxy is to be looked at; it is to be called whenever something is heard of it.
-func (s *Sharer) plan(x *holding) {
+func (s *Manager) plan(x *holding) {
 	due := math.Inf(1)
 	switch {
 	case x.epoch > 0 && (!x.commanded || !s.ours(x)):
 		due = s.now
 	case x.epoch > 0:
-		due = min(x.until, s.renewAt(x), s.handAt(x))
+		due = min(x.until, s.renewAt(x), s.transferAt(x))
 	case !s.draining:
-		if due = s.claimAt(x); s.reserving {
+		if due = s.requestAt(x); s.reserving {
 			due = max(due, s.now+staggerMs/4)
 		} else if s.unable {
 			due = max(due, s.retryAt)
@@ -421,14 +421,14 @@
 	s.put(x, due)
 }
 
-func (s *Sharer) put(x *holding, due float64) {
+func (s *Manager) put(x *holding, due float64) {
 	if x.due != due {
 		x.due = due
 		heap.Fix(&s.queue, x.at)
 	}
 }
 
-func (s *Sharer) planAll() {
+func (s *Manager) planAll() {
 	for _, x := range slices.Clone(s.queue) { // it moves meanwhile
 		s.plan(x)
 	}
--- a/internal/lease/model/model.go
+++ b/internal/lease/model/model.go
@@ -20,22 +20,22 @@
 
 // Bounds keep the space finite.
 type Bounds struct {
-	Proxies  int // 1 or 2
-	Epochs   uint8
-	Restarts uint8 // of each controller
-	Losses   bool
-	States   int // give up beyond so many
+	Proxies   int // 1 or 2
+	Epochs    uint8
+	Restarts  uint8 // of each controller
+	Losses    bool
+	MaxStates int // give up beyond so many
 }
 
-// Broken leaves a part of the protocol out, to see that the explorer finds what it is for.
-type Broken int
+// Mutation leaves a part of the protocol out, to see that the explorer finds what it is for.
+type Mutation int
 
 const (
-	Nothing     Broken = iota
-	NoFence            // a proxy obeys whatever comes
-	FromAnswer         // a holder counts its lease from the answer
-	NoProcess          // a restarted controller passes for the one before, and forgets which epochs it used
-	NoRateBound        // a holder believes in the whole lease, though its clock may be slow
+	NoMutation            Mutation = iota
+	WithoutFencing                 // a proxy obeys whatever comes
+	LeaseFromAnswer                // a holder counts its lease from the answer
+	WithoutIncarnation             // a restarted controller passes for the one before, and forgets which epochs it used
+	WithoutClockRateBound          // a holder believes in the whole lease, though its clock may be slow
 )
 
 type proxy struct {
@@ -66,14 +66,14 @@
 // Result of an exploration.
 type Result struct {
 	States, Depth int
-	Whole         bool     // the bound on states was not met
-	Wrong         string   // what was broken, empty: nothing
+	Complete      bool     // the bound on states was not met
+	Violation     string   // what was broken, empty: nothing
 	Trace         []string // the shortest way to it
 }
 
 type explorer struct {
 	b      Bounds
-	broken Broken
+	broken Mutation
 	from   map[state]state
 	next   []state
 	wrong  string
@@ -83,21 +83,21 @@
 }
 
 // Explore goes through all states within the bounds, breadth first.
-func Explore(b Bounds, broken Broken) Result {
+func Explore(b Bounds, broken Mutation) Result {
 	e := &explorer{b: b, broken: broken, from: map[state]state{}}
 	start := state{}
 	e.from[start] = start
-	r := Result{Whole: true}
+	r := Result{Complete: true}
 	for level := []state{start}; len(level) > 0; r.Depth++ {
 		e.next = nil
 		for _, s := range level {
 			if e.expand(s); e.wrong != "" {
-				r.States, r.Wrong, r.Trace = len(e.from), e.wrong, e.trace()
+				r.States, r.Violation, r.Trace = len(e.from), e.wrong, e.trace()
 				return r
 			}
 		}
-		if level = e.next; len(e.from) > b.States {
-			r.Whole = false
+		if level = e.next; len(e.from) > b.MaxStates {
+			r.Complete = false
 			break
 		}
 	}
@@ -144,16 +144,16 @@
 func name(c int) string { return string(rune('A' + c)) }
 
 // judge asks the product's own arbiter.
-func (e *explorer) judge(p *proxy, c int, process, epoch uint8, what func(a *lease.Arbiter, who string, process uint64) bool) bool {
-	a := lease.Arbiter{Lease: lease.Lease{Epoch: uint64(p.epoch), Until: float64(p.left)}}
+func (e *explorer) judge(p *proxy, c int, process, epoch uint8, what func(a *lease.Grantor, who string, process uint64) bool) bool {
+	a := lease.Grantor{Lease: lease.Lease{Epoch: uint64(p.epoch), ExpiresMs: float64(p.left)}}
 	if p.holder > 0 {
 		a.Controller, a.Incarnation = name(int(p.holder-1)), uint64(p.process)
 	}
-	if e.broken == NoProcess {
+	if e.broken == WithoutIncarnation {
 		process = 0
 	}
 	ok := what(&a, name(c), uint64(process))
-	p.epoch, p.left, p.process, p.holder = uint8(a.Epoch), uint8(a.Until), uint8(a.Incarnation), 0
+	p.epoch, p.left, p.process, p.holder = uint8(a.Epoch), uint8(a.ExpiresMs), uint8(a.Incarnation), 0
 	if a.Controller != "" {
 		p.holder = int8(a.Controller[0]-'A') + 1
 	} else {
@@ -168,7 +168,7 @@
 		if s.c[c].process < e.b.Restarts {
 			n := s
 			n.c[c].process++
-			if e.broken == NoProcess {
+			if e.broken == WithoutIncarnation {
 				n.c[c].used = 0
 			}
 			for p := range e.b.Proxies {
@@ -248,7 +248,7 @@
 
 // fresh is the epoch of a new claim: above all that this controller used and the proxy granted.
 func (e *explorer) fresh(used, granted uint8) uint8 {
-	if e.broken == NoProcess {
+	if e.broken == WithoutIncarnation {
 		return used + 1
 	}
 	return max(used, granted) + 1
@@ -260,8 +260,8 @@
 	if w.claim > 0 {
 		n := s
 		x := &n.w[c][p]
-		granted := e.judge(&n.p[p], c, w.claimProcess, w.claim, func(a *lease.Arbiter, who string, process uint64) bool {
-			return a.Claim(who, process, uint64(w.claim), leaseState)
+		granted := e.judge(&n.p[p], c, w.claimProcess, w.claim, func(a *lease.Grantor, who string, process uint64) bool {
+			return a.Grant(who, process, uint64(w.claim), leaseState)
 		})
 		x.claim, x.claimProcess, x.claimAge = 0, 0, 0
 		if granted {
@@ -281,10 +281,10 @@
 		x.answer, x.answerProcess, x.answerAge = 0, 0, 0
 		if w.answerProcess == n.c[c].process {
 			left := uint8(belief)
-			if e.broken == NoRateBound {
+			if e.broken == WithoutClockRateBound {
 				left = leaseState
 			}
-			if e.broken != FromAnswer {
+			if e.broken != LeaseFromAnswer {
 				left -= min(left, w.answerAge)
 			}
 			if x.own != w.answer {
@@ -300,8 +300,8 @@
 		n := s
 		n.w[c][p].order, n.w[c][p].orderProcess = 0, 0
 		copied := s.p[p]
-		obeyed := e.broken == NoFence || e.judge(&copied, c, w.orderProcess, w.order, func(a *lease.Arbiter, who string, process uint64) bool {
-			return a.Obeys(who, process, uint64(w.order))
+		obeyed := e.broken == WithoutFencing || e.judge(&copied, c, w.orderProcess, w.order, func(a *lease.Grantor, who string, process uint64) bool {
+			return a.Accepts(who, process, uint64(w.order))
 		})
 		what := fmt.Sprintf("proxy %d obeys an order of %s under epoch %d", p, name(c), w.order)
 		if !obeyed {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -20,32 +20,34 @@
 
 // Options of a run. Times in ms, rates a second.
 type Options struct {
-	Clock     clock.Clock
-	To        []string // addresses, drawn evenly
-	Group     string   // traffic group; empty: the first
-	Rates     []float64
-	StepMs    float64 // that each rate lasts
-	ExpiryMs  float64 // after which a flow counts as dropped
-	BudgetMs  float64 // that p99 must keep, for the knee
-	LeastGood float64 // part that must be delivered, for the knee
-	MostFlows int     // in hand; more are counted as unsent
-	Seed      int64
-	Progress  func(s Step) // each second, with the step so far; may be nil
+	Clock              clock.Clock
+	Targets            []string // addresses, drawn evenly
+	Class              string   // traffic group; empty: the first
+	Rates              []float64
+	StepMs             float64 // that each rate lasts
+	DeadlineMs         float64 // after which a flow counts as dropped
+	LatencyObjectiveMs float64 // that p99 must keep, for the knee
+	MinSuccessRatio    float64 // part that must be delivered, for the knee
+	MaxInFlight        int     // in hand; more are counted as unsent
+	Seed               int64
+	Progress           func(s Step) // each second, with the step so far; may be nil
 }
 
 // Step is what became of the flows of one rate. Latencies are of delivered ones, in ms from the time each was to be sent.
 type Step struct {
 	Rate                                     float64
-	Due, Delivered, Blocked, Dropped, Unsent int
+	Due, Succeeded, Rejected, Failed, Unsent int
 	P50, P90, P99, P999, Max                 float64
 	LateMs                                   float64 // the most that the tool itself was late to send
 }
 
-// Good is the part delivered.
-func (s Step) Good() float64 { return float64(s.Delivered) / float64(max(s.Due, 1)) }
+// SuccessRatio is the part delivered.
+func (s Step) SuccessRatio() float64 { return float64(s.Succeeded) / float64(max(s.Due, 1)) }
 
-// Holds says whether a step kept the budget.
-func (o Options) Holds(s Step) bool { return s.P99 <= o.BudgetMs && s.Good() >= o.LeastGood }
+// MeetsObjective says whether a step kept the budget.
+func (o Options) MeetsObjective(s Step) bool {
+	return s.P99 <= o.LatencyObjectiveMs && s.SuccessRatio() >= o.MinSuccessRatio
+}
 
 // Ramp gives rates from one to another, in equal steps.
 func Ramp(from, to, by float64) (rates []float64, err error) {
@@ -79,13 +81,13 @@
 	defer line.CloseIdleConnections()
 	client := &http.Client{Transport: line}
 	chance := rand.New(rand.NewSource(o.Seed))
-	inHand := make(chan struct{}, o.MostFlows)
+	inHand := make(chan struct{}, o.MaxInFlight)
 	for _, rate := range o.Rates {
 		s, err := o.step(ctx, client, chance, inHand, rate)
 		if err != nil {
 			return steps, err
 		}
-		if steps = append(steps, s); len(o.Rates) > 1 && !o.Holds(s) {
+		if steps = append(steps, s); len(o.Rates) > 1 && !o.MeetsObjective(s) {
 			break
 		}
 	}
@@ -96,12 +98,12 @@
 	t := &tally{step: Step{Rate: rate}, hist: hdrhistogram.New(1, 600e6, 3)}
 	var flows sync.WaitGroup
 	defer flows.Wait()
-	start, told := o.Clock.Mono(), 0.0
+	start, told := o.Clock.Monotonic(), 0.0
 	for next := chance.ExpFloat64() / rate * 1000; next < o.StepMs; next += chance.ExpFloat64() / rate * 1000 {
-		if wait := start + next - o.Clock.Mono(); wait > 0 && clock.Sleep(ctx, o.Clock, wait) != nil {
+		if wait := start + next - o.Clock.Monotonic(); wait > 0 && clock.Sleep(ctx, o.Clock, wait) != nil {
 			return t.read(), ctx.Err()
 		}
-		due, to, now := start+next, o.To[chance.Intn(len(o.To))], o.Clock.Mono()
+		due, to, now := start+next, o.Targets[chance.Intn(len(o.Targets))], o.Clock.Monotonic()
 		t.mu.Lock()
 		t.step.Due++
 		t.step.LateMs = max(t.step.LateMs, now-due)
@@ -129,20 +131,20 @@
 }
 
 func (o Options) flow(ctx context.Context, client *http.Client, t *tally, to string, due float64) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(max(due+o.ExpiryMs-o.Clock.Mono(), 1)*float64(time.Millisecond)))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(max(due+o.DeadlineMs-o.Clock.Monotonic(), 1)*float64(time.Millisecond)))
 	defer cancel()
 	good, blocked := o.ask(ctx, client, to)
-	took := o.Clock.Mono() - due
+	took := o.Clock.Monotonic() - due
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case good:
-		t.step.Delivered++
+		t.step.Succeeded++
 		t.hist.RecordValue(max(int64(took*1000), 1))
 	case blocked:
-		t.step.Blocked++
+		t.step.Rejected++
 	default:
-		t.step.Dropped++
+		t.step.Failed++
 	}
 }
 
@@ -151,8 +153,8 @@
 	if err != nil {
 		return false, false
 	}
-	if o.Group != "" {
-		r.Header.Set(proxy.GroupHeader, o.Group)
+	if o.Class != "" {
+		r.Header.Set(proxy.ClassHeader, o.Class)
 	}
 	resp, err := client.Do(r)
 	if err != nil {
@@ -169,9 +171,9 @@
 // Check finds what cannot be played.
 func (o Options) Check() error {
 	switch {
-	case len(o.To) == 0:
+	case len(o.Targets) == 0:
 		return errors.New("load needs at least one address")
-	case len(o.Rates) == 0 || o.StepMs <= 0 || o.ExpiryMs <= 0 || o.MostFlows <= 0:
+	case len(o.Rates) == 0 || o.StepMs <= 0 || o.DeadlineMs <= 0 || o.MaxInFlight <= 0:
 		return errors.New("load needs a rate, a length, an expiry and a bound on flows in hand, all above 0")
 	}
 	for _, r := range o.Rates {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,8 +14,8 @@
 
 func options(at *httptest.Server) Options {
 	return Options{
-		Clock: clock.NewReal(), To: []string{strings.TrimPrefix(at.URL, "http://")}, Rates: []float64{200}, StepMs: 1500,
-		ExpiryMs: 5000, BudgetMs: 300, LeastGood: 0.99, MostFlows: 1000, Seed: 1,
+		Clock: clock.NewReal(), Targets: []string{strings.TrimPrefix(at.URL, "http://")}, Rates: []float64{200}, StepMs: 1500,
+		DeadlineMs: 5000, LatencyObjectiveMs: 300, MinSuccessRatio: 0.99, MaxInFlight: 1000, Seed: 1,
 	}
 }
 
@@ -24,13 +24,13 @@
 	t.Run("a stall shows in all flows that were due in it", func(t *testing.T) {
 		c := clock.NewReal()
 		s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-			if at := c.Mono(); at > 500 && at < 1000 {
+			if at := c.Monotonic(); at > 500 && at < 1000 {
 				clock.Sleep(t.Context(), c, 1000-at)
 			}
 		}))
 		defer s.Close()
 		got, err := Run(t.Context(), options(s))
-		if err != nil || len(got) != 1 || got[0].Due < 200 || got[0].Delivered != got[0].Due || got[0].P90 < 200 {
+		if err != nil || len(got) != 1 || got[0].Due < 200 || got[0].Succeeded != got[0].Due || got[0].P90 < 200 {
 			t.Errorf("%+v, %v", got, err)
 		}
 	})
@@ -50,14 +50,14 @@
 		}))
 		defer s.Close()
 		o := options(s)
-		o.MostFlows = 40
+		o.MaxInFlight = 40
 		time.AfterFunc(1800*time.Millisecond, func() { close(hold) })
 		got, err := Run(t.Context(), o)
 		if err != nil {
 			t.Fatal(err)
 		}
 		x := got[0]
-		if x.Blocked != 50 || x.Dropped != 30 || x.Delivered != 80 || x.Unsent == 0 || x.Due != x.Blocked+x.Dropped+x.Delivered+x.Unsent {
+		if x.Rejected != 50 || x.Failed != 30 || x.Succeeded != 80 || x.Unsent == 0 || x.Due != x.Rejected+x.Failed+x.Succeeded+x.Unsent {
 			t.Errorf("%+v", x)
 		}
 	})
@@ -67,7 +67,7 @@
 		o := options(s)
 		o.Rates, o.StepMs = []float64{50, 100}, 200
 		got, err := Run(t.Context(), o)
-		if err != nil || len(got) != 1 || o.Holds(got[0]) {
+		if err != nil || len(got) != 1 || o.MeetsObjective(got[0]) {
 			t.Errorf("%+v, %v", got, err)
 		}
 	})
@@ -78,7 +78,7 @@
 		if _, err := Ramp(100, 50, 10); err == nil {
 			t.Error("a ramp that falls")
 		}
-		if (Options{To: []string{"x"}, Rates: []float64{-1}, StepMs: 1, ExpiryMs: 1, MostFlows: 1}).Check() == nil || (Options{}).Check() == nil {
+		if (Options{Targets: []string{"x"}, Rates: []float64{-1}, StepMs: 1, DeadlineMs: 1, MaxInFlight: 1}).Check() == nil || (Options{}).Check() == nil {
 			t.Error("odd options pass")
 		}
 	})
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -38,7 +38,7 @@
 
 const perLook = 200 // looks a second: at these sizes the core hardly sleeps
 
-func (l *loaded) Send(s *Stream, kind controlstream.Kind, m proto.Message) {
+func (l *loaded) Send(s *Stream, kind controlstream.FrameKind, m proto.Message) {
 	if o, ok := m.(*order.Orders); ok {
 		a := &order.Applied{Number: o.Number}
 		for _, x := range o.Orders {
@@ -48,16 +48,16 @@
 		}
 		l.lines += len(o.Orders)
 		l.answers = append(l.answers, answering{s, a})
-	} else if kind == controlstream.Welcome {
+	} else if kind == controlstream.FrameWelcome {
 		l.answers = append(l.answers, answering{s, &order.Applied{}})
 	}
 }
 
-func (l *loaded) End(s *Stream, why *controlstream.Ending) {
+func (l *loaded) Close(s *Stream, why *controlstream.CloseError) {
 	panic(fmt.Sprint(s.Name(), " ended: ", why))
 }
-func (l *loaded) Wake(float64)   {}
-func (l *loaded) Reserve(uint64) {}
+func (l *loaded) SetTimer(float64)     {}
+func (l *loaded) ReserveEpochs(uint64) {}
 
 func load(tb testing.TB, proxies, servers int) *loaded {
 	set := &pb.Planner{}
@@ -66,20 +66,20 @@
 	if err := settings.Parse("bench", []byte(text), set); err != nil {
 		tb.Fatal(err)
 	}
-	l := &loaded{Core: NewCore(set, NewModule(set), 1, 0)}
-	u := discovery.Update{Form: policy.Whole, AsOfMs: 1e12}
+	l := &loaded{Core: NewCore(set, NewPolicy(set), 1, 0)}
+	u := discovery.Update{Kind: policy.FullUpdate, AsOfMs: 1e12}
 	for i := range servers {
-		u.Entries = append(u.Entries, discovery.Entry{Server: fmt.Sprintf("127.9.%d.%d:8000", i/250, i%250+1), Zone: string("ab"[i%2]), Size: 1})
+		u.Endpoints = append(u.Endpoints, discovery.Endpoint{Server: fmt.Sprintf("127.9.%d.%d:8000", i/250, i%250+1), Zone: string("ab"[i%2]), RelativeCapacity: 1})
 	}
-	l.Listed(u)
+	l.UpdateEndpoints(u)
 	chance := rand.New(rand.NewSource(1))
 	for n := range proxies {
 		s := &Stream{Address: netip.MustParseAddr("127.1.0.1")}
-		l.Joined(s, &order.Join{Proxy: fmt.Sprint("p", n), Zone: string("ab"[n%2]), UsualPerS: 5, Incarnation: 1, Stream: 1, Groups: 2})
+		l.HandleJoin(s, &order.Join{Proxy: fmt.Sprint("p", n), Zone: string("ab"[n%2]), UsualPerS: 5, Incarnation: 1, Stream: 1, Groups: 2})
 		l.streams = append(l.streams, s)
 		m := &order.Sums{CoversMs: 1000, Groups: []*order.GroupSum{{Group: 0, Came: 4}, {Group: 1, Came: 1}}}
 		for range 5 {
-			m.Servers = append(m.Servers, &order.ServerSum{Server: u.Entries[chance.Intn(servers)].Server, Tries: 1, LatencyMs: 20 + 40*chance.Float64()})
+			m.Servers = append(m.Servers, &order.ServerSum{Server: u.Endpoints[chance.Intn(servers)].Server, Tries: 1, LatencyMs: 20 + 40*chance.Float64()})
 		}
 		l.reports = append(l.reports, m)
 	}
@@ -94,14 +94,14 @@
 	next := 0
 	for k := range perLook {
 		l.now += 1000.0 / perLook
-		l.Tick(l.now, time.UnixMilli(int64(1e12+l.now)))
+		l.SetTime(l.now, time.UnixMilli(int64(1e12+l.now)))
 		for ; next < len(l.streams)*(k+1)/perLook; next++ {
-			l.Summed(l.streams[next], l.reports[next])
+			l.HandleLoadReport(l.streams[next], l.reports[next])
 		}
 		answers := l.answers
 		l.answers = nil
 		for _, a := range answers {
-			l.Answered(a.to, a.m)
+			l.HandleAck(a.to, a.m)
 		}
 		for l.Next(l) {
 			l.looks++
@@ -139,14 +139,14 @@
 				old[i] = name(i)
 			}
 			for range releases {
-				u := discovery.Update{Form: policy.Change, AsOfMs: 1e12 + uint64(l.now)}
+				u := discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: 1e12 + uint64(l.now)}
 				next := map[string]string{}
 				for i, gone := range old {
-					u.Entries = append(u.Entries, discovery.Entry{Server: gone, Zone: string("ab"[i%2]), Size: 1, State: policy.Gone})
+					u.Endpoints = append(u.Endpoints, discovery.Endpoint{Server: gone, Zone: string("ab"[i%2]), RelativeCapacity: 1, State: policy.Removed})
 					old[i] = fmt.Sprintf("127.8.%d.%d:%d", first/250%250, first%250+1, 8000+first/62500)
 					first++
 					next[gone] = old[i]
-					u.Entries = append(u.Entries, discovery.Entry{Server: old[i], Zone: string("ab"[i%2]), Size: 1})
+					u.Endpoints = append(u.Endpoints, discovery.Endpoint{Server: old[i], Zone: string("ab"[i%2]), RelativeCapacity: 1})
 				}
 				for _, r := range l.reports {
 					for _, x := range r.Servers {
@@ -155,13 +155,13 @@
 						}
 					}
 				}
-				l.Listed(u)
+				l.UpdateEndpoints(u)
 				for range 20 {
 					l.second()
 				}
 				l.now += 7e5
 				for _, s := range l.streams {
-					l.Beat(s)
+					l.HandleHeartbeat(s)
 				}
 			}
 			for range 4 {
@@ -183,7 +183,7 @@
 // merging on as many cores as there are, and one that owns the rest. Ten servers a report.
 func BenchmarkPlannerReports(b *testing.B) {
 	l := load(b, 500, 200)
-	r := &ripe{signal: make(chan struct{}, 1)}
+	r := &coalescedReports{signal: make(chan struct{}, 1)}
 	done, ended := make(chan struct{}), make(chan struct{})
 	begun := clock.NewReal()
 	go func() {
@@ -195,13 +195,13 @@
 				return
 			case <-r.signal:
 			}
-			l.now = last + begun.Mono()
-			l.Tick(l.now, time.UnixMilli(int64(1e12+l.now)))
+			l.now = last + begun.Monotonic()
+			l.SetTime(l.now, time.UnixMilli(int64(1e12+l.now)))
 			for s, m, _ := r.take(); s != nil; s, m, _ = r.take() {
-				l.Summed(s.core, m)
+				l.HandleLoadReport(s.core, m)
 			}
 			for _, a := range l.answers {
-				l.Answered(a.to, a.m)
+				l.HandleAck(a.to, a.m)
 			}
 			l.answers = nil
 			for l.Next(l) {
@@ -218,17 +218,17 @@
 		for k := range 10 {
 			body.Servers = append(body.Servers, &order.ServerSum{Server: l.reports[n+k].Servers[0].Server, Tries: 1, LatencyMs: 30})
 		}
-		proxyEnd := controlstream.NewProxyEnd(controlstream.Limits{FrameBytes: 1 << 20, JoinWithin: 1e12, SilentAfter: 1e12}, 0)
-		end := controlstream.NewPlannerEnd(controlstream.Limits{FrameBytes: 1 << 20, JoinWithin: 1e12, SilentAfter: 1e12}, 0)
-		frame, _ := proxyEnd.Append(nil, controlstream.Join, &order.Join{Proxy: "x", Groups: 2})
+		proxyEnd := controlstream.NewProxySession(controlstream.Limits{MaxFrameBytes: 1 << 20, HandshakeTimeoutMs: 1e12, HeartbeatTimeoutMs: 1e12}, 0)
+		end := controlstream.NewPlannerSession(controlstream.Limits{MaxFrameBytes: 1 << 20, HandshakeTimeoutMs: 1e12, HeartbeatTimeoutMs: 1e12}, 0)
+		frame, _ := proxyEnd.Append(nil, controlstream.FrameJoin, &order.Join{Proxy: "x", Groups: 2})
 		end.Feed(0, frame)
 		into := taker{add: func(m *order.Sums) { r.add(s, m, 0) }}
 		end.Next(into)
 		for pb.Next() {
-			frame, _ = proxyEnd.Append(frame[:0], controlstream.Sums, body)
+			frame, _ = proxyEnd.Append(frame[:0], controlstream.FrameLoadReport, body)
 			end.Feed(0, frame)
 			if !end.Next(into) {
-				b.Error(end.Ended())
+				b.Error(end.CloseCause())
 				return
 			}
 		}
@@ -241,7 +241,7 @@
 
 type taker struct{ add func(*order.Sums) }
 
-func (t taker) Joined(*order.Join)      {}
-func (t taker) Answered(*order.Applied) {}
-func (t taker) Leased(*order.Lease)     {}
-func (t taker) Summed(m *order.Sums)    { t.add(m) }
+func (t taker) OnJoin(*order.Join)         {}
+func (t taker) OnAck(*order.Applied)       {}
+func (t taker) OnLease(*order.Lease)       {}
+func (t taker) OnLoadReport(m *order.Sums) { t.add(m) }
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -43,35 +43,35 @@
 type wire struct {
 	*Core
 	sent  map[*Stream][]proto.Message
-	ended map[*Stream]controlstream.Reason
+	ended map[*Stream]controlstream.CloseReason
 	deaf  map[*Stream]bool // answers nothing
 }
 
 func begin(t testing.TB, more string, servers int) *wire {
 	set := planned(t, more)
-	w := &wire{Core: NewCore(set, NewModule(set), 1, 0), sent: map[*Stream][]proto.Message{}, ended: map[*Stream]controlstream.Reason{}, deaf: map[*Stream]bool{}}
-	w.Listed(listed(servers))
+	w := &wire{Core: NewCore(set, NewPolicy(set), 1, 0), sent: map[*Stream][]proto.Message{}, ended: map[*Stream]controlstream.CloseReason{}, deaf: map[*Stream]bool{}}
+	w.UpdateEndpoints(listed(servers))
 	w.at(0)
 	return w
 }
 
 func listed(n int) discovery.Update {
-	u := discovery.Update{Form: policy.Whole, AsOfMs: 1e12}
+	u := discovery.Update{Kind: policy.FullUpdate, AsOfMs: 1e12}
 	for i := range n {
-		u.Entries = append(u.Entries, discovery.Entry{Server: fmt.Sprint("s", i), Zone: string("ab"[i%2]), Size: 1})
+		u.Endpoints = append(u.Endpoints, discovery.Endpoint{Server: fmt.Sprint("s", i), Zone: string("ab"[i%2]), RelativeCapacity: 1})
 	}
 	return u
 }
 
-func (w *wire) Send(s *Stream, _ controlstream.Kind, m proto.Message) {
+func (w *wire) Send(s *Stream, _ controlstream.FrameKind, m proto.Message) {
 	w.sent[s] = append(w.sent[s], m)
 }
-func (w *wire) End(s *Stream, why *controlstream.Ending) { w.ended[s] = why.Reason }
-func (w *wire) Wake(float64)                             {}
-func (w *wire) Reserve(upTo uint64)                      { w.Reserved(upTo, nil) }
+func (w *wire) Close(s *Stream, why *controlstream.CloseError) { w.ended[s] = why.Reason }
+func (w *wire) SetTimer(float64)                               {}
+func (w *wire) ReserveEpochs(upTo uint64)                      { w.EpochsReserved(upTo, nil) }
 
 func (w *wire) at(now float64) {
-	w.Tick(now, time.UnixMilli(int64(1e12+now)))
+	w.SetTime(now, time.UnixMilli(int64(1e12+now)))
 	for n := 0; w.Next(w); n++ {
 		if n > 1e6 {
 			panic("decisions without end")
@@ -84,7 +84,7 @@
 	for now := from; now <= to; now += 50 {
 		for s := range w.sent {
 			if w.ended[s] == "" {
-				w.Beat(s)
+				w.HandleHeartbeat(s)
 				if !w.deaf[s] {
 					w.answer(s)
 				}
@@ -105,7 +105,7 @@
 				}
 			}
 		}
-		w.Answered(s, a)
+		w.HandleAck(s, a)
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	j.Holds = []*order.Holding{h}
 	w.sent[s] = nil
-	w.Joined(s, j)
+	w.HandleJoin(s, j)
 	return s
 }
 
@@ -143,7 +143,7 @@
 }
 
 func state(server string, s policy.State) discovery.Update {
-	return discovery.Update{Form: policy.Change, Entries: []discovery.Entry{{Server: server, Zone: "a", State: s, Size: 1}}}
+	return discovery.Update{Kind: policy.DeltaUpdate, Endpoints: []discovery.Endpoint{{Server: server, Zone: "a", State: s, RelativeCapacity: 1}}}
 }
 
 func TestCore(t *testing.T) {
@@ -159,7 +159,7 @@
 		w := begin(t, "proxies: 4", 4)
 		a, b := w.join("x", 1, 1), w.join("y", 2, 1)
 		w.run(0, 5000)
-		w.Listed(state("s0", policy.Draining))
+		w.UpdateEndpoints(state("s0", policy.Draining))
 		w.run(5050, 8000)
 		if w.told(a, out("s0")) < 0 || w.told(b, out("s0")) < 0 {
 			t.Error("not withdrawn")
@@ -169,7 +169,7 @@
 		w := begin(t, "proxies: 4", 4)
 		a := w.join("x", 1, 1)
 		w.run(0, 5000)
-		w.Listed(state("s0", policy.Draining))
+		w.UpdateEndpoints(state("s0", policy.Draining))
 		w.run(5050, 7000)
 		b := w.join("y", 2, 1, "s0", "s1")
 		w.at(7050)
@@ -182,13 +182,13 @@
 		a := w.join("x", 1, 1)
 		w.run(0, 5000)
 		w.deaf[a] = true
-		w.Listed(state("s0", policy.Draining))
+		w.UpdateEndpoints(state("s0", policy.Draining))
 		w.run(5050, 8000)
-		if w.ended[a] != controlstream.NoAnswer {
+		if w.ended[a] != controlstream.ReasonAckTimeout {
 			t.Errorf("ended %q after the grace of 3 s", w.ended[a])
 		}
-		if w.deaf[a] = false; len(w.names) != 0 || w.channel.Messages() != 0 {
-			t.Errorf("%d joined, %d messages wait", len(w.names), w.channel.Messages())
+		if w.deaf[a] = false; len(w.names) != 0 || w.sendQueue.Len() != 0 {
+			t.Errorf("%d joined, %d messages wait", len(w.names), w.sendQueue.Len())
 		}
 	})
 	t.Run("but not for orders that can wait", func(t *testing.T) {
@@ -207,20 +207,20 @@
 		w.run(0, 1000)
 		other := w.join("x", 2, 1) // another process, while the first is alive
 		w.run(1050, 1100)
-		if w.ended[other] != controlstream.Taken || w.ended[a] != "" {
+		if w.ended[other] != controlstream.ReasonNameInUse || w.ended[a] != "" {
 			t.Errorf("%q, %q", w.ended[other], w.ended[a])
 		}
 		again := w.join("x", 1, 2) // the same process has dialled again
 		w.run(1150, 2000)
-		if w.ended[a] != controlstream.Replaced || w.ended[again] != "" || w.told(again, bound) < 0 {
+		if w.ended[a] != controlstream.ReasonSuperseded || w.ended[again] != "" || w.told(again, bound) < 0 {
 			t.Errorf("%q, %q", w.ended[a], w.ended[again])
 		}
 		late := w.join("x", 1, 1) // a dial that was under way for long
 		w.run(2050, 2100)
-		if w.ended[late] != controlstream.Taken || w.ended[again] != "" {
+		if w.ended[late] != controlstream.ReasonNameInUse || w.ended[again] != "" {
 			t.Errorf("%q, %q", w.ended[late], w.ended[again])
 		}
-		w.Tick(9000, time.Time{}) // the first is silent by now
+		w.SetTime(9000, time.Time{}) // the first is silent by now
 		next := w.join("x", 3, 1)
 		w.at(9000)
 		if w.ended[next] != "" {
@@ -230,11 +230,11 @@
 	t.Run("a proxy of no zone, or of another table of groups, is sent away", func(t *testing.T) {
 		w := begin(t, "proxies: 4", 4)
 		s := &Stream{Address: netip.MustParseAddr("10.0.0.1")}
-		w.Joined(s, &order.Join{Proxy: "x", Groups: 2})
+		w.HandleJoin(s, &order.Join{Proxy: "x", Groups: 2})
 		u := &Stream{Address: netip.MustParseAddr("127.2.0.1")}
-		w.Joined(u, &order.Join{Proxy: "y", Groups: 3})
+		w.HandleJoin(u, &order.Join{Proxy: "y", Groups: 3})
 		w.at(0)
-		if w.ended[s] != controlstream.Strange || w.ended[u] != controlstream.Strange {
+		if w.ended[s] != controlstream.ReasonUnknownPeer || w.ended[u] != controlstream.ReasonUnknownPeer {
 			t.Errorf("%q %q", w.ended[s], w.ended[u])
 		}
 	})
@@ -250,7 +250,7 @@
 				t.Fatalf("%v, ended %q", w.told(s, bound), w.ended[s])
 			}
 		}
-		if peak := w.channel.Peak(); peak > 3500 {
+		if peak := w.sendQueue.PeakBacklog(); peak > 3500 {
 			t.Errorf("%g lines waited", peak)
 		}
 	})
@@ -258,10 +258,10 @@
 		w := begin(t, "proxies: 4", 4)
 		a := w.join("x", 1, 1)
 		w.run(0, 3000)
-		w.Listed(state("s0", policy.Gone))
+		w.UpdateEndpoints(state("s0", policy.Removed))
 		w.run(3050, 5000)
 		n := len(w.sent[a])
-		w.Summed(a, &order.Sums{CoversMs: 1000, Servers: []*order.ServerSum{{Server: "s0", Tries: 50, LatencyMs: 5}, {Server: "odd", Tries: 9}}})
+		w.HandleLoadReport(a, &order.Sums{CoversMs: 1000, Servers: []*order.ServerSum{{Server: "s0", Tries: 50, LatencyMs: 5}, {Server: "odd", Tries: 9}}})
 		w.run(5050, 6500)
 		for _, m := range w.sent[a][n:] {
 			for _, o := range m.(*order.Orders).Orders {
@@ -270,18 +270,18 @@
 				}
 			}
 		}
-		if w.Counts.Unheard != 1 || w.told(a, out("s0")) < 0 {
-			t.Errorf("%d unheard", w.Counts.Unheard)
+		if w.Counts.Ignored != 1 || w.told(a, out("s0")) < 0 {
+			t.Errorf("%d unheard", w.Counts.Ignored)
 		}
 	})
 	t.Run("the last inputs can be written out", func(t *testing.T) {
 		w := begin(t, "proxies: 4", 4)
 		a := w.join("x", 1, 1)
 		for range lastInputs {
-			w.Summed(a, &order.Sums{CoversMs: 7})
+			w.HandleLoadReport(a, &order.Sums{CoversMs: 7})
 		}
 		var b bytes.Buffer
-		if w.Dump(&b); strings.Count(b.String(), "\n") != lastInputs || !strings.Contains(b.String(), "sums x covers_ms:7") {
+		if w.DumpInputs(&b); strings.Count(b.String(), "\n") != lastInputs || !strings.Contains(b.String(), "sums x covers_ms:7") {
 			t.Errorf("%.300s", b.String())
 		}
 	})
@@ -293,15 +293,15 @@
 	w := begin(t, "", 8)
 	s := w.join("x", 1, 1)
 	w.run(0, 8000)
-	w.Listed(discovery.Update{Form: policy.Change, AsOfMs: 1e12, Entries: []discovery.Entry{{Server: "s2", Zone: "a", Size: 1, State: policy.Draining}}})
+	w.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: 1e12, Endpoints: []discovery.Endpoint{{Server: "s2", Zone: "a", RelativeCapacity: 1, State: policy.Draining}}})
 	w.run(8050, 30000)
 	if w.told(s, func(o *order.Order) bool { return o.GetWithdraw().GetServer() == "s2" }) < 0 {
 		t.Fatal("it was not told of the drain")
 	}
-	if p := w.names["x"]; len(p.out) != 0 || !w.book.Out["s2"] {
-		t.Errorf("withdrawn at it %v, of all %v", p.out, w.book.Out)
+	if p := w.names["x"]; len(p.ejected) != 0 || !w.registry.Ejected["s2"] {
+		t.Errorf("withdrawn at it %v, of all %v", p.ejected, w.registry.Ejected)
 	}
-	w.Listed(discovery.Update{Form: policy.Change, AsOfMs: 1e12, Entries: []discovery.Entry{{Server: "s2", Zone: "a", Size: 1}}})
+	w.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: 1e12, Endpoints: []discovery.Endpoint{{Server: "s2", Zone: "a", RelativeCapacity: 1}}})
 	w.run(30050, 60000)
 	set := &pb.Proxy{}
 	if err := settings.Parse("proxy", []byte(`name: "x" listen: "127.0.0.1:0" planners: "127.0.0.1:1"
@@ -312,12 +312,12 @@
 	for _, m := range w.sent[s] {
 		switch m := m.(type) {
 		case *order.Welcome:
-			c.Welcomed(m)
+			c.StartSession(m)
 		case *order.Orders:
-			c.Ordered(m)
+			c.ApplyOrders(m)
 		}
 	}
-	if !c.Held("s2") {
+	if !c.MayReceive("s2") {
 		t.Error("the proxy keeps off a server that is back")
 	}
 }
@@ -331,7 +331,7 @@
 		in.add(a, 5, 0, 20)
 		in.tick(1000)
 		l := in.next()
-		if f := l.take(); l != a || f != (figures{10, 1, 140}) || l.covers != 1000 || in.next() != nil {
+		if f := l.take(); l != a || f != (loadSample{10, 1, 140}) || l.covers != 1000 || in.next() != nil {
 			t.Errorf("%+v", l)
 		}
 		in.add(b, 2, 0, 10)
@@ -377,7 +377,7 @@
 		}
 	}
 	t.Run("later reports of a stream are added to the one that waits", func(t *testing.T) {
-		r, a, b := &ripe{signal: make(chan struct{}, 1)}, &stream{}, &stream{}
+		r, a, b := &coalescedReports{signal: make(chan struct{}, 1)}, &stream{}, &stream{}
 		r.add(a, sums("s", 4, 1, 10), 5)
 		r.add(b, sums("s", 1, 0, 10), 6)
 		r.add(a, sums("s", 2, 1, 50), 7)
@@ -395,12 +395,12 @@
 		}
 	})
 	t.Run("a report that waits is bounded, and what finds no place is counted", func(t *testing.T) {
-		r, a := &ripe{signal: make(chan struct{}, 1)}, &stream{}
-		for n := range mostMerged + 10 {
+		r, a := &coalescedReports{signal: make(chan struct{}, 1)}, &stream{}
+		for n := range maxMerged + 10 {
 			r.add(a, sums(fmt.Sprint(n), 1, 0, 1), 0)
 		}
 		_, m, _ := r.take()
-		if _, lost := r.counts(); len(m.Servers) != mostMerged || lost != 10 || m.Groups[0].Came != mostMerged+10 {
+		if _, lost := r.counts(); len(m.Servers) != maxMerged || lost != 10 || m.Groups[0].Came != maxMerged+10 {
 			t.Errorf("%d servers, %d lost", len(m.Servers), lost)
 		}
 	})
@@ -415,7 +415,7 @@
 		old = append(old, w.join(fmt.Sprint("old", n), 1, 1))
 	}
 	w.run(0, 8000)
-	w.Listed(discovery.Update{Form: policy.Change, AsOfMs: 1e12, Entries: []discovery.Entry{{Server: "s2", Zone: "a", Size: 1, State: policy.Draining}}})
+	w.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: 1e12, Endpoints: []discovery.Endpoint{{Server: "s2", Zone: "a", RelativeCapacity: 1, State: policy.Draining}}})
 	var fresh []*Stream
 	for n := range 2000 {
 		fresh = append(fresh, w.join(fmt.Sprint("new", n), 1, 1))
@@ -457,9 +457,9 @@
 			}
 			switch second {
 			case 8:
-				w.Listed(discovery.Update{Form: policy.Change, AsOfMs: 1e12, Entries: []discovery.Entry{{Server: "s2", Zone: "a", Size: 1, State: policy.Draining}}})
+				w.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: 1e12, Endpoints: []discovery.Endpoint{{Server: "s2", Zone: "a", RelativeCapacity: 1, State: policy.Draining}}})
 			case 15:
-				w.Lost(w.names["x7"].stream, &controlstream.Ending{Reason: controlstream.Lost})
+				w.HandleDisconnect(w.names["x7"].stream, &controlstream.CloseError{Reason: controlstream.ReasonConnectionLost})
 			}
 			for n := range 40 {
 				if p := w.names[fmt.Sprint("x", n)]; p != nil {
@@ -467,7 +467,7 @@
 					for k := range 6 {
 						m.Servers = append(m.Servers, &order.ServerSum{Server: fmt.Sprint("s", (n+5*k)%24), Tries: 2, LatencyMs: float64(20 + (n*k+second)%40)})
 					}
-					w.Summed(p.stream, m)
+					w.HandleLoadReport(p.stream, m)
 				}
 			}
 			w.run(float64(second)*1000, float64(second)*1000+950)
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -51,12 +51,12 @@
 `
 
 // reasonNames are the test's own, so that renamed reasons change no golden file.
-var reasonNames = map[controlstream.Reason]string{
-	controlstream.NoAnswer: "unacknowledged",
-	controlstream.Taken:    "name in use",
-	controlstream.Replaced: "replaced",
-	controlstream.Strange:  "unknown",
-	controlstream.Full:     "full",
+var reasonNames = map[controlstream.CloseReason]string{
+	controlstream.ReasonAckTimeout:    "unacknowledged",
+	controlstream.ReasonNameInUse:     "name in use",
+	controlstream.ReasonSuperseded:    "replaced",
+	controlstream.ReasonUnknownPeer:   "unknown",
+	controlstream.ReasonLimitExceeded: "full",
 }
 
 // fakeProxy is the other end of a stream.
@@ -64,7 +64,7 @@
 	name        string
 	zone        int
 	incarnation uint64
-	lease       lease.Arbiter
+	lease       lease.Grantor
 	stream      *planner.Stream // nil: it has none
 	streams     uint64          // so far
 	redialAt    int             // step
@@ -83,7 +83,7 @@
 	shared  bool
 	step    int
 	proxies []*fakeProxy
-	servers []discovery.Entry
+	servers []discovery.Endpoint
 	slow    map[string]float64 // factor of a server's latency
 	broken  map[string]bool    // servers whose requests fail
 	full    bool               // the store cannot be written
@@ -97,7 +97,7 @@
 	}
 	c := &conversation{
 		t:      t,
-		core:   planner.NewCore(configuration, planner.NewModule(configuration), 1, 0),
+		core:   planner.NewCore(configuration, planner.NewPolicy(configuration), 1, 0),
 		digest: golden.NewDigest(name, digestMs),
 		random: rand.New(rand.NewSource(conversationTag)),
 		shared: shared,
@@ -105,10 +105,10 @@
 		broken: map[string]bool{},
 	}
 	if shared {
-		c.core.Share(0)
+		c.core.EnableLeases(0)
 	}
 	for number := range serverCount {
-		c.servers = append(c.servers, discovery.Entry{Server: fmt.Sprintf("10.0.0.%d:80", number), Zone: string("ab"[number%2]), Size: float64(1 + number%3)})
+		c.servers = append(c.servers, discovery.Endpoint{Server: fmt.Sprintf("10.0.0.%d:80", number), Zone: string("ab"[number%2]), RelativeCapacity: float64(1 + number%3)})
 	}
 	for number := range proxyCount {
 		proxy := &fakeProxy{
@@ -122,14 +122,14 @@
 func (c *conversation) now() float64 { return float64(c.step) * stepMs }
 
 func (c *conversation) proxyOf(stream *planner.Stream) *fakeProxy {
-	proxy, ok := stream.Out.(*fakeProxy)
+	proxy, ok := stream.Transport.(*fakeProxy)
 	if !ok {
 		c.t.Fatal("a stream of nobody")
 	}
 	return proxy
 }
 
-func (c *conversation) Send(stream *planner.Stream, kind controlstream.Kind, message proto.Message) {
+func (c *conversation) Send(stream *planner.Stream, kind controlstream.FrameKind, message proto.Message) {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
 		c.t.Fatal(err)
@@ -141,7 +141,7 @@
 	}
 }
 
-func (c *conversation) End(stream *planner.Stream, why *controlstream.Ending) {
+func (c *conversation) Close(stream *planner.Stream, why *controlstream.CloseError) {
 	reason, known := reasonNames[why.Reason]
 	if !known {
 		c.t.Fatalf("a stream ended for a reason that the test has no name for: %v", why)
@@ -153,15 +153,15 @@
 	}
 }
 
-func (c *conversation) Wake(atMs float64) { c.digest.Add(c.now(), "wake at %g", atMs) }
+func (c *conversation) SetTimer(atMs float64) { c.digest.Add(c.now(), "wake at %g", atMs) }
 
-func (c *conversation) Reserve(upTo uint64) {
+func (c *conversation) ReserveEpochs(upTo uint64) {
 	c.digest.Add(c.now(), "reserve %d", upTo)
 	var err error
 	if c.full {
 		err = errors.New("no space left")
 	}
-	c.core.Reserved(upTo, err)
+	c.core.EpochsReserved(upTo, err)
 }
 
 func (p *fakeProxy) disconnect(step int) {
@@ -173,7 +173,7 @@
 // leaseState is what a proxy says of its lease.
 func (p *fakeProxy) leaseState() *order.Lease {
 	return &order.Lease{
-		Epoch: p.lease.Epoch, Controller: p.lease.Controller, Incarnation: p.lease.Incarnation, LeftMs: p.lease.Left(),
+		Epoch: p.lease.Epoch, Controller: p.lease.Controller, Incarnation: p.lease.Incarnation, LeftMs: p.lease.RemainingMs(),
 		Reachable: []string{plannerName, rivalName}, Controllers: 2,
 	}
 }
@@ -187,7 +187,7 @@
 // join opens a stream under a proxy's name, by its process or by another one.
 func (c *conversation) join(proxy *fakeProxy, incarnation uint64) *planner.Stream {
 	address := netip.MustParseAddr([]string{"127.1.0.9", "127.2.0.9"}[proxy.zone])
-	stream := &planner.Stream{Address: address, Out: proxy}
+	stream := &planner.Stream{Address: address, Transport: proxy}
 	join := &order.Join{
 		Proxy: proxy.name, UsualPerS: 10, Incarnation: incarnation, Stream: proxy.streams, Groups: classCount,
 		Holds: []*order.Holding{{
@@ -198,7 +198,7 @@
 	if c.shared {
 		join.Lease = proxy.leaseState()
 	}
-	c.core.Joined(stream, join)
+	c.core.HandleJoin(stream, join)
 	return stream
 }
 
@@ -212,19 +212,19 @@
 	for _, message := range inbox {
 		switch message := message.(type) {
 		case *order.Welcome:
-			c.core.Answered(proxy.stream, &order.Applied{})
+			c.core.HandleAck(proxy.stream, &order.Applied{})
 		case *order.Orders:
-			c.core.Answered(proxy.stream, c.acknowledge(proxy, message))
+			c.core.HandleAck(proxy.stream, c.acknowledge(proxy, message))
 		case *order.Claim:
-			granted := proxy.lease.Claim(message.Controller, message.Incarnation, message.Epoch, float64(message.LeaseMs))
+			granted := proxy.lease.Grant(message.Controller, message.Incarnation, message.Epoch, float64(message.LeaseMs))
 			answer := proxy.leaseState()
 			answer.Nonce, answer.Granted = message.Nonce, granted
 			answer.Holds = []*order.Holding{{Groups: []uint32{0}, Lines: []*order.Line{{Server: c.servers[1].Server, Weight: 1}}}}
 			answer.MessagesAgoMs = []float64{100, 2000}
-			c.core.Leased(proxy.stream, answer)
+			c.core.HandleLease(proxy.stream, answer)
 		case *order.Release:
 			proxy.lease.Release(plannerName, 1, message.Epoch)
-			c.core.Leased(proxy.stream, proxy.leaseState())
+			c.core.HandleLease(proxy.stream, proxy.leaseState())
 		}
 		if proxy.stream == nil {
 			return
@@ -236,7 +236,7 @@
 	acknowledgement := &order.Applied{Number: message.Number}
 	if c.shared {
 		acknowledgement.Epoch = proxy.lease.Epoch
-		acknowledgement.Refused = !proxy.lease.Obeys(message.Planner, message.Incarnation, message.Epoch)
+		acknowledgement.Refused = !proxy.lease.Accepts(message.Planner, message.Incarnation, message.Epoch)
 	}
 	for _, single := range message.Orders {
 		if receipt, ok := single.What.(*order.Order_Receipt); ok {
@@ -263,17 +263,17 @@
 		}
 		report.Servers = append(report.Servers, sample)
 	}
-	c.core.Summed(proxy.stream, report)
+	c.core.HandleLoadReport(proxy.stream, report)
 }
 
 func (c *conversation) listAll(version uint64) {
-	c.core.Listed(discovery.Update{Form: policy.Whole, AsOfMs: unixOriginMs + uint64(c.now()), Version: version, Entries: c.servers})
+	c.core.UpdateEndpoints(discovery.Update{Kind: policy.FullUpdate, AsOfMs: unixOriginMs + uint64(c.now()), Version: version, Endpoints: c.servers})
 }
 
 func (c *conversation) listChange(number int, state policy.State) {
 	c.servers[number].State = state
 	changed := c.servers[number : number+1]
-	c.core.Listed(discovery.Update{Form: policy.Change, AsOfMs: unixOriginMs + uint64(c.now()), Version: 2, Entries: changed})
+	c.core.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: unixOriginMs + uint64(c.now()), Version: 2, Endpoints: changed})
 }
 
 // faults plays what goes wrong, by second.
@@ -287,30 +287,30 @@
 		c.slow[c.servers[4].Server] = 20
 		c.proxies[1].deaf = true
 	case 10:
-		c.listChange(0, policy.Gone)
+		c.listChange(0, policy.Removed)
 		c.listChange(5, policy.Draining) // the deaf proxy does not acknowledge that
 	case 12:
-		c.core.Listed(discovery.Update{Form: policy.Failed, Trouble: "no answer"})
+		c.core.UpdateEndpoints(discovery.Update{Kind: policy.FailedUpdate, Fault: "no answer"})
 		delete(c.broken, c.servers[3].Server)
 	case 13:
 		c.lose(c.proxies[4])
 		c.lose(c.proxies[5])
 	case 14:
-		c.core.Lagged(1500)
+		c.core.RecordLag(1500)
 	case 15:
-		c.core.Lagged(10)
-		c.servers = append(c.servers, discovery.Entry{Server: "10.0.1.1:80", Zone: "a", Size: 2, BornUnixMs: unixOriginMs + uint64(c.now()) - 500})
+		c.core.RecordLag(10)
+		c.servers = append(c.servers, discovery.Endpoint{Server: "10.0.1.1:80", Zone: "a", RelativeCapacity: 2, StartedUnixMs: unixOriginMs + uint64(c.now()) - 500})
 		c.listAll(3)
 	case 16:
 		c.full = true
 	case 18:
 		c.connect(c.proxies[6]) // a newer stream while the older one is up
 	case 20:
-		c.core.Drain(true)
+		c.core.SetDraining(true)
 	case 21:
 		c.full = false
 	case 23:
-		c.core.Drain(false)
+		c.core.SetDraining(false)
 		c.proxies[8].silent = true
 		c.servers = c.servers[:6]
 		c.listAll(4) // most servers are missing at once
@@ -326,24 +326,24 @@
 	if proxy.stream == nil {
 		return
 	}
-	c.core.Lost(proxy.stream, &controlstream.Ending{Reason: controlstream.Lost})
+	c.core.HandleDisconnect(proxy.stream, &controlstream.CloseError{Reason: controlstream.ReasonConnectionLost})
 	proxy.disconnect(c.step)
 }
 
 // rival has another planner take free proxies now and then, until its leases run out.
 func (c *conversation) rival(proxy *fakeProxy) {
 	const chance, leaseMs = 0.01, 1500
-	expired := proxy.lease.Tick(c.now())
+	expired := proxy.lease.SetTime(c.now())
 	taken := proxy.lease.Controller == "" && c.random.Float64() < chance &&
-		proxy.lease.Claim(rivalName, rivalNumber, proxy.lease.Epoch+1, leaseMs)
+		proxy.lease.Grant(rivalName, rivalNumber, proxy.lease.Epoch+1, leaseMs)
 	if (expired || taken) && proxy.stream != nil {
-		c.core.Leased(proxy.stream, proxy.leaseState())
+		c.core.HandleLease(proxy.stream, proxy.leaseState())
 	}
 }
 
 func (c *conversation) advance() {
 	const stepsPerSecond = 1000 / stepMs
-	c.core.Tick(c.now(), time.UnixMilli(unixOriginMs+int64(c.now())))
+	c.core.SetTime(c.now(), time.UnixMilli(unixOriginMs+int64(c.now())))
 	if c.step == 0 {
 		c.listAll(1)
 	}
@@ -360,7 +360,7 @@
 		if proxy.stream == nil || proxy.silent {
 			continue
 		}
-		c.core.Beat(proxy.stream)
+		c.core.HandleHeartbeat(proxy.stream)
 		c.answer(proxy)
 		if proxy.stream != nil && (c.step+3*number)%stepsPerSecond == 0 {
 			c.report(proxy)
@@ -397,13 +397,13 @@
 func checkCoverage(t *testing.T, c *conversation) {
 	t.Helper()
 	counts := c.core.Counts
-	if counts.Messages < 50 || counts.Lines < 500 || counts.Sums < 100 {
+	if counts.Messages < 50 || counts.Entries < 500 || counts.LoadReports < 100 {
 		t.Errorf("few decisions: %+v", counts)
 	}
-	if c.shared && counts.Marks == 0 {
+	if c.shared && counts.EpochReservations == 0 {
 		t.Error("no epochs were reserved")
 	}
-	if !c.shared && (counts.Endings[controlstream.NoAnswer] == 0 || counts.Endings[controlstream.Taken] == 0 || counts.Endings[controlstream.Replaced] < 2) {
-		t.Errorf("streams ended for other reasons than in the script: %v", counts.Endings)
+	if !c.shared && (counts.Closes[controlstream.ReasonAckTimeout] == 0 || counts.Closes[controlstream.ReasonNameInUse] == 0 || counts.Closes[controlstream.ReasonSuperseded] < 2) {
+		t.Errorf("streams ended for other reasons than in the script: %v", counts.Closes)
 	}
 }
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -26,18 +26,18 @@
 	proxy  *peer
 	group  int
 
-	fresh, queued figures // of this period; of those before, as it waits
-	covers        float64 // ms that the queued ones cover
+	fresh, queued loadSample // of this period; of those before, as it waits
+	covers        float64    // ms that the queued ones cover
 	isNew, waits  bool
 	gone          bool
 }
 
-type figures struct {
+type loadSample struct {
 	count, failed int
 	latency       float64 // summed over the good ones, ms
 }
 
-func (f *figures) add(g figures) {
+func (f *loadSample) add(g loadSample) {
 	f.count, f.failed, f.latency = f.count+g.count, f.failed+g.failed, f.latency+g.latency
 }
 
@@ -49,7 +49,7 @@
 	if !t.isNew {
 		t.isNew, in.news = true, append(in.news, t)
 	}
-	t.fresh.add(figures{count, failed, latency * float64(count-failed)})
+	t.fresh.add(loadSample{count, failed, latency * float64(count-failed)})
 }
 
 // tick closes periods and counts what may pass.
@@ -72,13 +72,13 @@
 		if !t.waits {
 			if len(in.waiting) >= in.most { // the newest is kept; the module hears the longer cover of what follows
 				old := in.waiting[0]
-				old.queued, old.waits = figures{}, false
+				old.queued, old.waits = loadSample{}, false
 				in.waiting, in.dropped = in.waiting[1:], in.dropped+1
 			}
 			t.waits, t.covers, in.waiting = true, covers, append(in.waiting, t)
 		}
 		t.queued.add(t.fresh)
-		t.fresh = figures{}
+		t.fresh = loadSample{}
 	}
 	in.news = in.news[:0]
 }
@@ -97,8 +97,8 @@
 }
 
 // take empties what waited.
-func (t *tally) take() (f figures) {
-	f, t.queued = t.queued, figures{}
+func (t *tally) take() (f loadSample) {
+	f, t.queued = t.queued, loadSample{}
 	return f
 }
 
--- a/internal/planner/lease.go
+++ b/internal/planner/lease.go
@@ -14,50 +14,50 @@
 // What a planner does where several share a fleet: who commands whom is decided in package lease; here that is carried
 // out, and what a predecessor knew is kept.
 
-func viewOf(m *order.Lease) lease.View {
-	return lease.View{Epoch: m.Epoch, Controller: m.Controller, Incarnation: m.Incarnation, LeftMs: m.LeftMs, Reachable: m.Reachable, Controllers: int(m.Controllers)}
+func viewOf(m *order.Lease) lease.ProxyView {
+	return lease.ProxyView{Epoch: m.Epoch, Controller: m.Controller, Incarnation: m.Incarnation, RemainingMs: m.LeftMs, Reachable: m.Reachable, DialedControllers: int(m.Controllers)}
 }
 
 func (c *Core) standing() *order.Standing {
-	return &order.Standing{Controller: c.set.Name, Incarnation: c.incarnation, Open: c.share.Open()}
+	return &order.Standing{Controller: c.set.Name, Incarnation: c.incarnation, Open: c.leases.Open()}
 }
 
-// Leased takes in a proxy's word on who commands it. One that grants us anew tells what it holds.
-func (c *Core) Leased(s *Stream, m *order.Lease) {
-	c.keep("lease", s, m)
+// HandleLease takes in a proxy's word on who commands it. One that grants us anew tells what it holds.
+func (c *Core) HandleLease(s *Stream, m *order.Lease) {
+	c.recordInput("lease", s, m)
 	p := s.peer
-	if p == nil || s.ended || c.share == nil {
+	if p == nil || s.ended || c.leases == nil {
 		return
 	}
 	p.heard = c.now
 	if m.Nonce == 0 {
-		c.share.Heard(p.name, viewOf(m))
+		c.leases.UpdateLease(p.name, viewOf(m))
 		return
 	}
 	if m.Granted && len(m.Holds) > 0 {
-		p.holds, p.going, p.before = m.Holds, m.Going, nil
+		p.reportedTables, p.inheritedDrains, p.sentByOthers = m.Holds, m.Going, nil
 		for _, ago := range m.MessagesAgoMs {
-			p.before = append(p.before, c.now-ago)
+			p.sentByOthers = append(p.sentByOthers, c.now-ago)
 		}
-		slices.Sort(p.before)
+		slices.Sort(p.sentByOthers)
 	}
-	c.share.Answered(p.name, m.Nonce, m.Granted, viewOf(m))
+	c.leases.HandleAnswer(p.name, m.Nonce, m.Granted, viewOf(m))
 }
 
-// Reserved takes in whether a mark was written down.
-func (c *Core) Reserved(upTo uint64, err error) {
+// EpochsReserved takes in whether a mark was written down.
+func (c *Core) EpochsReserved(upTo uint64, err error) {
 	if err != nil {
-		c.share.NotReserved()
+		c.leases.ReservationFailed()
 		return
 	}
-	c.Counts.Marks++
-	c.share.Reserved(upTo)
+	c.Counts.EpochReservations++
+	c.leases.EpochsReserved(upTo)
 }
 
-// Drain makes this controller hand its proxies over, or take part again.
-func (c *Core) Drain(on bool) {
-	if c.share != nil {
-		c.share.Drain(on)
+// SetDraining makes this controller hand its proxies over, or take part again.
+func (c *Core) SetDraining(on bool) {
+	if c.leases != nil {
+		c.leases.SetDraining(on)
 	}
 }
 
@@ -78,8 +78,8 @@
 			if c.now < p.inherited[server] {
 				continue
 			}
-			if delete(p.inherited, server); p.out[server] && !c.book.Out[server] {
-				c.withdraw(p, server, false)
+			if delete(p.inherited, server); p.ejected[server] && !c.registry.Ejected[server] {
+				c.setEjected(p, server, false)
 			}
 			return true
 		}
@@ -87,39 +87,39 @@
 	return false
 }
 
-// sharer carries out what package lease decides.
-type sharer struct {
+// leaseHost carries out what package lease decides.
+type leaseHost struct {
 	c *Core
 	h Host
 }
 
-func (s sharer) Claim(proxy string, nonce, epoch uint64, leaseMs float64) {
+func (s leaseHost) RequestLease(proxy string, nonce, epoch uint64, leaseMs float64) {
 	if p := s.c.names[proxy]; p != nil {
-		s.h.Send(p.stream, controlstream.Claim, &order.Claim{
+		s.h.Send(p.stream, controlstream.FrameLeaseRequest, &order.Claim{
 			Nonce: nonce, Epoch: epoch, Controller: s.c.set.Name,
 			Incarnation: s.c.incarnation, LeaseMs: uint32(leaseMs),
 		})
 	}
 }
 
-func (s sharer) Release(proxy string, epoch uint64) {
+func (s leaseHost) ReleaseLease(proxy string, epoch uint64) {
 	if p := s.c.names[proxy]; p != nil {
-		s.h.Send(p.stream, controlstream.Release, &order.Release{Epoch: epoch})
+		s.h.Send(p.stream, controlstream.FrameLeaseRelease, &order.Release{Epoch: epoch})
 	}
 }
 
-// Command begins with a proxy: what it holds, what was withdrawn as it goes, and the messages it had count from now on.
-func (s sharer) Command(proxy string, epoch uint64) {
+// StartCommand begins with a proxy: what it holds, what was withdrawn as it goes, and the messages it had count from now on.
+func (s leaseHost) StartCommand(proxy string, epoch uint64) {
 	c, p := s.c, s.c.names[proxy]
 	if p == nil {
 		return
 	}
 	if p.commanded {
-		c.unseat(p)
+		c.removeProxy(p)
 	}
-	p.commanded, p.epoch, p.out, p.inherited = true, epoch, map[string]bool{}, map[string]float64{}
-	p.link = controlstream.NewLink(p.before)
-	for _, server := range p.going {
+	p.commanded, p.epoch, p.ejected, p.inherited = true, epoch, map[string]bool{}, map[string]float64{}
+	p.window = controlstream.NewMessageWindow(p.sentByOthers)
+	for _, server := range p.inheritedDrains {
 		if l := c.listed[server]; l != nil && l.state == policy.Ready {
 			p.inherited[server] = c.now + lease.DrainMemoryMs
 		}
@@ -128,27 +128,27 @@
 		c.heirs = append(c.heirs, p)
 	}
 	var sent []float64
-	for _, at := range p.before {
+	for _, at := range p.sentByOthers {
 		sent = append(sent, originMs+at)
 	}
-	c.module.Joined(p.number, p.zone, p.usual, sent...)
+	c.policy.AddProxy(p.number, p.zone, p.expectedRate, sent...)
 }
 
-func (s sharer) Yield(proxy string) {
+func (s leaseHost) StopCommand(proxy string) {
 	if p := s.c.names[proxy]; p != nil && p.commanded {
-		s.c.unseat(p)
+		s.c.removeProxy(p)
 	}
 }
 
-func (s sharer) Reserve(upTo uint64) { s.h.Reserve(upTo) }
+func (s leaseHost) ReserveEpochs(upTo uint64) { s.h.ReserveEpochs(upTo) }
 
-func (s sharer) Stand(bool) {
+func (s leaseHost) SetOpen(bool) {
 	m := s.c.standing()
 	for _, p := range s.c.peers {
 		if p != nil {
-			s.h.Send(p.stream, controlstream.Standing, m)
+			s.h.Send(p.stream, controlstream.FrameControllerStatus, m)
 		}
 	}
 }
 
-func (s sharer) Wake(at float64) { s.c.shareWake = math.Max(at, s.c.now) }
+func (s leaseHost) SetTimer(at float64) { s.c.leaseTimerAt = math.Max(at, s.c.now) }
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -15,12 +15,12 @@
 func shared(t *testing.T, servers int) (*wire, *Stream) {
 	t.Helper()
 	set := planned(t, `proxies: 4 sharing { store: "x" }`)
-	w := &wire{Core: NewCore(set, NewModule(set), 1, 0), sent: map[*Stream][]proto.Message{}, ended: map[*Stream]controlstream.Reason{}, deaf: map[*Stream]bool{}}
-	w.Share(0)
-	w.Listed(listed(servers))
+	w := &wire{Core: NewCore(set, NewPolicy(set), 1, 0), sent: map[*Stream][]proto.Message{}, ended: map[*Stream]controlstream.CloseReason{}, deaf: map[*Stream]bool{}}
+	w.EnableLeases(0)
+	w.UpdateEndpoints(listed(servers))
 	s := &Stream{Address: netip.MustParseAddr("127.1.0.9")}
 	w.sent[s] = nil
-	w.Joined(s, &order.Join{Proxy: "x", UsualPerS: 10, Incarnation: 1, Stream: 1, Groups: 2, Lease: &order.Lease{Reachable: []string{"p"}}})
+	w.HandleJoin(s, &order.Join{Proxy: "x", UsualPerS: 10, Incarnation: 1, Stream: 1, Groups: 2, Lease: &order.Lease{Reachable: []string{"p"}}})
 	w.at(0)
 	return w, s
 }
@@ -31,7 +31,7 @@
 		if c, ok := m.(*order.Claim); ok {
 			l := proto.Clone(with).(*order.Lease)
 			l.Nonce, l.Granted, l.Epoch, l.Controller, l.Incarnation, l.LeftMs = c.Nonce, true, c.Epoch, "p", 1, 2000
-			w.Leased(s, l)
+			w.HandleLease(s, l)
 		}
 	}
 	return len(w.sent[s])
@@ -66,7 +66,7 @@
 		if n < 0 {
 			t.Fatal("not bound")
 		}
-		epoch, ok := w.share.Commands("x")
+		epoch, ok := w.leases.HoldsLease("x")
 		if m := w.sent[s][n].(*order.Orders); !ok || m.Epoch != epoch || m.Epoch == 0 {
 			t.Errorf("ordered under %d, granted %d %v", m.Epoch, epoch, ok)
 		}
@@ -87,7 +87,7 @@
 				}
 			}
 			if shown {
-				w.Listed(state("s0", policy.Draining))
+				w.UpdateEndpoints(state("s0", policy.Draining))
 			}
 			w.renewing(s, 3050, 40000, at)
 			let := w.told(s, func(o *order.Order) bool { x := o.GetWithdraw(); return x != nil && x.Server == "s0" && !x.Out })
@@ -105,7 +105,7 @@
 		at := w.grant(s, 0, &order.Lease{Reachable: []string{"p"}, Holds: holds("s0"), MessagesAgoMs: ago})
 		for n := range 12 { // a list that gives much to order
 			at = w.renewing(s, 50+500*float64(n), 500+500*float64(n), at)
-			w.Listed(state("s0", policy.State(n%2)))
+			w.UpdateEndpoints(state("s0", policy.State(n%2)))
 		}
 		count := 0
 		for _, m := range w.sent[s] {
@@ -123,10 +123,10 @@
 			at := w.grant(s, 0, &order.Lease{Reachable: []string{"p"}, Holds: holds("s0")})
 			at = w.renewing(s, 50, 3000, at)
 			if refused {
-				w.Answered(s, &order.Applied{Number: 1, Refused: true})
+				w.HandleAck(s, &order.Applied{Number: 1, Refused: true})
 			}
-			w.Listed(state("s0", policy.Draining))
-			w.Tick(map[bool]float64{true: 3050, false: 6000}[refused], w.wall)
+			w.UpdateEndpoints(state("s0", policy.Draining))
+			w.SetTime(map[bool]float64{true: 3050, false: 6000}[refused], w.wall)
 			for w.Next(w) {
 			}
 			for _, m := range w.sent[s][at:] {
@@ -134,7 +134,7 @@
 					t.Errorf("refused %v: sent %v", refused, o)
 				}
 			}
-			if p := w.names["x"]; p == nil || p.commanded || w.channel.Messages() > 0 {
+			if p := w.names["x"]; p == nil || p.commanded || w.sendQueue.Len() > 0 {
 				t.Error("still commanded")
 			}
 		}
@@ -145,9 +145,9 @@
 		w.at(50)
 		v := begin(t, "proxies: 4", 4)
 		b := &Stream{Address: netip.MustParseAddr("127.1.0.9")}
-		v.Joined(b, &order.Join{Proxy: "z", Groups: 2, Lease: &order.Lease{}})
+		v.HandleJoin(b, &order.Join{Proxy: "z", Groups: 2, Lease: &order.Lease{}})
 		v.at(50)
-		if w.ended[a] != controlstream.Strange || v.ended[b] != controlstream.Strange {
+		if w.ended[a] != controlstream.ReasonUnknownPeer || v.ended[b] != controlstream.ReasonUnknownPeer {
 			t.Errorf("%q %q", w.ended[a], v.ended[b])
 		}
 	})
