--- a/internal/planner/run.go
+++ b/internal/planner/run.go
@@ -37,8 +37,8 @@
 
 const (
 	inboxSize  = 1024    // inputs that wait for the core; then streams are read no further, and the peers' sends wait
-	batchMost  = 512     // inputs taken in before the core decides; so many take a few ms
-	sumsMost   = 256     // and reports; what else came goes first
+	maxBatch   = 512     // inputs taken in before the core decides; so many take a few ms
+	maxReports = 256     // and reports; what else came goes first
 	outboxSize = 256     // frames that wait for one stream's socket, under a span's messages by far
 	readBytes  = 4 << 10 // most frames are far smaller, and each stream has such a piece
 	byeMs      = 200.0   // ms that a last word may take
@@ -59,42 +59,52 @@
 // Planner is a running planner.
 type Planner struct {
 	Options
-	core    *Core
-	inbox   chan func()
-	streams atomic.Int64
-	accepts atomic.Uint64
-	refused atomic.Uint64
-	allow   *bart.Table[struct{}]
-	lim     controlstream.Limits
-	store   *store.Store // nil: nothing is shared
-	marks   chan uint64  // to be written down
-	ripe    ripe
-	wakeAt  float64
-	kept    float64 // when the list was last written down
-	status  atomic.Pointer[Status]
+	core      *Core
+	inbox     chan func()
+	streams   atomic.Int64
+	accepts   atomic.Uint64
+	refused   atomic.Uint64
+	allow     *bart.Table[struct{}]
+	lim       controlstream.Limits
+	store     *store.Store // nil: nothing is shared
+	marks     chan uint64  // to be written down
+	coalesced coalescedReports
+	wakeAt    float64
+	kept      float64 // when the list was last written down
+	status    atomic.Pointer[Status]
 }
 
 // Status is what a planner thinks of itself, as last published by its core.
 type Status struct {
-	Planner                      string
-	AtUnixMs                     int64
-	Proxies, Streams             int
-	Ready, Draining, Gone        int
-	Doubted, Refused             int
-	LinesWaiting, LinesPeak      float64 // now, and the most since the last status
-	LinesMost                    float64 // since the start
-	Joins, Messages, Lines, Sums uint64
-	Unheard, Shed                uint64
-	Behind                       bool    // reports wait too long: tidy work rests
-	LagMs                        float64 // that the last report waited
-	Merged, Lost                 uint64  // reports added to one that waited; servers left out of them
-	Commanded                    int     // proxies, where several controllers share a fleet
-	Takeovers, Handed, Expired   int
-	Marks                        uint64 // writes to the store
-	Claimless                    bool   // not open to claims: drained, or its store cannot be written
-	Endings                      map[controlstream.Reason]uint64
-	OrderMsP50, OrderMsP99       float64
-	RefusedDials                 uint64
+	Planner                string
+	AtUnixMs               int64
+	Proxies, Streams       int
+	Ready                  int                                  `json:"Ready"`
+	Draining               int                                  `json:"Draining"`
+	Removed                int                                  `json:"Gone"`
+	Unverified             int                                  `json:"Doubted"`
+	Rejected               int                                  `json:"Refused"`
+	Backlog                float64                              `json:"LinesWaiting"`
+	PeakBacklog            float64                              `json:"LinesPeak"` // now, and the most since the last status
+	MaxBacklog             float64                              `json:"LinesMost"` // since the start
+	Joins                  uint64                               `json:"Joins"`
+	Messages               uint64                               `json:"Messages"`
+	Entries                uint64                               `json:"Lines"`
+	LoadReports            uint64                               `json:"Sums"`
+	Ignored                uint64                               `json:"Unheard"`
+	Shed                   uint64                               `json:"Shed"`
+	Lagging                bool                                 `json:"Behind"` // reports wait too long: tidy work rests
+	LagMs                  float64                              // that the last report waited
+	Merged, Lost           uint64                               // reports added to one that waited; servers left out of them
+	LeasesHeld             int                                  `json:"Commanded"` // proxies, where several controllers share a fleet
+	Takeovers              int                                  `json:"Takeovers"`
+	Transferred            int                                  `json:"Handed"`
+	Expired                int                                  `json:"Expired"`
+	EpochReservations      uint64                               `json:"Marks"`     // writes to the store
+	ClosedToLeases         bool                                 `json:"Claimless"` // not open to claims: drained, or its store cannot be written
+	Closes                 map[controlstream.CloseReason]uint64 `json:"Endings"`
+	OrderMsP50, OrderMsP99 float64
+	RejectedDials          uint64 `json:"RefusedDials"`
 }
 
 // Run runs a planner until the context ends, and then leaves proxies with the tables they hold.
@@ -106,26 +116,26 @@
 	defer l.Close()
 	set := o.Settings
 	p := &Planner{
-		Options: o, inbox: make(chan func(), inboxSize), ripe: ripe{signal: make(chan struct{}, 1)}, allow: &bart.Table[struct{}]{},
+		Options: o, inbox: make(chan func(), inboxSize), coalesced: coalescedReports{signal: make(chan struct{}, 1)}, allow: &bart.Table[struct{}]{},
 		lim: controlstream.Limits{
-			FrameBytes: int(set.Streams.GetFrameBytes()), JoinWithin: settings.Ms(set.Streams.JoinWithin),
-			SilentAfter: settings.Ms(set.Streams.SilentAfter),
+			MaxFrameBytes: int(set.Streams.GetFrameBytes()), HandshakeTimeoutMs: settings.Milliseconds(set.Streams.JoinWithin),
+			HeartbeatTimeoutMs: settings.Milliseconds(set.Streams.SilentAfter),
 		},
 	}
 	for _, a := range set.Allow {
 		p.allow.Insert(netip.MustParsePrefix(a).Masked(), struct{}{})
 	}
-	wall := o.Clock.Wall()
+	wall := o.Clock.WallTime()
 	if o.Decider == nil {
-		o.Decider = NewModule(set)
+		o.Decider = NewPolicy(set)
 	}
-	p.core = NewCore(set, o.Decider, incarnation(), o.Clock.Mono())
+	p.core = NewCore(set, o.Decider, incarnation(), o.Clock.Monotonic())
 	if set.Sharing != nil { // without its store a controller must not command
 		if p.store, err = store.Open(set.Sharing.Store, set.Name); err != nil {
 			return fmt.Errorf("sharing refused: %w", err)
 		}
 		defer p.store.Close()
-		p.core.Share(p.store.Mark())
+		p.core.EnableLeases(p.store.ReservedEpoch())
 	}
 	p.publish(true)
 	if path := set.List.Keep; path != "" {
@@ -133,8 +143,8 @@
 		if err != nil {
 			o.Log.Warn("the kept list cannot be used; starting without", "error", err)
 		} else if found {
-			p.core.Listed(u)
-			o.Log.Info("starting from the kept list", "servers", len(u.Entries))
+			p.core.UpdateEndpoints(u)
+			o.Log.Info("starting from the kept list", "servers", len(u.Endpoints))
 		}
 	}
 	// An error group of its own for streams: each ends by itself, and none may end the planner.
@@ -145,10 +155,10 @@
 	group.Go(func() error { return p.reserve(ctx) })
 	group.Go(func() error {
 		return o.Source.Run(ctx, func(u discovery.Update) {
-			if u.Trouble != "" {
-				o.Log.Warn("the list failed; the last one stands", "cause", u.Trouble)
+			if u.Fault != "" {
+				o.Log.Warn("the list failed; the last one stands", "cause", u.Fault)
 			}
-			p.tell(ctx, func() { p.core.Listed(u) })
+			p.tell(ctx, func() { p.core.UpdateEndpoints(u) })
 		})
 	})
 	if set.Status != "" {
@@ -187,7 +197,7 @@
 		}
 	}()
 	for {
-		fired, stop := p.Clock.After(p.wakeAt - p.Clock.Mono())
+		fired, stop := p.Clock.NewTimer(p.wakeAt - p.Clock.Monotonic())
 		var first func()
 		select {
 		case <-ctx.Done():
@@ -196,16 +206,16 @@
 			p.farewell()
 			return nil
 		case first = <-p.inbox:
-		case <-p.ripe.signal:
+		case <-p.coalesced.signal:
 		case <-fired:
 		}
 		stop()
-		p.core.Tick(p.Clock.Mono(), p.Clock.Wall())
+		p.core.SetTime(p.Clock.Monotonic(), p.Clock.WallTime())
 		if first != nil {
 			first()
 		}
 	batch:
-		for range batchMost {
+		for range maxBatch {
 			select {
 			case input := <-p.inbox:
 				input()
@@ -224,18 +234,18 @@
 // hear lets the core take some reports, after all else that came; the rest has its turn when it has decided.
 func (p *Planner) hear() {
 	lag := 0.0
-	for range sumsMost {
-		s, m, since := p.ripe.take()
+	for range maxReports {
+		s, m, since := p.coalesced.take()
 		if s == nil {
-			p.core.Lagged(lag)
+			p.core.RecordLag(lag)
 			return
 		}
-		lag = max(lag, p.Clock.Mono()-since)
-		p.core.Summed(s.core, m)
+		lag = max(lag, p.Clock.Monotonic()-since)
+		p.core.HandleLoadReport(s.core, m)
 	}
-	p.core.Lagged(lag)
+	p.core.RecordLag(lag)
 	select {
-	case p.ripe.signal <- struct{}{}:
+	case p.coalesced.signal <- struct{}{}:
 	default:
 	}
 }
@@ -252,18 +262,18 @@
 		return
 	}
 	fmt.Fprintf(f, "%v\n%s\n", r, stack)
-	p.core.Dump(f)
+	p.core.DumpInputs(f)
 	f.Close()
 }
 
 // keepList writes the list down, at most once a second: a restart may begin from it.
 func (p *Planner) keepList() {
-	path, now := p.Settings.List.Keep, p.Clock.Mono()
+	path, now := p.Settings.List.Keep, p.Clock.Monotonic()
 	if path == "" || !p.core.listChanged || now-p.kept < 1000 {
 		return
 	}
 	p.core.listChanged, p.kept = false, now
-	if err := discovery.Save(path, p.core.memory.Kept(uint64(p.Clock.Wall().UnixMilli()))); err != nil {
+	if err := discovery.Save(path, p.core.tracker.Snapshot(uint64(p.Clock.WallTime().UnixMilli()))); err != nil {
 		p.Log.Warn("the list cannot be kept", "error", err)
 	}
 }
@@ -272,10 +282,10 @@
 func (p *Planner) farewell() {
 	for _, q := range p.core.peers {
 		if q != nil {
-			if q.commanded && p.core.share != nil { // another may take it at once
-				p.Send(q.stream, controlstream.Release, &order.Release{Epoch: q.epoch})
+			if q.commanded && p.core.leases != nil { // another may take it at once
+				p.Send(q.stream, controlstream.FrameLeaseRelease, &order.Release{Epoch: q.epoch})
 			}
-			p.End(q.stream, &controlstream.Ending{Reason: controlstream.Stopping})
+			p.Close(q.stream, &controlstream.CloseError{Reason: controlstream.ReasonShutdown})
 		}
 	}
 	p.Log.Info("planner leaves its proxies", "proxies", len(p.core.names))
@@ -296,40 +306,40 @@
 		case <-ctx.Done():
 			return nil
 		case mark := <-p.marks:
-			err := p.store.Reserve(mark)
+			err := p.store.ReserveEpochs(mark)
 			if err != nil && err.Error() != failed {
 				p.Log.Error("the store cannot be written; nothing new is claimed", "error", err)
 				failed = err.Error()
 			} else if err == nil {
 				failed = ""
 			}
-			p.tell(ctx, func() { p.core.Reserved(mark, err) })
+			p.tell(ctx, func() { p.core.EpochsReserved(mark, err) })
 		}
 	}
 }
 
-// Reserve has a mark written down; there is one under way at a time.
-func (p *Planner) Reserve(upTo uint64) { p.marks <- upTo }
+// ReserveEpochs has a mark written down; there is one under way at a time.
+func (p *Planner) ReserveEpochs(upTo uint64) { p.marks <- upTo }
 
-// Wake, Send and End carry out the core's decisions, in its goroutine.
-func (p *Planner) Wake(at float64) { p.wakeAt = at }
+// SetTimer, Send and Close carry out the core's decisions, in its goroutine.
+func (p *Planner) SetTimer(at float64) { p.wakeAt = at }
 
-func (p *Planner) Send(s *Stream, kind controlstream.Kind, m proto.Message) {
-	out := s.Out.(*stream)
+func (p *Planner) Send(s *Stream, kind controlstream.FrameKind, m proto.Message) {
+	out := s.Transport.(*stream)
 	select {
 	case out.outbox <- outgoing{kind, m}:
 	default: // it must not wait: one slow proxy would hold up all others
-		p.End(s, &controlstream.Ending{Reason: controlstream.SlowReader, Detail: fmt.Sprintf("%d frames wait", outboxSize)})
+		p.Close(s, &controlstream.CloseError{Reason: controlstream.ReasonSlowReader, Detail: fmt.Sprintf("%d frames wait", outboxSize)})
 	}
 }
 
-func (p *Planner) End(s *Stream, why *controlstream.Ending) {
-	out := s.Out.(*stream)
+func (p *Planner) Close(s *Stream, why *controlstream.CloseError) {
+	out := s.Transport.(*stream)
 	out.finish(why)
 }
 
 type outgoing struct {
-	kind controlstream.Kind
+	kind controlstream.FrameKind
 	m    proto.Message
 }
 
@@ -341,12 +351,12 @@
 	outbox chan outgoing
 	once   sync.Once
 	done   chan struct{}
-	why    *controlstream.Ending
-	report report // that the core has not taken yet; guarded by the queue's lock
+	why    *controlstream.CloseError
+	report coalescedReport // that the core has not taken yet; guarded by the queue's lock
 }
 
 // finish ends a stream for a reason; the first one counts.
-func (s *stream) finish(why *controlstream.Ending) {
+func (s *stream) finish(why *controlstream.CloseError) {
 	s.once.Do(func() {
 		s.why = why
 		close(s.done)
@@ -355,9 +365,9 @@
 
 func (p *Planner) accept(ctx context.Context, l net.Listener) error {
 	defer context.AfterFunc(ctx, func() { l.Close() })()
-	per := settings.PerS(p.Settings.Streams.Accepts)
+	per := settings.PerSecond(p.Settings.Streams.Accepts)
 	pace := rate.NewLimiter(rate.Limit(per), max(int(per/10), 1))
-	joins := rate.NewLimiter(rate.Limit(per*behindJoins), 1)
+	joins := rate.NewLimiter(rate.Limit(per*laggingJoins), 1)
 	var streams sync.WaitGroup
 	defer streams.Wait()
 	for {
@@ -384,7 +394,7 @@
 			conn.Close()
 			continue
 		}
-		for p.status.Load().Behind && ctx.Err() == nil && !joins.Allow() { // drains and what is joined pass first
+		for p.status.Load().Lagging && ctx.Err() == nil && !joins.Allow() { // drains and what is joined pass first
 			clock.Sleep(ctx, p.Clock, 20)
 		}
 		if pace.Wait(ctx) != nil {
@@ -411,8 +421,8 @@
 // serve runs one stream to its end.
 func (p *Planner) serve(ctx context.Context, conn net.Conn, from netip.Addr) {
 	s := &stream{conn: conn, outbox: make(chan outgoing, outboxSize), done: make(chan struct{}), core: &Stream{Address: from}}
-	s.core.Out = s
-	end := controlstream.NewPlannerEnd(p.lim, p.Clock.Mono())
+	s.core.Transport = s
+	end := controlstream.NewPlannerSession(p.lim, p.Clock.Monotonic())
 	var both sync.WaitGroup
 	both.Add(2)
 	go func() {
@@ -424,19 +434,19 @@
 		p.write(s, end)
 	}()
 	stop := context.AfterFunc(ctx, func() {
-		fired, _ := p.Clock.After(byeMs) // the core's farewell comes first, if it still can
+		fired, _ := p.Clock.NewTimer(byeMs) // the core's farewell comes first, if it still can
 		<-fired
-		s.finish(&controlstream.Ending{Reason: controlstream.Stopping})
+		s.finish(&controlstream.CloseError{Reason: controlstream.ReasonShutdown})
 	})
 	both.Wait()
 	stop()
 	conn.Close()
 	level := slog.LevelInfo
-	if s.why.Reason != controlstream.Left && s.why.Reason != controlstream.Lost && s.why.Reason != controlstream.Stopping {
+	if s.why.Reason != controlstream.ReasonPeerClosed && s.why.Reason != controlstream.ReasonConnectionLost && s.why.Reason != controlstream.ReasonShutdown {
 		level = slog.LevelWarn
 	}
 	p.Log.Log(ctx, level, "stream ended", "proxy", s.name, "from", from, "reason", s.why.Reason, "detail", s.why.Detail)
-	p.tell(ctx, func() { p.core.Lost(s.core, s.why) })
+	p.tell(ctx, func() { p.core.HandleDisconnect(s.core, s.why) })
 }
 
 // reader passes what a proxy says to the core.
@@ -447,24 +457,24 @@
 	ok  bool
 }
 
-func (r *reader) Joined(m *order.Join) {
+func (r *reader) OnJoin(m *order.Join) {
 	r.s.name = m.Proxy
-	r.ok = r.p.tell(r.ctx, func() { r.p.core.Joined(r.s.core, m) })
+	r.ok = r.p.tell(r.ctx, func() { r.p.core.HandleJoin(r.s.core, m) })
 }
 
-func (r *reader) Summed(m *order.Sums) {
-	r.p.ripe.add(r.s, m, r.p.Clock.Mono())
+func (r *reader) OnLoadReport(m *order.Sums) {
+	r.p.coalesced.add(r.s, m, r.p.Clock.Monotonic())
 }
 
-func (r *reader) Leased(m *order.Lease) {
-	r.ok = r.p.tell(r.ctx, func() { r.p.core.Leased(r.s.core, m) })
+func (r *reader) OnLease(m *order.Lease) {
+	r.ok = r.p.tell(r.ctx, func() { r.p.core.HandleLease(r.s.core, m) })
 }
 
-func (r *reader) Answered(m *order.Applied) {
-	r.ok = r.p.tell(r.ctx, func() { r.p.core.Answered(r.s.core, m) })
+func (r *reader) OnAck(m *order.Applied) {
+	r.ok = r.p.tell(r.ctx, func() { r.p.core.HandleAck(r.s.core, m) })
 }
 
-func (p *Planner) read(ctx context.Context, s *stream, end *controlstream.PlannerEnd) {
+func (p *Planner) read(ctx context.Context, s *stream, end *controlstream.PlannerSession) {
 	go func() { // unblocks the read when the stream is finished elsewhere
 		<-s.done
 		s.conn.SetReadDeadline(time.Unix(1, 0))
@@ -472,73 +482,73 @@
 	buf := make([]byte, readBytes)
 	r := &reader{p: p, s: s, ctx: ctx, ok: true}
 	for {
-		s.conn.SetReadDeadline(p.Clock.Deadline(max(end.Due()-p.Clock.Mono(), 1)))
+		s.conn.SetReadDeadline(p.Clock.Deadline(max(end.Deadline()-p.Clock.Monotonic(), 1)))
 		select {
 		case <-s.done:
 			return
 		default:
 		}
 		n, err := s.conn.Read(buf)
-		end.Feed(p.Clock.Mono(), buf[:n])
+		end.Feed(p.Clock.Monotonic(), buf[:n])
 		for r.ok && end.Next(r) {
 		}
 		var timeout net.Error
 		switch {
-		case end.Ended() != nil:
-			s.finish(end.Ended())
+		case end.CloseCause() != nil:
+			s.finish(end.CloseCause())
 		case !r.ok:
-			s.finish(&controlstream.Ending{Reason: controlstream.Stopping})
+			s.finish(&controlstream.CloseError{Reason: controlstream.ReasonShutdown})
 		case errors.As(err, &timeout) && timeout.Timeout():
 			// Due has been reached by Next, or the stream is done.
 		case err != nil:
-			s.finish(&controlstream.Ending{Reason: controlstream.Lost, Detail: err.Error()})
+			s.finish(&controlstream.CloseError{Reason: controlstream.ReasonConnectionLost, Detail: err.Error()})
 		}
 		if n > 0 {
-			p.tell(ctx, func() { p.core.Beat(s.core) })
+			p.tell(ctx, func() { p.core.HandleHeartbeat(s.core) })
 		}
 	}
 }
 
 // write sends frames, and a beat while there is nothing else, so that a proxy knows that it has a planner.
-func (p *Planner) write(s *stream, end *controlstream.PlannerEnd) {
-	within := settings.Ms(p.Settings.Streams.WriteWithin)
-	beat := p.lim.SilentAfter / 4
+func (p *Planner) write(s *stream, end *controlstream.PlannerSession) {
+	within := settings.Milliseconds(p.Settings.Streams.WriteWithin)
+	beat := p.lim.HeartbeatTimeoutMs / 4
 	if p.store != nil { // proxies tell each other's controllers who lives
-		beat = min(beat, lease.BeatMs)
+		beat = min(beat, lease.HeartbeatMs)
 	}
 	var buf []byte
-	put := func(kind controlstream.Kind, m proto.Message) bool {
+	put := func(kind controlstream.FrameKind, m proto.Message) bool {
 		var err error
 		if buf, err = end.Append(buf[:0], kind, m); err != nil {
-			s.finish(&controlstream.Ending{Reason: controlstream.Fault, Detail: err.Error()})
+			s.finish(&controlstream.CloseError{Reason: controlstream.ReasonInternalError, Detail: err.Error()})
 			return false
 		}
 		s.conn.SetWriteDeadline(p.Clock.Deadline(within))
 		if _, err = s.conn.Write(buf); err != nil {
-			reason := controlstream.Lost
+			reason := controlstream.ReasonConnectionLost
 			var timeout net.Error
 			if errors.As(err, &timeout) && timeout.Timeout() {
-				reason = controlstream.SlowReader
+				reason = controlstream.ReasonSlowReader
 			}
-			s.finish(&controlstream.Ending{Reason: reason, Detail: err.Error()})
+			s.finish(&controlstream.CloseError{Reason: reason, Detail: err.Error()})
 			return false
 		}
 		return true
 	}
 	greeted := false
 	for {
-		fired, stop := p.Clock.After(beat)
+		fired, stop := p.Clock.NewTimer(beat)
 		select {
 		case <-s.done:
 			stop()
-			for s.why.Reason == controlstream.Stopping && len(s.outbox) > 0 { // a release is among the last words
+			for s.why.Reason == controlstream.ReasonShutdown && len(s.outbox) > 0 { // a release is among the last words
 				if m := <-s.outbox; !put(m.kind, m.m) {
 					break
 				}
 			}
-			if s.why.Reason != controlstream.Lost && s.why.Reason != controlstream.SlowReader {
+			if s.why.Reason != controlstream.ReasonConnectionLost && s.why.Reason != controlstream.ReasonSlowReader {
 				within = byeMs
-				put(controlstream.Bye, &order.Bye{Reason: string(s.why.Reason)})
+				put(controlstream.FrameClose, &order.Bye{Reason: string(s.why.Reason)})
 			}
 			s.conn.Close()
 			return
@@ -550,7 +560,7 @@
 				return
 			}
 		case <-fired:
-			if greeted && !put(controlstream.Beat, nil) {
+			if greeted && !put(controlstream.FrameHeartbeat, nil) {
 				s.conn.Close()
 				return
 			}
@@ -567,24 +577,24 @@
 	}
 	s := &Status{
 		Planner: p.Settings.Name, AtUnixMs: c.wall.UnixMilli(), Proxies: len(c.names), Streams: int(p.streams.Load()),
-		Doubted: c.memory.Doubted, Refused: c.memory.Refused, LinesWaiting: c.channel.Waiting(), LinesPeak: c.channel.Peak(),
-		Joins: c.Counts.Joins, Messages: c.Counts.Messages, Lines: c.Counts.Lines, Sums: c.Counts.Sums, Unheard: c.Counts.Unheard,
-		Shed: c.Counts.Shed, Endings: map[controlstream.Reason]uint64{}, OrderMsP50: float64(c.Order.ValueAtQuantile(50)) / 1000,
-		OrderMsP99: float64(c.Order.ValueAtQuantile(99)) / 1000, RefusedDials: p.refused.Load(),
+		Unverified: c.tracker.Unverified, Rejected: c.tracker.Rejected, Backlog: c.sendQueue.Backlog(), PeakBacklog: c.sendQueue.PeakBacklog(),
+		Joins: c.Counts.Joins, Messages: c.Counts.Messages, Entries: c.Counts.Entries, LoadReports: c.Counts.LoadReports, Ignored: c.Counts.Ignored,
+		Shed: c.Counts.Shed, Closes: map[controlstream.CloseReason]uint64{}, OrderMsP50: float64(c.OrderLatency.ValueAtQuantile(50)) / 1000,
+		OrderMsP99: float64(c.OrderLatency.ValueAtQuantile(99)) / 1000, RejectedDials: p.refused.Load(),
 	}
-	if s.Commanded = len(c.names); c.share != nil {
-		s.Commanded, _ = c.share.Held()
-		s.Marks = c.Counts.Marks
-		s.Takeovers, s.Handed, s.Expired, s.Claimless = c.share.Takeovers, c.share.Handed, c.share.Expired, !c.share.Open()
+	if s.LeasesHeld = len(c.names); c.leases != nil {
+		s.LeasesHeld, _ = c.leases.CountHeld()
+		s.EpochReservations = c.Counts.EpochReservations
+		s.Takeovers, s.Transferred, s.Expired, s.ClosedToLeases = c.leases.Takeovers, c.leases.Transferred, c.leases.Expired, !c.leases.Open()
 	}
-	s.Behind, s.LagMs = c.behind, c.lag
-	s.Merged, s.Lost = p.ripe.counts()
-	s.Ready, s.Draining, s.Gone = c.memory.Servers()
-	if s.LinesMost = s.LinesPeak; last != nil {
-		s.LinesMost = max(s.LinesPeak, last.LinesMost)
+	s.Lagging, s.LagMs = c.lagging, c.lag
+	s.Merged, s.Lost = p.coalesced.counts()
+	s.Ready, s.Draining, s.Removed = c.tracker.CountByState()
+	if s.MaxBacklog = s.PeakBacklog; last != nil {
+		s.MaxBacklog = max(s.PeakBacklog, last.MaxBacklog)
 	}
-	for r, n := range c.Counts.Endings {
-		s.Endings[r] = n
+	for r, n := range c.Counts.Closes {
+		s.Closes[r] = n
 	}
 	p.status.Store(s)
 }
@@ -600,18 +610,18 @@
 			func() float64 { return of(p.status.Load()) }))
 	}
 	gauge("proxies", "Proxies joined.", func(s *Status) float64 { return float64(s.Proxies) })
-	gauge("commanded", "Proxies commanded.", func(s *Status) float64 { return float64(s.Commanded) })
+	gauge("commanded", "Proxies commanded.", func(s *Status) float64 { return float64(s.LeasesHeld) })
 	gauge("takeovers", "Proxies taken over since the start.", func(s *Status) float64 { return float64(s.Takeovers) })
 	gauge("streams", "Streams open.", func(s *Status) float64 { return float64(s.Streams) })
 	gauge("servers_ready", "Servers listed ready.", func(s *Status) float64 { return float64(s.Ready) })
-	gauge("servers_doubted", "Servers missing from the list and kept for now.", func(s *Status) float64 { return float64(s.Doubted) })
-	gauge("lines_waiting", "Lines in the channel, heads included.", func(s *Status) float64 { return s.LinesWaiting })
+	gauge("servers_doubted", "Servers missing from the list and kept for now.", func(s *Status) float64 { return float64(s.Unverified) })
+	gauge("lines_waiting", "Lines in the channel, heads included.", func(s *Status) float64 { return s.Backlog })
 	gauge("messages_sent", "Messages of orders sent since the start.", func(s *Status) float64 { return float64(s.Messages) })
-	gauge("lines_sent", "Lines of orders sent since the start.", func(s *Status) float64 { return float64(s.Lines) })
+	gauge("lines_sent", "Lines of orders sent since the start.", func(s *Status) float64 { return float64(s.Entries) })
 	gauge("sums_shed", "Lines of sums dropped as too many waited.", func(s *Status) float64 { return float64(s.Shed) })
 	gauge("reports_merged", "Reports added to one of their stream's that waited.", func(s *Status) float64 { return float64(s.Merged) })
 	gauge("lag_ms", "Time that the last report waited, ms.", func(s *Status) float64 { return s.LagMs })
-	gauge("dials_refused", "Dials refused by address or number.", func(s *Status) float64 { return float64(s.RefusedDials) })
+	gauge("dials_refused", "Dials refused by address or number.", func(s *Status) float64 { return float64(s.RejectedDials) })
 	gauge("order_ms_p50", "Time from a decision to its answer, median, ms.", func(s *Status) float64 { return s.OrderMsP50 })
 	gauge("order_ms_p99", "The same, 99th percentile, ms.", func(s *Status) float64 { return s.OrderMsP99 })
 	mux := http.NewServeMux()
@@ -626,7 +636,7 @@
 			http.Error(w, "wants ?on=true or ?on=false, at a planner that shares its fleet", http.StatusBadRequest)
 			return
 		}
-		p.tell(r.Context(), func() { p.core.Drain(on == "true") })
+		p.tell(r.Context(), func() { p.core.SetDraining(on == "true") })
 	})
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
--- a/internal/planner/run_test.go
+++ b/internal/planner/run_test.go
@@ -45,7 +45,7 @@
 	by atomic.Int64
 }
 
-func (s *stepped) Wall() time.Time { return s.Real.Wall().Add(time.Duration(s.by.Load())) }
+func (s *stepped) WallTime() time.Time { return s.Real.WallTime().Add(time.Duration(s.by.Load())) }
 
 type rig struct {
 	t      *testing.T
@@ -110,27 +110,27 @@
 
 // party is a proxy's end of a stream, without the proxy.
 type party struct {
-	controlstream.Unshared
+	controlstream.SingleController
 	r        *rig
 	conn     net.Conn
-	end      *controlstream.ProxyEnd
+	end      *controlstream.ProxySession
 	writing  sync.Mutex
 	mu       sync.Mutex
 	messages []*order.Orders
 	welcomed bool
-	why      *controlstream.Ending
+	why      *controlstream.CloseError
 	over     chan struct{}
 	pause    atomic.Bool // reads no more
 }
 
-func (p *party) Welcomed(*order.Welcome) {
+func (p *party) OnWelcome(*order.Welcome) {
 	p.mu.Lock()
 	p.welcomed = true
 	p.mu.Unlock()
-	p.put(controlstream.Applied, &order.Applied{})
+	p.put(controlstream.FrameAck, &order.Applied{})
 }
 
-func (p *party) Ordered(m *order.Orders) {
+func (p *party) OnOrders(m *order.Orders) {
 	p.mu.Lock()
 	p.messages = append(p.messages, m)
 	p.mu.Unlock()
@@ -140,10 +140,10 @@
 			a.Receipts = append(a.Receipts, x.Receipt)
 		}
 	}
-	p.put(controlstream.Applied, a)
+	p.put(controlstream.FrameAck, a)
 }
 
-func (p *party) put(kind controlstream.Kind, m proto.Message) {
+func (p *party) put(kind controlstream.FrameKind, m proto.Message) {
 	p.writing.Lock()
 	defer p.writing.Unlock()
 	if frame, err := p.end.Append(nil, kind, m); err == nil {
@@ -158,10 +158,10 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	p := &party{r: r, conn: conn, over: make(chan struct{}), end: controlstream.NewProxyEnd(controlstream.Limits{FrameBytes: 1 << 20, JoinWithin: 60000, SilentAfter: 60000}, 0)}
+	p := &party{r: r, conn: conn, over: make(chan struct{}), end: controlstream.NewProxySession(controlstream.Limits{MaxFrameBytes: 1 << 20, HandshakeTimeoutMs: 60000, HeartbeatTimeoutMs: 60000}, 0)}
 	r.t.Cleanup(func() { conn.Close() })
 	if name != "" {
-		p.put(controlstream.Join, &order.Join{Proxy: name, UsualPerS: 10, Incarnation: incarnation, Stream: streams, Groups: 2})
+		p.put(controlstream.FrameJoin, &order.Join{Proxy: name, UsualPerS: 10, Incarnation: incarnation, Stream: streams, Groups: 2})
 	}
 	go func() {
 		defer close(p.over)
@@ -174,9 +174,9 @@
 			p.end.Feed(0, buf[:n])
 			for p.end.Next(p) {
 			}
-			if p.end.Ended() != nil || err != nil {
+			if p.end.CloseCause() != nil || err != nil {
 				p.mu.Lock()
-				p.why = p.end.Ended()
+				p.why = p.end.CloseCause()
 				p.mu.Unlock()
 				return
 			}
@@ -208,11 +208,11 @@
 	}
 }
 
-func (p *party) ended(reason controlstream.Reason) func() bool {
+func (p *party) ended(reason controlstream.CloseReason) func() bool {
 	return func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return p.why != nil && p.why.Reason == controlstream.Left && p.why.Detail == string(reason)
+		return p.why != nil && p.why.Reason == controlstream.ReasonPeerClosed && p.why.Detail == string(reason)
 	}
 }
 
@@ -228,23 +228,23 @@
 			until(t, "a table", func() bool { return p.has(bound) })
 		}
 		r.stop()
-		if r.last.LinesMost > 3500 || r.last.Joins != 200 || len(r.last.Endings) != 0 {
+		if r.last.MaxBacklog > 3500 || r.last.Joins != 200 || len(r.last.Closes) != 0 {
 			t.Errorf("%+v", r.last)
 		}
 	})
 	// Each odd peer has one end, told once in the log and counted; a sound proxy beside it goes on.
 	for name, c := range map[string]struct {
 		say    []byte
-		reason controlstream.Reason
+		reason controlstream.CloseReason
 	}{
-		"garbage":       {[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), controlstream.BadMagic},
-		"half a frame":  {frame(t, controlstream.Join, &order.Join{Proxy: "y"})[:15], controlstream.NoJoin},
-		"nothing":       {nil, controlstream.NoJoin},
-		"another zone":  {frame(t, controlstream.Join, &order.Join{Proxy: "y", Zone: "mars", Groups: 2}), controlstream.Strange},
-		"sums unasked":  {frame(t, controlstream.Sums, &order.Sums{}), controlstream.BadState},
-		"a huge claim":  {[]byte{'L', 'P', 1, 1, 0xff, 0xff, 0xff, 0xff}, controlstream.BadSize},
-		"a joined name": {frame(t, controlstream.Join, &order.Join{Proxy: "sound", Incarnation: 9, Groups: 2}), controlstream.Taken},
-		"a hang-up":     {frame(t, controlstream.Bye, &order.Bye{Reason: "never mind"}), controlstream.Left},
+		"garbage":       {[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), controlstream.ReasonBadMagic},
+		"half a frame":  {frame(t, controlstream.FrameJoin, &order.Join{Proxy: "y"})[:15], controlstream.ReasonJoinTimeout},
+		"nothing":       {nil, controlstream.ReasonJoinTimeout},
+		"another zone":  {frame(t, controlstream.FrameJoin, &order.Join{Proxy: "y", Zone: "mars", Groups: 2}), controlstream.ReasonUnknownPeer},
+		"sums unasked":  {frame(t, controlstream.FrameLoadReport, &order.Sums{}), controlstream.ReasonUnexpectedFrame},
+		"a huge claim":  {[]byte{'L', 'P', 1, 1, 0xff, 0xff, 0xff, 0xff}, controlstream.ReasonBadSize},
+		"a joined name": {frame(t, controlstream.FrameJoin, &order.Join{Proxy: "sound", Incarnation: 9, Groups: 2}), controlstream.ReasonNameInUse},
+		"a hang-up":     {frame(t, controlstream.FrameClose, &order.Bye{Reason: "never mind"}), controlstream.ReasonPeerClosed},
 	} {
 		t.Run("an odd peer: "+name, func(t *testing.T) {
 			t.Parallel()
@@ -263,8 +263,8 @@
 			default:
 			}
 			r.stop()
-			if r.last.Endings[c.reason] != 1 {
-				t.Errorf("%v", r.last.Endings)
+			if r.last.Closes[c.reason] != 1 {
+				t.Errorf("%v", r.last.Closes)
 			}
 		})
 	}
@@ -292,7 +292,7 @@
 		until(t, "a table", func() bool { return first.has(bound) })
 		second := r.dial("x", 7, 2)
 		until(t, "a table", func() bool { return second.has(bound) })
-		until(t, "the end of the first", first.ended(controlstream.Replaced))
+		until(t, "the end of the first", first.ended(controlstream.ReasonSuperseded))
 	})
 	t.Run("a date that is stepped by an hour and back changes nothing", func(t *testing.T) {
 		t.Parallel()
@@ -300,8 +300,8 @@
 		born := func(asOf uint64) discovery.Update {
 			u := listed(4)
 			u.AsOfMs = asOf
-			for n := range u.Entries {
-				u.Entries[n].BornUnixMs = 1e12 - 1e8
+			for n := range u.Endpoints {
+				u.Endpoints[n].StartedUnixMs = 1e12 - 1e8
 			}
 			return u
 		}
@@ -318,7 +318,7 @@
 			t.Error("a server was withdrawn")
 		}
 		r.stop()
-		if len(r.last.Endings) != 0 || r.last.Ready != 4 {
+		if len(r.last.Closes) != 0 || r.last.Ready != 4 {
 			t.Errorf("%+v", r.last)
 		}
 	})
@@ -331,7 +331,7 @@
 			all = append(all, p)
 			go func() {
 				for range 200 {
-					p.put(controlstream.Sums, &order.Sums{CoversMs: 5, Servers: []*order.ServerSum{{Server: "s1", Tries: 9, LatencyMs: 3}}})
+					p.put(controlstream.FrameLoadReport, &order.Sums{CoversMs: 5, Servers: []*order.ServerSum{{Server: "s1", Tries: 9, LatencyMs: 3}}})
 				}
 			}()
 		}
@@ -342,7 +342,7 @@
 		for n, p := range all {
 			<-p.over
 			p.mu.Lock()
-			if p.why != nil && (p.why.Reason != controlstream.Left || p.why.Detail != string(controlstream.Stopping)) {
+			if p.why != nil && (p.why.Reason != controlstream.ReasonPeerClosed || p.why.Detail != string(controlstream.ReasonShutdown)) {
 				t.Errorf("stream %d: %v", n, p.why)
 			}
 			p.mu.Unlock()
@@ -352,7 +352,7 @@
 		t.Parallel()
 		set := planned(t, "proxies: 4")
 		set.Dump = filepath.Join(t.TempDir(), "dump")
-		r := launch(t, set, failing{NewModule(set)}, 4)
+		r := launch(t, set, failing{NewPolicy(set)}, 4)
 		r.dial("x", 1, 1)
 		until(t, "the failure", func() bool { return r.log.count("core failed") > 0 })
 		if err := r.stop(); err == nil || !strings.Contains(err.Error(), "odd") {
@@ -380,7 +380,7 @@
 // failing is a module that fails when a proxy joins.
 type failing struct{ Decider }
 
-func (failing) Joined(int, int, float64, ...float64) { panic("odd") }
+func (failing) AddProxy(int, int, float64, ...float64) { panic("odd") }
 
 func readAll(path string) (string, error) {
 	f, err := os.Open(path)
@@ -392,7 +392,7 @@
 	return string(b), err
 }
 
-func frame(t *testing.T, kind controlstream.Kind, m proto.Message) []byte {
+func frame(t *testing.T, kind controlstream.FrameKind, m proto.Message) []byte {
 	b, err := controlstream.AppendFrame(nil, kind, 1, m)
 	if err != nil {
 		t.Fatal(err)
@@ -408,20 +408,20 @@
 	said  chan bool
 }
 
-func (m *stalling) Tick(now float64) {
+func (m *stalling) SetTime(now float64) {
 	m.gate.Lock()
 	m.gate.Unlock() //nolint:staticcheck // SA2001: waits until the gate is open, guards nothing
-	m.Decider.Tick(now)
+	m.Decider.SetTime(now)
 }
 
-func (m *stalling) Heard(server string, zone, count, failed int, latency, covers float64) {
+func (m *stalling) RecordReport(server string, zone, count, failed int, latency, covers float64) {
 	m.heard.Add(int64(count))
-	m.Decider.Heard(server, zone, count, failed, latency, covers)
+	m.Decider.RecordReport(server, zone, count, failed, latency, covers)
 }
 
-func (m *stalling) Behind(on bool) {
+func (m *stalling) SetLagging(on bool) {
 	m.said <- on
-	m.Decider.Behind(on)
+	m.Decider.SetLagging(on)
 }
 
 // A core that stands still for two seconds under reports without end. Guards against readers that wait for it, as proxies would
@@ -430,7 +430,7 @@
 	t.Parallel()
 	const proxies, reports = 8, 1500
 	set := planned(t, `reports { every: "100ms" intake: "100000/s" } streams { silent_after: "20s" }`)
-	m := &stalling{Decider: NewModule(set), said: make(chan bool, 100)}
+	m := &stalling{Decider: NewPolicy(set), said: make(chan bool, 100)}
 	r := launch(t, set, m, 6)
 	var all []*party
 	for n := range proxies {
@@ -445,7 +445,7 @@
 		go func() {
 			defer sending.Done()
 			for range reports {
-				p.put(controlstream.Sums, &order.Sums{CoversMs: 1, Servers: []*order.ServerSum{{Server: "s1", Tries: 2, LatencyMs: 30}}})
+				p.put(controlstream.FrameLoadReport, &order.Sums{CoversMs: 1, Servers: []*order.ServerSum{{Server: "s1", Tries: 2, LatencyMs: 30}}})
 			}
 		}()
 	}
@@ -457,7 +457,7 @@
 		t.Errorf("behind %v, then %v", on, off)
 	}
 	r.stop()
-	if r.last.Merged < proxies*reports/2 || r.last.Lost != 0 || len(r.last.Endings) != 0 {
+	if r.last.Merged < proxies*reports/2 || r.last.Lost != 0 || len(r.last.Closes) != 0 {
 		t.Errorf("%+v", r.last)
 	}
 }
--- a/internal/platform/codec.go
+++ b/internal/platform/codec.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	mostLine  = 1 << 20 // bytes of a message, by the protocol
-	firstLine = 512     // bytes of a first message; whoever has not joined is not trusted with more
-	mostWords = 32      // words of a message; more are not the platform's
+	maxLineBytes = 1 << 20 // bytes of a message, by the protocol
+	firstLine    = 512     // bytes of a first message; whoever has not joined is not trusted with more
+	maxWords     = 32      // words of a message; more are not the platform's
 )
 
 // kinds are all that may begin a line that comes in. Reports of other kinds of deployment are read and not needed.
@@ -100,8 +100,8 @@
 // message is read whole and then asked once.
 type words struct {
 	kind string
-	name [mostWords][]byte
-	text [mostWords][]byte
+	name [maxWords][]byte
+	text [maxWords][]byte
 	n    int
 	err  error
 }
@@ -128,8 +128,8 @@
 		case w.find(string(name)) != nil:
 			w.fault("field %s comes twice", name)
 			return w
-		case w.n == mostWords:
-			w.fault("over %d words", mostWords)
+		case w.n == maxWords:
+			w.fault("over %d words", maxWords)
 			return w
 		}
 		w.name[w.n], w.text[w.n], w.n = name, text, w.n+1
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -13,7 +13,7 @@
 	"lichenpick/policy"
 )
 
-const mostConfig = 16 << 20 // bytes of a configuration
+const maxConfigBytes = 16 << 20 // bytes of a configuration
 
 // Config is what the platform tells a planner.
 type Config struct {
@@ -21,15 +21,15 @@
 	Seed                    int64
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Version                 int64          // of Known
-	Known                   []policy.Entry // perhaps old
-	Site                    simulator.Site
+	KnownVersion            int64             // of KnownEndpoints
+	KnownEndpoints          []policy.Endpoint // perhaps old
+	Settings                simulator.Settings
 }
 
 // ReadConfig loads and checks a configuration. It is refused whole, with an error of the program's kind for bad input.
 func ReadConfig(path string) (Config, error) {
 	bad := func(form string, args ...any) (Config, error) {
-		return Config{}, &settings.Error{File: path, What: fmt.Sprintf(form, args...)}
+		return Config{}, &settings.Error{File: path, Problem: fmt.Sprintf(form, args...)}
 	}
 	if path == "" {
 		return bad("no configuration is named; EDGE_CONFIG or -c must name it")
@@ -38,8 +38,8 @@
 	if err != nil {
 		return bad("%v", err)
 	}
-	if info.Size() > mostConfig {
-		return bad("%d bytes, where %d are the most", info.Size(), mostConfig)
+	if info.Size() > maxConfigBytes {
+		return bad("%d bytes, where %d are the most", info.Size(), maxConfigBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -79,32 +79,32 @@
 	}
 	c := Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Seed: int64(seed), Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Site: site,
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Settings: site,
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
 		l, err := readListing(f.Known, site.Zones)
 		if err != nil {
 			return bad("known: %v", err)
 		}
-		c.Version, c.Known = l.version, l.entries
+		c.KnownVersion, c.KnownEndpoints = l.version, l.entries
 	}
 	return c, nil
 }
 
 // check looks for what the module or the lines could not work with.
-func check(s simulator.Site) error {
-	m := s.Module
+func check(s simulator.Settings) error {
+	m := s.Policy
 	switch {
-	case len(s.Zones) == 0 || len(s.Groups) == 0:
-		return fmt.Errorf("%d zones and %d traffic groups; there must be some", len(s.Zones), len(s.Groups))
+	case len(s.Zones) == 0 || len(s.Classes) == 0:
+		return fmt.Errorf("%d zones and %d traffic groups; there must be some", len(s.Zones), len(s.Classes))
 	case m.Proxies < 1 || m.Proxies > 1<<16:
 		return fmt.Errorf("%d proxies, where 1 to %d can be", m.Proxies, 1<<16)
-	case !(m.ChannelRate > 0) || !(m.MostWaiting > 0):
-		return fmt.Errorf("a channel of %g lines a second with %g waiting; both must be above 0", m.ChannelRate, m.MostWaiting)
-	case m.Sliced:
+	case !(m.EntriesPerSecond > 0) || !(m.MaxBacklog > 0):
+		return fmt.Errorf("a channel of %g lines a second with %g waiting; both must be above 0", m.EntriesPerSecond, m.MaxBacklog)
+	case m.Sharded:
 		return fmt.Errorf("tables are slices, which this front does not serve")
 	}
-	for _, list := range [][]string{s.Zones, s.Groups} {
+	for _, list := range [][]string{s.Zones, s.Classes} {
 		for n, name := range list {
 			if !fits(name) || slices.Contains(list[:n], name) {
 				return fmt.Errorf("name %q cannot stand in a line, or comes twice", name)
--- a/internal/platform/core_test.go
+++ b/internal/platform/core_test.go
@@ -20,7 +20,7 @@
  "ReloadSpanMs":10000,"ReportEveryMs":1000,"TransitMaxMs":900,"DataPlaneSize":8,"SmallestConnTable":300},
  "Rules":{"ColdShare":0.3,"WarmUpMs":8000,"FallMs":3000,"StopSendingWithinMs":3000},"Limits":{"ConnIdleMs":15000}}`
 
-func site(t testing.TB) simulator.Site {
+func site(t testing.TB) simulator.Settings {
 	t.Helper()
 	s, err := simulator.ReadSettings([]byte(siteText))
 	if err != nil {
@@ -34,37 +34,37 @@
 	*Core
 	t     testing.TB
 	at    float64 // ms since the start
-	said  map[*Conn]string
-	ended map[*Conn]bool
-	why   map[*Conn]string
+	said  map[*Connection]string
+	ended map[*Connection]bool
+	why   map[*Connection]string
 }
 
 func begin(t testing.TB, servers int) *story {
 	s := &story{
-		Core: NewCore(site(t), 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{},
-		why: map[*Conn]string{},
+		Core: NewCore(site(t), 7, origin), t: t, said: map[*Connection]string{}, ended: map[*Connection]bool{},
+		why: map[*Connection]string{},
 	}
-	s.Listed(policy.Restored, entries(servers, policy.Ready))
+	s.UpdateEndpoints(policy.RestoredUpdate, entries(servers, policy.Ready))
 	return s
 }
 
-func entries(n int, state policy.State) (list []policy.Entry) {
+func entries(n int, state policy.State) (list []policy.Endpoint) {
 	for k := range n {
-		list = append(list, policy.Entry{Server: fmt.Sprintf("s-%d", k), Zone: k % 2, Size: 1, State: state})
+		list = append(list, policy.Endpoint{Server: fmt.Sprintf("s-%d", k), Zone: k % 2, RelativeCapacity: 1, State: state})
 	}
 	return list
 }
 
-func (s *story) Send(k *Conn, message []byte) { s.said[k] += string(message) }
-func (s *story) End(k *Conn, why string) {
+func (s *story) Send(k *Connection, message []byte) { s.said[k] += string(message) }
+func (s *story) CloseConnection(k *Connection, why string) {
 	s.ended[k], s.why[k] = true, why
 }
-func (s *story) Wake(at float64) {}
+func (s *story) SetTimer(at float64) {}
 
 // pass lets time go by, with looks as often as the shell would.
 func (s *story) pass(ms float64) {
 	for end := s.at + ms; ; s.at = min(s.at+50, end) {
-		s.Tick(origin + s.at)
+		s.SetTime(origin + s.at)
 		for s.Next(s) {
 		}
 		if s.at >= end {
@@ -73,29 +73,29 @@
 	}
 }
 
-func (s *story) open(lines ...string) *Conn {
-	k := &Conn{}
-	s.Tick(origin + s.at)
-	s.Opened(k)
+func (s *story) open(lines ...string) *Connection {
+	k := &Connection{}
+	s.SetTime(origin + s.at)
+	s.HandleConnect(k)
 	s.say(k, lines...)
 	return k
 }
 
-func (s *story) say(k *Conn, lines ...string) {
-	s.Tick(origin + s.at)
+func (s *story) say(k *Connection, lines ...string) {
+	s.SetTime(origin + s.at)
 	for _, l := range lines {
-		s.Fed(k, []byte(l+"\r\n"))
+		s.HandleData(k, []byte(l+"\r\n"))
 	}
 	s.pass(0)
 }
 
-func (s *story) joined(id int) *Conn {
+func (s *story) joined(id int) *Connection {
 	return s.open(fmt.Sprintf("joined id=%d site=a rps=10 new=1", id))
 }
 
 // answer answers every mark that a proxy was sent and not answered, as the proxy would.
-func (s *story) answer(k *Conn, id int) {
-	for _, m := range slices.Clone(k.proxy.marks) {
+func (s *story) answer(k *Connection, id int) {
+	for _, m := range slices.Clone(k.proxy.acknowledgements) {
 		s.say(k, fmt.Sprintf("applied id=%d seq=%d ms=300", id, m.number))
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	t.Run("its answer reaches the module", func(t *testing.T) {
 		s.answer(k, 3)
-		if len(k.proxy.marks) != 0 || s.Counts.Marks == 0 || s.Counts.Spoilt > 0 {
+		if len(k.proxy.acknowledgements) != 0 || s.Counts.Marks == 0 || s.Counts.Spoilt > 0 {
 			t.Errorf("%+v", s.Counts)
 		}
 	})
@@ -137,8 +137,8 @@
 	})
 	t.Run("a server that drains is shut out within the grace", func(t *testing.T) {
 		list := entries(1, policy.Draining)
-		s.Tick(origin + s.at)
-		s.Listed(policy.Change, list)
+		s.SetTime(origin + s.at)
+		s.UpdateEndpoints(policy.DeltaUpdate, list)
 		s.pass(1500)
 		if !strings.Contains(s.said[k], "drop=s-0") && !strings.Contains(s.said[k], "s-0:0") {
 			t.Errorf("it was told nothing of it: %q", s.said[k])
@@ -158,15 +158,15 @@
 		}
 	})
 	t.Run("the old one's end is not taken for a leaving", func(t *testing.T) {
-		s.Lost(old)
+		s.HandleDisconnect(old)
 		if !s.ended[old] || s.proxies[3] == nil || len(s.order) != 1 {
 			t.Errorf("ended %t, joined %d", s.ended[old], len(s.order))
 		}
 	})
 	t.Run("the new one's end is", func(t *testing.T) {
-		s.Lost(next)
-		if s.proxies[3] != nil || len(s.order) != 0 || s.Open() != 0 {
-			t.Errorf("joined %d, open %d", len(s.order), s.Open())
+		s.HandleDisconnect(next)
+		if s.proxies[3] != nil || len(s.order) != 0 || s.OpenConnections() != 0 {
+			t.Errorf("joined %d, open %d", len(s.order), s.OpenConnections())
 		}
 	})
 	t.Run("a proxy from elsewhere is let back what others may have shut out", func(t *testing.T) {
@@ -180,7 +180,7 @@
 	// first tables had gone off, and had them sent again on top (asleep 897 of 749, 52,417 lines waiting).
 	t.Run("while the channel is late nobody is taken for left, and no table is sent again", func(t *testing.T) {
 		s := begin(t, 8)
-		var all []*Conn
+		var all []*Connection
 		for id := range 6 {
 			all = append(all, s.joined(id))
 		}
@@ -193,8 +193,8 @@
 			}
 		}
 		for id, k := range all {
-			if n := strings.Count(s.said[k], "replace=1"); k.proxy.asleep || n != 1 {
-				t.Errorf("proxy %d: asleep %t, %d whole tables", id, k.proxy.asleep, n)
+			if n := strings.Count(s.said[k], "replace=1"); k.proxy.inactive || n != 1 {
+				t.Errorf("proxy %d: asleep %t, %d whole tables", id, k.proxy.inactive, n)
 			}
 		}
 		if s.Counts.Asleep != 0 {
@@ -204,29 +204,29 @@
 	t.Run("where nobody answers, what may wait bounds the time", func(t *testing.T) {
 		s := begin(t, 8)
 		k := s.joined(5)
-		s.pass(quietMs + slowest*s.site.Module.MostWaiting/s.site.Module.ChannelRate*1000 + 3000)
-		if !k.proxy.asleep || s.ended[k] {
-			t.Errorf("asleep %t, ended %t", k.proxy.asleep, s.ended[k])
+		s.pass(quietMs + slowest*s.settings.Policy.MaxBacklog/s.settings.Policy.EntriesPerSecond*1000 + 3000)
+		if !k.proxy.inactive || s.ended[k] {
+			t.Errorf("asleep %t, ended %t", k.proxy.inactive, s.ended[k])
 		}
 	})
 	t.Run("one that answers nothing, though others answered later marks, is taken for left, not ended, and taken back when it speaks", func(t *testing.T) {
 		k := s.joined(5)
 		other := s.joined(6)
 		for n := range 60 {
-			if s.pass(200); k.proxy.asleep && n*200 < quietMs {
+			if s.pass(200); k.proxy.inactive && n*200 < quietMs {
 				t.Fatalf("it was taken for left after %d ms", 200*n)
 			}
 			if s.answer(other, 6); n%20 == 0 { // something to be told, and to be answered
-				s.Listed(policy.Change, []policy.Entry{{Server: "s-0", Size: 1, State: policy.State(1 - n/20%2)}})
+				s.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{Server: "s-0", RelativeCapacity: 1, State: policy.State(1 - n/20%2)}})
 			}
 		}
-		if !k.proxy.asleep || s.ended[k] || other.proxy.asleep {
-			t.Fatalf("asleep %t, ended %t, the other asleep %t", k.proxy.asleep, s.ended[k], other.proxy.asleep)
+		if !k.proxy.inactive || s.ended[k] || other.proxy.inactive {
+			t.Fatalf("asleep %t, ended %t, the other asleep %t", k.proxy.inactive, s.ended[k], other.proxy.inactive)
 		}
 		said := len(s.said[k])
 		s.say(k, "usage id=5 lane=lookup count=1 fail=0 over=1000")
 		s.pass(1000)
-		if k.proxy.asleep || !strings.Contains(s.said[k][said:], "replace=1") {
+		if k.proxy.inactive || !strings.Contains(s.said[k][said:], "replace=1") {
 			t.Errorf("%q", s.said[k][said:])
 		}
 	})
@@ -238,8 +238,8 @@
 		s := begin(t, 8)
 		k := s.open()
 		long := "usage id=3 lane=lookup count=1 fail=0 over=1000 extra=" + strings.Repeat("1", 2*firstLine)
-		s.Fed(k, []byte("joined id=3 site=a rps=10 new=1\r\n"+long+"\r\n"+long[:2*firstLine]))
-		s.Fed(k, []byte(long[2*firstLine:]+"\r\n"))
+		s.HandleData(k, []byte("joined id=3 site=a rps=10 new=1\r\n"+long+"\r\n"+long[:2*firstLine]))
+		s.HandleData(k, []byte(long[2*firstLine:]+"\r\n"))
 		s.pass(0)
 		if s.ended[k] || s.Counts.Usage != 2 || s.Counts.Unreadable != 0 {
 			t.Errorf("ended %t, %+v", s.ended[k], s.Counts)
@@ -249,9 +249,9 @@
 		s := begin(t, 8)
 		old := s.joined(3)
 		x := s.open()
-		s.Fed(x, []byte("joined id=3 site=a rps=10 new=0\r\n")) // two at one instant, settled in one look
+		s.HandleData(x, []byte("joined id=3 site=a rps=10 new=0\r\n")) // two at one instant, settled in one look
 		y := s.open()
-		s.Fed(y, []byte("GET / HTTP/1.1\r\n"))
+		s.HandleData(y, []byte("GET / HTTP/1.1\r\n"))
 		s.pass(0)
 		if !strings.Contains(s.why[old], "newer stream") || s.why[y] != errUnreadable.Error() {
 			t.Errorf("%q and %q", s.why[old], s.why[y])
@@ -260,8 +260,8 @@
 	t.Run("who is closed for room has its pong first", func(t *testing.T) {
 		s := begin(t, 8)
 		k := s.open()
-		s.Fed(k, []byte("ping\r\n"))
-		if !s.Shed(s) || s.said[k] != "pong\r\nrefused\r\n" || !s.ended[k] {
+		s.HandleData(k, []byte("ping\r\n"))
+		if !s.ShedConnection(s) || s.said[k] != "pong\r\nrefused\r\n" || !s.ended[k] {
 			t.Errorf("ended %t, told %q", s.ended[k], s.said[k])
 		}
 		if s.pass(0); s.said[k] != "pong\r\nrefused\r\n" {
@@ -270,23 +270,23 @@
 	})
 	t.Run("messages that do not end fill their room together, and the longest goes first", func(t *testing.T) {
 		s := begin(t, 8)
-		s.MostPartial = 1 << 20
-		var all []*Conn
+		s.MaxPartialBytes = 1 << 20
+		var all []*Connection
 		for id := range 4 {
 			k := s.joined(id)
-			s.Fed(k, []byte("usage id=0 x="+strings.Repeat("1", (id+1)<<17)))
+			s.HandleData(k, []byte("usage id=0 x="+strings.Repeat("1", (id+1)<<17)))
 			all = append(all, k)
 		}
 		s.pass(0)
-		if s.ended[all[0]] || s.ended[all[1]] || s.ended[all[2]] || !s.ended[all[3]] || s.partial > s.MostPartial || len(s.order) != 3 {
-			t.Errorf("%t %t %t %t, %d bytes held", s.ended[all[0]], s.ended[all[1]], s.ended[all[2]], s.ended[all[3]], s.partial)
+		if s.ended[all[0]] || s.ended[all[1]] || s.ended[all[2]] || !s.ended[all[3]] || s.partialBytes > s.MaxPartialBytes || len(s.order) != 3 {
+			t.Errorf("%t %t %t %t, %d bytes held", s.ended[all[0]], s.ended[all[1]], s.ended[all[2]], s.ended[all[3]], s.partialBytes)
 		}
 		for _, k := range all {
-			s.Fed(k, []byte("\r\n"))
-			s.Lost(k)
+			s.HandleData(k, []byte("\r\n"))
+			s.HandleDisconnect(k)
 		}
-		if s.partial != 0 {
-			t.Errorf("%d bytes held of nobody", s.partial)
+		if s.partialBytes != 0 {
+			t.Errorf("%d bytes held of nobody", s.partialBytes)
 		}
 	})
 }
@@ -295,17 +295,17 @@
 // names each server twice, which the module did not count.
 func TestARushOfProxiesFitsTheChannel(t *testing.T) {
 	set := site(t)
-	set.Module.Proxies = 150
+	set.Policy.Proxies = 150
 	s := &story{
-		Core: NewCore(set, 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{},
-		why: map[*Conn]string{},
+		Core: NewCore(set, 7, origin), t: t, said: map[*Connection]string{}, ended: map[*Connection]bool{},
+		why: map[*Connection]string{},
 	}
-	s.Listed(policy.Restored, entries(30, policy.Ready))
-	conns := make([]*Conn, 150)
+	s.UpdateEndpoints(policy.RestoredUpdate, entries(30, policy.Ready))
+	conns := make([]*Connection, 150)
 	for id := range conns {
-		k := &Conn{}
-		s.Opened(k)
-		s.Fed(k, []byte(fmt.Sprintf("joined id=%d site=%s rps=2 new=0\r\n", id, []string{"a", "b"}[id%2])))
+		k := &Connection{}
+		s.HandleConnect(k)
+		s.HandleData(k, []byte(fmt.Sprintf("joined id=%d site=%s rps=2 new=0\r\n", id, []string{"a", "b"}[id%2])))
 		conns[id] = k
 	}
 	for range 20 {
@@ -319,7 +319,7 @@
 			t.Errorf("proxy %d has no table after 6 s", id)
 		}
 	}
-	if most := 0.7 * set.Module.MostWaiting; s.Counts.MostWaiting > most || s.Counts.MostWaiting < most/4 {
+	if most := 0.7 * set.Policy.MaxBacklog; s.Counts.MostWaiting > most || s.Counts.MostWaiting < most/4 {
 		t.Errorf("%.0f lines waited, where %.0f may", s.Counts.MostWaiting, most)
 	}
 }
@@ -328,18 +328,18 @@
 // the module did not count was found in it: withdrawals to proxies not bound yet, servers let back at proxies whose
 // tables hold them no more, and what others' withdrawals cost where a table gets a server that it had not.
 func TestAChannelThatStandsStillIsNotOverfilled(t *testing.T) {
-	for name, set := range map[string]func(*simulator.Site){
-		"few lines may wait":   func(s *simulator.Site) { s.Module.MostWaiting = 2000 },
-		"many lines may wait":  func(s *simulator.Site) { s.Module.MostWaiting = 9000 },
-		"no limit on messages": func(s *simulator.Site) { s.Module.MostWaiting, s.Module.MostMessages = 3000, 0 },
+	for name, set := range map[string]func(*simulator.Settings){
+		"few lines may wait":   func(s *simulator.Settings) { s.Policy.MaxBacklog = 2000 },
+		"many lines may wait":  func(s *simulator.Settings) { s.Policy.MaxBacklog = 9000 },
+		"no limit on messages": func(s *simulator.Settings) { s.Policy.MaxBacklog, s.Policy.MaxMessages = 3000, 0 },
 	} {
 		for _, fresh := range []int{0, 1} {
 			t.Run(fmt.Sprintf("%s, new=%d", name, fresh), func(t *testing.T) {
 				site := site(t)
-				site.Module.Proxies = 60
+				site.Policy.Proxies = 60
 				set(&site)
-				s := &story{Core: NewCore(site, 7, origin), t: t, said: map[*Conn]string{}, ended: map[*Conn]bool{}, why: map[*Conn]string{}}
-				s.Listed(policy.Restored, entries(40, policy.Ready))
+				s := &story{Core: NewCore(site, 7, origin), t: t, said: map[*Connection]string{}, ended: map[*Connection]bool{}, why: map[*Connection]string{}}
+				s.UpdateEndpoints(policy.RestoredUpdate, entries(40, policy.Ready))
 				at := func() float64 { return s.now }
 				collector := s.open("collector site=a")
 				drains := 0
@@ -352,9 +352,9 @@
 					}
 					if n%5 == 2 { // servers drain, and new ones come
 						for range 3 {
-							s.Listed(policy.Change, []policy.Entry{
-								{Server: fmt.Sprintf("s-%d", drains), Zone: drains % 2, Size: 1, State: policy.Draining},
-								{Server: fmt.Sprintf("n-%d", drains), Zone: drains % 2, Size: 1, BornMs: at()},
+							s.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{
+								{Server: fmt.Sprintf("s-%d", drains), Zone: drains % 2, RelativeCapacity: 1, State: policy.Draining},
+								{Server: fmt.Sprintf("n-%d", drains), Zone: drains % 2, RelativeCapacity: 1, StartedMs: at()},
 							})
 							drains++
 						}
@@ -371,10 +371,10 @@
 					}
 					s.pass(200)
 				}
-				in := float64(s.Counts.Lines) + site.Module.HeadLines*float64(s.Counts.Messages)
-				t.Logf("%.0f lines of %.0f", in, site.Module.MostWaiting)
-				if in > site.Module.MostWaiting {
-					t.Errorf("%.0f lines wait, where %.0f may", in, site.Module.MostWaiting)
+				in := float64(s.Counts.Lines) + site.Policy.MessageOverhead*float64(s.Counts.Messages)
+				t.Logf("%.0f lines of %.0f", in, site.Policy.MaxBacklog)
+				if in > site.Policy.MaxBacklog {
+					t.Errorf("%.0f lines wait, where %.0f may", in, site.Policy.MaxBacklog)
 				}
 			})
 		}
@@ -408,14 +408,14 @@
 	}
 	t.Run("a stranger's message without end is not kept", func(t *testing.T) {
 		x := s.open()
-		s.Fed(x, []byte("joined x="+strings.Repeat("1", 2*firstLine)))
+		s.HandleData(x, []byte("joined x="+strings.Repeat("1", 2*firstLine)))
 		if s.pass(0); !s.ended[x] {
 			t.Errorf("%d bytes are kept", len(x.lines.part))
 		}
 	})
 	t.Run("one that says nothing, half a message, or only ping is closed in time", func(t *testing.T) {
 		a, b, d := s.open(), s.open(), s.open("ping")
-		s.Fed(b, []byte("joined id"))
+		s.HandleData(b, []byte("joined id"))
 		s.pass(2000)
 		if !s.ended[a] || !s.ended[b] || !s.ended[d] || !strings.HasPrefix(s.said[d], "pong\r\n") {
 			t.Errorf("%t %t %t %q", s.ended[a], s.ended[b], s.ended[d], s.said[d])
@@ -454,7 +454,7 @@
 		}
 	})
 	t.Run("a stream that goes on with what can't be read is closed", func(t *testing.T) {
-		s.Fed(k, []byte("\x01\x02garbage"))
+		s.HandleData(k, []byte("\x01\x02garbage"))
 		s.pass(0)
 		if !s.ended[k] || s.proxies[3] != nil || strings.Contains(strings.TrimPrefix(s.said[k], before), "refused") {
 			t.Errorf("ended %t", s.ended[k])
@@ -468,13 +468,13 @@
 	})
 	t.Run("room is made of the oldest stranger, never of who has joined", func(t *testing.T) {
 		a, b := s.open(), s.open()
-		if !s.Shed(s) || !s.ended[a] || s.ended[b] || !s.Shed(s) || s.Shed(s) || s.ended[c] {
+		if !s.ShedConnection(s) || !s.ended[a] || s.ended[b] || !s.ShedConnection(s) || s.ShedConnection(s) || s.ended[c] {
 			t.Errorf("%t %t %t", s.ended[a], s.ended[b], s.ended[c])
 		}
 	})
 }
 
-func asJoined() int { return mostLine }
+func asJoined() int { return maxLineBytes }
 
 func TestSplitter(t *testing.T) {
 	text := "joined id=3 site=a rps=10 new=1\r\nping\r\nusage id=3 lane=lookup count=1 fail=0 over=1000.0\r\n"
@@ -494,12 +494,12 @@
 	t.Run("a message of the most bytes is held, one more is not", func(t *testing.T) {
 		for _, more := range []int{0, 1} {
 			var s splitter
-			line := sayHeard + " x=" + strings.Repeat("1", mostLine-len(sayHeard)-3+more) + "\r\n"
+			line := sayHeard + " x=" + strings.Repeat("1", maxLineBytes-len(sayHeard)-3+more) + "\r\n"
 			err := s.feed([]byte(line[:len(line)/2]), asJoined, func([]byte) bool { return true })
 			if err == nil {
 				err = s.feed([]byte(line[len(line)/2:]), asJoined, func([]byte) bool { return true })
 			}
-			if (err == errLong) != (more == 1) || len(s.part) > mostLine {
+			if (err == errLong) != (more == 1) || len(s.part) > maxLineBytes {
 				t.Errorf("%d more: %v", more, err)
 			}
 		}
@@ -516,10 +516,10 @@
 		k := s.open()
 		cut = max(min(cut, len(text)), 0)
 		for _, piece := range []string{text[:cut], text[cut:]} {
-			s.Fed(k, []byte(piece))
+			s.HandleData(k, []byte(piece))
 			s.pass(100)
 		}
-		if k.Unjoined() && len(k.lines.part) > firstLine+2 || len(s.said[k]) > 1<<16 {
+		if k.Unauthenticated() && len(k.lines.part) > firstLine+2 || len(s.said[k]) > 1<<16 {
 			t.Errorf("a stranger holds %d bytes and was told %d", len(k.lines.part), len(s.said[k]))
 		}
 	})
@@ -530,7 +530,7 @@
 	one := `{"version":%s,"full":%s,"servers":[{"id":"s-1","addr":"x:1","zone":"b","kind":"m","cell":3,"state":"%s","weight":1.5,"started_ms":%s}]}`
 	f := follower{zones: zones, version: 41}
 	l, ok, err := f.take([]byte(fmt.Sprintf(one, "43", "false", "draining", "1.8e12")))
-	if e := (policy.Entry{Server: "s-1", Zone: 1, State: policy.Draining, Size: 1.5, BornMs: 1.8e12}); err != nil || !ok || l.entries[0] != e || f.version != 43 {
+	if e := (policy.Endpoint{Server: "s-1", Zone: 1, State: policy.Draining, RelativeCapacity: 1.5, StartedMs: 1.8e12}); err != nil || !ok || l.entries[0] != e || f.version != 43 {
 		t.Errorf("%+v %t %v", l, ok, err)
 	}
 	if _, ok, err := f.take(nil); ok || err != nil {
--- a/internal/platform/digest_test.go
+++ b/internal/platform/digest_test.go
@@ -102,7 +102,7 @@
 
 // peer is the other end of one connection.
 type peer struct {
-	conn    *platform.Conn
+	conn    *platform.Connection
 	number  int    // in the order of opening
 	proxy   int    // id of the proxy that it joined as, or -1
 	zone    string // of a proxy or collector
@@ -123,7 +123,7 @@
 	random   *rand.Rand // of the peers alone
 	atMs     float64    // since the start
 	peers    []*peer    // in the order of opening
-	byConn   map[*platform.Conn]*peer
+	byConn   map[*platform.Connection]*peer
 	proxies  [digestProxies]*peer // the latest stream of each
 	digest   *golden.Digest
 	shutdown []string // events of Close, whose order is not defined; nil before
@@ -139,27 +139,27 @@
 		t.Fatal(err)
 	}
 	if seed == narrowSeed {
-		site.Module.ChannelRate = narrowChannelRate
-		site.Module.MostWaiting = narrowMostWaiting
+		site.Policy.EntriesPerSecond = narrowChannelRate
+		site.Policy.MaxBacklog = narrowMostWaiting
 	}
 	c := &conversation{
 		core:   platform.NewCore(site, seed, digestOriginMs),
 		random: rand.New(rand.NewSource(seed)),
-		byConn: map[*platform.Conn]*peer{},
+		byConn: map[*platform.Connection]*peer{},
 		digest: golden.NewDigest(fmt.Sprintf("seed=%d", seed), digestIntervalMs),
 	}
 	if seed%2 == 0 {
-		c.core.MostPartial = partialMost
+		c.core.MaxPartialBytes = partialMost
 	}
-	c.core.Doubt = func(string) { c.doubts++ }
-	c.core.Listed(policy.Restored, digestEntries())
+	c.core.OnReject = func(string) { c.doubts++ }
+	c.core.UpdateEndpoints(policy.RestoredUpdate, digestEntries())
 	return c
 }
 
-func digestEntries() []policy.Entry {
-	var entries []policy.Entry
+func digestEntries() []policy.Endpoint {
+	var entries []policy.Endpoint
 	for index := range digestServers {
-		entries = append(entries, policy.Entry{Server: fmt.Sprint("s-", index), Zone: index % 2, Size: 1})
+		entries = append(entries, policy.Endpoint{Server: fmt.Sprint("s-", index), Zone: index % 2, RelativeCapacity: 1})
 	}
 	return entries
 }
@@ -173,7 +173,7 @@
 	c.digest.Add(c.atMs, "%s", event)
 }
 
-func (c *conversation) Send(conn *platform.Conn, message []byte) {
+func (c *conversation) Send(conn *platform.Connection, message []byte) {
 	p := c.byConn[conn]
 	c.record("send %d %q", p.number, message)
 	for line := range strings.SplitSeq(string(message), lineEnd) {
@@ -199,8 +199,8 @@
 	p.answers = append(p.answers, digestAnswer{c.atMs + delayMs, number})
 }
 
-// End records that a connection is closed; the reason is free text, and not recorded.
-func (c *conversation) End(conn *platform.Conn, _ string) {
+// CloseConnection records that a connection is closed; the reason is free text, and not recorded.
+func (c *conversation) CloseConnection(conn *platform.Connection, _ string) {
 	p := c.byConn[conn]
 	c.record("end %d", p.number)
 	if p.proxy >= 0 && c.proxies[p.proxy] != p {
@@ -209,14 +209,14 @@
 	p.closed = true
 }
 
-func (c *conversation) Wake(atMs float64) { c.record("wake %g", atMs-digestOriginMs) }
+func (c *conversation) SetTimer(atMs float64) { c.record("wake %g", atMs-digestOriginMs) }
 
 // open makes a connection that writes a first message.
 func (c *conversation) open(first string) *peer {
-	p := &peer{conn: &platform.Conn{}, number: len(c.peers), proxy: -1}
+	p := &peer{conn: &platform.Connection{}, number: len(c.peers), proxy: -1}
 	c.peers = append(c.peers, p)
 	c.byConn[p.conn] = p
-	c.core.Opened(p.conn)
+	c.core.HandleConnect(p.conn)
 	p.write(first)
 	return p
 }
@@ -249,7 +249,7 @@
 		if c.random.Intn(3) == 0 {
 			size = 1 + c.random.Intn(size)
 		}
-		c.core.Fed(p.conn, p.unsent[:size])
+		c.core.HandleData(p.conn, p.unsent[:size])
 		p.unsent = p.unsent[size:]
 		if c.random.Intn(4) == 0 {
 			return // the rest comes later
@@ -260,7 +260,7 @@
 // phases starts what happens at set times.
 func (c *conversation) phases() {
 	reached := func(at float64) bool { return c.atMs >= at && c.atMs < at+digestStepMs }
-	change := func(entry policy.Entry) { c.core.Listed(policy.Change, []policy.Entry{entry}) }
+	change := func(entry policy.Endpoint) { c.core.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{entry}) }
 	for id := range digestProxies {
 		if reached(500 + 150*float64(id)) {
 			c.join(id, 1)
@@ -271,23 +271,23 @@
 		c.collect(0)
 		c.collect(1)
 	case reached(completeListMs):
-		c.core.Listed(policy.Whole, digestEntries())
+		c.core.UpdateEndpoints(policy.FullUpdate, digestEntries())
 	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // something to acknowledge
-		change(policy.Entry{Server: "s-4", Size: 1, State: policy.Draining})
+		change(policy.Endpoint{Server: "s-4", RelativeCapacity: 1, State: policy.Draining})
 	case reached(silentFromMs + 3000), reached(silentFromMs + 9000):
-		change(policy.Entry{Server: "s-4", Size: 1, State: policy.Ready})
+		change(policy.Endpoint{Server: "s-4", RelativeCapacity: 1, State: policy.Ready})
 	case reached(drainMs):
-		change(policy.Entry{Server: "s-2", Size: 1, State: policy.Draining})
+		change(policy.Endpoint{Server: "s-2", RelativeCapacity: 1, State: policy.Draining})
 	case reached(drainMs + goneAfterMs):
-		change(policy.Entry{Server: "s-2", Size: 1, State: policy.Gone})
+		change(policy.Endpoint{Server: "s-2", RelativeCapacity: 1, State: policy.Removed})
 	case reached(missingMs):
-		c.core.Listed(policy.Whole, slices.Delete(digestEntries(), 2, 4))
+		c.core.UpdateEndpoints(policy.FullUpdate, slices.Delete(digestEntries(), 2, 4))
 	case reached(failedListMs):
-		c.core.Listed(policy.Failed, nil)
+		c.core.UpdateEndpoints(policy.FailedUpdate, nil)
 	case reached(coldMs):
-		change(policy.Entry{Server: "cold", Zone: 1, Size: 2, BornMs: digestOriginMs + c.atMs})
+		change(policy.Endpoint{Server: "cold", Zone: 1, RelativeCapacity: 2, StartedMs: digestOriginMs + c.atMs})
 	case reached(returnMs):
-		change(policy.Entry{Server: "s-2", Size: 1, BornMs: digestOriginMs + c.atMs})
+		change(policy.Endpoint{Server: "s-2", RelativeCapacity: 1, StartedMs: digestOriginMs + c.atMs})
 	}
 	quiet := within(c.atMs, silentFromMs, silentForMs)
 	for id, p := range c.proxies {
@@ -379,7 +379,7 @@
 	case 12:
 		p.unsent = append(p.unsent, "usage id=1 lane=lookup pad="+strings.Repeat("1", partialMessage)...)
 	case 13:
-		if c.core.Shed(c) {
+		if c.core.ShedConnection(c) {
 			c.sheds++
 		}
 	}
@@ -390,15 +390,15 @@
 	if p.closed || p.silent {
 		return
 	}
-	c.core.Fed(p.conn, p.unsent)
+	c.core.HandleData(p.conn, p.unsent)
 	p.unsent = nil
-	c.core.Finished(p.conn)
+	c.core.HandleHalfClose(p.conn)
 }
 
 func (c *conversation) lose(p *peer) {
 	if !p.closed {
 		p.closed = true
-		c.core.Lost(p.conn)
+		c.core.HandleDisconnect(p.conn)
 	}
 }
 
@@ -426,7 +426,7 @@
 
 func (c *conversation) step(number int) {
 	c.atMs += digestStepMs
-	c.core.Tick(digestOriginMs + c.atMs)
+	c.core.SetTime(digestOriginMs + c.atMs)
 	c.phases()
 	c.trouble()
 	c.rejoin()
@@ -449,7 +449,7 @@
 func (c *conversation) recordCounts() {
 	n := c.core.Counts
 	c.record("counts %d %d %d %d %d %d %d %d %d %d %d %d %d %g open %d", n.Joins, n.Lost, n.Asleep, n.Refused, n.Unreadable,
-		n.Spoilt, n.Heard, n.Usage, n.Marks, n.Messages, n.Lines, n.Bytes, n.Lists, n.MostWaiting, c.core.Open())
+		n.Spoilt, n.Heard, n.Usage, n.Marks, n.Messages, n.Lines, n.Bytes, n.Lists, n.MostWaiting, c.core.OpenConnections())
 }
 
 func (c *conversation) run() []byte {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	silentMs  = 2600.0  // ms without a byte after which the agent is asked anew; it says something every 2 s
-	wholeMs   = 5000.0  // ms that an answer, or a line of a watch, may take from its asking to its end
-	dialMs    = 1000.0  // ms; the agent is on the same machine
-	againMs   = 50.0    // ms; first wait before asking again, doubled each time
-	againMost = 500.0   // ms; what is to be told counts as told after 6 s
-	mostShown = 1000    // bytes of a line that a debug log shows
-	mostList  = 4 << 20 // bytes of a list, or of a line of a watch
+	silentMs      = 2600.0  // ms without a byte after which the agent is asked anew; it says something every 2 s
+	wholeMs       = 5000.0  // ms that an answer, or a line of a watch, may take from its asking to its end
+	dialMs        = 1000.0  // ms; the agent is on the same machine
+	againMs       = 50.0    // ms; first wait before asking again, doubled each time
+	againMost     = 500.0   // ms; what is to be told counts as told after 6 s
+	maxShownBytes = 1000    // bytes of a line that a debug log shows
+	maxListBytes  = 4 << 20 // bytes of a list, or of a line of a watch
 )
 
 // agent follows discovery: the whole list, then the watch from its version on.
@@ -33,7 +33,7 @@
 	clock   clock.Clock
 	network clock.Network
 	log     *slog.Logger
-	deliver func(policy.ListForm, []policy.Entry)
+	deliver func(policy.UpdateKind, []policy.Endpoint)
 	follow  follower
 	since   atomic.Int64 // µs of Mono: when what is being read was asked for, or the last line ended
 }
@@ -54,7 +54,7 @@
 	}}
 	wait := againMs
 	for said := ""; ctx.Err() == nil; {
-		err := a.ask(ctx, client, address, func() { wait, said = againMs, "" })
+		err := a.poll(ctx, client, address, func() { wait, said = againMs, "" })
 		if ctx.Err() != nil {
 			return
 		}
@@ -69,15 +69,15 @@
 	}
 }
 
-// ask asks once, for the whole list where that is not known and then for the watch, and returns why that ended.
-func (a *agent) ask(ctx context.Context, client *http.Client, address string, alive func()) error {
+// poll asks once, for the whole list where that is not known and then for the watch, and returns why that ended.
+func (a *agent) poll(ctx context.Context, client *http.Client, address string, alive func()) error {
 	if a.follow.whole {
 		if err := a.get(ctx, client, "http://"+address+"/catalog/members", func(body *bufio.Reader) error {
-			raw, err := io.ReadAll(io.LimitReader(body, mostList+1))
+			raw, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
 			if err != nil {
 				return err
 			}
-			if len(raw) > mostList {
+			if len(raw) > maxListBytes {
 				return errLong
 			}
 			a.follow.version = 0 // another discovery may count anew
@@ -106,14 +106,14 @@
 func (a *agent) told(raw []byte) error {
 	l, ok, err := a.follow.take(bytes.TrimSpace(raw))
 	if ok || err != nil {
-		a.log.Debug("listed", "version", l.version, "full", l.full, "entries", len(l.entries), "line", string(raw[:min(len(raw), mostShown)]))
+		a.log.Debug("listed", "version", l.version, "full", l.full, "entries", len(l.entries), "line", string(raw[:min(len(raw), maxShownBytes)]))
 	}
 	if err != nil || !ok {
 		return err
 	}
-	form := policy.Change
+	form := policy.DeltaUpdate
 	if l.full {
-		form = policy.Whole
+		form = policy.FullUpdate
 	}
 	a.deliver(form, l.entries)
 	return nil
@@ -143,7 +143,7 @@
 		if line = append(line, part...); err == nil {
 			return line, nil
 		}
-		if len(line) > mostList {
+		if len(line) > maxListBytes {
 			return nil, errLong
 		}
 		if err != bufio.ErrBufferFull {
@@ -153,7 +153,7 @@
 }
 
 // begun takes down that the next answer or line is waited for from now on.
-func (a *agent) begun() { a.since.Store(int64(1000 * a.clock.Mono())) }
+func (a *agent) begun() { a.since.Store(int64(1000 * a.clock.Monotonic())) }
 
 // watched is a connection on which no read waits for longer than a silence may last, and that ends with an answer or a
 // line that comes byte by byte without end: bytes alone are no sign of life.
@@ -163,7 +163,7 @@
 }
 
 func (w watched) Read(b []byte) (int, error) {
-	left := wholeMs + float64(w.agent.since.Load())/1000 - w.agent.clock.Mono()
+	left := wholeMs + float64(w.agent.since.Load())/1000 - w.agent.clock.Monotonic()
 	w.SetReadDeadline(w.agent.clock.Deadline(math.Min(silentMs, left)))
 	return w.Conn.Read(b)
 }
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -12,10 +12,10 @@
 type listing struct {
 	version int64
 	full    bool
-	entries []policy.Entry // births in Unix ms, by which the module's clock goes here
+	entries []policy.Endpoint // births in Unix ms, by which the module's clock goes here
 }
 
-var states = map[string]policy.State{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Gone}
+var states = map[string]policy.State{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
 
 // readListing decodes discovery's form of a list, whole or not at all.
 func readListing(raw []byte, zones []string) (listing, error) {
@@ -38,7 +38,7 @@
 	}
 	l := listing{version: *m.Version, full: m.Full}
 	for _, s := range m.Servers {
-		e := policy.Entry{Server: s.ID, Zone: -1, Size: 1, BornMs: s.Started}
+		e := policy.Endpoint{Server: s.ID, Zone: -1, RelativeCapacity: 1, StartedMs: s.Started}
 		for n, z := range zones {
 			if z == s.Zone {
 				e.Zone = n
@@ -46,10 +46,10 @@
 		}
 		state, ok := states[s.State]
 		if e.State = state; s.Weight != nil {
-			e.Size = *s.Weight
+			e.RelativeCapacity = *s.Weight
 		}
-		if !ok || !fits(s.ID) || !(e.Size >= 0) || math.IsInf(e.Size, 0) || !(e.BornMs >= 0) {
-			return listing{}, fmt.Errorf("server %q with state %q, weight %g, start %g", s.ID, s.State, e.Size, e.BornMs)
+		if !ok || !fits(s.ID) || !(e.RelativeCapacity >= 0) || math.IsInf(e.RelativeCapacity, 0) || !(e.StartedMs >= 0) {
+			return listing{}, fmt.Errorf("server %q with state %q, weight %g, start %g", s.ID, s.State, e.RelativeCapacity, e.StartedMs)
 		}
 		l.entries = append(l.entries, e)
 	}
--- a/internal/platform/owed_test.go
+++ b/internal/platform/owed_test.go
@@ -80,13 +80,14 @@
 	mono, deadline float64
 }
 
-func (p pace) Mono() float64                               { return p.mono * p.Real.Mono() }
-func (p pace) Deadline(ms float64) time.Time               { return p.Real.Deadline(ms * p.deadline) }
-func (p pace) After(ms float64) (<-chan time.Time, func()) { return p.Real.After(ms / p.mono) }
+func (p pace) Monotonic() float64            { return p.mono * p.Real.Monotonic() }
+func (p pace) Deadline(ms float64) time.Time { return p.Real.Deadline(ms * p.deadline) }
+
+func (p pace) NewTimer(ms float64) (<-chan time.Time, func()) { return p.Real.NewTimer(ms / p.mono) }
 
 // wait and rest are for what may not happen, or happens by itself; no verdict on sound code hangs on their length.
 func wait(ms float64) <-chan time.Time {
-	fired, _ := clock.NewReal().After(ms)
+	fired, _ := clock.NewReal().NewTimer(ms)
 	return fired
 }
 
@@ -131,7 +132,7 @@
 	if strings.Contains(running, "(*shell)") {
 		r.t.Errorf("Run returned and left:\n%s", running)
 	}
-	for now := clock.NewReal(); (running != "" || n > r.descriptors) && now.Mono() < 10000; rest() {
+	for now := clock.NewReal(); (running != "" || n > r.descriptors) && now.Monotonic() < 10000; rest() {
 		running, n = count(r.t)
 	}
 	if running != "" || n > r.descriptors {
@@ -484,7 +485,7 @@
 			rest()
 		}
 		c.mu.Lock()
-		c.whole = list(20, true, "s-1:ready") + strings.Repeat(" ", mostList)
+		c.whole = list(20, true, "s-1:ready") + strings.Repeat(" ", maxListBytes)
 		asked := len(c.asked)
 		c.mu.Unlock()
 		for len(c.queries()) < asked+2 {
@@ -602,7 +603,7 @@
 }
 
 // shellOf makes a shell and so many joined streams on loopback whose writes are held back.
-func shellOf(t *testing.T, memory, streams int) (*shell, []*stream, func()) {
+func shellOf(t *testing.T, memory, streams int) (*serverRuntime, []*stream, func()) {
 	before := remains(t)
 	path := t.TempDir() + "/c.json"
 	os.WriteFile(path, []byte(strings.Replace(config("127.0.0.1:1", 0), `"memory_mb":64`, fmt.Sprintf(`"memory_mb":%d`, memory), 1)), 0o600)
@@ -610,7 +611,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newShell(Options{Config: cfg, Clock: clock.NewReal(), Network: clock.TCP{}, Log: slog.New(slog.DiscardHandler)})
+	s := newRuntime(Options{Config: cfg, Clock: clock.NewReal(), Network: clock.TCP{}, Log: slog.New(slog.DiscardHandler)})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -630,8 +631,8 @@
 		peers = append(peers, p)
 		h := &hooked{Conn: c, write: func(b []byte) (int, error) { <-hold; return c.Write(b) }}
 		x := &stream{Conn: h}
-		x.conn.Out = x
-		s.with(func() { s.streams[x] = true; s.core.Opened(&x.conn) })
+		x.conn.Transport = x
+		s.with(func() { s.streams[x] = true; s.core.HandleConnect(&x.conn) })
 		s.tasks.Go(func() { s.read(x) })
 		all = append(all, x)
 	}
@@ -652,7 +653,7 @@
 		defer end()
 		message := make([]byte, 1000)
 		s.with(func() {
-			for range mostUnsent / len(message) / 4 {
+			for range maxUnsentBytes / len(message) / 4 {
 				for n, x := range all {
 					if s.Send(&x.conn, message); n == 7 {
 						s.Send(&x.conn, message)
@@ -677,11 +678,11 @@
 		s, all, end := shellOf(t, 64, 4)
 		defer end()
 		s.with(func() {
-			for range mostUnsent/1000 + 2 {
+			for range maxUnsentBytes/1000 + 2 {
 				s.Send(&all[0].conn, make([]byte, 1000))
 			}
 			// Its writer stands still; whoever ends it again must not put it among those that linger, which full would never leave.
-			if s.End(&all[0].conn, "again"); len(s.lingering) > 0 {
+			if s.CloseConnection(&all[0].conn, "again"); len(s.lingering) > 0 {
 				t.Error("a closed connection lingers")
 			}
 			if s.streams[all[0]] || len(s.streams) != 3 || s.unsent != 0 {
@@ -695,14 +696,14 @@
 		s.room = 24
 		s.with(func() {
 			for _, x := range all[:30] {
-				s.core.Fed(&x.conn, []byte("GET / HTTP/1.1\r\n"))
+				s.core.HandleData(&x.conn, []byte("GET / HTTP/1.1\r\n"))
 			}
-			for len(s.core.owed) > 0 {
-				k := s.core.owed[0]
-				s.core.owed = s.core.owed[1:]
-				s.core.settle(s, k)
+			for len(s.core.pendingReplies) > 0 {
+				k := s.core.pendingReplies[0]
+				s.core.pendingReplies = s.core.pendingReplies[1:]
+				s.core.sendReplies(s, k)
 			}
-			if s.full() || len(s.lingering) != lingers || len(s.streams) != 10+lingers {
+			if s.full() || len(s.lingering) != maxLingering || len(s.streams) != 10+maxLingering {
 				t.Errorf("%d open, %d of them linger", len(s.streams), len(s.lingering))
 			}
 		})
@@ -726,12 +727,12 @@
 		s, _, end := shellOf(t, 64, 2)
 		defer end()
 		s.Clock = pace{clock.NewReal(), 50, 1}
-		module := s.core.module
-		s.core.module = nil
+		module := s.core.policy
+		s.core.policy = nil
 		if err := s.decide(t.Context()); err == nil || !strings.Contains(err.Error(), "fault") {
 			t.Errorf("ended with %v", err)
 		}
-		s.core.module = module
+		s.core.policy = module
 	})
 }
 
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	readBytes   = 2048      // bytes of a connection's buffer; messages are short
-	mostUnsent  = 256 << 10 // bytes that a proxy may leave unread here; far more than its messages of a minute
-	unsentPart  = 8         // all of them together may leave unread this part of the memory
-	partialPart = 16        // and messages that do not end may fill this one
-	memoryMB    = 1024      // taken where the configuration states no limit
-	spare       = 24        // descriptors that are not connections': list, log, the runtime's, and lingers
-	lingers     = 8         // connections that may be open for their last words beside those that fit
-	countsMs    = 10000.0   // ms between lines of counts in the log
-	traceMs     = 1000.0    // ms between traces
-	rereadMs    = 200.0     // ms until a configuration that could not be used is read again
-	mostReads   = 5         // times that this is done after a SIGHUP
-	panicMs     = 100.0     // ms of rest after a fault, so that one that lasts does not spin
-	mostFaults  = 10        // looks in a row that end in a fault, until the program does
-	lastMs      = 300.0     // ms that the last words to a connection may take; SIGKILL follows SIGTERM after 700
-	acceptMs    = 5.0       // ms of rest after a failed accept
+	readBytes      = 2048      // bytes of a connection's buffer; messages are short
+	maxUnsentBytes = 256 << 10 // bytes that a proxy may leave unread here; far more than its messages of a minute
+	unsentPart     = 8         // all of them together may leave unread this part of the memory
+	partialPart    = 16        // and messages that do not end may fill this one
+	memoryMB       = 1024      // taken where the configuration states no limit
+	spare          = 24        // descriptors that are not connections': list, log, the runtime's, and lingers
+	maxLingering   = 8         // connections that may be open for their last words beside those that fit
+	countsMs       = 10000.0   // ms between lines of counts in the log
+	traceMs        = 1000.0    // ms between traces
+	rereadMs       = 200.0     // ms until a configuration that could not be used is read again
+	maxReads       = 5         // times that this is done after a SIGHUP
+	panicMs        = 100.0     // ms of rest after a fault, so that one that lasts does not spin
+	maxFaults      = 10        // looks in a row that end in a fault, until the program does
+	lastMs         = 300.0     // ms that the last words to a connection may take; SIGKILL follows SIGTERM after 700
+	acceptMs       = 5.0       // ms of rest after a failed accept
 )
 
 // Options are what Run is handed.
@@ -47,12 +47,12 @@
 	Trace   io.Writer      // is told each second what the module believes and what came off the sockets; may be nil
 }
 
-// shell connects the core to its connections. The lock is the core's: whoever holds it calls the core.
-type shell struct {
+// serverRuntime connects the core to its connections. The lock is the core's: whoever holds it calls the core.
+type serverRuntime struct {
 	Options
 	mu     sync.Mutex
 	core   *Core
-	stir   chan struct{} // news for the one who decides
+	wake   chan struct{} // news for the one who decides
 	due    float64       // when to decide next without news
 	origin float64       // Unix ms at Mono 0
 	room   int           // connections that fit
@@ -67,7 +67,7 @@
 // stream is a connection with what waits to be written to it. Its fields are under the shell's lock.
 type stream struct {
 	net.Conn
-	conn    Conn
+	conn    Connection
 	unsent  []byte
 	out     int  // bytes that are being written
 	writing bool // a goroutine is at it
@@ -76,7 +76,7 @@
 
 // Run serves until the context ends, and returns when nothing of it runs any more. What is owed then is written first.
 func Run(ctx context.Context, o Options) error {
-	s := newShell(o)
+	s := newRuntime(o)
 	l, err := o.Network.Listen(ctx, o.Config.Listen)
 	if ctx.Err() != nil { // told to end before it began: no failure
 		if err == nil {
@@ -87,8 +87,8 @@
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
-	o.Log.Info("serving", "name", o.Config.Name, "at", l.Addr(), "discovery", o.Config.Discovery, "servers", len(o.Config.Known),
-		"proxies", o.Config.Site.Module.Proxies, "cores", o.Config.Cores, "memory_mb", o.Config.MemoryMB, "sockets", o.Config.Sockets)
+	o.Log.Info("serving", "name", o.Config.Name, "at", l.Addr(), "discovery", o.Config.Discovery, "servers", len(o.Config.KnownEndpoints),
+		"proxies", o.Config.Settings.Policy.Proxies, "cores", o.Config.Cores, "memory_mb", o.Config.MemoryMB, "sockets", o.Config.Sockets)
 	if o.Ready != nil {
 		o.Ready(l.Addr())
 	}
@@ -106,28 +106,28 @@
 	return err
 }
 
-func newShell(o Options) *shell {
+func newRuntime(o Options) *serverRuntime {
 	memory := o.Config.MemoryMB
 	if memory <= 0 {
 		memory = memoryMB
 	}
-	s := &shell{
-		Options: o, stir: make(chan struct{}, 1), room: 1 << 20, streams: map[*stream]bool{},
-		mostUnsent: max(memory<<20/unsentPart, mostUnsent),
-		origin:     float64(o.Clock.Wall().UnixMicro())/1000 - o.Clock.Mono(),
+	s := &serverRuntime{
+		Options: o, wake: make(chan struct{}, 1), room: 1 << 20, streams: map[*stream]bool{},
+		mostUnsent: max(memory<<20/unsentPart, maxUnsentBytes),
+		origin:     float64(o.Clock.WallTime().UnixMicro())/1000 - o.Clock.Monotonic(),
 	}
 	if o.Config.Sockets > 0 {
 		s.room = max(o.Config.Sockets-spare, 8)
 	}
-	s.core = NewCore(o.Config.Site, o.Config.Seed, s.now())
-	s.core.MostPartial = max(memory<<20/partialPart, mostLine)
-	s.core.Doubt = func(what string) { s.Log.Debug("message not heard", "why", what) }
-	s.core.Listed(policy.Restored, o.Config.Known)
+	s.core = NewCore(o.Config.Settings, o.Config.Seed, s.now())
+	s.core.MaxPartialBytes = max(memory<<20/partialPart, maxLineBytes)
+	s.core.OnReject = func(what string) { s.Log.Debug("message not heard", "why", what) }
+	s.core.UpdateEndpoints(policy.RestoredUpdate, o.Config.KnownEndpoints)
 	return s
 }
 
 // end gives each connection what it is owed, closes it, and waits for all that reads and writes.
-func (s *shell) end() {
+func (s *serverRuntime) end() {
 	s.with(func() { s.core.Close(s) })
 	s.mu.Lock()
 	for t := range s.streams {
@@ -141,13 +141,13 @@
 	s.tasks.Wait()
 }
 
-func (s *shell) now() float64 { return s.origin + s.Clock.Mono() }
+func (s *serverRuntime) now() float64 { return s.origin + s.Clock.Monotonic() }
 
 // with calls the core with its lock held. A fault in it is logged and costs what was at hand: an input that brings one
 // is lost with its connection, a decision is not made again, as the module takes it off its list before it acts. What is
 // half changed by then is one proxy's or one server's, and the next solve writes all tables anew. Faults that come at
 // every look leave a planner that answers and orders nothing: decide then ends the program, to be started from nothing.
-func (s *shell) with(call func()) (ok bool) {
+func (s *serverRuntime) with(call func()) (ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer func() {
@@ -156,21 +156,21 @@
 			ok = false
 		}
 	}()
-	s.core.Tick(s.now())
+	s.core.SetTime(s.now())
 	call()
 	return true
 }
 
-func (s *shell) stirred() {
+func (s *serverRuntime) dirty() {
 	select {
-	case s.stir <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
 // decide carries out what the core decides, after news and when it asked for. What comes within the settings' period
 // is looked at together.
-func (s *shell) decide(ctx context.Context) error {
+func (s *serverRuntime) decide(ctx context.Context) error {
 	counts, traced := s.now(), s.now()
 	for ctx.Err() == nil {
 		ok := s.with(func() {
@@ -179,17 +179,17 @@
 			if now := s.now(); s.Trace != nil && now-traced >= traceMs {
 				traced = now
 				fmt.Fprintf(s.Trace, "trace at=%.3f\n", now/1000)
-				s.core.View(s.Trace)
+				s.core.WriteState(s.Trace)
 			}
 			if now := s.now(); now-counts >= countsMs {
 				counts = now
-				s.Log.Info("counts", "open", s.core.Open(), "joined", len(s.core.order), "counts", fmt.Sprintf("%+v", s.core.Counts))
+				s.Log.Info("counts", "open", s.core.OpenConnections(), "joined", len(s.core.order), "counts", fmt.Sprintf("%+v", s.core.Counts))
 			}
 		})
-		rest := s.Config.Site.PeriodMs
+		rest := s.Config.Settings.EvaluationIntervalMs
 		if s.faults++; ok {
 			s.faults = 0
-		} else if rest = panicMs; s.faults >= mostFaults {
+		} else if rest = panicMs; s.faults >= maxFaults {
 			return fmt.Errorf("%d looks in a row ended in a fault; nothing is ordered any more", s.faults)
 		}
 		if clock.Sleep(ctx, s.Clock, rest) != nil {
@@ -198,10 +198,10 @@
 		s.mu.Lock()
 		wait := s.due - s.now()
 		s.mu.Unlock()
-		fired, stop := s.Clock.After(wait)
+		fired, stop := s.Clock.NewTimer(wait)
 		select {
 		case <-fired:
-		case <-s.stir:
+		case <-s.wake:
 		case <-ctx.Done():
 		}
 		stop()
@@ -210,13 +210,13 @@
 }
 
 // follow keeps to discovery, and to its new address when the configuration is replaced.
-func (s *shell) follow(ctx context.Context) {
+func (s *serverRuntime) follow(ctx context.Context) {
 	a := &agent{clock: s.Clock, network: s.Network, log: s.Log, follow: follower{
-		zones: s.Config.Site.Zones, version: s.Config.Version,
-		whole: s.Config.Version == 0,
-	}, deliver: func(form policy.ListForm, list []policy.Entry) {
-		s.with(func() { s.core.Listed(form, list) })
-		s.stirred()
+		zones: s.Config.Settings.Zones, version: s.Config.KnownVersion,
+		whole: s.Config.KnownVersion == 0,
+	}, deliver: func(form policy.UpdateKind, list []policy.Endpoint) {
+		s.with(func() { s.core.UpdateEndpoints(form, list) })
+		s.dirty()
 	}}
 	for at := s.Config.Discovery; ctx.Err() == nil; {
 		here, stop := context.WithCancel(ctx)
@@ -227,7 +227,7 @@
 		for moved := false; !moved && ctx.Err() == nil; {
 			select {
 			case <-s.Hangup:
-				tries = mostReads
+				tries = maxReads
 			case <-again:
 			case <-ctx.Done():
 				continue
@@ -237,7 +237,7 @@
 			if err != nil {
 				s.Log.Error("the new configuration is refused; the old one stays", "why", err, "tries left", tries)
 				if tries--; tries >= 0 {
-					again, _ = s.Clock.After(rereadMs)
+					again, _ = s.Clock.NewTimer(rereadMs)
 				}
 				continue
 			}
@@ -250,26 +250,26 @@
 	}
 }
 
-func (s *shell) accept(ctx context.Context, l net.Listener) {
+func (s *serverRuntime) accept(ctx context.Context, l net.Listener) {
 	for ctx.Err() == nil {
 		conn, err := l.Accept()
 		if err != nil {
 			if ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
 				s.Log.Warn("accept", "trouble", err)
-				s.with(func() { s.core.Shed(s) })
+				s.with(func() { s.core.ShedConnection(s) })
 			}
 			clock.Sleep(ctx, s.Clock, acceptMs)
 			continue
 		}
 		t := &stream{Conn: conn}
-		t.conn.Out = t
+		t.conn.Transport = t
 		taken := false
 		s.with(func() {
-			for s.full() && s.core.Shed(s) {
+			for s.full() && s.core.ShedConnection(s) {
 			}
 			if !s.full() {
 				taken, s.streams[t] = true, true
-				s.core.Opened(&t.conn)
+				s.core.HandleConnect(&t.conn)
 			}
 		})
 		if !taken {
@@ -281,15 +281,15 @@
 }
 
 // full says whether there is no room for one more connection. Those that linger give way first.
-func (s *shell) full() bool {
-	for len(s.lingering) > lingers {
+func (s *serverRuntime) full() bool {
+	for len(s.lingering) > maxLingering {
 		s.drop(s.lingering[0])
 	}
 	return len(s.streams)-len(s.lingering) >= s.room
 }
 
 // drop closes a connection, whatever waits for it. The lock is held.
-func (s *shell) drop(t *stream) {
+func (s *serverRuntime) drop(t *stream) {
 	if s.streams[t] {
 		delete(s.streams, t)
 		s.lingering = without(s.lingering, t)
@@ -301,26 +301,26 @@
 
 // read hands the core what comes until the connection ends. What comes after the core has ended it is read and not heard:
 // with bytes unread a close is a reset, which takes the last words back.
-func (s *shell) read(t *stream) {
+func (s *serverRuntime) read(t *stream) {
 	buf := make([]byte, readBytes)
 	for {
 		n, err := t.Read(buf)
 		ok := s.with(func() {
 			if n > 0 {
-				s.core.Fed(&t.conn, buf[:n])
+				s.core.HandleData(&t.conn, buf[:n])
 			}
 			if errors.Is(err, io.EOF) {
-				s.core.Finished(&t.conn)
+				s.core.HandleHalfClose(&t.conn)
 			} else if err != nil {
-				s.core.Lost(&t.conn)
+				s.core.HandleDisconnect(&t.conn)
 				s.drop(t)
 			}
 		})
 		if !ok { // its bytes brought the core to a fault
-			s.with(func() { s.drop(t); s.core.Lost(&t.conn) })
+			s.with(func() { s.drop(t); s.core.HandleDisconnect(&t.conn) })
 			return
 		}
-		s.stirred()
+		s.dirty()
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
 				s.Log.Debug("connection", "ended", err)
@@ -332,13 +332,13 @@
 
 // The core's decisions; the lock is held.
 
-func (s *shell) Send(c *Conn, message []byte) {
-	t := c.Out.(*stream)
+func (s *serverRuntime) Send(c *Connection, message []byte) {
+	t := c.Transport.(*stream)
 	if t.closing {
 		return
 	}
 	t.unsent = append(t.unsent, message...)
-	if s.unsent += len(message); len(t.unsent)+t.out > mostUnsent {
+	if s.unsent += len(message); len(t.unsent)+t.out > maxUnsentBytes {
 		s.unread(t)
 		return
 	}
@@ -358,14 +358,14 @@
 }
 
 // unread ends a connection that leaves unread what it is sent.
-func (s *shell) unread(t *stream) {
-	s.Log.Debug("connection ended here", "why", "reads nothing", "joined", !t.conn.Unjoined())
-	s.core.Lost(&t.conn)
+func (s *serverRuntime) unread(t *stream) {
+	s.Log.Debug("connection ended here", "why", "reads nothing", "joined", !t.conn.Unauthenticated())
+	s.core.HandleDisconnect(&t.conn)
 	s.drop(t)
 }
 
 // write writes all that waits for a connection, and then ends it where that is asked for.
-func (s *shell) write(t *stream) {
+func (s *serverRuntime) write(t *stream) {
 	for {
 		s.mu.Lock()
 		s.unsent -= t.out
@@ -389,9 +389,9 @@
 	}
 }
 
-func (s *shell) End(c *Conn, why string) {
-	t := c.Out.(*stream)
-	s.Log.Debug("connection ended here", "why", why, "joined", !c.Unjoined())
+func (s *serverRuntime) CloseConnection(c *Connection, why string) {
+	t := c.Transport.(*stream)
+	s.Log.Debug("connection ended here", "why", why, "joined", !c.Unauthenticated())
 	if t.closing = true; !t.writing || !s.streams[t] { // full must find only open ones among those that linger
 		s.drop(t)
 		return
@@ -400,4 +400,4 @@
 	t.SetWriteDeadline(s.Clock.Deadline(lastMs)) // a peer that reads nothing does not keep it open
 }
 
-func (s *shell) Wake(at float64) { s.due = at }
+func (s *serverRuntime) SetTimer(at float64) { s.due = at }
--- a/internal/platform/update.go
+++ b/internal/platform/update.go
@@ -11,8 +11,8 @@
 type update struct {
 	groups       []string // none: all
 	replace      bool
-	rows         []weighttable.Line
-	level        weighttable.Level
+	rows         []weighttable.Entry
+	level        weighttable.AdmissionRate
 	drop, undrop []string
 	stamp        int // a mark to be answered, where stamped
 	stamped      bool
@@ -47,7 +47,7 @@
 			to = strconv.AppendFloat(to, r.Weight, 'f', -1, 64)
 		}
 		if u.level.Set {
-			to = strconv.AppendFloat(append(to, " gate="...), u.level.Share, 'f', -1, 64)
+			to = strconv.AppendFloat(append(to, " gate="...), u.level.Fraction, 'f', -1, 64)
 			to = strconv.AppendInt(append(to, " again="...), int64(u.level.Retry), 10)
 		}
 		to = appendList(to, " drop=", u.drop, ",")
--- a/internal/proxy/controlclient.go
+++ b/internal/proxy/controlclient.go
@@ -32,16 +32,16 @@
 
 // Options are what a proxy runs on.
 type Options struct {
-	Settings *pb.Proxy
-	Clock    clock.Clock
-	Network  clock.Network
-	Log      *slog.Logger
-	Ready    func(addr net.Addr) // called once it listens; may be nil
-	Unfenced bool                // obeys whatever epoch orders bear: only to prove that this is seen
+	Settings       *pb.Proxy
+	Clock          clock.Clock
+	Network        clock.Network
+	Log            *slog.Logger
+	Ready          func(addr net.Addr) // called once it listens; may be nil
+	DisableFencing bool                // obeys whatever epoch orders bear: only to prove that this is seen
 }
 
-// Follower is a proxy's part towards planners: it keeps the streams, obeys and reports. It takes no flows.
-type Follower struct {
+// ControlClient is a proxy's part towards planners: it keeps the streams, obeys and reports. It takes no flows.
+type ControlClient struct {
 	Options
 	mu    sync.Mutex // of all below
 	core  *Core
@@ -54,29 +54,29 @@
 	process  uint64
 	spoke    float64
 
-	changed func()                // called after orders, with the lock held; may be nil
-	Obeyed  func(m *order.Orders) // the same, for who measures; may be nil
-	Granted func(bareMs float64)  // called when another controller takes over, with the ms since the last frame of the one before
+	changed    func()                // called after orders, with the lock held; may be nil
+	OnOrders   func(m *order.Orders) // the same, for who measures; may be nil
+	OnTakeover func(bareMs float64)  // called when another controller takes over, with the ms since the last frame of the one before
 }
 
-// NewFollower makes one that has no streams yet.
-func NewFollower(o Options) *Follower {
-	f := &Follower{Options: o, core: NewCore(o.Settings, o.Clock.Mono())}
+// NewControlClient makes one that has no streams yet.
+func NewControlClient(o Options) *ControlClient {
+	f := &ControlClient{Options: o, core: NewCore(o.Settings, o.Clock.Monotonic())}
 	f.from, _ = netip.ParseAddr(o.Settings.From)
-	f.start = uint64(o.Clock.Wall().UnixNano()) ^ rand.New(rand.NewSource(int64(o.Settings.GetSeed()))).Uint64()>>20
+	f.start = uint64(o.Clock.WallTime().UnixNano()) ^ rand.New(rand.NewSource(int64(o.Settings.GetSeed()))).Uint64()>>20
 	return f
 }
 
-// Do lets another use the state, while nothing else does.
-func (p *Follower) Do(use func(c *Core)) {
+// WithCore lets another use the state, while nothing else does.
+func (p *ControlClient) WithCore(use func(c *Core)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	use(p.core)
 }
 
-// Follow keeps a stream to one planner at a time, and dials the next when it breaks; where controllers share the fleet, it
+// Connect keeps a stream to one planner at a time, and dials the next when it breaks; where controllers share the fleet, it
 // keeps one to each.
-func (p *Follower) Follow(ctx context.Context) error {
+func (p *ControlClient) Connect(ctx context.Context) error {
 	if !p.Settings.Sharing {
 		return p.keep(ctx, p.Settings.Planners, 0)
 	}
@@ -88,8 +88,8 @@
 	return group.Wait()
 }
 
-func (p *Follower) keep(ctx context.Context, planners []string, nth int) error {
-	wait := settings.Ms(p.Settings.Redial)
+func (p *ControlClient) keep(ctx context.Context, planners []string, nth int) error {
+	wait := settings.Milliseconds(p.Settings.Redial)
 	chance := rand.New(rand.NewSource(int64(p.Settings.GetSeed()) + 1 + int64(nth)))
 	told := ""
 	for n, streams := 0, uint64(1); ctx.Err() == nil; streams++ {
@@ -101,7 +101,7 @@
 			told = cause
 			p.Log.Info("no planner; going by the tables at hand", "proxy", p.Settings.Name, "planner", planners[n%len(planners)], "cause", err)
 		}
-		if !joined || errors.As(err, new(*controlstream.Ending)) {
+		if !joined || errors.As(err, new(*controlstream.CloseError)) {
 			n++
 		}
 		if clock.Sleep(ctx, p.Clock, wait*(0.5+chance.Float64())) != nil {
@@ -112,15 +112,15 @@
 }
 
 // expire tells all controllers when a lease runs out.
-func (p *Follower) expire(ctx context.Context) error {
+func (p *ControlClient) expire(ctx context.Context) error {
 	for {
 		p.mu.Lock()
-		now := p.Clock.Mono()
-		if ended := p.core.arbiter.Tick(now); ended || !slices.Equal(p.reachable(now), p.named) {
+		now := p.Clock.Monotonic()
+		if ended := p.core.grantor.SetTime(now); ended || !slices.Equal(p.reachable(now), p.named) {
 			p.spread(nil)
 		}
 		wait := expiryMs
-		if left := p.core.arbiter.Left(); left > 0 {
+		if left := p.core.grantor.RemainingMs(); left > 0 {
 			wait = min(left+1, expiryMs)
 		}
 		p.mu.Unlock()
@@ -132,7 +132,7 @@
 
 // session is one stream to a planner. What it shares with others is guarded by the proxy's lock.
 type session struct {
-	p          *Follower
+	p          *ControlClient
 	out        chan outgoing
 	broken     chan struct{} // closed when its outbox is full
 	once       sync.Once
@@ -145,12 +145,12 @@
 }
 
 type outgoing struct {
-	kind controlstream.Kind
+	kind controlstream.FrameKind
 	m    proto.Message
 }
 
 // put queues a frame. It must not wait, as it is called with the proxy's lock held.
-func (s *session) put(kind controlstream.Kind, m proto.Message) {
+func (s *session) put(kind controlstream.FrameKind, m proto.Message) {
 	select {
 	case s.out <- outgoing{kind, m}:
 	default:
@@ -158,7 +158,7 @@
 	}
 }
 
-func (s *session) Welcomed(w *order.Welcome) {
+func (s *session) OnWelcome(w *order.Welcome) {
 	p := s.p
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,8 +168,8 @@
 	}
 	s.joined, s.controller, s.process = true, w.Planner, w.Incarnation
 	if !p.Settings.Sharing {
-		p.core.Welcomed(w)
-		s.put(controlstream.Applied, &order.Applied{})
+		p.core.StartSession(w)
+		s.put(controlstream.FrameAck, &order.Applied{})
 		return
 	}
 	s.open = true
@@ -177,27 +177,27 @@
 	p.spread(nil)
 }
 
-func (s *session) Ordered(m *order.Orders) {
+func (s *session) OnOrders(m *order.Orders) {
 	p := s.p
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.Clock.Mono()
-	p.core.Met(now)
-	if p.Settings.Sharing && !p.core.Commanded(now, s.controller, m) && !p.Unfenced {
-		s.put(controlstream.Applied, &order.Applied{Number: m.Number, Refused: true, Epoch: p.core.arbiter.Epoch})
+	now := p.Clock.Monotonic()
+	p.core.RecordMessage(now)
+	if p.Settings.Sharing && !p.core.AcceptsOrders(now, s.controller, m) && !p.DisableFencing {
+		s.put(controlstream.FrameAck, &order.Applied{Number: m.Number, Refused: true, Epoch: p.core.grantor.Epoch})
 		return
 	}
-	receipts := p.core.Ordered(m)
-	if p.Obeyed != nil {
-		p.Obeyed(m)
+	receipts := p.core.ApplyOrders(m)
+	if p.OnOrders != nil {
+		p.OnOrders(m)
 	}
 	if p.changed != nil {
 		p.changed()
 	}
-	s.put(controlstream.Applied, &order.Applied{Number: m.Number, Receipts: receipts, Epoch: p.core.arbiter.Epoch})
+	s.put(controlstream.FrameAck, &order.Applied{Number: m.Number, Receipts: receipts, Epoch: p.core.grantor.Epoch})
 }
 
-func (s *session) Claimed(m *order.Claim) {
+func (s *session) OnLeaseRequest(m *order.Claim) {
 	p := s.p
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,34 +205,34 @@
 		s.refused = errors.New("a claim in another's name")
 		return
 	}
-	now := p.Clock.Mono()
-	before := p.core.arbiter.Controller
-	granted, fresh := p.core.Claim(now, m)
+	now := p.Clock.Monotonic()
+	before := p.core.grantor.Controller
+	granted, fresh := p.core.HandleLeaseRequest(now, m)
 	if fresh {
-		if p.Granted != nil && p.spoke > 0 && (p.spoken != s.controller || p.process != s.process) {
-			p.Granted(now - p.spoke)
+		if p.OnTakeover != nil && p.spoke > 0 && (p.spoken != s.controller || p.process != s.process) {
+			p.OnTakeover(now - p.spoke)
 		}
 		p.spoke, p.spoken, p.process = now, s.controller, s.process
 	}
 	w := p.word(now, fresh)
 	w.Nonce, w.Granted = m.Nonce, granted
-	s.put(controlstream.Lease, w)
-	if before != p.core.arbiter.Controller {
+	s.put(controlstream.FrameLease, w)
+	if before != p.core.grantor.Controller {
 		p.spread(s)
 	}
 }
 
-func (s *session) Released(m *order.Release) {
+func (s *session) OnLeaseRelease(m *order.Release) {
 	p := s.p
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.core.arbiter.Tick(p.Clock.Mono())
-	if p.core.arbiter.Release(s.controller, s.process, m.Epoch) {
+	p.core.grantor.SetTime(p.Clock.Monotonic())
+	if p.core.grantor.Release(s.controller, s.process, m.Epoch) {
 		p.spread(nil)
 	}
 }
 
-func (s *session) Stood(m *order.Standing) {
+func (s *session) OnControllerStatus(m *order.Standing) {
 	p := s.p
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -243,16 +243,16 @@
 }
 
 // word is the proxy's word with the controllers that it can reach; the lock is held.
-func (p *Follower) word(now float64, fresh bool) *order.Lease {
-	w := p.core.Word(now, fresh)
+func (p *ControlClient) word(now float64, fresh bool) *order.Lease {
+	w := p.core.LeaseState(now, fresh)
 	w.Reachable, w.Controllers = p.reachable(now), uint32(len(p.Settings.Planners))
 	return w
 }
 
 // reachable names the controllers that are open to claims and were heard lately: a paused one keeps its streams.
-func (p *Follower) reachable(now float64) (names []string) {
+func (p *ControlClient) reachable(now float64) (names []string) {
 	for _, s := range p.sessions {
-		if s.open && now-s.heard < lease.HeardMs {
+		if s.open && now-s.heard < lease.ReachableMs {
 			names = append(names, s.controller)
 		}
 	}
@@ -260,18 +260,18 @@
 }
 
 // spread tells all controllers but one who commands the proxy; the lock is held.
-func (p *Follower) spread(but *session) {
-	w := p.word(p.Clock.Mono(), false)
+func (p *ControlClient) spread(but *session) {
+	w := p.word(p.Clock.Monotonic(), false)
 	p.named = w.Reachable
 	for _, s := range p.sessions {
 		if s != but {
-			s.put(controlstream.Lease, w)
+			s.put(controlstream.FrameLease, w)
 		}
 	}
 }
 
 // leave ends a session's part in the sharing.
-func (p *Follower) leave(s *session) {
+func (p *ControlClient) leave(s *session) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := slices.Index(p.sessions, s); n >= 0 {
@@ -280,7 +280,7 @@
 	}
 }
 
-func (p *Follower) stream(ctx context.Context, planner string, streams uint64) (joined bool, err error) {
+func (p *ControlClient) stream(ctx context.Context, planner string, streams uint64) (joined bool, err error) {
 	dialling, cancel := context.WithTimeout(ctx, time.Duration(joinMs)*time.Millisecond)
 	conn, err := p.Network.Dial(dialling, p.from, planner)
 	cancel()
@@ -288,23 +288,23 @@
 		return false, err
 	}
 	defer conn.Close()
-	end := controlstream.NewProxyEnd(controlstream.Limits{
-		FrameBytes: int(p.Settings.GetFrameBytes()), JoinWithin: joinMs,
-		SilentAfter: settings.Ms(p.Settings.SilentAfter),
-	}, p.Clock.Mono())
+	end := controlstream.NewProxySession(controlstream.Limits{
+		MaxFrameBytes: int(p.Settings.GetFrameBytes()), HandshakeTimeoutMs: joinMs,
+		HeartbeatTimeoutMs: settings.Milliseconds(p.Settings.SilentAfter),
+	}, p.Clock.Monotonic())
 	s := &session{p: p, out: make(chan outgoing, outboxSize), broken: make(chan struct{})}
 	p.mu.Lock()
 	join := &order.Join{
-		Proxy: p.Settings.Name, Zone: p.Settings.Zone, UsualPerS: settings.PerS(p.Settings.Usual), Incarnation: p.start,
-		Stream: streams, Standing: !p.core.bound, Groups: uint32(len(p.Settings.Groups)),
+		Proxy: p.Settings.Name, Zone: p.Settings.Zone, UsualPerS: settings.PerSecond(p.Settings.Usual), Incarnation: p.start,
+		Stream: streams, Standing: !p.core.assigned, Groups: uint32(len(p.Settings.Groups)),
 	}
 	if p.Settings.Sharing {
-		join.Lease = p.word(p.Clock.Mono(), false)
+		join.Lease = p.word(p.Clock.Monotonic(), false)
 	} else {
-		join.Holds = p.core.Holds()
+		join.Holds = p.core.HeldTables()
 	}
 	p.mu.Unlock()
-	s.put(controlstream.Join, join)
+	s.put(controlstream.FrameJoin, join)
 	streaming, stop := context.WithCancel(ctx)
 	var writer sync.WaitGroup
 	writer.Add(1)
@@ -320,13 +320,13 @@
 	}()
 	buf := make([]byte, readBytes)
 	for {
-		conn.SetReadDeadline(p.Clock.Deadline(max(end.Due()-p.Clock.Mono(), 1)))
+		conn.SetReadDeadline(p.Clock.Deadline(max(end.Deadline()-p.Clock.Monotonic(), 1)))
 		n, err := conn.Read(buf)
-		end.Feed(p.Clock.Mono(), buf[:n])
+		end.Feed(p.Clock.Monotonic(), buf[:n])
 		if n > 0 {
 			p.mu.Lock()
-			s.heard = p.Clock.Mono()
-			if a := &p.core.arbiter; s.joined && a.Controller == s.controller && a.Incarnation == s.process {
+			s.heard = p.Clock.Monotonic()
+			if a := &p.core.grantor; s.joined && a.Controller == s.controller && a.Incarnation == s.process {
 				p.spoke = s.heard
 			}
 			p.mu.Unlock()
@@ -337,8 +337,8 @@
 		switch {
 		case s.refused != nil:
 			return false, s.refused
-		case end.Ended() != nil:
-			return s.joined, end.Ended()
+		case end.CloseCause() != nil:
+			return s.joined, end.CloseCause()
 		case err != nil && (!errors.As(err, &timeout) || !timeout.Timeout()):
 			return s.joined, err
 		}
@@ -347,10 +347,10 @@
 
 // write sends what is queued, and sums every while: to the planner that commands the proxy. The first come at a moment
 // drawn by the proxy's seed, as all proxies would otherwise report at once after a planner's restart.
-func (p *Follower) write(streaming, proxy context.Context, s *session, conn net.Conn, end *controlstream.ProxyEnd) {
+func (p *ControlClient) write(streaming, proxy context.Context, s *session, conn net.Conn, end *controlstream.ProxySession) {
 	defer conn.Close()
 	var buf []byte
-	put := func(kind controlstream.Kind, m proto.Message) bool {
+	put := func(kind controlstream.FrameKind, m proto.Message) bool {
 		var err error
 		if buf, err = end.Append(buf[:0], kind, m); err != nil {
 			return false
@@ -359,15 +359,15 @@
 		_, err = conn.Write(buf)
 		return err == nil
 	}
-	every := settings.Ms(p.Settings.ReportEvery)
-	next := p.Clock.Mono() + every*rand.New(rand.NewSource(int64(p.start))).Float64()
+	every := settings.Milliseconds(p.Settings.ReportEvery)
+	next := p.Clock.Monotonic() + every*rand.New(rand.NewSource(int64(p.start))).Float64()
 	for {
-		fired, stop := p.Clock.After(next - p.Clock.Mono())
+		fired, stop := p.Clock.NewTimer(next - p.Clock.Monotonic())
 		select {
 		case <-streaming.Done():
 			stop()
 			if proxy.Err() != nil {
-				put(controlstream.Bye, &order.Bye{Reason: "the proxy ends"})
+				put(controlstream.FrameClose, &order.Bye{Reason: "the proxy ends"})
 			}
 			return
 		case <-s.broken:
@@ -379,7 +379,7 @@
 				return
 			}
 		case <-fired:
-			next = p.Clock.Mono() + every
+			next = p.Clock.Monotonic() + every
 			if kind, m := p.report(s); kind != 0 && !put(kind, m) {
 				return
 			}
@@ -388,18 +388,18 @@
 }
 
 // report gives what is to be said to a planner now: sums if it commands the proxy, else that the proxy lives.
-func (p *Follower) report(s *session) (controlstream.Kind, proto.Message) {
+func (p *ControlClient) report(s *session) (controlstream.FrameKind, proto.Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !s.joined {
 		return 0, nil
 	}
-	now := p.Clock.Mono()
+	now := p.Clock.Monotonic()
 	if p.Settings.Sharing {
-		p.core.arbiter.Tick(now)
-		if a := &p.core.arbiter; a.Controller != s.controller || a.Incarnation != s.process {
-			return controlstream.Beat, nil
+		p.core.grantor.SetTime(now)
+		if a := &p.core.grantor; a.Controller != s.controller || a.Incarnation != s.process {
+			return controlstream.FrameHeartbeat, nil
 		}
 	}
-	return controlstream.Sums, p.core.Sums(now)
+	return controlstream.FrameLoadReport, p.core.TakeLoadReport(now)
 }
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -19,15 +19,15 @@
 type Outcome int
 
 const (
-	Delivered Outcome = iota
-	Unrun             // failed, with proof that it never ran: no connection, or the server said so
-	Dropped           // failed, and may have run
+	Succeeded   Outcome = iota
+	Unprocessed         // failed, with proof that it never ran: no connection, or the server said so
+	Failed              // failed, and may have run
 )
 
-const leastLeft = 0.1 // part of the expiry that must be left for a further try; less would end unanswered anyway
+const minRemaining = 0.1 // part of the expiry that must be left for a further try; less would end unanswered anyway
 
-// line is a server's part of a table.
-type line struct {
+// weightEntry is a server's part of a table.
+type weightEntry struct {
 	server string
 	weight float64
 	credit float64 // of the even pick
@@ -35,47 +35,47 @@
 
 // table is what some traffic groups go by, with the withdrawals of the planner that gave it.
 type table struct {
-	groups []uint32
-	lines  []*line
-	out    map[string]bool
+	groups  []uint32
+	entries []*weightEntry
+	ejected map[string]bool
 }
 
-type level struct {
-	share float64
-	retry int
+type admission struct {
+	fraction float64
+	retry    int
 }
 
-type sum struct {
+type loadSample struct {
 	tries, dropped int
 	latency        float64 // ms, over the delivered
 }
 
 // Core is a proxy's state. Its methods are called by one goroutine at a time.
 type Core struct {
-	groups  []*pb.Group
-	pick    pb.Pick
-	first   float64 // latency budgets that a try which may be followed waits
-	usual   int     // retry mode of groups that were told none
-	chance  *rand.Rand
-	slots   []*table          // by group
-	tables  map[uint32]*table // of the present stream
-	out     map[string]bool   // withdrawn by the present stream
-	levels  []level
-	bound   bool // the present stream has bound a table
-	inHand  map[string]int
-	servers map[string]*sum
-	came    []sum // by group: flows that came, and those let in without an answer
-	since   float64
-	arbiter lease.Arbiter
-	going   map[string]float64 // withdrawn as they drain or are gone, by whomever, and when
-	words   uint64
-	recent  []float64 // times of the last messages of orders
+	groups       []*pb.Group
+	pick         pb.Pick
+	first        float64 // latency budgets that a try which may be followed waits
+	usual        int     // retry mode of groups that were told none
+	chance       *rand.Rand
+	tableByGroup []*table          // by group
+	tables       map[uint32]*table // of the present stream
+	ejected      map[string]bool   // withdrawn by the present stream
+	admission    []admission
+	assigned     bool // the present stream has bound a table
+	inFlight     map[string]int
+	servers      map[string]*loadSample
+	came         []loadSample // by group: flows that came, and those let in without an answer
+	since        float64
+	grantor      lease.Grantor
+	draining     map[string]float64 // withdrawn as they drain or are gone, by whomever, and when
+	words        uint64
+	recent       []float64 // times of the last messages of orders
 }
 
 // recentMs and recentMost bound what a proxy remembers of messages; a planner's span for them is seldom longer.
 const (
-	recentMs   = 60000.0
-	recentMost = 1000
+	recentMs  = 60000.0
+	maxRecent = 1000
 
 	goingMs = 600000.0 // ms that a drain is told to a next commander; its list shows it long before
 )
@@ -84,35 +84,35 @@
 func NewCore(set *pb.Proxy, now float64) *Core {
 	c := &Core{
 		groups: set.Groups, pick: set.Pick, first: set.GetFirstWait(), usual: retryMode(set.DefaultRetry),
-		chance: rand.New(rand.NewSource(int64(set.GetSeed()))), tables: map[uint32]*table{}, out: map[string]bool{},
-		inHand: map[string]int{}, going: map[string]float64{}, servers: map[string]*sum{}, came: make([]sum, len(set.Groups)), since: now,
+		chance: rand.New(rand.NewSource(int64(set.GetSeed()))), tables: map[uint32]*table{}, ejected: map[string]bool{},
+		inFlight: map[string]int{}, draining: map[string]float64{}, servers: map[string]*loadSample{}, came: make([]loadSample, len(set.Groups)), since: now,
 	}
-	standing := &table{out: map[string]bool{}}
+	standing := &table{ejected: map[string]bool{}}
 	for _, s := range set.Standing {
-		standing.lines = append(standing.lines, &line{server: s, weight: 1})
+		standing.entries = append(standing.entries, &weightEntry{server: s, weight: 1})
 	}
 	for g := range set.Groups {
 		standing.groups = append(standing.groups, uint32(g))
-		c.slots, c.levels = append(c.slots, standing), append(c.levels, level{1, c.usual})
+		c.tableByGroup, c.admission = append(c.tableByGroup, standing), append(c.admission, admission{1, c.usual})
 	}
 	return c
 }
 
 func retryMode(r pb.Retry) int {
 	return map[pb.Retry]int{
-		pb.Retry_NEVER: policy.RetryNever, pb.Retry_AFTER_PROOF: policy.RetryProven,
+		pb.Retry_NEVER: policy.RetryNever, pb.Retry_AFTER_PROOF: policy.RetryUnprocessed,
 		pb.Retry_ONCE: policy.RetryOnce, pb.Retry_TWICE: policy.RetryTwice,
 	}[r]
 }
 
-// Holds says what the proxy goes by, for a Join.
-func (c *Core) Holds() (holds []*order.Holding) {
+// HeldTables says what the proxy goes by, for a Join.
+func (c *Core) HeldTables() (holds []*order.Holding) {
 	seen := map[*table]*order.Holding{}
-	for g, t := range c.slots {
+	for g, t := range c.tableByGroup {
 		h := seen[t]
 		if h == nil {
 			h = &order.Holding{}
-			for _, l := range t.lines {
+			for _, l := range t.entries {
 				h.Lines = append(h.Lines, &order.Line{Server: l.server, Weight: l.weight})
 				if c.barred(t, l.server) {
 					h.Withdrawn = append(h.Withdrawn, l.server)
@@ -125,36 +125,36 @@
 	return holds
 }
 
-// Welcomed starts a stream: tables and withdrawals of earlier ones hold until this one binds others.
-func (c *Core) Welcomed(w *order.Welcome) {
-	c.tables, c.out, c.bound = map[uint32]*table{}, map[string]bool{}, false
+// StartSession starts a stream: tables and withdrawals of earlier ones hold until this one binds others.
+func (c *Core) StartSession(w *order.Welcome) {
+	c.tables, c.ejected, c.assigned = map[uint32]*table{}, map[string]bool{}, false
 	for _, s := range w.Withdrawn {
-		c.out[s] = true
+		c.ejected[s] = true
 	}
 }
 
-// Ordered obeys a message whole, and gives the receipts that it asks for.
-func (c *Core) Ordered(m *order.Orders) (receipts []uint32) {
+// ApplyOrders obeys a message whole, and gives the receipts that it asks for.
+func (c *Core) ApplyOrders(m *order.Orders) (receipts []uint32) {
 	for _, o := range m.Orders {
 		switch w := o.What.(type) {
 		case *order.Order_Line:
-			c.setLine(w.Line.Table, w.Line.Line)
+			c.setWeight(w.Line.Table, w.Line.Line)
 			if w.Line.Forget {
-				delete(c.out, w.Line.Line.Server)
+				delete(c.ejected, w.Line.Line.Server)
 			}
 		case *order.Order_Bind:
-			c.bind(w.Bind)
+			c.assignTable(w.Bind)
 		case *order.Order_Withdraw:
 			if w.Withdraw.Out {
-				c.out[w.Withdraw.Server] = true
+				c.ejected[w.Withdraw.Server] = true
 			} else {
-				delete(c.out, w.Withdraw.Server)
+				delete(c.ejected, w.Withdraw.Server)
 			}
-			if delete(c.going, w.Withdraw.Server); w.Withdraw.Going {
-				c.going[w.Withdraw.Server] = c.since
+			if delete(c.draining, w.Withdraw.Server); w.Withdraw.Going {
+				c.draining[w.Withdraw.Server] = c.since
 			}
 		case *order.Order_Level:
-			c.setLevel(w.Level)
+			c.setAdmission(w.Level)
 		case *order.Order_Receipt:
 			receipts = append(receipts, w.Receipt)
 		}
@@ -162,156 +162,156 @@
 	return receipts
 }
 
-// Claim judges a controller's claim. A fresh one starts over like a new stream: what the proxy holds stays in force until
+// HandleLeaseRequest judges a controller's claim. A fresh one starts over like a new stream: what the proxy holds stays in force until
 // the new commander binds other tables.
-func (c *Core) Claim(now float64, m *order.Claim) (granted, fresh bool) {
-	c.arbiter.Tick(now)
-	before := c.arbiter.Epoch
-	granted = c.arbiter.Claim(m.Controller, m.Incarnation, m.Epoch, float64(m.LeaseMs))
+func (c *Core) HandleLeaseRequest(now float64, m *order.Claim) (granted, fresh bool) {
+	c.grantor.SetTime(now)
+	before := c.grantor.Epoch
+	granted = c.grantor.Grant(m.Controller, m.Incarnation, m.Epoch, float64(m.LeaseMs))
 	if fresh = granted && m.Epoch != before; fresh {
-		c.Welcomed(&order.Welcome{})
+		c.StartSession(&order.Welcome{})
 	}
 	return granted, fresh
 }
 
-// Commanded says whether orders under an epoch from a controller are to be obeyed, and remembers those that are.
-func (c *Core) Commanded(now float64, controller string, m *order.Orders) bool {
-	c.arbiter.Tick(now)
-	return c.arbiter.Obeys(controller, m.Incarnation, m.Epoch)
+// AcceptsOrders says whether orders under an epoch from a controller are to be obeyed, and remembers those that are.
+func (c *Core) AcceptsOrders(now float64, controller string, m *order.Orders) bool {
+	c.grantor.SetTime(now)
+	return c.grantor.Accepts(controller, m.Incarnation, m.Epoch)
 }
 
-// Met remembers a message of orders, as each counts in its span whoever sent it.
-func (c *Core) Met(now float64) {
+// RecordMessage remembers a message of orders, as each counts in its span whoever sent it.
+func (c *Core) RecordMessage(now float64) {
 	c.recent = append(c.recent, now)
-	for c.recent[0] <= now-recentMs || len(c.recent) > recentMost {
+	for c.recent[0] <= now-recentMs || len(c.recent) > maxRecent {
 		c.recent = c.recent[1:]
 	}
 }
 
-// Word says who commands the proxy; to a fresh commander also what it holds, and what was ordered lately.
-func (c *Core) Word(now float64, fresh bool) *order.Lease {
-	c.arbiter.Tick(now)
-	a := &c.arbiter
+// LeaseState says who commands the proxy; to a fresh commander also what it holds, and what was ordered lately.
+func (c *Core) LeaseState(now float64, fresh bool) *order.Lease {
+	c.grantor.SetTime(now)
+	a := &c.grantor
 	c.words++
-	w := &order.Lease{Count: c.words, Epoch: a.Epoch, Controller: a.Controller, Incarnation: a.Incarnation, LeftMs: a.Left()}
+	w := &order.Lease{Count: c.words, Epoch: a.Epoch, Controller: a.Controller, Incarnation: a.Incarnation, LeftMs: a.RemainingMs()}
 	if !fresh {
 		return w
 	}
-	w.Holds = c.Holds()
-	for g, l := range c.levels {
-		w.Levels = append(w.Levels, &order.Level{Group: uint32(g), Share: l.share, Retry: uint32(l.retry)})
+	w.Holds = c.HeldTables()
+	for g, l := range c.admission {
+		w.Levels = append(w.Levels, &order.Level{Group: uint32(g), Share: l.fraction, Retry: uint32(l.retry)})
 	}
 	for _, at := range c.recent {
 		w.MessagesAgoMs = append(w.MessagesAgoMs, now-at)
 	}
-	maps.DeleteFunc(c.going, func(_ string, at float64) bool { return now-at > goingMs })
-	w.Going = slices.Sorted(maps.Keys(c.going))
+	maps.DeleteFunc(c.draining, func(_ string, at float64) bool { return now-at > goingMs })
+	w.Going = slices.Sorted(maps.Keys(c.draining))
 	return w
 }
 
-func (c *Core) setLine(number uint32, l *order.Line) {
+func (c *Core) setWeight(number uint32, l *order.Line) {
 	t := c.tables[number]
 	if t == nil {
 		return
 	}
-	at := slices.IndexFunc(t.lines, func(x *line) bool { return x.server == l.Server })
+	at := slices.IndexFunc(t.entries, func(x *weightEntry) bool { return x.server == l.Server })
 	switch {
 	case l.Weight <= 0 && at >= 0:
-		t.lines = slices.Delete(t.lines, at, at+1)
+		t.entries = slices.Delete(t.entries, at, at+1)
 	case at >= 0:
-		t.lines[at].weight = l.Weight
+		t.entries[at].weight = l.Weight
 	case l.Weight > 0:
-		t.lines = append(t.lines, &line{server: l.Server, weight: l.Weight})
+		t.entries = append(t.entries, &weightEntry{server: l.Server, weight: l.Weight})
 	}
 }
 
-func (c *Core) bind(b *order.Bind) {
-	if !c.bound { // levels of an earlier planner end with its tables
-		c.bound = true
-		for g := range c.levels {
-			c.levels[g] = level{1, c.usual}
+func (c *Core) assignTable(b *order.Bind) {
+	if !c.assigned { // levels of an earlier planner end with its tables
+		c.assigned = true
+		for g := range c.admission {
+			c.admission[g] = admission{1, c.usual}
 		}
 	}
 	t := c.tables[b.Table]
 	if t == nil {
-		t = &table{out: c.out}
+		t = &table{ejected: c.ejected}
 		c.tables[b.Table] = t
 	}
-	t.lines = t.lines[:0]
+	t.entries = t.entries[:0]
 	for _, l := range b.Lines {
 		if l.Weight > 0 {
-			t.lines = append(t.lines, &line{server: l.Server, weight: l.Weight})
+			t.entries = append(t.entries, &weightEntry{server: l.Server, weight: l.Weight})
 		}
 	}
 	for _, l := range b.Lines {
-		delete(c.going, l.Server)
+		delete(c.draining, l.Server)
 	}
 	for _, s := range b.Withdrawn {
-		c.out[s] = true
+		c.ejected[s] = true
 	}
 	for _, s := range b.Going {
-		c.going[s] = c.since
+		c.draining[s] = c.since
 	}
 	for _, g := range b.Groups {
-		if int(g) < len(c.slots) {
-			c.slots[g] = t
+		if int(g) < len(c.tableByGroup) {
+			c.tableByGroup[g] = t
 		}
 	}
 	for _, l := range b.Levels {
-		c.setLevel(l)
+		c.setAdmission(l)
 	}
 }
 
-func (c *Core) setLevel(l *order.Level) {
-	if int(l.Group) < len(c.levels) {
-		c.levels[l.Group] = level{l.Share, int(l.Retry)}
+func (c *Core) setAdmission(l *order.Level) {
+	if int(l.Group) < len(c.admission) {
+		c.admission[l.Group] = admission{l.Share, int(l.Retry)}
 	}
 }
 
-func (c *Core) barred(t *table, server string) bool { return t.out[server] || c.out[server] }
+func (c *Core) barred(t *table, server string) bool { return t.ejected[server] || c.ejected[server] }
 
-// Held says whether any group may still be sent to a server.
-func (c *Core) Held(server string) bool {
-	return slices.ContainsFunc(c.slots, func(t *table) bool {
-		return !c.barred(t, server) && slices.ContainsFunc(t.lines, func(l *line) bool { return l.server == server })
+// MayReceive says whether any group may still be sent to a server.
+func (c *Core) MayReceive(server string) bool {
+	return slices.ContainsFunc(c.tableByGroup, func(t *table) bool {
+		return !c.barred(t, server) && slices.ContainsFunc(t.entries, func(l *weightEntry) bool { return l.server == server })
 	})
 }
 
-// Flow is one that was let in.
-type Flow struct {
-	Group int
-	Tries int
-	begun float64
-	tried []string
+// Request is one that was let in.
+type Request struct {
+	Class    int
+	Attempts int
+	begun    float64
+	tried    []string
 }
 
 // Admit counts a flow and says whether it is let in, at a time in ms.
-func (c *Core) Admit(now float64, group int) (*Flow, bool) {
+func (c *Core) Admit(now float64, group int) (*Request, bool) {
 	c.came[group].tries++
-	if share := c.levels[group].share; share < 1 && c.chance.Float64() >= share {
+	if share := c.admission[group].fraction; share < 1 && c.chance.Float64() >= share {
 		return nil, false
 	}
-	return &Flow{Group: group, begun: now}, true
+	return &Request{Class: group, begun: now}, true
 }
 
 // further is how many more tries the orders allow after an outcome of the try at hand; never one that a flow of
 // its kind cannot bear, whatever was ordered.
-func (c *Core) further(f *Flow, o Outcome) int {
-	retry := c.levels[f.Group].retry
-	most := [...]int{policy.RetryNever: 0, policy.RetryProven: 1, policy.RetryOnce: 1, policy.RetryTwice: 2}[retry]
-	proven := o == Unrun
-	if !proven && (retry == policy.RetryProven || c.groups[f.Group].Repeat != pb.Repeat_RETRIABLE) {
+func (c *Core) further(f *Request, o Outcome) int {
+	retry := c.admission[f.Class].retry
+	most := [...]int{policy.RetryNever: 0, policy.RetryUnprocessed: 1, policy.RetryOnce: 1, policy.RetryTwice: 2}[retry]
+	proven := o == Unprocessed
+	if !proven && (retry == policy.RetryUnprocessed || c.groups[f.Class].Repeat != pb.Repeat_RETRIABLE) {
 		return 0
 	}
-	return max(most+1-f.Tries, 0)
+	return max(most+1-f.Attempts, 0)
 }
 
 // Pick gives the server for the next try and how long it may take, in ms; false if there is none to pick.
-func (c *Core) Pick(now float64, f *Flow) (server string, within float64, ok bool) {
-	t := c.slots[f.Group]
-	open := make([]*line, 0, len(t.lines))
+func (c *Core) Pick(now float64, f *Request) (server string, within float64, ok bool) {
+	t := c.tableByGroup[f.Class]
+	open := make([]*weightEntry, 0, len(t.entries))
 	total := 0.0
-	for _, l := range t.lines {
+	for _, l := range t.entries {
 		if l.weight > 0 && !c.barred(t, l.server) && !slices.Contains(f.tried, l.server) {
 			open, total = append(open, l), total+l.weight
 		}
@@ -319,31 +319,31 @@
 	if len(open) == 0 {
 		return "", 0, false
 	}
-	var l *line
+	var l *weightEntry
 	switch c.pick {
 	case pb.Pick_ROUND:
 		l = c.even(open, total)
 	case pb.Pick_TWO:
 		if l = c.draw(open, total); len(open) > 1 {
-			if m := c.draw(open, total); c.inHand[m.server] < c.inHand[l.server] {
+			if m := c.draw(open, total); c.inFlight[m.server] < c.inFlight[l.server] {
 				l = m
 			}
 		}
 	default:
 		l = c.draw(open, total)
 	}
-	f.Tries, f.tried = f.Tries+1, append(f.tried, l.server)
-	c.inHand[l.server]++
-	g := c.groups[f.Group]
-	within = f.begun + settings.Ms(g.Expiry) - now
-	if c.further(f, Dropped) > 0 && len(open) > 1 {
-		within = min(within, c.first*settings.Ms(g.LatencyBudget))
+	f.Attempts, f.tried = f.Attempts+1, append(f.tried, l.server)
+	c.inFlight[l.server]++
+	g := c.groups[f.Class]
+	within = f.begun + settings.Milliseconds(g.Expiry) - now
+	if c.further(f, Failed) > 0 && len(open) > 1 {
+		within = min(within, c.first*settings.Milliseconds(g.LatencyBudget))
 	}
 	return l.server, within, true
 }
 
 // draw picks at random by weight.
-func (c *Core) draw(open []*line, total float64) *line {
+func (c *Core) draw(open []*weightEntry, total float64) *weightEntry {
 	x := c.chance.Float64() * total
 	for _, l := range open {
 		if x -= l.weight; x < 0 {
@@ -354,7 +354,7 @@
 }
 
 // even picks by smooth weighted round robin: each line gains its weight at each pick, and the picked one pays.
-func (c *Core) even(open []*line, total float64) (best *line) {
+func (c *Core) even(open []*weightEntry, total float64) (best *weightEntry) {
 	for _, l := range open {
 		if l.credit += l.weight; best == nil || l.credit > best.credit {
 			best = l
@@ -364,42 +364,42 @@
 	return best
 }
 
-// Ended takes in how a try ended after some ms, and says whether the flow is to be tried again.
-func (c *Core) Ended(now float64, f *Flow, server string, o Outcome, ms float64) (again bool) {
-	if c.inHand[server]--; c.inHand[server] <= 0 {
-		delete(c.inHand, server)
+// FinishAttempt takes in how a try ended after some ms, and says whether the flow is to be tried again.
+func (c *Core) FinishAttempt(now float64, f *Request, server string, o Outcome, ms float64) (again bool) {
+	if c.inFlight[server]--; c.inFlight[server] <= 0 {
+		delete(c.inFlight, server)
 	}
 	s := c.servers[server]
 	if s == nil {
-		s = &sum{}
+		s = &loadSample{}
 		c.servers[server] = s
 	}
 	s.tries++
-	if o == Delivered {
+	if o == Succeeded {
 		s.latency += ms
 		return false
 	}
 	s.dropped++
-	expiry := settings.Ms(c.groups[f.Group].Expiry)
-	if c.further(f, o) > 0 && f.begun+expiry-now > leastLeft*expiry && c.another(f) {
+	expiry := settings.Milliseconds(c.groups[f.Class].Expiry)
+	if c.further(f, o) > 0 && f.begun+expiry-now > minRemaining*expiry && c.another(f) {
 		return true
 	}
-	c.came[f.Group].dropped++
+	c.came[f.Class].dropped++
 	return false
 }
 
-// GaveUp takes in that a flow that was let in found no server at all.
-func (c *Core) GaveUp(f *Flow) { c.came[f.Group].dropped++ }
+// RecordNoServer takes in that a flow that was let in found no server at all.
+func (c *Core) RecordNoServer(f *Request) { c.came[f.Class].dropped++ }
 
-func (c *Core) another(f *Flow) bool {
-	t := c.slots[f.Group]
-	return slices.ContainsFunc(t.lines, func(l *line) bool {
+func (c *Core) another(f *Request) bool {
+	t := c.tableByGroup[f.Class]
+	return slices.ContainsFunc(t.entries, func(l *weightEntry) bool {
 		return l.weight > 0 && !c.barred(t, l.server) && !slices.Contains(f.tried, l.server)
 	})
 }
 
-// Sums gives what was met since the last call, and starts anew.
-func (c *Core) Sums(now float64) *order.Sums {
+// TakeLoadReport gives what was met since the last call, and starts anew.
+func (c *Core) TakeLoadReport(now float64) *order.Sums {
 	m := &order.Sums{CoversMs: now - c.since}
 	for name, s := range c.servers {
 		x := &order.ServerSum{Server: name, Tries: uint32(s.tries), Dropped: uint32(s.dropped)}
@@ -416,8 +416,8 @@
 	})
 	for g, s := range c.came {
 		m.Groups = append(m.Groups, &order.GroupSum{Group: uint32(g), Came: uint32(s.tries), Dropped: uint32(min(s.dropped, s.tries))})
-		c.came[g] = sum{}
+		c.came[g] = loadSample{}
 	}
-	c.servers, c.since = map[string]*sum{}, now
+	c.servers, c.since = map[string]*loadSample{}, now
 	return m
 }
--- a/internal/proxy/core_test.go
+++ b/internal/proxy/core_test.go
@@ -45,7 +45,7 @@
 		if f, ok := c.Admit(0, group); ok {
 			s, _, _ := c.Pick(0, f)
 			got[s]++
-			c.Ended(0, f, s, Delivered, 1)
+			c.FinishAttempt(0, f, s, Succeeded, 1)
 		}
 	}
 	return got
@@ -55,8 +55,8 @@
 	t.Run("picks go by weight, each way of picking", func(t *testing.T) {
 		for _, how := range []string{"WEIGHTED", "ROUND", "TWO"} {
 			c := begin(t, "pick: "+how)
-			c.Welcomed(&order.Welcome{})
-			c.Ordered(bindTo(1, nil, "a", 0.6, "b", 0.3, "c", 0.1))
+			c.StartSession(&order.Welcome{})
+			c.ApplyOrders(bindTo(1, nil, "a", 0.6, "b", 0.3, "c", 0.1))
 			got := picks(c, 0, 10000)
 			if math.Abs(float64(got["a"])-6000) > 300 || math.Abs(float64(got["c"])-1000) > 200 {
 				t.Errorf("%s: %v", how, got)
@@ -71,46 +71,46 @@
 		if got := picks(c, 0, 100); got["127.0.0.1:1"] == 0 || got["127.0.0.1:2"] == 0 {
 			t.Errorf("%v", got)
 		}
-		c.Welcomed(&order.Welcome{Withdrawn: []string{"127.0.0.1:1"}})
+		c.StartSession(&order.Welcome{Withdrawn: []string{"127.0.0.1:1"}})
 		if got := picks(c, 0, 100); got["127.0.0.1:1"] != 0 {
 			t.Errorf("a withdrawal of the welcome is not obeyed: %v", got)
 		}
-		c.Ordered(bindTo(1, []string{"a"}, "a", 0.5, "b", 0.5))
-		c.Welcomed(&order.Welcome{}) // another planner, which knows of no drain
+		c.ApplyOrders(bindTo(1, []string{"a"}, "a", 0.5, "b", 0.5))
+		c.StartSession(&order.Welcome{}) // another planner, which knows of no drain
 		if got := picks(c, 0, 100); got["b"] != 100 {
 			t.Errorf("%v", got)
 		}
-		c.Ordered(bindTo(1, nil, "a", 0.5, "c", 0.5)) // its word counts from its tables on
+		c.ApplyOrders(bindTo(1, nil, "a", 0.5, "c", 0.5)) // its word counts from its tables on
 		if got := picks(c, 0, 100); got["a"] == 0 || got["c"] == 0 || got["b"] != 0 {
 			t.Errorf("%v", got)
 		}
 	})
 	t.Run("a withdrawal and its end", func(t *testing.T) {
 		c := begin(t, "")
-		c.Welcomed(&order.Welcome{})
-		c.Ordered(bindTo(1, nil, "a", 0.5, "b", 0.5))
-		c.Ordered(withdraw("a", true))
-		if got := picks(c, 1, 100); got["b"] != 100 || c.Held("a") {
+		c.StartSession(&order.Welcome{})
+		c.ApplyOrders(bindTo(1, nil, "a", 0.5, "b", 0.5))
+		c.ApplyOrders(withdraw("a", true))
+		if got := picks(c, 1, 100); got["b"] != 100 || c.MayReceive("a") {
 			t.Errorf("%v", got)
 		}
-		c.Ordered(withdraw("a", false))
+		c.ApplyOrders(withdraw("a", false))
 		if got := picks(c, 1, 100); got["a"] == 0 {
 			t.Errorf("%v", got)
 		}
 	})
 	t.Run("levels let in their share, and end with their planner's tables", func(t *testing.T) {
 		c := begin(t, "")
-		c.Welcomed(&order.Welcome{})
-		c.Ordered(bindTo(1, nil, "a", 1.0))
-		c.Ordered(levelOf(0, 0.3, 1))
+		c.StartSession(&order.Welcome{})
+		c.ApplyOrders(bindTo(1, nil, "a", 1.0))
+		c.ApplyOrders(levelOf(0, 0.3, 1))
 		if got := picks(c, 0, 10000)["a"]; math.Abs(float64(got)-3000) > 200 {
 			t.Errorf("%d let in", got)
 		}
-		c.Welcomed(&order.Welcome{})
+		c.StartSession(&order.Welcome{})
 		if got := picks(c, 0, 1000)["a"]; got > 500 {
 			t.Errorf("%d let in before another planner's tables", got)
 		}
-		c.Ordered(bindTo(1, nil, "a", 1.0))
+		c.ApplyOrders(bindTo(1, nil, "a", 1.0))
 		if got := picks(c, 0, 1000)["a"]; got != 1000 {
 			t.Errorf("%d let in", got)
 		}
@@ -122,19 +122,19 @@
 			outcome Outcome
 			want    int // tries in all
 		}{
-			"never":                             {0, policy.RetryNever, Unrun, 1},
-			"after proof":                       {0, policy.RetryProven, Unrun, 2},
-			"no proof":                          {0, policy.RetryProven, Dropped, 1},
-			"once":                              {0, policy.RetryOnce, Dropped, 2},
-			"twice":                             {0, policy.RetryTwice, Dropped, 3},
-			"non-retriable, told to repeat":     {1, policy.RetryTwice, Dropped, 1},
-			"non-retriable, with proof":         {1, policy.RetryProven, Unrun, 2},
-			"non-retriable, twice, with proofs": {1, policy.RetryTwice, Unrun, 3},
+			"never":                             {0, policy.RetryNever, Unprocessed, 1},
+			"after proof":                       {0, policy.RetryUnprocessed, Unprocessed, 2},
+			"no proof":                          {0, policy.RetryUnprocessed, Failed, 1},
+			"once":                              {0, policy.RetryOnce, Failed, 2},
+			"twice":                             {0, policy.RetryTwice, Failed, 3},
+			"non-retriable, told to repeat":     {1, policy.RetryTwice, Failed, 1},
+			"non-retriable, with proof":         {1, policy.RetryUnprocessed, Unprocessed, 2},
+			"non-retriable, twice, with proofs": {1, policy.RetryTwice, Unprocessed, 3},
 		} {
 			c := begin(t, "")
-			c.Welcomed(&order.Welcome{})
-			c.Ordered(bindTo(1, nil, "a", 0.5, "b", 0.3, "c", 0.2))
-			c.Ordered(levelOf(uint32(x.group), 1, x.retry))
+			c.StartSession(&order.Welcome{})
+			c.ApplyOrders(bindTo(1, nil, "a", 0.5, "b", 0.3, "c", 0.2))
+			c.ApplyOrders(levelOf(uint32(x.group), 1, x.retry))
 			f, _ := c.Admit(0, x.group)
 			seen := map[string]bool{}
 			for again := true; again; {
@@ -143,7 +143,7 @@
 					t.Fatalf("%s: picked %q again", name, s)
 				}
 				seen[s] = true
-				again = c.Ended(0, f, s, x.outcome, 1)
+				again = c.FinishAttempt(0, f, s, x.outcome, 1)
 			}
 			if len(seen) != x.want {
 				t.Errorf("%s: %d tries, want %d", name, len(seen), x.want)
@@ -152,69 +152,69 @@
 	})
 	t.Run("a message that comes between two tries counts for the second", func(t *testing.T) {
 		c := begin(t, "pick: ROUND")
-		c.Welcomed(&order.Welcome{})
-		c.Ordered(bindTo(1, nil, "a", 0.8, "b", 0.2))
+		c.StartSession(&order.Welcome{})
+		c.ApplyOrders(bindTo(1, nil, "a", 0.8, "b", 0.2))
 		f, _ := c.Admit(0, 0)
 		s, _, _ := c.Pick(0, f)
-		c.Ordered(withdraw("b", true))
-		if c.Ended(0, f, s, Unrun, 1) {
+		c.ApplyOrders(withdraw("b", true))
+		if c.FinishAttempt(0, f, s, Unprocessed, 1) {
 			t.Error("tries again though the other server is withdrawn")
 		}
 	})
 	t.Run("no further try when little time is left; a try that may be followed waits less", func(t *testing.T) {
 		c := begin(t, "")
-		c.Welcomed(&order.Welcome{})
-		c.Ordered(bindTo(1, nil, "a", 0.5, "b", 0.5))
-		c.Ordered(levelOf(0, 1, policy.RetryOnce))
+		c.StartSession(&order.Welcome{})
+		c.ApplyOrders(bindTo(1, nil, "a", 0.5, "b", 0.5))
+		c.ApplyOrders(levelOf(0, 1, policy.RetryOnce))
 		f, _ := c.Admit(0, 0)
 		s, within, _ := c.Pick(0, f)
 		if within != 720 {
 			t.Errorf("waits %g ms, not 1.2 latency budgets", within)
 		}
-		if c.Ended(1400, f, s, Dropped, 1400) {
+		if c.FinishAttempt(1400, f, s, Failed, 1400) {
 			t.Error("tries again 100 ms before the expiry")
 		}
 	})
 	t.Run("sums hold what was met, once", func(t *testing.T) {
 		c := begin(t, "")
-		c.Welcomed(&order.Welcome{})
-		c.Ordered(bindTo(1, nil, "a", 1.0))
-		for _, o := range []Outcome{Delivered, Delivered, Dropped} {
+		c.StartSession(&order.Welcome{})
+		c.ApplyOrders(bindTo(1, nil, "a", 1.0))
+		for _, o := range []Outcome{Succeeded, Succeeded, Failed} {
 			f, _ := c.Admit(0, 1)
 			s, _, _ := c.Pick(0, f)
-			c.Ended(0, f, s, o, 30)
+			c.FinishAttempt(0, f, s, o, 30)
 		}
-		m := c.Sums(1000)
+		m := c.TakeLoadReport(1000)
 		if fmt.Sprint(m.Servers[0].Tries, m.Servers[0].Dropped, m.Servers[0].LatencyMs, m.Groups[1].Came, m.Groups[1].Dropped, m.CoversMs) !=
-			"3 1 30 3 1 1000" || len(c.Sums(2000).Servers) != 0 {
+			"3 1 30 3 1 1000" || len(c.TakeLoadReport(2000).Servers) != 0 {
 			t.Errorf("%v", m)
 		}
 	})
 	t.Run("orders of a past epoch, or of another controller, are not obeyed", func(t *testing.T) {
 		c := begin(t, "sharing: true")
 		claim := func(now float64, who string, epoch uint64) bool {
-			granted, _ := c.Claim(now, &order.Claim{Controller: who, Incarnation: 1, Epoch: epoch, LeaseMs: 2000})
+			granted, _ := c.HandleLeaseRequest(now, &order.Claim{Controller: who, Incarnation: 1, Epoch: epoch, LeaseMs: 2000})
 			return granted
 		}
 		under := func(epoch uint64) *order.Orders { return &order.Orders{Incarnation: 1, Epoch: epoch} }
 		if !claim(0, "A", 1) || claim(100, "B", 2) || !claim(1500, "A", 1) {
 			t.Error("not the first alone, while its lease lasts")
 		}
-		if !c.Commanded(3000, "A", under(1)) || c.Commanded(3000, "B", under(1)) || c.Commanded(3600, "A", under(1)) {
+		if !c.AcceptsOrders(3000, "A", under(1)) || c.AcceptsOrders(3000, "B", under(1)) || c.AcceptsOrders(3600, "A", under(1)) {
 			t.Error("not just the holder, while its lease lasts")
 		}
-		if !claim(3700, "B", 2) || c.Commanded(3800, "A", under(1)) || !c.Commanded(3800, "B", under(2)) {
+		if !claim(3700, "B", 2) || c.AcceptsOrders(3800, "A", under(1)) || !c.AcceptsOrders(3800, "B", under(2)) {
 			t.Error("not the successor alone")
 		}
-		w := c.Word(3800, true)
+		w := c.LeaseState(3800, true)
 		if w.Epoch != 2 || w.Controller != "B" || len(w.Holds) != 1 || len(w.Holds[0].Lines) != 2 {
 			t.Errorf("%v", w)
 		}
 	})
 	t.Run("a table without a line leaves nothing to pick", func(t *testing.T) {
 		c := begin(t, "")
-		c.Welcomed(&order.Welcome{})
-		c.Ordered(bindTo(1, nil, "a", 0.0))
+		c.StartSession(&order.Welcome{})
+		c.ApplyOrders(bindTo(1, nil, "a", 0.0))
 		f, _ := c.Admit(0, 0)
 		if s, _, ok := c.Pick(0, f); ok {
 			t.Errorf("picked %q", s)
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -42,7 +42,7 @@
 
 // openAttempt is one that was sent to a server.
 type openAttempt struct {
-	request *proxy.Flow
+	request *proxy.Request
 	server  string
 	sentMs  float64
 	limitMs float64
@@ -137,7 +137,7 @@
 // command has the planner send one message of orders, or start over with a welcome.
 func (c *conversation) command() {
 	if c.random.Float64() < welcomeChance {
-		c.core.Welcomed(&order.Welcome{Withdrawn: []string{c.randomServer()}})
+		c.core.StartSession(&order.Welcome{Withdrawn: []string{c.randomServer()}})
 		c.log("welcome")
 		return
 	}
@@ -146,9 +146,9 @@
 	for range 1 + c.random.Intn(3) {
 		message.Orders = append(message.Orders, c.randomOrder())
 	}
-	c.log("obeys %t", c.core.Commanded(c.nowMs, "planner-1", message))
-	c.core.Met(c.nowMs)
-	c.log("receipts %v", c.core.Ordered(message))
+	c.log("obeys %t", c.core.AcceptsOrders(c.nowMs, "planner-1", message))
+	c.core.RecordMessage(c.nowMs)
+	c.log("receipts %v", c.core.ApplyOrders(message))
 }
 
 func (c *conversation) claim() {
@@ -158,9 +158,9 @@
 		Incarnation: 1,
 		LeaseMs:     leaseMs,
 	}
-	granted, fresh := c.core.Claim(c.nowMs, claim)
+	granted, fresh := c.core.HandleLeaseRequest(c.nowMs, claim)
 	c.log("granted %t, fresh %t", granted, fresh)
-	c.logMessage("lease", c.core.Word(c.nowMs, fresh))
+	c.logMessage("lease", c.core.LeaseState(c.nowMs, fresh))
 }
 
 func (c *conversation) request() {
@@ -172,11 +172,11 @@
 	}
 }
 
-func (c *conversation) attempt(request *proxy.Flow) {
+func (c *conversation) attempt(request *proxy.Request) {
 	server, limitMs, found := c.core.Pick(c.nowMs, request)
-	c.log("attempt %d goes to %q for %g ms", request.Tries, server, limitMs)
+	c.log("attempt %d goes to %q for %g ms", request.Attempts, server, limitMs)
 	if !found {
-		c.core.GaveUp(request)
+		c.core.RecordNoServer(request)
 		return
 	}
 	c.attempts = append(c.attempts, openAttempt{request, server, c.nowMs, limitMs})
@@ -190,15 +190,15 @@
 	index := c.random.Intn(len(c.attempts))
 	attempt := c.attempts[index]
 	c.attempts = append(c.attempts[:index], c.attempts[index+1:]...)
-	outcome := proxy.Delivered
+	outcome := proxy.Succeeded
 	tookMs := c.nowMs - attempt.sentMs
 	switch {
 	case tookMs >= attempt.limitMs:
-		outcome = proxy.Dropped
+		outcome = proxy.Failed
 	case c.random.Float64() < failChance:
-		outcome = []proxy.Outcome{proxy.Unrun, proxy.Dropped}[c.random.Intn(2)]
+		outcome = []proxy.Outcome{proxy.Unprocessed, proxy.Failed}[c.random.Intn(2)]
 	}
-	retry := c.core.Ended(c.nowMs, attempt.request, attempt.server, outcome, tookMs)
+	retry := c.core.FinishAttempt(c.nowMs, attempt.request, attempt.server, outcome, tookMs)
 	c.log("attempt at %s ends, retry %t", attempt.server, retry)
 	if retry {
 		c.attempt(attempt.request)
@@ -223,12 +223,12 @@
 		c.finish()
 	}
 	if c.every(reportMs) {
-		c.logMessage("report", c.core.Sums(c.nowMs))
-		for _, holding := range c.core.Holds() {
+		c.logMessage("report", c.core.TakeLoadReport(c.nowMs))
+		for _, holding := range c.core.HeldTables() {
 			c.logMessage("holds", holding)
 		}
 		for number := range serverCount {
-			c.log("%s held %t", serverName(number), c.core.Held(serverName(number)))
+			c.log("%s held %t", serverName(number), c.core.MayReceive(serverName(number)))
 		}
 	}
 }
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -21,30 +21,30 @@
 
 // Headers of flows between clients, proxies and servers.
 const (
-	GroupHeader   = "Traffic-Group" // name of the flow's traffic group; none: the first
-	FlowHeader    = "Flow-Id"       // the same for all tries of a flow
-	TryHeader     = "Flow-Try"      // from 1, set by proxies
-	ProxyHeader   = "Flow-Proxy"    // set by proxies
-	RanHeader     = "Flow-Ran"      // "no" proves that a server did not begin
-	OutcomeHeader = "Flow-Outcome"  // of answers that a proxy makes itself: blocked, bare, dropped, odd
+	ClassHeader     = "Traffic-Group" // name of the flow's traffic group; none: the first
+	RequestHeader   = "Flow-Id"       // the same for all tries of a flow
+	AttemptHeader   = "Flow-Try"      // from 1, set by proxies
+	ProxyHeader     = "Flow-Proxy"    // set by proxies
+	ProcessedHeader = "Flow-Ran"      // "no" proves that a server did not begin
+	OutcomeHeader   = "Flow-Outcome"  // of answers that a proxy makes itself: blocked, bare, dropped, odd
 )
 
 const (
-	mostBody   = 1 << 20 // bytes of a flow's body; it is held so that a further try can be made
-	stopWaitMs = 1000.0  // ms that flows in hand are given when the proxy ends
+	maxBodyBytes = 1 << 20 // bytes of a flow's body; it is held so that a further try can be made
+	stopWaitMs   = 1000.0  // ms that flows in hand are given when the proxy ends
 )
 
 // Proxy is a running proxy: a follower that takes flows by what it is ordered.
 type Proxy struct {
-	*Follower
-	lines  map[string]*http.Transport // to servers, by address; the follower's lock is of these too
-	groups map[string]int
-	inHand atomic.Int64
+	*ControlClient
+	lines    map[string]*http.Transport // to servers, by address; the follower's lock is of these too
+	groups   map[string]int
+	inFlight atomic.Int64
 }
 
 // New makes a proxy that is not running yet.
 func New(o Options) *Proxy {
-	p := &Proxy{Follower: NewFollower(o), lines: map[string]*http.Transport{}, groups: map[string]int{}}
+	p := &Proxy{ControlClient: NewControlClient(o), lines: map[string]*http.Transport{}, groups: map[string]int{}}
 	p.changed = p.tidy
 	for n, g := range o.Settings.Groups {
 		p.groups[g.Name] = n
@@ -83,7 +83,7 @@
 		}
 		return nil
 	})
-	group.Go(func() error { return p.Follow(ctx) })
+	group.Go(func() error { return p.Connect(ctx) })
 	p.Log.Info("proxy listens", "proxy", p.Settings.Name, "address", l.Addr())
 	if p.Ready != nil {
 		p.Ready(l.Addr())
@@ -93,50 +93,50 @@
 
 // ServeHTTP takes a flow through admission, picks and tries.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if p.inHand.Add(1) > int64(p.Settings.GetMostFlows()) {
-		p.inHand.Add(-1)
-		p.refuse(w, "blocked", "too many flows in hand")
+	if p.inFlight.Add(1) > int64(p.Settings.GetMostFlows()) {
+		p.inFlight.Add(-1)
+		p.reject(w, "blocked", "too many flows in hand")
 		return
 	}
-	defer p.inHand.Add(-1)
-	group, known := p.groups[r.Header.Get(GroupHeader)]
-	if !known && r.Header.Get(GroupHeader) != "" {
+	defer p.inFlight.Add(-1)
+	group, known := p.groups[r.Header.Get(ClassHeader)]
+	if !known && r.Header.Get(ClassHeader) != "" {
 		w.Header().Set(OutcomeHeader, "odd")
-		http.Error(w, fmt.Sprintf("no traffic group %q", r.Header.Get(GroupHeader)), http.StatusBadRequest)
+		http.Error(w, fmt.Sprintf("no traffic group %q", r.Header.Get(ClassHeader)), http.StatusBadRequest)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		w.Header().Set(OutcomeHeader, "odd")
 		http.Error(w, "the body: "+err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
 	p.mu.Lock()
-	f, in := p.core.Admit(p.Clock.Mono(), group)
+	f, in := p.core.Admit(p.Clock.Monotonic(), group)
 	p.mu.Unlock()
 	if !in {
-		p.refuse(w, "blocked", "not let in")
+		p.reject(w, "blocked", "not let in")
 		return
 	}
 	for {
 		p.mu.Lock()
-		server, within, ok := p.core.Pick(p.Clock.Mono(), f)
+		server, within, ok := p.core.Pick(p.Clock.Monotonic(), f)
 		var line *http.Transport
 		if ok {
 			line = p.line(server)
 		} else {
-			p.core.GaveUp(f)
+			p.core.RecordNoServer(f)
 		}
 		p.mu.Unlock()
 		if !ok {
-			p.refuse(w, "bare", "no server to pick")
+			p.reject(w, "bare", "no server to pick")
 			return
 		}
-		begun := p.Clock.Mono()
-		answer, outcome := p.try(r, body, line, server, f.Tries, within)
-		now := p.Clock.Mono()
+		begun := p.Clock.Monotonic()
+		answer, outcome := p.try(r, body, line, server, f.Attempts, within)
+		now := p.Clock.Monotonic()
 		p.mu.Lock()
-		again := p.core.Ended(now, f, server, outcome, now-begun)
+		again := p.core.FinishAttempt(now, f, server, outcome, now-begun)
 		p.mu.Unlock()
 		if again {
 			continue
@@ -155,8 +155,8 @@
 	}
 }
 
-func (p *Proxy) refuse(w http.ResponseWriter, outcome, why string) {
-	wait := max(int(settings.Ms(p.Settings.RefuseWait)+999)/1000, 1)
+func (p *Proxy) reject(w http.ResponseWriter, outcome, why string) {
+	wait := max(int(settings.Milliseconds(p.Settings.RefuseWait)+999)/1000, 1)
 	w.Header().Set("Retry-After", strconv.Itoa(wait))
 	w.Header().Set(OutcomeHeader, outcome)
 	http.Error(w, why, http.StatusServiceUnavailable)
@@ -185,35 +185,35 @@
 	})
 	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+server+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
-		return nil, Unrun
+		return nil, Unprocessed
 	}
 	out.Header = r.Header.Clone()
 	for _, hop := range []string{"Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection"} {
 		out.Header.Del(hop)
 	}
 	out.Header.Set(ProxyHeader, p.Settings.Name)
-	out.Header.Set(TryHeader, strconv.Itoa(try))
+	out.Header.Set(AttemptHeader, strconv.Itoa(try))
 	resp, err := line.RoundTrip(out)
 	if err != nil {
 		var op *net.OpError
 		if errors.As(err, &op) && op.Op == "dial" && !wrote.Load() { // a dial may be the library's second attempt
-			return nil, Unrun
+			return nil, Unprocessed
 		}
-		return nil, Dropped
+		return nil, Failed
 	}
 	defer resp.Body.Close()
-	got, err := io.ReadAll(io.LimitReader(resp.Body, mostBody))
+	got, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
-		return nil, Dropped
+		return nil, Failed
 	}
 	a := &answer{resp.StatusCode, resp.Header, got}
 	switch {
 	case resp.StatusCode < 500:
-		return a, Delivered
-	case resp.Header.Get(RanHeader) == "no":
-		return a, Unrun
+		return a, Succeeded
+	case resp.Header.Get(ProcessedHeader) == "no":
+		return a, Unprocessed
 	}
-	return a, Dropped
+	return a, Failed
 }
 
 // line gives the connections to a server. They dial once and do not wait beyond that: a full or dead server costs
@@ -243,7 +243,7 @@
 // tidy closes connections to servers that no table holds any more.
 func (p *Proxy) tidy() {
 	for server, t := range p.lines {
-		if !p.core.Held(server) && p.core.inHand[server] == 0 {
+		if !p.core.MayReceive(server) && p.core.inFlight[server] == 0 {
 			t.CloseIdleConnections()
 			delete(p.lines, server)
 		}
--- a/internal/proxy/run_test.go
+++ b/internal/proxy/run_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set(GroupHeader, group)
+	r.Header.Set(ClassHeader, group)
 	for n := 0; n < len(header); n += 2 {
 		r.Header.Set(header[n], header[n+1])
 	}
@@ -120,7 +120,7 @@
 			}
 			ask(t, at, how[0], how[1], "", header...)
 			p.mu.Lock() // now the table holds another server, to which a repeat could go
-			p.core.slots[0].lines = append(p.core.slots[0].lines, &line{server: l.Addr().String(), weight: 1e-9})
+			p.core.tableByGroup[0].entries = append(p.core.tableByGroup[0].entries, &weightEntry{server: l.Addr().String(), weight: 1e-9})
 			p.mu.Unlock()
 			status, outcome := ask(t, at, how[0], how[1], "", header...)
 			if seen.Load() != 2 || other.Load() != 0 || status != http.StatusBadGateway || outcome != "dropped" {
@@ -135,7 +135,7 @@
 		var got atomic.Value
 		s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			b, _ := io.ReadAll(r.Body)
-			got.Store(r.Header.Get(TryHeader) + " " + string(b))
+			got.Store(r.Header.Get(AttemptHeader) + " " + string(b))
 		})}
 		l, _ = net.Listen("tcp", "127.0.0.1:0")
 		go s.Serve(l)
@@ -156,7 +156,7 @@
 			t.Errorf("%d %s", status, outcome)
 		}
 		p.mu.Lock()
-		p.core.Ordered(levelOf(0, 0, 1))
+		p.core.ApplyOrders(levelOf(0, 0, 1))
 		p.mu.Unlock()
 		if status, outcome := ask(t, at, "GET", "check", ""); status != http.StatusServiceUnavailable || outcome != "blocked" {
 			t.Errorf("%d %s", status, outcome)
@@ -172,7 +172,7 @@
 		for n := range 4 {
 			s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				mu.Lock()
-				ran[r.Header.Get(FlowHeader)]++
+				ran[r.Header.Get(RequestHeader)]++
 				count := len(ran)
 				mu.Unlock()
 				switch {
@@ -205,10 +205,10 @@
 				}
 				p.mu.Lock()
 				if n%50 == 0 {
-					p.core.Welcomed(&order.Welcome{})
+					p.core.StartSession(&order.Welcome{})
 				}
-				p.core.Ordered(bindTo(1, nil, servers[n%5], 0.5, servers[(n+1)%5], 0.5, servers[(n+2)%5], 0.1))
-				p.core.Ordered(withdraw(servers[n%3], n%2 == 0))
+				p.core.ApplyOrders(bindTo(1, nil, servers[n%5], 0.5, servers[(n+1)%5], 0.5, servers[(n+2)%5], 0.1))
+				p.core.ApplyOrders(withdraw(servers[n%3], n%2 == 0))
 				p.tidy()
 				p.mu.Unlock()
 			}
@@ -221,8 +221,8 @@
 				defer clients.Done()
 				for n := range 250 {
 					r, _ := http.NewRequest("POST", "http://"+at+"/", strings.NewReader("x"))
-					r.Header.Set(GroupHeader, "charge")
-					r.Header.Set(FlowHeader, fmt.Sprint(c, "-", n))
+					r.Header.Set(ClassHeader, "charge")
+					r.Header.Set(RequestHeader, fmt.Sprint(c, "-", n))
 					resp, err := http.DefaultClient.Do(r)
 					if err != nil {
 						t.Error(err)
--- a/internal/scenario/baseline.go
+++ b/internal/scenario/baseline.go
@@ -11,7 +11,7 @@
 // judges no server, sets no level and counts no line.
 type even struct {
 	bySize  bool
-	entries map[string]policy.Entry
+	entries map[string]policy.Endpoint
 	order   []string
 	sent    map[string]float64 // weights of the table
 	out     map[string]bool
@@ -21,17 +21,17 @@
 }
 
 func newEven(bySize bool, groups int) planner.Decider {
-	e := &even{bySize: bySize, entries: map[string]policy.Entry{}, sent: map[string]float64{}, out: map[string]bool{}}
+	e := &even{bySize: bySize, entries: map[string]policy.Endpoint{}, sent: map[string]float64{}, out: map[string]bool{}}
 	for g := range groups {
 		e.groups = append(e.groups, g)
 	}
 	return e
 }
 
-func (e *even) Tick(float64) { e.woken = false }
+func (e *even) SetTime(float64) { e.woken = false }
 
-func (e *even) Listed(form policy.ListForm, list []policy.Entry) {
-	if form == policy.Failed {
+func (e *even) UpdateEndpoints(form policy.UpdateKind, list []policy.Endpoint) {
+	if form == policy.FailedUpdate {
 		return
 	}
 	for _, x := range list {
@@ -42,50 +42,50 @@
 	}
 }
 
-func (e *even) Joined(id, _ int, _ float64, _ ...float64) { e.waiting = append(e.waiting, id) }
-func (e *even) Left(id int) {
+func (e *even) AddProxy(id, _ int, _ float64, _ ...float64) { e.waiting = append(e.waiting, id) }
+func (e *even) RemoveProxy(id int) {
 	e.waiting = slices.DeleteFunc(e.waiting, func(x int) bool { return x == id })
 }
-func (e *even) Heard(string, int, int, int, float64, float64) {}
-func (e *even) Usage(int, int, int, int, float64)             {}
-func (e *even) Applied(int, int, float64)                     {}
-func (e *even) Behind(bool)                                   {}
+func (e *even) RecordReport(string, int, int, int, float64, float64) {}
+func (e *even) RecordDemand(int, int, int, int, float64)             {}
+func (e *even) Acknowledge(int, int, float64)                        {}
+func (e *even) SetLagging(bool)                                      {}
 
 func (e *even) Next(h policy.Host) bool {
 	for _, name := range e.order {
 		x := e.entries[name]
 		want := 1.0
 		if e.bySize {
-			want = x.Size
+			want = x.RelativeCapacity
 		}
 		if x.State != policy.Ready {
 			if !e.out[name] {
 				e.out[name] = true
-				h.Withdraw(name, true)
+				h.SetEjected(name, true)
 				return true
 			}
 			continue
 		}
 		if e.sent[name] != want {
 			e.sent[name] = want
-			h.SetLine(0, name, want)
+			h.SetWeight(0, name, want)
 			return true
 		}
 		if e.out[name] {
 			delete(e.out, name)
-			h.Withdraw(name, false)
+			h.SetEjected(name, false)
 			return true
 		}
 	}
 	if len(e.waiting) > 0 && len(e.sent) > 0 {
 		id := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		h.Bind(id, 0, e.groups)
+		h.AssignTable(id, 0, e.groups)
 		return true
 	}
 	if !e.woken {
 		e.woken = true
-		h.Wake(200)
+		h.SetTimer(200)
 		return true
 	}
 	return false
--- a/internal/scenario/control.go
+++ b/internal/scenario/control.go
@@ -47,24 +47,24 @@
 }
 
 func (f *fleet) planners() int {
-	if f.hooks.Single || f.hooks.Baseline != "" {
+	if f.hooks.SinglePlanner || f.hooks.Baseline != "" {
 		return 1
 	}
 	return int(f.script.GetControllers())
 }
 
-func (f *fleet) shared() bool { return f.script.Sharing && f.planners() > 1 && !f.hooks.Apart }
+func (f *fleet) shared() bool { return f.script.Sharing && f.planners() > 1 && !f.hooks.Unshared }
 
 func (f *fleet) newControl(ctx context.Context, n int, registry string) (*control, error) {
 	c := &control{f: f, name: fmt.Sprintf("planner-%d", n+1)}
 	c.node = &node{control: c, zone: -1}
-	c.listRelay = &fake.Relay{Clock: f.clock, Network: f.net, Watch: func(netip.Addr) fake.Watch {
+	c.listRelay = &fake.Relay{Clock: f.clock, Network: f.net, Observe: func(netip.Addr) fake.Observer {
 		return &listWatch{j: f.judge, planner: c.name, down: controlstream.NewDecoder(watchedFrame)}
 	}}
 	if _, err := c.listRelay.Start(ctx, "127.0.0.1:0", registry); err != nil {
 		return nil, err
 	}
-	c.relay = &fake.Relay{Clock: f.clock, Network: f.net, Watch: func(netip.Addr) fake.Watch { return newStreamWatch(f.judge, c.name) }}
+	c.relay = &fake.Relay{Clock: f.clock, Network: f.net, Observe: func(netip.Addr) fake.Observer { return newStreamWatch(f.judge, c.name) }}
 	_, err := c.relay.Start(ctx, "127.0.0.1:0", "")
 	return c, err
 }
@@ -93,7 +93,7 @@
 	}
 	// Read back through the check, which fills in what the script leaves to the settings' own defaults.
 	full := &pb.Planner{}
-	return full, settings.Parse(c.name+" of the rehearsal", []byte(settings.Print(set)), full)
+	return full, settings.Parse(c.name+" of the rehearsal", []byte(settings.Format(set)), full)
 }
 
 func (c *control) start(ctx context.Context) error {
@@ -110,7 +110,7 @@
 // inside runs a planner in this process.
 func (c *control) inside(ctx context.Context, set *pb.Planner) error {
 	f := c.f
-	decider := planner.NewModule(set)
+	decider := planner.NewPolicy(set)
 	if f.hooks.Baseline != "" {
 		decider = newEven(f.hooks.Baseline == "size", len(set.Groups))
 	}
@@ -123,7 +123,7 @@
 		defer close(ended)
 		err := planner.Run(running, planner.Options{
 			Settings: set, Clock: f.clock, Network: f.net, Log: f.log, Decider: decider,
-			Source: &discovery.Stream{Address: c.listRelay.Address(), RedialMs: 200, SilentMs: 5000, FrameBytes: 16 << 20, Clock: f.clock, Network: f.net},
+			Source: &discovery.StreamSource{Address: c.listRelay.Address(), ReconnectDelayMs: 200, HeartbeatTimeoutMs: 5000, MaxFrameBytes: 16 << 20, Clock: f.clock, Network: f.net},
 			Ready:  func(a net.Addr) { ready <- a }, Status: c.keep,
 		})
 		if err != nil {
@@ -134,7 +134,7 @@
 	c.stop, c.ended = cancel, ended
 	select {
 	case a := <-ready:
-		c.relay.Target(a.String())
+		c.relay.SetTarget(a.String())
 		return nil
 	case err := <-failed:
 		cancel()
@@ -190,7 +190,7 @@
 		}
 	}
 	file := filepath.Join(c.f.dir, c.name+".txtpb")
-	if err := os.WriteFile(file, []byte(settings.Print(set)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(settings.Format(set)), 0o600); err != nil {
 		return err
 	}
 	cmd := c.f.hooks.Spawn(file)
@@ -210,7 +210,7 @@
 	}()
 	for {
 		if _, err := c.ask(ctx); err == nil {
-			c.relay.Target(set.Listen)
+			c.relay.SetTarget(set.Listen)
 			return nil
 		}
 		select {
@@ -276,7 +276,7 @@
 	f := c.f
 	relinked := func() {}
 	if kill && after > 0 {
-		relinked = f.link(func(_ netip.Addr, to *node) fake.Link { return fake.Link{Cut: to == c.node, After: after} })
+		relinked = f.link(func(_ netip.Addr, to *node) fake.LinkFault { return fake.LinkFault{Cut: to == c.node, After: after} })
 		clock.Sleep(context.Background(), f.clock, 50)
 	}
 	switch {
@@ -291,12 +291,12 @@
 		c.cmd.Process.Signal(signal)
 	default:
 		if kill && after == 0 {
-			relinked = f.link(func(_ netip.Addr, to *node) fake.Link { return fake.Link{Cut: to == c.node} })
+			relinked = f.link(func(_ netip.Addr, to *node) fake.LinkFault { return fake.LinkFault{Cut: to == c.node} })
 		}
 		c.stop()
 	}
 	if c.cmd != nil {
-		late, stop := f.clock.After(endWithinMs)
+		late, stop := f.clock.NewTimer(endWithinMs)
 		defer stop()
 		select {
 		case <-c.ended:
@@ -315,10 +315,10 @@
 		f.cpuMs += float64(p.UserTime()+p.SystemTime()) / float64(time.Millisecond)
 		f.mu.Unlock()
 	}
-	c.relay.Break(func(netip.Addr) bool { return true })
+	c.relay.Disconnect(func(netip.Addr) bool { return true })
 	relinked()
 	f.judge.mu.Lock()
-	f.judge.checker.PlannerGone(c.name, f.clock.Mono())
+	f.judge.checker.RecordPlannerExit(c.name, f.clock.Monotonic())
 	f.judge.mu.Unlock()
 }
 
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -15,10 +15,10 @@
 
 // trouble plays one trouble from its beginning to its end. It returns early when the day ends.
 func (f *fleet) trouble(ctx context.Context, t *script.Trouble) error {
-	if clock.Sleep(ctx, f.clock, settings.Ms(t.At)) != nil {
+	if clock.Sleep(ctx, f.clock, settings.Milliseconds(t.At)) != nil {
 		return nil
 	}
-	lasts := settings.Ms(t.Lasts)
+	lasts := settings.Milliseconds(t.Lasts)
 	wait := func() { clock.Sleep(ctx, f.clock, lasts) }
 	during := func(r linkRule) {
 		end := f.link(r)
@@ -29,17 +29,17 @@
 	defer f.log.Info("trouble ends", "what", f.named(t))
 	switch w := t.What.(type) {
 	case *script.Trouble_Burst:
-		f.crowd.Factor(w.Burst.GetFactor())
+		f.crowd.SetRateFactor(w.Burst.GetFactor())
 		wait()
-		f.crowd.Factor(1)
+		f.crowd.SetRateFactor(1)
 	case *script.Trouble_Hang:
 		nodes := f.draw(int(w.Hang.GetServers()), nil)
-		period := settings.Ms(w.Hang.Period)
+		period := settings.Milliseconds(w.Hang.Period)
 		if period == 0 {
 			f.faulty(nodes, func(x *fake.Fault) { x.Hang = true })
 			wait()
 		}
-		for begun := f.clock.Mono(); period > 0 && f.clock.Mono()-begun < lasts && ctx.Err() == nil; {
+		for begun := f.clock.Monotonic(); period > 0 && f.clock.Monotonic()-begun < lasts && ctx.Err() == nil; {
 			f.faulty(nodes, func(x *fake.Fault) { x.Hang = !x.Hang })
 			clock.Sleep(ctx, f.clock, period)
 		}
@@ -64,8 +64,8 @@
 		wait()
 		f.sound(nodes)
 	case *script.Trouble_Handshakes:
-		delay := settings.Ms(w.Handshakes.Delay)
-		during(func(_ netip.Addr, to *node) (l fake.Link) {
+		delay := settings.Milliseconds(w.Handshakes.Delay)
+		during(func(_ netip.Addr, to *node) (l fake.LinkFault) {
 			if to.control == nil {
 				l.ConnectMs = delay
 			}
@@ -80,7 +80,7 @@
 		return f.crash(ctx, nodes, true, wait)
 	case *script.Trouble_ZoneCut:
 		zone := f.zone(w.ZoneCut.Zone)
-		during(func(from netip.Addr, to *node) (l fake.Link) {
+		during(func(from netip.Addr, to *node) (l fake.LinkFault) {
 			if to.control == nil {
 				l.Cut = (zoneOf(from) == zone) != (to.zone == zone)
 			}
@@ -102,9 +102,9 @@
 		}
 	case *script.Trouble_ControllerCut:
 		c, zone := f.control(w.ControllerCut.GetController()), f.zone(w.ControllerCut.Zone)
-		during(func(from netip.Addr, to *node) fake.Link {
+		during(func(from netip.Addr, to *node) fake.LinkFault {
 			hit := to == c.node && (zone < 0 || zoneOf(from) == zone)
-			return fake.Link{Cut: hit && !w.ControllerCut.Hold, Stall: hit && w.ControllerCut.Hold}
+			return fake.LinkFault{Cut: hit && !w.ControllerCut.Hold, Stall: hit && w.ControllerCut.Hold}
 		})
 	case *script.Trouble_ControllerDrain:
 		if c := f.control(w.ControllerDrain.GetController()); c.cmd != nil {
@@ -127,18 +127,18 @@
 			hit[n] = f.roll() < share
 		}
 		for _, c := range f.controls {
-			c.relay.Break(func(from netip.Addr) bool { return hit[zoneOf(from)] })
+			c.relay.Disconnect(func(from netip.Addr) bool { return hit[zoneOf(from)] })
 		}
 	case *script.Trouble_StuckProxy:
 		zone := int(f.roll() * float64(len(f.script.Places)))
-		during(func(from netip.Addr, to *node) fake.Link {
-			return fake.Link{Stall: to.control != nil && zoneOf(from) == zone}
+		during(func(from netip.Addr, to *node) fake.LinkFault {
+			return fake.LinkFault{Stall: to.control != nil && zoneOf(from) == zone}
 		})
 	case *script.Trouble_Deploy:
-		return f.deploy(ctx, int(w.Deploy.GetServers()), settings.Ms(w.Deploy.Drain), lasts)
+		return f.deploy(ctx, int(w.Deploy.GetServers()), settings.Milliseconds(w.Deploy.Drain), lasts)
 	case *script.Trouble_WrongList:
 		strangers, missing := int(w.WrongList.GetStrangers()), w.WrongList.GetMissing()
-		f.registry.Lie(func(list []*order.Listing_Entry) (told []*order.Listing_Entry) {
+		f.registry.Override(func(list []*order.Listing_Entry) (told []*order.Listing_Entry) {
 			told = append(told, list[int(float64(len(list))*missing):]...)
 			for n := range strangers {
 				told = append(told, &order.Listing_Entry{Server: fmt.Sprintf("127.9.9.9:%d", 9000+n), Zone: f.script.Places[n%len(f.script.Places)].Name, Size: 1})
@@ -146,7 +146,7 @@
 			return told
 		})
 		wait()
-		f.registry.Lie(nil)
+		f.registry.Override(nil)
 	case *script.Trouble_OneSided:
 		zone := f.zone(w.OneSided.Zone)
 		hit := map[*node]bool{}
@@ -154,13 +154,13 @@
 		for _, n := range nodes {
 			hit[n] = true
 		}
-		during(func(from netip.Addr, to *node) fake.Link {
-			return fake.Link{Cut: hit[to] && zoneOf(from) == zone}
+		during(func(from netip.Addr, to *node) fake.LinkFault {
+			return fake.LinkFault{Cut: hit[to] && zoneOf(from) == zone}
 		})
 		f.sound(nodes)
 	case *script.Trouble_SlowStreams:
-		delay := settings.Ms(w.SlowStreams.Delay)
-		during(func(_ netip.Addr, to *node) (l fake.Link) {
+		delay := settings.Milliseconds(w.SlowStreams.Delay)
+		during(func(_ netip.Addr, to *node) (l fake.LinkFault) {
 			if to.control != nil {
 				l.DelayMs = delay
 			}
@@ -220,7 +220,7 @@
 func (f *fleet) faulty(nodes []*node, change func(*fake.Fault)) {
 	for _, n := range nodes {
 		change(&n.fault)
-		n.server.Set(n.fault)
+		n.server.SetFault(n.fault)
 	}
 }
 
@@ -236,7 +236,7 @@
 // crash ends servers and starts them again, cold, under their names.
 func (f *fleet) crash(ctx context.Context, nodes []*node, listed bool, wait func()) error {
 	for _, n := range nodes {
-		n.relay.Shut()
+		n.relay.Close()
 		n.server.Crash()
 		if listed {
 			f.show(n, 2)
@@ -250,7 +250,7 @@
 		if _, err := n.server.Start(ctx, true); err != nil {
 			return err
 		}
-		if err := n.relay.Open(); err != nil {
+		if err := n.relay.Reopen(); err != nil {
 			return err
 		}
 		f.show(n, 0)
@@ -274,7 +274,7 @@
 		defer f.sound([]*node{next})
 		f.group.Go(func() error { // the old one goes when its drain is over, while the next may begin
 			clock.Sleep(ctx, f.clock, drain)
-			n.relay.Shut()
+			n.relay.Close()
 			n.server.Crash()
 			if ctx.Err() == nil {
 				f.show(n, 2)
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -42,14 +42,14 @@
 
 // Hooks plant faults, to prove that the checker sees them.
 type Hooks struct {
-	Spawn    func(file string) *exec.Cmd           // runs a planner as a process, with log to standard error; needed for more than one
-	Unfenced bool                                  // proxies do not check epochs
-	Single   bool                                  // one planner, whatever the script says
-	Apart    bool                                  // several that share nothing
-	Decider  func(planner.Decider) planner.Decider // wraps what decides
-	Proxy    func(set *pb.Proxy)
-	Planner  func(set *pb.Planner)
-	Baseline string // even, size; empty: the module
+	Spawn          func(file string) *exec.Cmd           // runs a planner as a process, with log to standard error; needed for more than one
+	DisableFencing bool                                  // proxies do not check epochs
+	SinglePlanner  bool                                  // one planner, whatever the script says
+	Unshared       bool                                  // several that share nothing
+	Decider        func(planner.Decider) planner.Decider // wraps what decides
+	Proxy          func(set *pb.Proxy)
+	Planner        func(set *pb.Planner)
+	Baseline       string // even, size; empty: the module
 }
 
 // fleet is one running day.
@@ -65,9 +65,9 @@
 	group   *errgroup.Group
 	running context.Context // of the whole day
 
-	registry *fake.Registry
+	registry *fake.EndpointRegistry
 	controls []*control
-	crowd    *fake.Crowd
+	crowd    *fake.LoadGenerator
 
 	mu      sync.Mutex
 	nodes   []*node
@@ -82,7 +82,7 @@
 }
 
 // linkRule says what is wrong with links from a zone's address to a server, or to a planner: a node with a control.
-type linkRule func(from netip.Addr, to *node) fake.Link
+type linkRule func(from netip.Addr, to *node) fake.LinkFault
 
 // zoneAddress is where a zone's proxies dial from, and listenAddress where its parties listen: a port that is listened at
 // again after a restart must not have gone to a connection meanwhile.
@@ -96,20 +96,20 @@
 		dir: dir, links: map[int]linkRule{},
 	}
 	lim := invariant.Limits{
-		BareMs: settings.Ms(s.BareWithin), GraceMs: settings.Ms(s.Limits.DrainGrace), WarmUpMs: settings.Ms(s.Limits.WarmUp),
-		MissingMs: 10000, FallMs: settings.Ms(s.Limits.FallWindow), FallMultiple: s.Servers.GetFallMultiple(),
-		WorkMs: settings.Ms(s.Servers.Work), HandshakeMs: settings.Ms(s.Servers.Handshake),
-		MostWaiting: float64(s.Channel.GetMostWaiting()), MostMessages: int(s.Channel.GetMostMessages()),
-		SpanMs: settings.Ms(s.Channel.MessageSpan), SlackMs: 100, Capacity: f.coldCapacity,
+		NoServerMs: settings.Milliseconds(s.BareWithin), DrainGraceMs: settings.Milliseconds(s.Limits.DrainGrace), SlowStartMs: settings.Milliseconds(s.Limits.WarmUp),
+		MissingMs: 10000, ColdOverloadWindowMs: settings.Milliseconds(s.Limits.FallWindow), ColdOverloadMultiple: s.Servers.GetFallMultiple(),
+		WorkMs: settings.Milliseconds(s.Servers.Work), HandshakeMs: settings.Milliseconds(s.Servers.Handshake),
+		MaxBacklog: float64(s.Channel.GetMostWaiting()), MaxMessages: int(s.Channel.GetMostMessages()),
+		MessageWindowMs: settings.Milliseconds(s.Channel.MessageSpan), SlackMs: 100, Capacity: f.coldCapacity,
 	}
 	for _, g := range s.Groups {
-		lim.Repeats = append(lim.Repeats, map[pb.Repeat]invariant.Repeat{
-			pb.Repeat_NON_RETRIABLE: invariant.Never, pb.Repeat_DEDUPED: invariant.Keyed,
-			pb.Repeat_RETRIABLE: invariant.Always,
+		lim.Idempotency = append(lim.Idempotency, map[pb.Repeat]invariant.Idempotency{
+			pb.Repeat_NON_RETRIABLE: invariant.NonIdempotent, pb.Repeat_DEDUPED: invariant.Deduplicated,
+			pb.Repeat_RETRIABLE: invariant.Idempotent,
 		}[g.Repeat])
-		lim.OnlyZone = append(lim.OnlyZone, g.OnlyZone)
+		lim.SameZoneOnly = append(lim.SameZoneOnly, g.OnlyZone)
 	}
-	wall := float64(c.Wall().UnixMicro())/1000 - c.Mono()
+	wall := float64(c.WallTime().UnixMicro())/1000 - c.Monotonic()
 	f.judge = &judge{checker: invariant.NewChecker(lim), odd: map[string]int{}, toMono: func(us uint64) float64 { return float64(us)/1000 - wall }}
 	return f
 }
@@ -120,8 +120,8 @@
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
 		if n.address == address {
-			born := n.server.Born()
-			if born == 0 || at-born >= settings.Ms(n.set.WarmUp) {
+			born := n.server.StartedMs()
+			if born == 0 || at-born >= settings.Milliseconds(n.set.WarmUp) {
 				return 0
 			}
 			return fake.Capacity(n.set, at-born, true)
@@ -133,7 +133,7 @@
 // start brings up everything but the clients.
 func (f *fleet) start(ctx context.Context, group *errgroup.Group) error {
 	f.group, f.running = group, ctx
-	f.registry = &fake.Registry{Clock: f.clock, LateMs: settings.Ms(f.script.ListedLate)}
+	f.registry = &fake.EndpointRegistry{Clock: f.clock, DelayMs: settings.Milliseconds(f.script.ListedLate)}
 	at, err := f.registry.Start(ctx, f.net)
 	if err != nil {
 		return err
@@ -174,7 +174,7 @@
 		Waiting: s.Waiting, Connections: f.script.Limits.LeastConnections, Handshake: s.Handshake, ColdShare: f.script.Limits.ColdShare,
 		WarmUp: f.script.Limits.WarmUp, FallWindow: f.script.Limits.FallWindow, FallMultiple: s.FallMultiple, DedupWindow: "2.5s", Seed: &seed,
 	}
-	n := &node{name: name, zone: zone, set: set, size: float64(s.GetCores()), server: fake.NewServer(set, f.clock, f.net, f.log, &fake.Dedup{})}
+	n := &node{name: name, zone: zone, set: set, size: float64(s.GetCores()), server: fake.NewServer(set, f.clock, f.net, f.log, &fake.Deduplicator{})}
 	at, err := n.server.Start(ctx, cold)
 	if err != nil {
 		return nil, err
@@ -183,9 +183,9 @@
 	for g, row := range f.script.Groups {
 		groups[row.Name] = g
 	}
-	n.relay = &fake.Relay{Clock: f.clock, Network: f.net, Watch: func(netip.Addr) fake.Watch {
+	n.relay = &fake.Relay{Clock: f.clock, Network: f.net, Observe: func(netip.Addr) fake.Observer {
 		f.judge.mu.Lock()
-		f.judge.checker.Connected(n.address, f.clock.Mono())
+		f.judge.checker.RecordConnection(n.address, f.clock.Monotonic())
 		f.judge.mu.Unlock()
 		return &flowWatch{j: f.judge, server: n.address, groups: groups}
 	}}
@@ -203,10 +203,10 @@
 // show puts a server's state into the list.
 func (f *fleet) show(n *node, state uint32) {
 	born := uint64(0)
-	if b := n.server.Born(); b > 0 {
-		born = uint64(float64(f.clock.Wall().UnixMilli()) - (f.clock.Mono() - b))
+	if b := n.server.StartedMs(); b > 0 {
+		born = uint64(float64(f.clock.WallTime().UnixMilli()) - (f.clock.Monotonic() - b))
 	}
-	f.registry.Set(n.address, f.script.Places[n.zone].Name, state, n.size, born)
+	f.registry.SetEndpoint(n.address, f.script.Places[n.zone].Name, state, n.size, born)
 }
 
 // relink tells all relays what is wrong with their links now.
@@ -219,11 +219,11 @@
 			all = append(all, r)
 		}
 	}
-	join := func(to *node) func(netip.Addr) fake.Link {
+	join := func(to *node) func(netip.Addr) fake.LinkFault {
 		if len(all) == 0 {
 			return nil
 		}
-		return func(from netip.Addr) (sum fake.Link) {
+		return func(from netip.Addr) (sum fake.LinkFault) {
 			for _, r := range all {
 				l := r(from, to)
 				sum.DelayMs, sum.ConnectMs = max(sum.DelayMs, l.DelayMs), max(sum.ConnectMs, l.ConnectMs)
@@ -233,10 +233,10 @@
 		}
 	}
 	for _, n := range f.nodes {
-		n.relay.Set(join(n))
+		n.relay.SetFaults(join(n))
 	}
 	for _, c := range f.controls {
-		c.relay.Set(join(c.node))
+		c.relay.SetFaults(join(c.node))
 	}
 }
 
@@ -256,7 +256,7 @@
 }
 
 func (f *fleet) startProxies(ctx context.Context) error {
-	all := f.registry.Entries()
+	all := f.registry.Endpoints()
 	for zone, p := range f.script.Places {
 		var near []string
 		var any []string
@@ -277,7 +277,7 @@
 				Name: fmt.Sprintf("edge-%s-%d", p.Name, k), Listen: listenAddress(zone) + ":0", Zone: p.Name, From: zoneAddress(zone),
 				Planners: planners, Sharing: f.shared(), Groups: cloneGroups(f.script.Groups), Pick: f.script.Pick, ReportEvery: f.script.Reports.Every,
 				ConnectionIdle: f.script.Limits.ConnectionIdle, Seed: proto.Uint64(uint64(f.chance.Int63())),
-				Usual: fmt.Sprintf("%g/s", max(settings.PerS(f.script.Traffic.Rate)/float64(max(f.count(), 1)), 0.001)),
+				Usual: fmt.Sprintf("%g/s", max(settings.PerSecond(f.script.Traffic.Rate)/float64(max(f.count(), 1)), 0.001)),
 			}
 			for _, i := range f.chance.Perm(len(near))[:min(int(f.script.GetStanding()), len(near))] {
 				set.Standing = append(set.Standing, near[i])
@@ -286,12 +286,12 @@
 				f.hooks.Proxy(set)
 			}
 			full := &pb.Proxy{}
-			if err := settings.Parse("proxy of the rehearsal", []byte(settings.Print(set)), full); err != nil {
+			if err := settings.Parse("proxy of the rehearsal", []byte(settings.Format(set)), full); err != nil {
 				return err
 			}
 			ready := make(chan net.Addr, 1)
 			x := proxy.New(proxy.Options{
-				Settings: full, Clock: f.clock, Network: f.net, Log: f.log, Unfenced: f.hooks.Unfenced,
+				Settings: full, Clock: f.clock, Network: f.net, Log: f.log, DisableFencing: f.hooks.DisableFencing,
 				Ready: func(a net.Addr) { ready <- a },
 			})
 			failed := make(chan error, 1)
@@ -325,5 +325,5 @@
 	return n
 }
 
-// quiet is a log that goes nowhere.
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+// discardLogger is a log that goes nowhere.
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -26,8 +26,8 @@
 // lastMs is how long a day runs on after its last flow, so that drains and rules still count.
 const lastMs = 1500.0
 
-// Group is what became of one traffic group's flows.
-type Group struct {
+// ClassResult is what became of one traffic group's flows.
+type ClassResult struct {
 	Name string
 	fake.Tally
 	Service float64 // utility delivered within the latency budget, over utility asked for
@@ -35,37 +35,41 @@
 
 // Day is what one run of a script gave.
 type Day struct {
-	Decider     string
-	Service     float64
-	Groups      []Group
-	Seconds     []float64 // service by second
-	Asks, Tries int
-	Messages    int
-	Lines       float64
-	OrderMsP50  float64
-	OrderMsP99  float64
-	LinesPeak   float64
-	Breaches    []invariant.Breach
-	Broken      map[string]int
-	Endings     map[string]uint64
-	Unread      map[string]int // what the watch of the sockets could not read; it must be empty
-	Fell        int            // cold servers pushed over
-	Servers     int
-	Proxies     int
+	Decider         string
+	Service         float64
+	Classes         []ClassResult `json:"Groups"`
+	Seconds         []float64     // service by second
+	Requests        int           `json:"Asks"`
+	Attempts        int           `json:"Tries"`
+	Messages        int
+	Entries         float64 `json:"Lines"`
+	OrderMsP50      float64
+	OrderMsP99      float64
+	PeakBacklog     float64               `json:"LinesPeak"`
+	Violations      []invariant.Violation `json:"Breaches"`
+	ViolationCounts map[string]int        `json:"Broken"`
+	Closes          map[string]uint64     `json:"Endings"`
+	Unparsed        map[string]int        `json:"Unread"` // what the watch of the sockets could not read; it must be empty
+	ColdOverloads   int                   `json:"Fell"`   // cold servers pushed over
+	Servers         int
+	Proxies         int
 
 	// Where controllers share the fleet: proxies that were granted anew after the day began, how long they had no commander,
 	// in ms, and messages that they refused as past.
-	Takeovers                  int
-	BareP50, BareP99, BareMost float64 // from the last frame of the one before to the grant of the next
-	Refused                    int
-	Holders                    map[string]int // proxies of each controller at the end
-	Reissued                   int            // lines of whole tables that proxies were sent again by a next commander
-	CPUMs                      float64        // of planners that ran as processes
-	UpBytes, DownBytes         int            // of streams, from proxies and to them
+	Takeovers          int
+	WithoutLeaderP50   float64        `json:"BareP50"`
+	WithoutLeaderP99   float64        `json:"BareP99"`
+	WithoutLeaderMax   float64        `json:"BareMost"` // from the last frame of the one before to the grant of the next
+	Rejected           int            `json:"Refused"`
+	LeasesByController map[string]int `json:"Holders"`  // proxies of each controller at the end
+	ResentEntries      int            `json:"Reissued"` // lines of whole tables that proxies were sent again by a next commander
+	CPUMs              float64        // of planners that ran as processes
+	BytesUp            int            `json:"UpBytes"`
+	BytesDown          int            `json:"DownBytes"` // of streams, from proxies and to them
 }
 
 func (d *Day) commanded() (n int) {
-	for _, held := range d.Holders {
+	for _, held := range d.LeasesByController {
 		n += held
 	}
 	return n
@@ -77,7 +81,7 @@
 	var bare []float64
 	for _, t := range all {
 		if first[t.Proxy] {
-			bare = append(bare, max(t.AtMs-t.SpokeMs, 0))
+			bare = append(bare, max(t.GrantedMs-t.LastFrameMs, 0))
 		}
 		first[t.Proxy] = true
 	}
@@ -86,7 +90,7 @@
 	}
 	slices.Sort(bare)
 	at := func(q float64) float64 { return bare[int(q*float64(len(bare)-1))] }
-	d.BareP50, d.BareP99, d.BareMost = at(0.5), at(0.99), at(1)
+	d.WithoutLeaderP50, d.WithoutLeaderP99, d.WithoutLeaderMax = at(0.5), at(0.99), at(1)
 }
 
 // Report is a rehearsal's result.
@@ -96,9 +100,9 @@
 	Machine string
 }
 
-// Kept says whether the module's day kept all rules.
-func (r *Report) Kept() bool {
-	return len(r.Days) > 0 && len(r.Days[0].Broken) == 0 && len(r.Days[0].Unread) == 0
+// Passed says whether the module's day kept all rules.
+func (r *Report) Passed() bool {
+	return len(r.Days) > 0 && len(r.Days[0].ViolationCounts) == 0 && len(r.Days[0].Unparsed) == 0
 }
 
 // Play runs a script under the module and, unless it says no, under both baselines at the same time.
@@ -115,10 +119,10 @@
 		group.Go(func() error {
 			l := log
 			if kind != "" {
-				l = quiet()
+				l = discardLogger()
 			}
-			h := Hooks{Spawn: spawn, Apart: kind == "apart", Single: kind == "single"}
-			if !h.Apart && !h.Single {
+			h := Hooks{Spawn: spawn, Unshared: kind == "apart", SinglePlanner: kind == "single"}
+			if !h.Unshared && !h.SinglePlanner {
 				h.Baseline = kind
 			}
 			d, err := PlayOne(ctx, s, h, l)
@@ -155,15 +159,15 @@
 		}
 		return nil, err
 	}
-	f.crowd = &fake.Crowd{
-		Clock: f.clock, Groups: s.Groups, Shares: shares(s), PerS: settings.PerS(s.Traffic.Rate),
-		Repeats: int(s.Traffic.GetRepeats()), PauseMs: settings.Ms(s.Traffic.Pause), Seed: int64(s.GetSeed()),
+	f.crowd = &fake.LoadGenerator{
+		Clock: f.clock, Classes: s.Groups, Shares: shares(s), RequestsPerSecond: settings.PerSecond(s.Traffic.Rate),
+		MaxRetries: int(s.Traffic.GetRepeats()), BackoffMs: settings.Milliseconds(s.Traffic.Pause), Seed: int64(s.GetSeed()),
 	}
 	if err := f.start(running, group); err != nil {
 		return fail(err)
 	}
 	f.crowd.Proxies = f.proxies
-	if err := clock.Sleep(running, f.clock, settings.Ms(s.Warm)); err != nil {
+	if err := clock.Sleep(running, f.clock, settings.Milliseconds(s.Warm)); err != nil {
 		return fail(err)
 	}
 	troubles, troubled := errgroup.WithContext(running)
@@ -171,7 +175,7 @@
 	for _, t := range s.Troubles {
 		troubles.Go(func() error { return f.trouble(troublesEnd, t) })
 	}
-	err = f.crowd.Run(running, settings.Ms(s.Length))
+	err = f.crowd.Run(running, settings.Milliseconds(s.Length))
 	if err == nil {
 		err = clock.Sleep(running, f.clock, lastMs)
 	}
@@ -183,11 +187,11 @@
 		return fail(err)
 	}
 	f.judge.mu.Lock()
-	breaches, broken := f.judge.checker.Finish(f.clock.Mono())
-	messages, lines, tries, odd := f.judge.checker.Messages, f.judge.checker.Lines, f.judge.checker.Flows, maps.Clone(f.judge.odd)
+	breaches, broken := f.judge.checker.Finish(f.clock.Monotonic())
+	messages, lines, tries, odd := f.judge.checker.Messages, f.judge.checker.Entries, f.judge.checker.Requests, maps.Clone(f.judge.odd)
 	up, down := f.judge.up, f.judge.down
-	takeovers, refused := slices.Clone(f.judge.checker.Takeovers), f.judge.checker.Refused
-	holders, reissued := f.judge.checker.Holders(), f.judge.checker.Reissued
+	takeovers, refused := slices.Clone(f.judge.checker.Takeovers), f.judge.checker.Rejected
+	holders, reissued := f.judge.checker.CountByController(), f.judge.checker.ResentEntries
 	f.judge.mu.Unlock()
 	f.finish()
 	cancel()
@@ -195,11 +199,11 @@
 		return nil, err
 	}
 	d := f.day(breaches, broken)
-	d.Messages, d.Lines, d.Tries, d.Unread, d.Refused, d.CPUMs = messages, lines, tries, odd, refused, f.cpuMs
+	d.Messages, d.Entries, d.Attempts, d.Unparsed, d.Rejected, d.CPUMs = messages, lines, tries, odd, refused, f.cpuMs
 	if f.hung > 0 {
-		d.Unread["planners that did not end when told"] = f.hung
+		d.Unparsed["planners that did not end when told"] = f.hung
 	}
-	d.UpBytes, d.DownBytes, d.Holders, d.Reissued = up, down, holders, reissued
+	d.BytesUp, d.BytesDown, d.LeasesByController, d.ResentEntries = up, down, holders, reissued
 	d.takeovers(takeovers)
 	return d, nil
 }
@@ -220,79 +224,79 @@
 	return out
 }
 
-func (f *fleet) day(breaches []invariant.Breach, broken map[invariant.Rule]int) *Day {
+func (f *fleet) day(breaches []invariant.Violation, broken map[invariant.Rule]int) *Day {
 	kind := f.hooks.Baseline
-	if f.hooks.Apart {
+	if f.hooks.Unshared {
 		kind = "apart"
-	} else if f.hooks.Single {
+	} else if f.hooks.SinglePlanner {
 		kind = "single"
 	}
 	d := &Day{
-		Decider: named(kind), Breaches: breaches, Broken: map[string]int{}, Endings: map[string]uint64{},
+		Decider: named(kind), Violations: breaches, ViolationCounts: map[string]int{}, Closes: map[string]uint64{},
 		Servers: len(f.nodes), Proxies: len(f.proxies),
 	}
 	for r, n := range broken {
-		d.Broken[r.String()] = n
+		d.ViolationCounts[r.String()] = n
 	}
 	groups, seconds, asks := f.crowd.Tallies()
-	d.Asks = asks
+	d.Requests = asks
 	got, possible := 0.0, 0.0
 	for n, t := range groups {
-		got, possible = got+t.Utility, possible+t.Possible
-		d.Groups = append(d.Groups, Group{f.script.Groups[n].Name, t, share(t)})
+		got, possible = got+t.Value, possible+t.MaxValue
+		d.Classes = append(d.Classes, ClassResult{f.script.Groups[n].Name, t, share(t)})
 	}
 	d.Service = got / max(possible, 1e-9)
 	for _, t := range seconds {
-		if t.Asked > 0 {
+		if t.Requested > 0 {
 			d.Seconds = append(d.Seconds, share(t))
 		}
 	}
 	for _, n := range f.nodes {
-		d.Fell += n.server.Counts().Fell
+		d.ColdOverloads += n.server.Counts().ColdOverloads
 	}
 	for _, s := range f.status {
 		d.OrderMsP50, d.OrderMsP99 = max(d.OrderMsP50, s.OrderMsP50), max(d.OrderMsP99, s.OrderMsP99)
-		for r, n := range s.Endings {
-			d.Endings[string(r)] += n
+		for r, n := range s.Closes {
+			d.Closes[string(r)] += n
 		}
-		d.LinesPeak = max(d.LinesPeak, s.LinesMost)
+		d.PeakBacklog = max(d.PeakBacklog, s.MaxBacklog)
 	}
 	return d
 }
 
-func share(t fake.Tally) float64 { return t.Utility / max(t.Possible, 1e-9) }
+func share(t fake.Tally) float64 { return t.Value / max(t.MaxValue, 1e-9) }
 
 // Print writes a report for people.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "rehearsal %s: %d proxies, %d servers (stand-ins on loopback)\n", r.Script, r.Days[0].Proxies, r.Days[0].Servers)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "decided by\tservice")
-	for _, g := range r.Days[0].Groups {
+	for _, g := range r.Days[0].Classes {
 		fmt.Fprintf(t, "\t%s", g.Name)
 	}
 	fmt.Fprintln(t, "\tlate\tblocked\tdropped\tmessages\tlines\torder ms p50\tp99\tfell over\trules")
 	for _, d := range r.Days {
 		fmt.Fprintf(t, "%s\t%.3f", d.Decider, d.Service)
 		late, blocked, dropped := 0, 0, 0
-		for _, g := range d.Groups {
+		for _, g := range d.Classes {
 			fmt.Fprintf(t, "\t%.3f", g.Service)
-			late, blocked, dropped = late+g.Late, blocked+g.Blocked+g.Bare, dropped+g.Dropped
+			late, blocked, dropped = late+g.Late, blocked+g.Rejected+g.NoServer, dropped+g.Failed
 		}
 		kept := "kept"
-		if len(d.Broken) > 0 {
-			kept = fmt.Sprint("broken ", d.Broken)
+		if len(d.ViolationCounts) > 0 {
+			kept = fmt.Sprint("broken ", d.ViolationCounts)
 		}
-		fmt.Fprintf(t, "\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%d\t%s\n", late, blocked, dropped, d.Messages, d.Lines, d.OrderMsP50, d.OrderMsP99, d.Fell, kept)
+		fmt.Fprintf(t, "\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%d\t%s\n", late, blocked, dropped, d.Messages, d.Entries, d.OrderMsP50, d.OrderMsP99, d.ColdOverloads, kept)
 	}
 	t.Flush()
 	if d := r.Days[0]; d.Takeovers > 0 {
 		fmt.Fprintf(w, "sharing: %d takeovers after the first; from the last word of the one before %.0f ms (p50), %.0f (p99), %.0f at most; %d past messages refused; %d lines of tables sent anew; %d of %d commanded at the end\n",
-			d.Takeovers, d.BareP50, d.BareP99, d.BareMost, d.Refused, d.Reissued, d.commanded(), d.Proxies)
+			d.Takeovers, d.WithoutLeaderP50, d.WithoutLeaderP99, d.WithoutLeaderMax, d.Rejected, d.ResentEntries, d.commanded(), d.Proxies)
 	}
-	for _, b := range r.Days[0].Breaches {
+	for _, b := range r.Days[0].Violations {
 		fmt.Fprintf(w, "broken: %s at %.0f ms: %s\n", b.Rule, b.AtMs, b.Evidence)
 	}
-	for what, n := range r.Days[0].Unread {
+	for what, n := range r.Days[0].Unparsed {
 		fmt.Fprintf(w, "not read from the sockets: %s, %d times\n", what, n)
 	}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -35,9 +35,11 @@
 	rate float64
 }
 
-func (r rated) Mono() float64                               { return r.Real.Mono() * r.rate }
-func (r rated) After(ms float64) (<-chan time.Time, func()) { return r.Real.After(ms / r.rate) }
-func (r rated) Deadline(ms float64) time.Time               { return r.Real.Deadline(ms / r.rate) }
+func (r rated) Monotonic() float64 { return r.Real.Monotonic() * r.rate }
+
+func (r rated) NewTimer(ms float64) (<-chan time.Time, func()) { return r.Real.NewTimer(ms / r.rate) }
+
+func (r rated) Deadline(ms float64) time.Time { return r.Real.Deadline(ms / r.rate) }
 
 func TestMain(m *testing.M) {
 	if file := os.Getenv(asPlanner); file != "" {
@@ -57,8 +59,8 @@
 		}
 		from := set.List.GetStream()
 		err := planner.Run(ctx, planner.Options{
-			Settings: set, Clock: c, Network: clock.TCP{}, Log: quiet(),
-			Source: &discovery.Stream{Address: from.Address, RedialMs: 200, SilentMs: 5000, FrameBytes: 16 << 20, Clock: c, Network: clock.TCP{}},
+			Settings: set, Clock: c, Network: clock.TCP{}, Log: discardLogger(),
+			Source: &discovery.StreamSource{Address: from.Address, ReconnectDelayMs: 200, HeartbeatTimeoutMs: 5000, MaxFrameBytes: 16 << 20, Clock: c, Network: clock.TCP{}},
 		})
 		if err != nil {
 			panic(err)
@@ -91,15 +93,15 @@
 		}
 	}
 	proto.Merge(s, own)
-	if err := settings.Parse("test", []byte(settings.Print(s)), full); err != nil {
+	if err := settings.Parse("test", []byte(settings.Format(s)), full); err != nil {
 		t.Fatal(err)
 	}
-	d, err := PlayOne(t.Context(), full, h, quiet())
+	d, err := PlayOne(t.Context(), full, h, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(d.Unread) > 0 {
-		t.Errorf("not read from the sockets: %v", d.Unread)
+	if len(d.Unparsed) > 0 {
+		t.Errorf("not read from the sockets: %v", d.Unparsed)
 	}
 	return d
 }
@@ -117,16 +119,16 @@
 	fresh bool
 }
 
-func (e *edited) Tick(now float64) {
+func (e *edited) SetTime(now float64) {
 	e.now, e.fresh = now, true
-	e.Decider.Tick(now)
+	e.Decider.SetTime(now)
 }
 
-func (e *edited) Listed(form policy.ListForm, list []policy.Entry) {
+func (e *edited) UpdateEndpoints(form policy.UpdateKind, list []policy.Endpoint) {
 	for _, x := range list {
-		e.cold[x.Server] = x.BornMs > 0
+		e.cold[x.Server] = x.StartedMs > 0
 	}
-	e.Decider.Listed(form, list)
+	e.Decider.UpdateEndpoints(form, list)
 }
 
 func (e *edited) Next(h policy.Host) bool {
@@ -138,33 +140,36 @@
 	return e.Decider.Next(e)
 }
 
-func (e *edited) SetLine(table int, server string, weight float64) {
+func (e *edited) SetWeight(table int, server string, weight float64) {
 	if e.line != nil {
 		e.line(e, table, server, weight)
 		return
 	}
-	e.host.SetLine(table, server, weight)
+	e.host.SetWeight(table, server, weight)
 }
 
-func (e *edited) Withdraw(server string, out bool) {
+func (e *edited) SetEjected(server string, out bool) {
 	if e.mask != nil {
 		e.mask(e, server, out)
 		return
 	}
-	e.host.Withdraw(server, out)
+	e.host.SetEjected(server, out)
 }
 
-func (e *edited) Admit(table, group int, share float64, retry int) {
+func (e *edited) SetAdmission(table, group int, share float64, retry int) {
 	if e.admit != nil {
 		e.admit(e, table, group, share, retry)
 		return
 	}
-	e.host.Admit(table, group, share, retry)
+	e.host.SetAdmission(table, group, share, retry)
+}
+
+func (e *edited) AssignTable(proxy, table int, groups []int) {
+	e.host.AssignTable(proxy, table, groups)
 }
-func (e *edited) Bind(proxy, table int, groups []int) { e.host.Bind(proxy, table, groups) }
-func (e *edited) Receipt(number int)                  { e.host.Receipt(number) }
-func (e *edited) Follow()                             { e.host.Follow() }
-func (e *edited) Wake(ms float64)                     { e.host.Wake(ms) }
+func (e *edited) RequestAcknowledgement(number int) { e.host.RequestAcknowledgement(number) }
+func (e *edited) WatchEndpoints()                   { e.host.WatchEndpoints() }
+func (e *edited) SetTimer(ms float64)               { e.host.SetTimer(ms) }
 
 func with(change func(e *edited)) func(planner.Decider) planner.Decider {
 	return func(d planner.Decider) planner.Decider {
@@ -184,7 +189,7 @@
 	}{
 		"nothing planted": {drain, Hooks{}, "map[]"},
 		"a bare table": {`bare_within: "1500ms"`, Hooks{Decider: with(func(e *edited) {
-			e.line = func(e *edited, table int, server string, _ float64) { e.host.SetLine(table, server, 0) }
+			e.line = func(e *edited, table int, server string, _ float64) { e.host.SetWeight(table, server, 0) }
 		})}, "bare"},
 		"flows that may not run twice are repeated": {
 			`troubles { at: "1s" lasts: "4s" failing { servers: 4 resets: 0.5 } }`,
@@ -205,7 +210,7 @@
 			e.mask = func(e *edited, server string, out bool) {}
 			e.line = func(e *edited, table int, server string, weight float64) {
 				if weight > 0 {
-					e.host.SetLine(table, server, weight)
+					e.host.SetWeight(table, server, weight)
 				}
 			}
 		})}, "drain"},
@@ -215,7 +220,7 @@
 				if e.cold[server] && weight > 0 {
 					weight = 50
 				}
-				e.host.SetLine(table, server, weight)
+				e.host.SetWeight(table, server, weight)
 			}
 		})}, "push-over"},
 		"a flood of lines": {"", Hooks{Planner: func(set *pb.Planner) {
@@ -225,7 +230,7 @@
 		}, Decider: with(func(e *edited) {
 			e.first = func(e *edited) {
 				for n := range 3 {
-					e.host.SetLine(0, fmt.Sprintf("127.9.9.9:%d", 9000+n), 1e-6)
+					e.host.SetWeight(0, fmt.Sprintf("127.9.9.9:%d", 9000+n), 1e-6)
 				}
 			}
 		})}, "queue"},
@@ -233,9 +238,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := play(t, c.more, c.h)
-			got := fmt.Sprint(d.Broken)
-			if c.want != "map[]" && (len(d.Broken) != 1 || d.Broken[c.want] == 0) || c.want == "map[]" && got != c.want {
-				t.Errorf("broken %v, want %s; %v", d.Broken, c.want, d.Breaches)
+			got := fmt.Sprint(d.ViolationCounts)
+			if c.want != "map[]" && (len(d.ViolationCounts) != 1 || d.ViolationCounts[c.want] == 0) || c.want == "map[]" && got != c.want {
+				t.Errorf("broken %v, want %s; %v", d.ViolationCounts, c.want, d.Violations)
 			}
 		})
 	}
@@ -259,8 +264,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := play(t, c.more, Hooks{})
-			if len(d.Broken) > 0 || d.Service < c.least {
-				t.Errorf("service %.3f, broken %v: %v", d.Service, d.Broken, d.Breaches)
+			if len(d.ViolationCounts) > 0 || d.Service < c.least {
+				t.Errorf("service %.3f, broken %v: %v", d.Service, d.ViolationCounts, d.Violations)
 			}
 		})
 	}
@@ -276,8 +281,8 @@
 	t.Run("all rules are kept", func(t *testing.T) {
 		t.Parallel()
 		d := play(t, shared, Hooks{Spawn: spawned})
-		if len(d.Broken) > 0 || d.Takeovers == 0 || d.Service < 0.7 {
-			t.Errorf("service %.3f, %d takeovers, broken %v: %v", d.Service, d.Takeovers, d.Broken, d.Breaches)
+		if len(d.ViolationCounts) > 0 || d.Takeovers == 0 || d.Service < 0.7 {
+			t.Errorf("service %.3f, %d takeovers, broken %v: %v", d.Service, d.Takeovers, d.ViolationCounts, d.Violations)
 		}
 	})
 	// Each is a hard hour of its own: rules kept, and all proxies commanded again at the end.
@@ -298,8 +303,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := play(t, `sharing: true `+more, Hooks{Spawn: spawned})
-			if len(d.Broken) > 0 || d.Service < 0.6 || d.commanded() != d.Proxies || name == onFull && d.Holders["planner-1"] > 0 {
-				t.Errorf("service %.3f, %v hold %d proxies at the end, broken %v: %v", d.Service, d.Holders, d.Proxies, d.Broken, d.Breaches)
+			if len(d.ViolationCounts) > 0 || d.Service < 0.6 || d.commanded() != d.Proxies || name == onFull && d.LeasesByController["planner-1"] > 0 {
+				t.Errorf("service %.3f, %v hold %d proxies at the end, broken %v: %v", d.Service, d.LeasesByController, d.Proxies, d.ViolationCounts, d.Violations)
 			}
 		})
 	}
@@ -313,8 +318,8 @@
 			}
 			return c
 		}})
-		if len(d.Broken) > 0 || d.Takeovers == 0 || d.Service < 0.7 {
-			t.Errorf("service %.3f, %d takeovers, broken %v: %v", d.Service, d.Takeovers, d.Broken, d.Breaches)
+		if len(d.ViolationCounts) > 0 || d.Takeovers == 0 || d.Service < 0.7 {
+			t.Errorf("service %.3f, %d takeovers, broken %v: %v", d.Service, d.Takeovers, d.ViolationCounts, d.Violations)
 		}
 	})
 	// What a controller sends is held back for longer than its lease, while a release makes it decide. Guards against proxies
@@ -327,15 +332,15 @@
 	t.Run("orders that come after a successor's are refused", func(t *testing.T) {
 		t.Parallel()
 		d := play(t, held, Hooks{Spawn: spawned})
-		if len(d.Broken) > 0 || d.Refused == 0 {
-			t.Errorf("%d past messages refused, broken %v: %v", d.Refused, d.Broken, d.Breaches)
+		if len(d.ViolationCounts) > 0 || d.Rejected == 0 {
+			t.Errorf("%d past messages refused, broken %v: %v", d.Rejected, d.ViolationCounts, d.Violations)
 		}
 	})
 	t.Run("planted: proxies that check no epoch", func(t *testing.T) {
 		t.Parallel()
-		d := play(t, held, Hooks{Spawn: spawned, Unfenced: true})
-		if d.Broken["stale-order"] == 0 {
-			t.Errorf("broken %v, want a stale order", d.Broken)
+		d := play(t, held, Hooks{Spawn: spawned, DisableFencing: true})
+		if d.ViolationCounts["stale-order"] == 0 {
+			t.Errorf("broken %v, want a stale order", d.ViolationCounts)
 		}
 	})
 }
