--- a/internal/scenario/watch.go
+++ b/internal/scenario/watch.go
@@ -66,23 +66,23 @@
 		if !ok {
 			return
 		}
-		if f.Kind == controlstream.Join {
+		if f.Kind == controlstream.FrameJoin {
 			var m order.Join
 			if proto.Unmarshal(f.Body, &m) == nil {
 				w.proxy = m.Proxy
-				w.j.checker.Joined(m.Proxy, w.planner, at, &m)
+				w.j.checker.RecordJoin(m.Proxy, w.planner, at, &m)
 			}
 		}
-		if f.Kind == controlstream.Lease {
+		if f.Kind == controlstream.FrameLease {
 			var m order.Lease
 			if proto.Unmarshal(f.Body, &m) == nil {
-				w.j.checker.Leased(w.proxy, w.planner, at, &m)
+				w.j.checker.RecordLease(w.proxy, w.planner, at, &m)
 			}
 		}
-		if f.Kind == controlstream.Applied {
+		if f.Kind == controlstream.FrameAck {
 			var m order.Applied
 			if proto.Unmarshal(f.Body, &m) == nil {
-				w.j.checker.Obeyed(w.proxy, w.planner, at, &m)
+				w.j.checker.RecordAck(w.proxy, w.planner, at, &m)
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 	before := w.passed
 	w.passed += len(p)
 	w.j.down += len(p)
-	held := w.down.Held()
+	held := w.down.Buffered()
 	w.down.Feed(p)
 	end := before - held
 	for {
@@ -108,16 +108,16 @@
 		}
 		end += 20 + len(f.Body)
 		switch f.Kind {
-		case controlstream.Welcome:
+		case controlstream.FrameWelcome:
 			m := &order.Welcome{}
 			if proto.Unmarshal(f.Body, m) == nil {
 				w.undelivered = append(w.undelivered, undelivered{end: end, welcome: m})
 			}
-		case controlstream.Orders:
+		case controlstream.FrameOrders:
 			m := &order.Orders{}
 			if proto.Unmarshal(f.Body, m) == nil {
 				w.undelivered = append(w.undelivered, undelivered{end: end, orders: m})
-				w.j.checker.Queued(w.proxy, w.planner, at, w.j.toMono(m.DecidedUnixUs), m)
+				w.j.checker.RecordSend(w.proxy, w.planner, at, w.j.toMono(m.DecidedUnixUs), m)
 			}
 		}
 	}
@@ -127,14 +127,14 @@
 	w.j.mu.Lock()
 	defer w.j.mu.Unlock()
 	w.reached += n
-	w.j.checker.Spoke(w.proxy, w.planner, at)
+	w.j.checker.RecordFrame(w.proxy, w.planner, at)
 	for len(w.undelivered) > 0 && w.undelivered[0].end <= w.reached {
 		u := w.undelivered[0]
 		w.undelivered = w.undelivered[1:]
 		if u.welcome != nil {
-			w.j.checker.Welcomed(w.proxy, at, u.welcome)
+			w.j.checker.RecordWelcome(w.proxy, at, u.welcome)
 		} else {
-			w.j.checker.Ordered(w.proxy, w.planner, at, w.j.toMono(u.orders.DecidedUnixUs), u.orders)
+			w.j.checker.RecordDelivery(w.proxy, w.planner, at, w.j.toMono(u.orders.DecidedUnixUs), u.orders)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	defer w.j.mu.Unlock()
 	if w.proxy != "" && !w.over {
 		w.over = true
-		w.j.checker.Broken(w.proxy, w.planner, at)
+		w.j.checker.RecordDisconnect(w.proxy, w.planner, at)
 	}
 }
 
@@ -170,8 +170,8 @@
 			return
 		}
 		m := &order.Listing{}
-		if f.Kind == controlstream.Listing && proto.Unmarshal(f.Body, m) == nil {
-			w.j.checker.Listed(w.planner, at, m)
+		if f.Kind == controlstream.FrameEndpoints && proto.Unmarshal(f.Body, m) == nil {
+			w.j.checker.RecordEndpoints(w.planner, at, m)
 		}
 	}
 }
@@ -219,16 +219,16 @@
 	server   string
 	groups   map[string]int
 	up, down heads
-	now      invariant.Flow
+	now      invariant.Attempt
 }
 
 func (w *flowWatch) ToTarget(at float64, p []byte) {
 	w.j.mu.Lock()
 	defer w.j.mu.Unlock()
 	w.up.feed(p, func(_ string, h textproto.MIMEHeader) {
-		try, _ := strconv.Atoi(h.Get(proxy.TryHeader))
-		w.now = invariant.Flow{ID: h.Get(proxy.FlowHeader), Group: w.groups[h.Get(proxy.GroupHeader)], Try: try, Proxy: h.Get(proxy.ProxyHeader)}
-		w.j.checker.Sent(w.server, at, w.now)
+		try, _ := strconv.Atoi(h.Get(proxy.AttemptHeader))
+		w.now = invariant.Attempt{ID: h.Get(proxy.RequestHeader), Class: w.groups[h.Get(proxy.ClassHeader)], Number: try, Proxy: h.Get(proxy.ProxyHeader)}
+		w.j.checker.RecordAttempt(w.server, at, w.now)
 	})
 	if w.up.bad {
 		w.j.strange("flow to a server")
@@ -239,8 +239,8 @@
 	w.j.mu.Lock()
 	defer w.j.mu.Unlock()
 	w.down.feed(p, func(first string, h textproto.MIMEHeader) {
-		unrun := strings.Contains(first, " 503 ") && h.Get(proxy.RanHeader) == "no"
-		w.j.checker.Answered(w.server, at, w.now, unrun)
+		unrun := strings.Contains(first, " 503 ") && h.Get(proxy.ProcessedHeader) == "no"
+		w.j.checker.RecordAnswer(w.server, at, w.now, unrun)
 	})
 	if w.down.bad {
 		w.j.strange("answer of a server")
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -147,9 +147,9 @@
 	case options.Kind_DURATION:
 		ms, err := parseMs(text)
 		if err != nil {
-			return wrong(at, "holds %q; a time with its unit is wanted, such as \"250ms\" or \"3s\"%s", text, span(c, asMs))
+			return wrong(at, "holds %q; a time with its unit is wanted, such as \"250ms\" or \"3s\"%s", text, span(c, isDuration))
 		}
-		return within(ms, strconv.Quote(text), c, at, asMs)
+		return within(ms, strconv.Quote(text), c, at, isDuration)
 	case options.Kind_RATE:
 		perS, err := parseRate(text)
 		if err != nil {
@@ -170,7 +170,7 @@
 
 func plainNumber(x float64) string { return strconv.FormatFloat(x, 'g', 10, 64) }
 
-func asMs(ms float64) string {
+func isDuration(ms float64) string {
 	return time.Duration(ms * float64(time.Millisecond)).String()
 }
 
@@ -213,8 +213,8 @@
 	return x / spans[unit], nil
 }
 
-// Ms gives a checked time in milliseconds; empty is 0.
-func Ms(text string) float64 {
+// Milliseconds gives a checked time in milliseconds; empty is 0.
+func Milliseconds(text string) float64 {
 	ms, _ := parseMs(text)
 	return ms
 }
@@ -225,8 +225,8 @@
 	return d
 }
 
-// PerS gives a checked rate per second; empty is 0.
-func PerS(text string) float64 {
+// PerSecond gives a checked rate per second; empty is 0.
+func PerSecond(text string) float64 {
 	x, _ := parseRate(text)
 	return x
 }
--- a/internal/settings/crossfield.go
+++ b/internal/settings/crossfield.go
@@ -9,8 +9,8 @@
 	pb "lichenpick/proto/settings"
 )
 
-// together checks what no field shows alone.
-func together(m proto.Message) *fault {
+// checkAcrossFields checks what no field shows alone.
+func checkAcrossFields(m proto.Message) *fault {
 	switch m := m.(type) {
 	case *pb.Planner:
 		if bad := checkGroups(m.Groups); bad != nil {
@@ -73,7 +73,7 @@
 			return wrong(field(at, "name"), "holds %q, which an earlier group has", g.Name)
 		}
 		seen[g.Name] = true
-		if Ms(g.Expiry) < Ms(g.LatencyBudget) {
+		if Milliseconds(g.Expiry) < Milliseconds(g.LatencyBudget) {
 			return wrong(field(at, "expiry"), "holds %q, under the latency_budget of %q", g.Expiry, g.LatencyBudget)
 		}
 	}
@@ -146,7 +146,7 @@
 		if name != "" && !places[zone] {
 			return wrong(field(field(at, name), "zone"), "holds %q, which is no place of this script", zone)
 		}
-		if Ms(t.At) >= Ms(s.Length) {
+		if Milliseconds(t.At) >= Milliseconds(s.Length) {
 			return wrong(field(at, "at"), "holds %q, after the day's length of %q", t.At, s.Length)
 		}
 	}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -49,7 +49,7 @@
 				if err := settings.Load(path, message); err != nil {
 					t.Fatal(err)
 				}
-				printed := settings.Print(message)
+				printed := settings.Format(message)
 				golden.Check(t, filepath.Join("testdata", kind, name+".golden.txt"), []byte(printed))
 				again := newMessage()
 				if err := settings.Parse("printed", []byte(printed), again); err != nil {
@@ -67,10 +67,10 @@
 func TestGoldenUnits(t *testing.T) {
 	var text strings.Builder
 	for _, duration := range []string{"", "0s", "250ms", "1500us", "3.6s", "2m", "1h30m", "0.1ms", "7"} {
-		fmt.Fprintf(&text, "time %q: %g ms, %d ns\n", duration, settings.Ms(duration), settings.Duration(duration).Nanoseconds())
+		fmt.Fprintf(&text, "time %q: %g ms, %d ns\n", duration, settings.Milliseconds(duration), settings.Duration(duration).Nanoseconds())
 	}
 	for _, rate := range []string{"", "0/s", "2300/s", "90/m", "7200/h", "0.5/s", " 5 /s", "5", "5/d"} {
-		fmt.Fprintf(&text, "rate %q: %g/s\n", rate, settings.PerS(rate))
+		fmt.Fprintf(&text, "rate %q: %g/s\n", rate, settings.PerSecond(rate))
 	}
 	golden.Check(t, "testdata/units.golden.txt", []byte(text.String()))
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -16,15 +16,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// mostBytes bounds a settings file; a list of 100,000 servers fits.
-const mostBytes = 32 << 20
+// maxBytes bounds a settings file; a list of 100,000 servers fits.
+const maxBytes = 32 << 20
 
 // Error is one fault of a file.
 type Error struct {
 	File         string
 	Line, Column int    // from 1; 0: the whole file
 	Field        string // path such as groups[1].expiry, may be empty
-	What         string // what is wrong, and what would be right
+	Problem      string // what is wrong, and what would be right
 }
 
 func (e *Error) Error() string {
@@ -33,23 +33,23 @@
 		at = fmt.Sprintf("%s:%d:%d", e.File, e.Line, e.Column)
 	}
 	if e.Field != "" {
-		return fmt.Sprintf("%s: %s: %s", at, e.Field, e.What)
+		return fmt.Sprintf("%s: %s: %s", at, e.Field, e.Problem)
 	}
-	return fmt.Sprintf("%s: %s", at, e.What)
+	return fmt.Sprintf("%s: %s", at, e.Problem)
 }
 
 // Load reads a file into an empty message, checks every field and fills in what is left out.
 func Load(path string, into proto.Message) error {
 	info, err := os.Stat(path)
 	if err != nil {
-		return &Error{File: path, What: plain(err)}
+		return &Error{File: path, Problem: plain(err)}
 	}
-	if info.Size() > mostBytes {
-		return &Error{File: path, What: fmt.Sprintf("holds %d bytes; at most %d", info.Size(), mostBytes)}
+	if info.Size() > maxBytes {
+		return &Error{File: path, Problem: fmt.Sprintf("holds %d bytes; at most %d", info.Size(), maxBytes)}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return &Error{File: path, What: plain(err)}
+		return &Error{File: path, Problem: plain(err)}
 	}
 	return Parse(path, text, into)
 }
@@ -64,14 +64,14 @@
 	if bad := checkMessage(into.ProtoReflect(), nil); bad != nil {
 		return f.at(bad)
 	}
-	if bad := together(into); bad != nil {
+	if bad := checkAcrossFields(into); bad != nil {
 		return f.at(bad)
 	}
 	return nil
 }
 
-// Print writes a message with all that was filled in.
-func Print(m proto.Message) string {
+// Format writes a message with all that was filled in.
+func Format(m proto.Message) string {
 	text := prototext.MarshalOptions{Multiline: true, Indent: "  "}.Format(m)
 	// The library varies its spaces on purpose, so that nobody compares its output; we want it the same.
 	return regexp.MustCompile(`(?m)^( *[a-z_0-9]+:) +`).ReplaceAllString(text, "$1 ")
@@ -89,14 +89,14 @@
 		end := strings.TrimRight(string(in), " \t\r\n")
 		return &Error{
 			File: name, Line: 1 + strings.Count(end, "\n"), Column: 1 + len(end) - strings.LastIndexByte(end, '\n') - 1,
-			What: strings.TrimPrefix(text, "proto: "),
+			Problem: strings.TrimPrefix(text, "proto: "),
 		}
 	}
-	e := &Error{File: name, What: m[3]}
+	e := &Error{File: name, Problem: m[3]}
 	fmt.Sscan(m[1], &e.Line)
 	fmt.Sscan(m[2], &e.Column)
-	if u := unknown.FindStringSubmatch(e.What); u != nil {
-		e.Field, e.What = u[1], "no such field here"
+	if u := unknown.FindStringSubmatch(e.Problem); u != nil {
+		e.Field, e.Problem = u[1], "no such field here"
 	}
 	return e
 }
@@ -151,7 +151,7 @@
 
 // at finds the place of a fault: the deepest node of its path that the file has.
 func (f *file) at(bad *fault) error {
-	e := &Error{File: f.name, Field: bad.String(), What: bad.what}
+	e := &Error{File: f.name, Field: bad.String(), Problem: bad.what}
 	nodes := f.nodes
 	for _, s := range bad.path {
 		found := find(nodes, s)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -21,7 +21,7 @@
 		if err := Parse("f", []byte(good), &m); err != nil {
 			t.Fatal(err)
 		}
-		if PerS(m.Channel.Lines) != 2500 || m.Streams.GetMost() != 4096 || m.Groups[0].GetUtility() != 1 {
+		if PerSecond(m.Channel.Lines) != 2500 || m.Streams.GetMost() != 4096 || m.Groups[0].GetUtility() != 1 {
 			t.Errorf("%v", &m)
 		}
 	})
@@ -55,8 +55,8 @@
 		if err := Parse("f", []byte(good), &m); err != nil {
 			t.Fatal(err)
 		}
-		if err := Parse("g", []byte(Print(&m)), &again); err != nil || Print(&m) != Print(&again) {
-			t.Errorf("%v\n%s\n%s", err, Print(&m), Print(&again))
+		if err := Parse("g", []byte(Format(&m)), &again); err != nil || Format(&m) != Format(&again) {
+			t.Errorf("%v\n%s\n%s", err, Format(&m), Format(&again))
 		}
 	})
 	t.Run("births need the clock they are told by", func(t *testing.T) {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -10,7 +10,7 @@
 
 // trouble plans one. Those that only sockets can have are not emulated.
 func (f *fleet) trouble(t *script.Trouble, from float64) error {
-	at, lasts, late := from+settings.Ms(t.At), settings.Ms(t.Lasts), settings.Ms(f.script.ListedLate)
+	at, lasts, late := from+settings.Milliseconds(t.At), settings.Milliseconds(t.Lasts), settings.Milliseconds(f.script.ListedLate)
 	during := func(begin, end func()) {
 		f.after(at, begin)
 		f.after(at+lasts, end)
@@ -26,8 +26,8 @@
 			}
 		}
 		during(func() { hit = f.draw(int(w.Hang.GetServers()), nil); set(true) }, func() { set(false) })
-		for p := settings.Ms(w.Hang.Period); p > 0 && p < lasts; p += settings.Ms(w.Hang.Period) {
-			on := int(p/settings.Ms(w.Hang.Period))%2 == 0
+		for p := settings.Milliseconds(w.Hang.Period); p > 0 && p < lasts; p += settings.Milliseconds(w.Hang.Period) {
+			on := int(p/settings.Milliseconds(w.Hang.Period))%2 == 0
 			f.after(at+p, func() { set(on) })
 		}
 	case *script.Trouble_Slow:
@@ -52,7 +52,7 @@
 			f.crash(hit, true, late)
 		}, func() { f.back(hit, late) })
 	case *script.Trouble_Deploy:
-		n, drain := int(w.Deploy.GetServers()), settings.Ms(w.Deploy.Drain)
+		n, drain := int(w.Deploy.GetServers()), settings.Milliseconds(w.Deploy.Drain)
 		for k := range n {
 			f.after(at+lasts*float64(k)/float64(n), func() { f.replace(drain, late) })
 		}
@@ -77,7 +77,7 @@
 		s.end()
 	}
 	if listed {
-		f.tellList(late, policy.Change, hit)
+		f.tellList(late, policy.DeltaUpdate, hit)
 	}
 }
 
@@ -85,7 +85,7 @@
 	for _, s := range hit {
 		s.start()
 	}
-	f.tellList(late, policy.Change, hit)
+	f.tellList(late, policy.DeltaUpdate, hit)
 }
 
 // replace drains a server, and starts a cold one in its place.
@@ -98,10 +98,10 @@
 		}
 		next.start()
 		s.drained = true
-		f.tellList(late, policy.Change, []*server{s, next})
+		f.tellList(late, policy.DeltaUpdate, []*server{s, next})
 		f.after(drain, func() {
 			s.end()
-			f.tellList(late, policy.Change, []*server{s})
+			f.tellList(late, policy.DeltaUpdate, []*server{s})
 		})
 	}
 }
--- a/internal/simulation/fleet.go
+++ b/internal/simulation/fleet.go
@@ -29,13 +29,13 @@
 
 // Result of a day.
 type Result struct {
-	Groups   []fake.Tally
-	Seconds  []fake.Tally // by second of asking
-	Service  float64      // utility within the latency budget, over utility asked for
-	Messages int
-	Lines    float64
-	Fell     int
-	Events   int
+	Classes       []fake.Tally
+	Seconds       []fake.Tally // by second of asking
+	Service       float64      // utility within the latency budget, over utility asked for
+	Messages      int
+	Entries       float64
+	ColdOverloads int
+	Events        int
 }
 
 type fleet struct {
@@ -66,17 +66,17 @@
 	if err := f.begin(); err != nil {
 		return nil, err
 	}
-	warm, length := settings.Ms(s.Warm), settings.Ms(s.Length)
+	warm, length := settings.Milliseconds(s.Warm), settings.Milliseconds(s.Length)
 	for _, t := range s.Troubles {
 		if err := f.trouble(t, warm); err != nil {
 			return nil, err
 		}
 	}
-	f.result.Groups, f.result.Seconds = make([]fake.Tally, len(s.Groups)), make([]fake.Tally, int(length/1000)+1)
+	f.result.Classes, f.result.Seconds = make([]fake.Tally, len(s.Groups)), make([]fake.Tally, int(length/1000)+1)
 	f.after(warm, func() { f.client(warm, warm+length) })
 	last := 0.0 // flows in hand still end
 	for _, g := range s.Groups {
-		last = max(last, settings.Ms(g.Expiry))
+		last = max(last, settings.Milliseconds(g.Expiry))
 	}
 	f.run(warm + length + last + 1000)
 	if f.failed != nil {
@@ -84,12 +84,12 @@
 	}
 	r := &f.result
 	possible := 0.0
-	for _, t := range r.Groups {
-		r.Service, possible = r.Service+t.Utility, possible+t.Possible
+	for _, t := range r.Classes {
+		r.Service, possible = r.Service+t.Value, possible+t.MaxValue
 	}
 	r.Service /= math.Max(possible, 1e-9)
 	for _, x := range f.servers {
-		r.Fell += x.fell
+		r.ColdOverloads += x.fell
 	}
 	r.Events = f.count
 	return r, nil
@@ -108,10 +108,10 @@
 	}
 	set.Proxies = proto.Uint32(uint32(max(proxies, 1)))
 	full := &pb.Planner{}
-	if err := settings.Parse("planner of the emulator", []byte(settings.Print(set)), full); err != nil {
+	if err := settings.Parse("planner of the emulator", []byte(settings.Format(set)), full); err != nil {
 		return err
 	}
-	f.core = planner.NewCore(full, planner.NewModule(full), 1, 0)
+	f.core = planner.NewCore(full, planner.NewPolicy(full), 1, 0)
 	for zone, p := range s.Places {
 		for range p.GetServers() {
 			if _, err := f.add(zone); err != nil {
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	f.tellList(0, policy.Whole, f.servers)
+	f.tellList(0, policy.FullUpdate, f.servers)
 	total := 0.0
 	for g := range s.Groups {
 		x := 1.0
@@ -136,20 +136,20 @@
 	for _, p := range s.Places {
 		for k := range p.GetProxies() {
 			e := &edge{f: f, stream: &planner.Stream{Address: netip.MustParseAddr("127.0.0.1")}}
-			e.stream.Out = e
+			e.stream.Transport = e
 			set := &pb.Proxy{
 				Name: fmt.Sprintf("edge-%s-%d", p.Name, k), Listen: "127.0.0.1:1", Planners: []string{"127.0.0.1:1"}, Zone: p.Name, Groups: s.Groups,
 				Pick: s.Pick, ReportEvery: s.Reports.Every, Seed: proto.Uint64(uint64(f.chance.Int63())),
 			}
 			full := &pb.Proxy{}
-			if err := settings.Parse("proxy of the emulator", []byte(settings.Print(set)), full); err != nil {
+			if err := settings.Parse("proxy of the emulator", []byte(settings.Format(set)), full); err != nil {
 				return err
 			}
 			e.core = proxy.NewCore(full, 0)
 			f.edges = append(f.edges, e)
-			join := &order.Join{Proxy: full.Name, Zone: p.Name, UsualPerS: settings.PerS(s.Traffic.Rate) / float64(proxies), Incarnation: 1, Stream: 1, Groups: uint32(len(s.Groups))}
-			f.after(1+f.chance.Float64()*20, func() { f.hear(func() { f.core.Joined(e.stream, join) }) })
-			f.after(f.chance.Float64()*settings.Ms(full.ReportEvery), func() { e.report(settings.Ms(full.ReportEvery)) })
+			join := &order.Join{Proxy: full.Name, Zone: p.Name, UsualPerS: settings.PerSecond(s.Traffic.Rate) / float64(proxies), Incarnation: 1, Stream: 1, Groups: uint32(len(s.Groups))}
+			f.after(1+f.chance.Float64()*20, func() { f.hear(func() { f.core.HandleJoin(e.stream, join) }) })
+			f.after(f.chance.Float64()*settings.Milliseconds(full.ReportEvery), func() { e.report(settings.Milliseconds(full.ReportEvery)) })
 		}
 	}
 	return nil
@@ -165,7 +165,7 @@
 		FallWindow: f.script.Limits.FallWindow, FallMultiple: m.FallMultiple,
 	}
 	full := &pb.Server{}
-	if err := settings.Parse("server of the emulator", []byte(settings.Print(set)), full); err != nil {
+	if err := settings.Parse("server of the emulator", []byte(settings.Format(set)), full); err != nil {
 		return nil, err
 	}
 	s := &server{sim: &f.sim, name: full.Listen, zone: zone, set: full, chance: rand.New(rand.NewSource(f.chance.Int63())), slow: 1}
@@ -174,27 +174,27 @@
 }
 
 // tellList has the planner hear of servers as they are now, after some ms.
-func (f *fleet) tellList(ms float64, form policy.ListForm, servers []*server) {
-	u := discovery.Update{Form: form, AsOfMs: uint64(epoch + f.now)}
+func (f *fleet) tellList(ms float64, form policy.UpdateKind, servers []*server) {
+	u := discovery.Update{Kind: form, AsOfMs: uint64(epoch + f.now)}
 	for _, s := range servers {
-		e := discovery.Entry{Server: s.name, Zone: f.script.Places[s.zone].Name, Size: float64(s.set.GetCores())} // speed shows in floors only
+		e := discovery.Endpoint{Server: s.name, Zone: f.script.Places[s.zone].Name, RelativeCapacity: float64(s.set.GetCores())} // speed shows in floors only
 		switch {
 		case s.down:
-			e.State = policy.Gone
+			e.State = policy.Removed
 		case s.drained:
 			e.State = policy.Draining
 		}
 		if s.born > 0 {
-			e.BornUnixMs = uint64(epoch + s.born)
+			e.StartedUnixMs = uint64(epoch + s.born)
 		}
-		u.Entries = append(u.Entries, e)
+		u.Endpoints = append(u.Endpoints, e)
 	}
-	f.after(ms, func() { f.hear(func() { f.core.Listed(u) }) })
+	f.after(ms, func() { f.hear(func() { f.core.UpdateEndpoints(u) }) })
 }
 
 // hear gives the core an input, and lets it decide.
 func (f *fleet) hear(input func()) {
-	f.core.Tick(f.now, time.UnixMilli(int64(epoch+f.now)))
+	f.core.SetTime(f.now, time.UnixMilli(int64(epoch+f.now)))
 	if input != nil {
 		input()
 	}
@@ -202,8 +202,8 @@
 	}
 }
 
-// Wake, Send, End and Reserve carry out the core's decisions.
-func (f *fleet) Wake(at float64) {
+// SetTimer, Send, End and Reserve carry out the core's decisions.
+func (f *fleet) SetTimer(at float64) {
 	f.wakeAt = at
 	f.after(at-f.now, func() {
 		if f.wakeAt == at {
@@ -212,44 +212,44 @@
 	})
 }
 
-func (f *fleet) Send(s *planner.Stream, _ controlstream.Kind, m proto.Message) {
-	e := s.Out.(*edge)
+func (f *fleet) Send(s *planner.Stream, _ controlstream.FrameKind, m proto.Message) {
+	e := s.Transport.(*edge)
 	f.after(orderMs, func() { e.obey(m) })
 }
 
-func (f *fleet) End(s *planner.Stream, why *controlstream.Ending) {
+func (f *fleet) Close(s *planner.Stream, why *controlstream.CloseError) {
 	if f.failed == nil {
 		f.failed = fmt.Errorf("at %.0f ms the planner ended the stream of %s: %w", f.now, s.Name(), why)
 	}
 }
 
-func (f *fleet) Reserve(uint64) {}
+func (f *fleet) ReserveEpochs(uint64) {}
 
 func (e *edge) obey(m proto.Message) {
 	a := &order.Applied{}
 	switch m := m.(type) {
 	case *order.Welcome:
-		e.core.Welcomed(m)
+		e.core.StartSession(m)
 	case *order.Orders:
-		a.Number, a.Receipts = m.Number, e.core.Ordered(m)
+		a.Number, a.Receipts = m.Number, e.core.ApplyOrders(m)
 		e.f.result.Messages++
-		e.f.result.Lines += m.Lines
+		e.f.result.Entries += m.Lines
 	default:
 		return
 	}
-	e.f.after(orderMs, func() { e.f.hear(func() { e.f.core.Answered(e.stream, a) }) })
+	e.f.after(orderMs, func() { e.f.hear(func() { e.f.core.HandleAck(e.stream, a) }) })
 }
 
 func (e *edge) report(every float64) {
 	f := e.f
-	m := e.core.Sums(f.now)
-	f.after(orderMs, func() { f.hear(func() { f.core.Summed(e.stream, m) }) })
+	m := e.core.TakeLoadReport(f.now)
+	f.after(orderMs, func() { f.hear(func() { f.core.HandleLoadReport(e.stream, m) }) })
 	f.after(every, func() { e.report(every) })
 }
 
 // client draws the next flow, and itself again, until the day ends.
 func (f *fleet) client(from, until float64) {
-	f.after(f.chance.ExpFloat64()/(settings.PerS(f.script.Traffic.Rate)*math.Max(f.factor, 1e-3))*1000, func() {
+	f.after(f.chance.ExpFloat64()/(settings.PerSecond(f.script.Traffic.Rate)*math.Max(f.factor, 1e-3))*1000, func() {
 		if f.now >= until {
 			return
 		}
@@ -258,7 +258,7 @@
 			x -= f.shares[group]
 			group++
 		}
-		f.ask(f.edges[f.chance.Intn(len(f.edges))], &flow{group: group, begun: f.now, second: int((f.now - from) / 1000), pause: settings.Ms(f.script.Traffic.Pause)})
+		f.ask(f.edges[f.chance.Intn(len(f.edges))], &flow{group: group, begun: f.now, second: int((f.now - from) / 1000), pause: settings.Milliseconds(f.script.Traffic.Pause)})
 		f.client(from, until)
 	})
 }
@@ -280,11 +280,11 @@
 }
 
 // next makes a flow's next try.
-func (e *edge) next(c *flow, x *proxy.Flow) {
+func (e *edge) next(c *flow, x *proxy.Request) {
 	f := e.f
 	to, within, ok := e.core.Pick(f.now, x)
 	if !ok {
-		e.core.GaveUp(x)
+		e.core.RecordNoServer(x)
 		f.answer(c, "bare")
 		return
 	}
@@ -294,9 +294,9 @@
 			return
 		}
 		over = true
-		again := e.core.Ended(f.now, x, to, o, f.now-begun)
+		again := e.core.FinishAttempt(f.now, x, to, o, f.now-begun)
 		switch {
-		case o == proxy.Delivered:
+		case o == proxy.Succeeded:
 			f.answer(c, "ok")
 		case again:
 			e.next(c, x)
@@ -304,19 +304,19 @@
 			f.answer(c, "dropped")
 		}
 	}
-	f.after(math.Max(within, 1), func() { end(proxy.Dropped) })
+	f.after(math.Max(within, 1), func() { end(proxy.Failed) })
 	f.after(wayMs, func() {
 		s := f.byName[to]
 		if s == nil {
-			f.after(wayMs, func() { end(proxy.Unrun) })
+			f.after(wayMs, func() { end(proxy.Unprocessed) })
 			return
 		}
 		s.take(&try{done: func(o outcome) {
 			switch o {
 			case delivered:
-				f.after(wayMs, func() { end(proxy.Delivered) })
+				f.after(wayMs, func() { end(proxy.Succeeded) })
 			case refused:
-				f.after(wayMs, func() { end(proxy.Unrun) })
+				f.after(wayMs, func() { end(proxy.Unprocessed) })
 			}
 		}})
 	})
@@ -326,12 +326,12 @@
 func (f *fleet) answer(c *flow, outcome string) {
 	g := f.script.Groups[c.group]
 	took, safe := f.now-c.begun, g.Repeat == pb.Repeat_RETRIABLE || outcome == "blocked" || outcome == "bare"
-	if outcome != "ok" && safe && c.asks <= int(f.script.Traffic.GetRepeats()) && took+c.pause <= 0.8*settings.Ms(g.Expiry) {
+	if outcome != "ok" && safe && c.asks <= int(f.script.Traffic.GetRepeats()) && took+c.pause <= 0.8*settings.Milliseconds(g.Expiry) {
 		wait := c.pause * (0.5 + f.chance.Float64())
 		c.pause *= 2
 		f.after(wait, func() { f.ask(f.edges[f.chance.Intn(len(f.edges))], c) })
 		return
 	}
-	f.result.Groups[c.group].Count(g, outcome, took)
-	f.result.Seconds[c.second].Count(g, outcome, took)
+	f.result.Classes[c.group].Record(g, outcome, took)
+	f.result.Seconds[c.second].Record(g, outcome, took)
 }
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -40,14 +40,14 @@
 	counts := make([]requestCounts, 0, len(tallies))
 	for _, tally := range tallies {
 		counts = append(counts, requestCounts{
-			Requests:        tally.Asked,
-			Succeeded:       tally.Delivered,
+			Requests:        tally.Requested,
+			Succeeded:       tally.Succeeded,
 			Late:            tally.Late,
-			Rejected:        tally.Blocked,
-			WithoutServer:   tally.Bare,
-			Failed:          tally.Dropped,
-			WeightEarned:    tally.Utility,
-			WeightAvailable: tally.Possible,
+			Rejected:        tally.Rejected,
+			WithoutServer:   tally.NoServer,
+			Failed:          tally.Failed,
+			WeightEarned:    tally.Value,
+			WeightAvailable: tally.MaxValue,
 		})
 	}
 	return counts
@@ -66,10 +66,10 @@
 	return simulatedDay{
 		Service:  result.Service,
 		Messages: result.Messages,
-		Entries:  result.Lines,
-		Crashed:  result.Fell,
+		Entries:  result.Entries,
+		Crashed:  result.ColdOverloads,
 		Events:   result.Events,
-		Classes:  countsOf(result.Groups),
+		Classes:  countsOf(result.Classes),
 		Seconds:  countsOf(result.Seconds),
 	}
 }
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -48,7 +48,7 @@
 // take is a try that arrives.
 func (s *server) take(t *try) {
 	now := s.sim.now
-	t.work = settings.Ms(s.set.Work) * (0.25 + 0.75*s.chance.ExpFloat64())
+	t.work = settings.Milliseconds(s.set.Work) * (0.25 + 0.75*s.chance.ExpFloat64())
 	switch {
 	case s.down:
 		t.done(refused)
@@ -86,12 +86,12 @@
 }
 
 func (s *server) falls(now, work float64) bool {
-	window := settings.Ms(s.set.FallWindow)
+	window := settings.Milliseconds(s.set.FallWindow)
 	s.came = append(s.came, arrival{now, work})
 	for s.came[0].at <= now-window {
 		s.came = s.came[1:]
 	}
-	if s.fallen || s.born == 0 || now-s.born >= settings.Ms(s.set.WarmUp) {
+	if s.fallen || s.born == 0 || now-s.born >= settings.Milliseconds(s.set.WarmUp) {
 		return s.fallen
 	}
 	sum := 0.0
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -38,12 +38,12 @@
 	})
 	t.Run("every flow has one end, and a calm day is served", func(t *testing.T) {
 		r := play(t, "")
-		for _, g := range r.Groups {
-			if g.Asked < 200 || g.Asked != g.Delivered+g.Late+g.Blocked+g.Bare+g.Dropped || g.Delivered < g.Asked*99/100 {
+		for _, g := range r.Classes {
+			if g.Requested < 200 || g.Requested != g.Succeeded+g.Late+g.Rejected+g.NoServer+g.Failed || g.Succeeded < g.Requested*99/100 {
 				t.Errorf("%+v", g)
 			}
 		}
-		if r.Messages == 0 || r.Lines == 0 {
+		if r.Messages == 0 || r.Entries == 0 {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/internal/simulator/adapter.go
+++ b/internal/simulator/adapter.go
@@ -17,7 +17,7 @@
 // instance is one planner and the host it decides through.
 type instance struct {
 	name    string
-	planner *policy.Planner
+	planner *policy.Policy
 	out     *writer
 	timer   uint64
 	touched bool
@@ -101,7 +101,7 @@
 			// Fields of the wrong type are faults even when the instance is stopped.
 			err = read(nil, raw)
 		default:
-			in.guard(func() { in.planner.Tick(b.TMs); err = read(in, raw) })
+			in.protect(func() { in.planner.SetTime(b.TMs); err = read(in, raw) })
 		}
 		if err != nil {
 			return fmt.Errorf("message %s: %s", *h.What, plain(err))
@@ -114,7 +114,7 @@
 	for _, in := range acting {
 		in.touched = false
 		if s.instances[in.name] == in && in.planner != nil {
-			in.guard(func() {
+			in.protect(func() {
 				for in.planner.Next(in) {
 				}
 			})
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// guard turns a panic of the module into a Crash of its instance.
-func (in *instance) guard(call func()) {
+// protect turns a panic of the module into a Crash of its instance.
+func (in *instance) protect(call func()) {
 	defer func() {
 		if r := recover(); r != nil {
 			in.out.start("Crash", in.name).str("Line", fmt.Sprint(r)).end()
@@ -191,11 +191,11 @@
 
 // The decisions of a planner, as messages.
 
-func (in *instance) SetLine(table int, server string, weight float64) {
+func (in *instance) SetWeight(table int, server string, weight float64) {
 	in.out.start("SetLine", in.name).str("Server", server).num("W", weight).num("MapId", float64(table)).end()
 }
 
-func (in *instance) Bind(proxy, table int, groups []int) {
+func (in *instance) AssignTable(proxy, table int, groups []int) {
 	set := 0.0
 	for _, g := range groups {
 		set += bit(g)
@@ -204,22 +204,22 @@
 		num("ForClasses", set).end()
 }
 
-func (in *instance) Withdraw(server string, out bool) {
+func (in *instance) SetEjected(server string, out bool) {
 	in.out.start("Mask", in.name).str("Server", server).flag("Active", out).end()
 }
 
-func (in *instance) Admit(table, group int, share float64, retry int) {
+func (in *instance) SetAdmission(table, group int, share float64, retry int) {
 	in.out.start("Ration", in.name).num("How", float64(retry)).num("ForClasses", bit(group)).
 		num("MapId", float64(table)).num("Limit", share).end()
 }
 
-func (in *instance) Receipt(number int) {
+func (in *instance) RequestAcknowledgement(number int) {
 	in.out.start("AskReceipt", in.name).num("Number", float64(number)).flag("Active", false).end()
 }
 
-func (in *instance) Follow() { in.out.start("Follow", in.name).flag("Active", true).end() }
+func (in *instance) WatchEndpoints() { in.out.start("Follow", in.name).flag("Active", true).end() }
 
-func (in *instance) Wake(inMs float64) {
+func (in *instance) SetTimer(inMs float64) {
 	in.timer++
 	in.out.start("SetTimer", in.name).num("SleepForMs", inMs).num("Nonce", float64(in.timer)).end()
 }
--- a/internal/simulator/adapter_test.go
+++ b/internal/simulator/adapter_test.go
@@ -77,7 +77,7 @@
 			t.Fatal(err)
 		}
 		in := s.instances["planner_0"]
-		in.guard(func() { panic("odd") })
+		in.protect(func() { panic("odd") })
 		if !strings.Contains(string(s.out.buf), `"what":"Crash","Who":"planner_0","Line":"odd"`) || in.planner != nil {
 			t.Errorf("%s", s.out.buf)
 		}
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -19,11 +19,11 @@
 			W      float64
 			Hall   int
 		}
-		return decode(in, raw, &m, func(p *policy.Planner) { p.Joined(m.Proxy, m.Hall, m.W) })
+		return decode(in, raw, &m, func(p *policy.Policy) { p.AddProxy(m.Proxy, m.Hall, m.W) })
 	},
 	"LostStream": func(in *instance, raw []byte) error {
 		var m struct{ Proxy int }
-		return decode(in, raw, &m, func(p *policy.Planner) { p.Left(m.Proxy) })
+		return decode(in, raw, &m, func(p *policy.Policy) { p.RemoveProxy(m.Proxy) })
 	},
 	"Stats": func(in *instance, raw []byte) error {
 		var m struct {
@@ -32,8 +32,8 @@
 			TookMs, CoversMs    float64
 			Metrics             []float64
 		}
-		return decode(in, raw, &m, func(p *policy.Planner) {
-			p.Heard(m.Server, m.Hall, m.Count, m.Failed, m.TookMs, m.CoversMs)
+		return decode(in, raw, &m, func(p *policy.Policy) {
+			p.RecordReport(m.Server, m.Hall, m.Count, m.Failed, m.TookMs, m.CoversMs)
 		})
 	},
 	"Usage": func(in *instance, raw []byte) error {
@@ -41,8 +41,8 @@
 			Proxy, Service, Count, Failed int
 			CoversMs                      float64
 		}
-		return decode(in, raw, &m, func(p *policy.Planner) {
-			p.Usage(m.Proxy, m.Service, m.Count, m.Failed, m.CoversMs)
+		return decode(in, raw, &m, func(p *policy.Policy) {
+			p.RecordDemand(m.Proxy, m.Service, m.Count, m.Failed, m.CoversMs)
 		})
 	},
 	"CaughtUp": func(in *instance, raw []byte) error {
@@ -50,7 +50,7 @@
 			Proxy, Number int
 			TookMs        float64
 		}
-		return decode(in, raw, &m, func(p *policy.Planner) { p.Applied(m.Proxy, m.Number, m.TookMs) })
+		return decode(in, raw, &m, func(p *policy.Policy) { p.Acknowledge(m.Proxy, m.Number, m.TookMs) })
 	},
 	"Ring": skip, // being called is all that a timer is for
 	// Known and not needed: probes, slices, and messages among instances.
@@ -63,7 +63,7 @@
 
 func skip(*instance, []byte) error { return nil }
 
-func decode(in *instance, raw []byte, into any, call func(*policy.Planner)) error {
+func decode(in *instance, raw []byte, into any, call func(*policy.Policy)) error {
 	if err := json.Unmarshal(raw, into); err != nil {
 		return err
 	}
@@ -87,11 +87,11 @@
 			BornMs       float64
 		}
 	}
-	forms := map[string]policy.ListForm{
-		"update": policy.Change, "replace": policy.Whole,
-		"restored": policy.Restored, "unavailable": policy.Failed,
+	forms := map[string]policy.UpdateKind{
+		"update": policy.DeltaUpdate, "replace": policy.FullUpdate,
+		"restored": policy.RestoredUpdate, "unavailable": policy.FailedUpdate,
 	}
-	states := map[string]policy.State{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Gone}
+	states := map[string]policy.State{"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Removed}
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return err
 	}
@@ -99,16 +99,16 @@
 	if !ok {
 		return fmt.Errorf("field Form holds %q, which is no kind of list", m.Form)
 	}
-	list := make([]policy.Entry, 0, len(m.NodesList))
+	list := make([]policy.Endpoint, 0, len(m.NodesList))
 	for _, e := range m.NodesList {
 		state, ok := states[e.Availability]
 		if !ok {
 			return fmt.Errorf("field NodesList.Availability holds %q, which is no state", e.Availability)
 		}
-		list = append(list, policy.Entry{Server: e.Server, Zone: e.Hall, State: state, Size: e.W, BornMs: e.BornMs})
+		list = append(list, policy.Endpoint{Server: e.Server, Zone: e.Hall, State: state, RelativeCapacity: e.W, StartedMs: e.BornMs})
 	}
 	if in != nil && in.planner != nil {
-		in.planner.Listed(form, list)
+		in.planner.UpdateEndpoints(form, list)
 	}
 	return nil
 }
@@ -125,8 +125,8 @@
 	if err != nil {
 		return nil, err
 	}
-	in := &instance{name: who, out: &s.out, planner: policy.New(site.Module, int64(m.RandomSeed))}
-	in.planner.Tick(now)
+	in := &instance{name: who, out: &s.out, planner: policy.New(site.Policy, int64(m.RandomSeed))}
+	in.planner.SetTime(now)
 	s.instances[who] = in
 	return in, nil
 }
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -6,17 +6,17 @@
 	"lichenpick/policy"
 )
 
-// Site is what the operators' settings tell: the module's part, and the names that are needed beside it.
-type Site struct {
-	Module   policy.Settings
-	Zones    []string // by the module's number, like Groups
-	Groups   []string
-	PeriodMs float64 // least time between two looks
+// Settings is what the operators' settings tell: the module's part, and the names that are needed beside it.
+type Settings struct {
+	Policy               policy.Settings
+	Zones                []string // by the module's number, like Classes
+	Classes              []string
+	EvaluationIntervalMs float64 // least time between two looks
 }
 
 // ReadSettings decodes the settings object of an instance's first message; the platform hands out the same one.
 // Keys that are not known are skipped.
-func ReadSettings(raw []byte) (Site, error) {
+func ReadSettings(raw []byte) (Settings, error) {
 	var i struct {
 		Azs     []string
 		Classes []struct {
@@ -41,25 +41,25 @@
 		Rules     struct{ AskWithinMs, ColdShare, WarmUpMs, FallMs, StopSendingWithinMs float64 }
 	}
 	if err := json.Unmarshal(raw, &i); err != nil {
-		return Site{}, err
+		return Settings{}, err
 	}
 	f := &i.FamilyInfo
-	repeats := map[string]policy.Repeat{"read_like": policy.Retriable, "idempotency_key": policy.Deduped}
-	s := Site{Zones: i.Azs, PeriodMs: i.PeriodMs, Module: policy.Settings{
-		Zones: len(i.Azs), DefaultRetry: f.DefaultRetry, CanAdmit: f.Admit == "share",
-		MustFollow: i.Discovery == "subscribe", AskWithinMs: i.Rules.AskWithinMs,
-		Sliced: f.Slices > 0, ChannelRate: f.ChannelRate, HeadLines: f.PerMessage, MostWaiting: f.MostWaiting,
-		MostMessages: f.PushesAllowed, MessageSpanMs: f.ReloadSpanMs, LongestWayMs: f.TransitMaxMs,
-		ReportEveryMs: f.ReportEveryMs, ColdShare: i.Rules.ColdShare, WarmUpMs: i.Rules.WarmUpMs,
-		FallMs: i.Rules.FallMs, GraceMs: i.Rules.StopSendingWithinMs, CrossPrice: i.Prices.CrossZone,
-		Proxies: f.DataPlaneSize, Planners: i.Balancers, LeastConns: orNone(f.SmallestConnTable),
-		IdleMs: orNone(i.Limits.ConnIdleMs),
+	repeats := map[string]policy.Idempotency{"read_like": policy.Idempotent, "idempotency_key": policy.Deduplicated}
+	s := Settings{Zones: i.Azs, EvaluationIntervalMs: i.PeriodMs, Policy: policy.Settings{
+		Zones: len(i.Azs), DefaultRetry: f.DefaultRetry, PartialAdmission: f.Admit == "share",
+		WatchRequired: i.Discovery == "subscribe", AssumeNotifiedMs: i.Rules.AskWithinMs,
+		Sharded: f.Slices > 0, EntriesPerSecond: f.ChannelRate, MessageOverhead: f.PerMessage, MaxBacklog: f.MostWaiting,
+		MaxMessages: f.PushesAllowed, MessageWindowMs: f.ReloadSpanMs, MaxPropagationMs: f.TransitMaxMs,
+		ReportIntervalMs: f.ReportEveryMs, ColdCapacity: i.Rules.ColdShare, SlowStartMs: i.Rules.WarmUpMs,
+		ColdOverloadWindowMs: i.Rules.FallMs, DrainGraceMs: i.Rules.StopSendingWithinMs, CrossZoneCost: i.Prices.CrossZone,
+		Proxies: f.DataPlaneSize, Planners: i.Balancers, MinServerConnections: orNone(f.SmallestConnTable),
+		IdleTimeoutMs: orNone(i.Limits.ConnIdleMs),
 	}}
 	for k, c := range i.Classes {
-		s.Groups = append(s.Groups, c.Name)
-		s.Module.Groups = append(s.Module.Groups, policy.TrafficGroup{
-			BudgetMs: c.AimMs, Utility: c.Worth,
-			Repeat: repeats[c.Repeat], OnlyZone: k < len(f.StaysLocal) && f.StaysLocal[k],
+		s.Classes = append(s.Classes, c.Name)
+		s.Policy.Classes = append(s.Policy.Classes, policy.TrafficClass{
+			LatencyObjectiveMs: c.AimMs, PriorityWeight: c.Worth,
+			Idempotency: repeats[c.Repeat], SameZoneOnly: k < len(f.StaysLocal) && f.StaysLocal[k],
 		})
 	}
 	return s, nil
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// recordedStore was written on 2026-12-02 by Init for planner-1, and by Reserve of 1001 and then of recordedMark. It
+	// recordedStore was written on 2026-12-02 by Init for planner-1, and by ReserveEpochs of 1001 and then of recordedMark. It
 	// stands for the stores of planners in service: don't write it anew.
 	recordedStore = "testdata/planner-1.store"
 	recordedName  = "planner-1"
@@ -67,18 +67,18 @@
 // proxy, so the mark must be read as it was, and what it reserves next must be kept.
 func TestRecordedStore(t *testing.T) {
 	path := copyStore(t)
-	if _, err := store.Open(path, "planner-2"); !errors.Is(err, store.ErrOther) {
-		t.Errorf("as another planner: %v, want %v", err, store.ErrOther)
+	if _, err := store.Open(path, "planner-2"); !errors.Is(err, store.ErrWrongController) {
+		t.Errorf("as another planner: %v, want %v", err, store.ErrWrongController)
 	}
 	opened, err := store.Open(path, recordedName)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if opened.Mark() != recordedMark {
-		t.Errorf("mark %d, want %d", opened.Mark(), recordedMark)
+	if opened.ReservedEpoch() != recordedMark {
+		t.Errorf("mark %d, want %d", opened.ReservedEpoch(), recordedMark)
 	}
 	const nextMark = recordedMark + 1000
-	if err := opened.Reserve(nextMark); err != nil {
+	if err := opened.ReserveEpochs(nextMark); err != nil {
 		t.Fatal(err)
 	}
 	if err := opened.Close(); err != nil {
@@ -89,8 +89,8 @@
 		t.Fatal(err)
 	}
 	defer opened.Close()
-	if opened.Mark() != nextMark {
-		t.Errorf("mark %d after another was reserved, want %d", opened.Mark(), nextMark)
+	if opened.ReservedEpoch() != nextMark {
+		t.Errorf("mark %d after another was reserved, want %d", opened.ReservedEpoch(), nextMark)
 	}
 }
 
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := opened.Reserve(recordedMark); err != nil {
+	if err := opened.ReserveEpochs(recordedMark); err != nil {
 		t.Fatal(err)
 	}
 	if err := opened.Close(); err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,11 +21,11 @@
 
 // What can be wrong with a store.
 var (
-	ErrNone   = errors.New("there is no store; 'lichenpick store init' makes one for a new controller")
-	ErrExists = errors.New("there is a store already")
-	ErrTorn   = errors.New("the store is damaged; if this controller's other state is gone too, give it a new name and a new store")
-	ErrOther  = errors.New("the store belongs to another controller")
-	ErrBusy   = errors.New("the store is in use by another process")
+	ErrNotFound        = errors.New("there is no store; 'lichenpick store init' makes one for a new controller")
+	ErrExists          = errors.New("there is a store already")
+	ErrCorrupt         = errors.New("the store is damaged; if this controller's other state is gone too, give it a new name and a new store")
+	ErrWrongController = errors.New("the store belongs to another controller")
+	ErrLocked          = errors.New("the store is in use by another process")
 )
 
 const lockWithin = 500 * time.Millisecond
@@ -73,17 +73,17 @@
 	signal.Ignore(syscall.SIGXFSZ) // a limit on file sizes is to show as a failed write, not to end the process
 	if _, err := os.Stat(path); err != nil {
 		if errors.Is(err, fs.ErrNotExist) {
-			err = ErrNone
+			err = ErrNotFound
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	err = guarded(func() error {
 		db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWithin})
 		if errors.Is(err, bbolterrors.ErrTimeout) {
-			return ErrBusy
+			return ErrLocked
 		}
 		if err != nil {
-			return fmt.Errorf("%w (%v)", ErrTorn, err)
+			return fmt.Errorf("%w (%v)", ErrCorrupt, err)
 		}
 		s = &Store{db: db, name: name}
 		if err = s.read(); err != nil {
@@ -102,28 +102,28 @@
 	return s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucket)
 		if b == nil {
-			return fmt.Errorf("%w (it is empty)", ErrTorn)
+			return fmt.Errorf("%w (it is empty)", ErrCorrupt)
 		}
 		name, ok := unsealed(b.Get(nameKey))
 		mark, ok2 := unsealed(b.Get(markKey))
 		if !ok || !ok2 || len(mark) != 8 {
-			return fmt.Errorf("%w (a record does not match its checksum)", ErrTorn)
+			return fmt.Errorf("%w (a record does not match its checksum)", ErrCorrupt)
 		}
 		if string(name) != s.name {
-			return fmt.Errorf("%w: %q, not %q", ErrOther, name, s.name)
+			return fmt.Errorf("%w: %q, not %q", ErrWrongController, name, s.name)
 		}
 		s.mark = binary.BigEndian.Uint64(mark)
 		return nil
 	})
 }
 
-// Mark is the highest epoch that may have been used.
-func (s *Store) Mark() uint64 { return s.mark }
+// ReservedEpoch is the highest epoch that may have been used.
+func (s *Store) ReservedEpoch() uint64 { return s.mark }
 
-// Reserve writes down that epochs up to a mark may be used. When it returns without an error that is on the disk, twice:
+// ReserveEpochs writes down that epochs up to a mark may be used. When it returns without an error that is on the disk, twice:
 // the library falls back to the state before the last where the page that names the last is damaged, and that one must
 // hold the mark as well.
-func (s *Store) Reserve(upTo uint64) error {
+func (s *Store) ReserveEpochs(upTo uint64) error {
 	if upTo <= s.mark {
 		return nil
 	}
@@ -149,7 +149,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("%w (%v)", ErrTorn, r)
+			err = fmt.Errorf("%w (%v)", ErrCorrupt, r)
 		}
 	}()
 	return do()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -24,29 +24,29 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := s.Reserve(mark); err != nil {
+			if err := s.ReserveEpochs(mark); err != nil {
 				t.Fatal(err)
 			}
-			if err := s.Reserve(mark - 500); err != nil || s.Mark() != mark {
-				t.Errorf("%v, mark %d", err, s.Mark())
+			if err := s.ReserveEpochs(mark - 500); err != nil || s.ReservedEpoch() != mark {
+				t.Errorf("%v, mark %d", err, s.ReservedEpoch())
 			}
 			s.Close()
 		}
 		s, err := Open(path, "a")
-		if err != nil || s.Mark() != 2000 {
+		if err != nil || s.ReservedEpoch() != 2000 {
 			t.Fatalf("%v", err)
 		}
-		if _, err := Open(path, "a"); !errors.Is(err, ErrBusy) {
+		if _, err := Open(path, "a"); !errors.Is(err, ErrLocked) {
 			t.Errorf("a second process: %v", err)
 		}
 		s.Close()
 	})
 	t.Run("none, another's, and one made twice", func(t *testing.T) {
 		path := fresh(t)
-		if _, err := Open(path+"x", "a"); !errors.Is(err, ErrNone) {
+		if _, err := Open(path+"x", "a"); !errors.Is(err, ErrNotFound) {
 			t.Error(err)
 		}
-		if _, err := Open(path, "b"); !errors.Is(err, ErrOther) {
+		if _, err := Open(path, "b"); !errors.Is(err, ErrWrongController) {
 			t.Error(err)
 		}
 		if err := Init(path, "a"); !errors.Is(err, ErrExists) {
@@ -62,7 +62,7 @@
 			t.Fatal(err)
 		}
 		for mark := uint64(1); mark <= 5; mark++ {
-			if err := s.Reserve(mark * 1000); err != nil {
+			if err := s.ReserveEpochs(mark * 1000); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -84,8 +84,8 @@
 				return
 			}
 			opened++
-			if s.Mark() != 5000 {
-				t.Errorf("%s at %d: opened with mark %d", what, at, s.Mark())
+			if s.ReservedEpoch() != 5000 {
+				t.Errorf("%s at %d: opened with mark %d", what, at, s.ReservedEpoch())
 			}
 			s.Close()
 		}
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Reserve(1000); err != nil {
+	if err := s.ReserveEpochs(1000); err != nil {
 		t.Fatal(err)
 	}
 	var old unix.Rlimit
@@ -130,20 +130,20 @@
 	if err := unix.Setrlimit(unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 0, Max: old.Max}); err != nil {
 		t.Fatal(err)
 	}
-	err = s.Reserve(2000)
+	err = s.ReserveEpochs(2000)
 	if err2 := unix.Setrlimit(unix.RLIMIT_FSIZE, &old); err2 != nil {
 		t.Fatal(err2)
 	}
-	if err == nil || s.Mark() != 1000 {
-		t.Fatalf("reserved up to %d on a full disk: %v", s.Mark(), err)
+	if err == nil || s.ReservedEpoch() != 1000 {
+		t.Fatalf("reserved up to %d on a full disk: %v", s.ReservedEpoch(), err)
 	}
-	if err := s.Reserve(3000); err != nil {
+	if err := s.ReserveEpochs(3000); err != nil {
 		t.Fatalf("with room again: %v", err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if s, err = Open(path, "a"); err != nil || s.Mark() != 3000 {
+	if s, err = Open(path, "a"); err != nil || s.ReservedEpoch() != 3000 {
 		t.Fatalf("opened again: %v", err)
 	}
 	s.Close()
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -73,24 +73,24 @@
 func scenarios() []scenario {
 	small := digestSettings(2, 6)
 	wide := digestSettings(3, 9)
-	wide.Groups = append(wide.Groups, policy.TrafficGroup{BudgetMs: 400, Utility: 3, Repeat: policy.Deduped, OnlyZone: true})
-	wide.CrossPrice = 0.1
-	wide.MustFollow = true
+	wide.Classes = append(wide.Classes, policy.TrafficClass{LatencyObjectiveMs: 400, PriorityWeight: 3, Idempotency: policy.Deduplicated, SameZoneOnly: true})
+	wide.CrossZoneCost = 0.1
+	wide.WatchRequired = true
 	many := digestSettings(1, 12)
-	many.ChannelRate = 150
+	many.EntriesPerSecond = 150
 	many.DefaultRetry = policy.RetryTwice
-	many.EndsByLine = true
+	many.ReadmitByWeight = true
 	shared := digestSettings(4, 16)
 	shared.Planners = 2
-	shared.EndsByLine = true
+	shared.ReadmitByWeight = true
 	tight := digestSettings(2, 8)
-	tight.MostMessages = 5
-	tight.MostWaiting = 140
-	tight.ChannelRate = 60
+	tight.MaxMessages = 5
+	tight.MaxBacklog = 140
+	tight.EntriesPerSecond = 60
 	tight.DefaultRetry = policy.RetryOnce
 	narrow := digestSettings(2, 8)
-	narrow.MostWaiting = 130
-	narrow.ChannelRate = 50
+	narrow.MaxBacklog = 130
+	narrow.EntriesPerSecond = 50
 	return []scenario{
 		{name: "two zones", seed: 1, serverCount: 8, proxyCount: 6, requests: 20, settings: small},
 		{name: "three zones, one traffic group stays in its zone", seed: 2, serverCount: 12, proxyCount: 9, requests: 15, settings: wide},
@@ -104,34 +104,34 @@
 func digestSettings(zones, proxies int) policy.Settings {
 	return policy.Settings{
 		Zones: zones,
-		Groups: []policy.TrafficGroup{
-			{BudgetMs: 600, Utility: 1, Repeat: policy.Retriable},
-			{BudgetMs: 1000, Utility: 5, Repeat: policy.NonRetriable},
+		Classes: []policy.TrafficClass{
+			{LatencyObjectiveMs: 600, PriorityWeight: 1, Idempotency: policy.Idempotent},
+			{LatencyObjectiveMs: 1000, PriorityWeight: 5, Idempotency: policy.NonIdempotent},
 		},
-		DefaultRetry:  policy.RetryProven,
-		CanAdmit:      true,
-		AskWithinMs:   10e3,
-		ChannelRate:   2500,
-		HeadLines:     4,
-		MostWaiting:   3500,
-		MostMessages:  20,
-		MessageSpanMs: 10e3,
-		LongestWayMs:  1000,
-		ReportEveryMs: 1000,
-		ColdShare:     0.2,
-		WarmUpMs:      16e3,
-		GraceMs:       3000,
-		FallMs:        3000,
-		Proxies:       proxies,
-		Planners:      1,
-		LeastConns:    300,
-		IdleMs:        15e3,
+		DefaultRetry:         policy.RetryUnprocessed,
+		PartialAdmission:     true,
+		AssumeNotifiedMs:     10e3,
+		EntriesPerSecond:     2500,
+		MessageOverhead:      4,
+		MaxBacklog:           3500,
+		MaxMessages:          20,
+		MessageWindowMs:      10e3,
+		MaxPropagationMs:     1000,
+		ReportIntervalMs:     1000,
+		ColdCapacity:         0.2,
+		SlowStartMs:          16e3,
+		DrainGraceMs:         3000,
+		ColdOverloadWindowMs: 3000,
+		Proxies:              proxies,
+		Planners:             1,
+		MinServerConnections: 300,
+		IdleTimeoutMs:        15e3,
 	}
 }
 
 // simServer is a server of the model: its latency rises with its load, and what exceeds its capacity fails.
 type simServer struct {
-	policy.Entry
+	policy.Endpoint
 	baseMs      float64
 	capacity    float64 // requests per second
 	phase       int     // step within a report period at which its reports come
@@ -169,7 +169,7 @@
 // simulation drives a planner with a closed loop and records each of its decisions.
 type simulation struct {
 	scenario
-	planner     *policy.Planner
+	planner     *policy.Policy
 	random      *rand.Rand // of the model alone
 	nowMs       float64    // policy time
 	servers     []*simServer
@@ -207,7 +207,7 @@
 	size := 0.6 + 0.8*s.random.Float64()
 	demand := s.requests * float64(s.proxyCount) / float64(s.serverCount)
 	return &simServer{
-		Entry:    policy.Entry{Server: name, Zone: zone, Size: size},
+		Endpoint: policy.Endpoint{Server: name, Zone: zone, RelativeCapacity: size},
 		baseMs:   60 + 60*s.random.Float64(),
 		capacity: 1.6 * size * demand,
 		phase:    s.random.Intn(s.reportPhases()),
@@ -217,20 +217,20 @@
 // startPlanner starts a planner anew. Proxies keep the tables that they hold.
 func (s *simulation) startPlanner(seed int64) {
 	s.planner = policy.New(s.settings, seed)
-	s.planner.Tick(s.nowMs)
+	s.planner.SetTime(s.nowMs)
 	s.tables = map[int]map[string]float64{}
 	s.withdrawn = map[string]bool{}
-	s.levels = slices.Repeat([]float64{1}, len(s.settings.Groups))
+	s.levels = slices.Repeat([]float64{1}, len(s.settings.Classes))
 	s.answers = nil
-	s.planner.Listed(policy.Restored, s.list())
+	s.planner.UpdateEndpoints(policy.RestoredUpdate, s.list())
 }
 
 // list is what discovery would name: every server but those that it left out, and gone ones.
-func (s *simulation) list() []policy.Entry {
-	var entries []policy.Entry
+func (s *simulation) list() []policy.Endpoint {
+	var entries []policy.Endpoint
 	for _, server := range s.servers {
-		if !server.unlisted && server.State != policy.Gone {
-			entries = append(entries, server.Entry)
+		if !server.unlisted && server.State != policy.Removed {
+			entries = append(entries, server.Endpoint)
 		}
 	}
 	return entries
@@ -270,24 +270,24 @@
 
 // The simulation carries out decisions as proxies would.
 
-func (s *simulation) SetLine(table int, name string, weight float64) {
+func (s *simulation) SetWeight(table int, name string, weight float64) {
 	s.record("weight %d %s %g", table, name, weight)
 	if s.tables[table] == nil {
 		s.tables[table] = map[string]float64{}
 	}
 	s.tables[table][name] = weight
 	server := s.find(name)
-	if weight == 0 || server.BornMs == 0 {
+	if weight == 0 || server.StartedMs == 0 {
 		return
 	}
 	if server.firstWeight == 0 {
 		server.firstWeight = weight
-	} else if s.nowMs-server.BornMs < 2*s.settings.WarmUpMs && weight >= 2*server.firstWeight {
+	} else if s.nowMs-server.StartedMs < 2*s.settings.SlowStartMs && weight >= 2*server.firstWeight {
 		s.observed.slowStarts++
 	}
 }
 
-func (s *simulation) Bind(proxy, table int, groups []int) {
+func (s *simulation) AssignTable(proxy, table int, groups []int) {
 	s.record("bind %d %d %d", proxy, table, groups)
 	for _, group := range groups {
 		s.proxies[proxy].tables[group] = s.tables[table]
@@ -296,11 +296,11 @@
 	s.observed.binds++
 }
 
-func (s *simulation) Withdraw(name string, out bool) {
+func (s *simulation) SetEjected(name string, out bool) {
 	s.record("withdraw %s %t", name, out)
 	s.withdrawn[name] = out
 	server := s.find(name)
-	warm := s.nowMs-server.BornMs > s.settings.WarmUpMs
+	warm := s.nowMs-server.StartedMs > s.settings.SlowStartMs
 	switch {
 	case out && server.State == policy.Ready && warm:
 		s.observed.ejections++
@@ -308,12 +308,12 @@
 		s.observed.drains++
 	case !out && server.State == policy.Ready:
 		s.observed.returns++
-	case !out && server.State == policy.Gone:
+	case !out && server.State == policy.Removed:
 		s.observed.forgotten++
 	}
 }
 
-func (s *simulation) Admit(table, group int, share float64, retry int) {
+func (s *simulation) SetAdmission(table, group int, share float64, retry int) {
 	s.record("admit %d %d %g %d", table, group, share, retry)
 	if share < s.levels[group] {
 		s.observed.admissionCuts++
@@ -324,8 +324,8 @@
 	s.levels[group] = share
 }
 
-// Receipt has every joined proxy acknowledge, as the host does not say who got a message. Some answers are lost.
-func (s *simulation) Receipt(number int) {
+// RequestAcknowledgement has every joined proxy acknowledge, as the host does not say who got a message. Some answers are lost.
+func (s *simulation) RequestAcknowledgement(number int) {
 	s.record("acknowledge %d", number)
 	s.observed.receipts++
 	for _, proxy := range s.proxies {
@@ -339,13 +339,13 @@
 	}
 }
 
-func (s *simulation) Follow() {
+func (s *simulation) WatchEndpoints() {
 	s.record("follow")
 	s.observed.followed++
 	s.asked = true
 }
 
-func (s *simulation) Wake(inMs float64) { s.record("wake %g", inMs) }
+func (s *simulation) SetTimer(inMs float64) { s.record("wake %g", inMs) }
 
 // load is what reaches each server, in requests per second, by the zone that it comes from.
 func (s *simulation) load() [][]float64 {
@@ -365,7 +365,7 @@
 
 // demand is what clients ask of a proxy in each traffic group, in requests per second.
 func (s *simulation) demand(proxy *simProxy) float64 {
-	demand := s.requests / float64(len(s.settings.Groups))
+	demand := s.requests / float64(len(s.settings.Classes))
 	if within(s.elapsed(), surgeAtMs, surgeForMs) {
 		demand *= surgeBy
 	}
@@ -414,51 +414,51 @@
 	if s.nowMs < server.slowUntilMs {
 		latencyMs *= slowerBy
 	}
-	if s.nowMs < server.failUntilMs || server.State == policy.Gone {
+	if s.nowMs < server.failUntilMs || server.State == policy.Removed {
 		failed = 1
 	}
 	for zone, requests := range load {
 		count := int(requests*s.periodMs()/1000 + s.random.Float64())
 		failures := min(count, int(float64(count)*failed+s.random.Float64()*0.9))
-		s.planner.Heard(server.Server, zone, count, failures, math.Round(latencyMs), s.periodMs())
+		s.planner.RecordReport(server.Server, zone, count, failures, math.Round(latencyMs), s.periodMs())
 	}
 }
 
 func (s *simulation) reportUsage(proxy *simProxy) {
-	for group := range s.settings.Groups {
+	for group := range s.settings.Classes {
 		count := int(s.demand(proxy)*s.periodMs()/1000 + s.random.Float64())
-		s.planner.Usage(proxy.id, group, count, s.random.Intn(2)*count/10, s.periodMs())
+		s.planner.RecordDemand(proxy.id, group, count, s.random.Intn(2)*count/10, s.periodMs())
 	}
 }
 
 func (s *simulation) join(proxy *simProxy, pushes ...float64) {
 	proxy.joined = true
 	if proxy.tables == nil {
-		proxy.tables = make([]map[string]float64, len(s.settings.Groups))
+		proxy.tables = make([]map[string]float64, len(s.settings.Classes))
 	}
-	s.planner.Joined(proxy.id, proxy.zone, s.requests, pushes...)
+	s.planner.AddProxy(proxy.id, proxy.zone, s.requests, pushes...)
 }
 
 func (s *simulation) leave(proxy *simProxy) {
 	proxy.joined = false
 	proxy.tables = nil
-	s.planner.Left(proxy.id)
+	s.planner.RemoveProxy(proxy.id)
 }
 
 // change tells the planner what became of a server.
 func (s *simulation) change(server *simServer) {
-	s.planner.Listed(policy.Change, []policy.Entry{server.Entry})
+	s.planner.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{server.Endpoint})
 }
 
 func (s *simulation) add(name string, bornMs float64) {
 	server := s.newServer(name, s.random.Intn(s.settings.Zones))
-	server.BornMs = bornMs
+	server.StartedMs = bornMs
 	s.servers = append(s.servers, server)
 	s.change(server)
 }
 
 func (s *simulation) restartServer(server *simServer) {
-	server.BornMs = s.nowMs
+	server.StartedMs = s.nowMs
 	server.State = policy.Ready
 	server.firstWeight = 0
 	s.change(server)
@@ -470,11 +470,11 @@
 		if !proxy.joined {
 			continue
 		}
-		recent := slices.DeleteFunc(slices.Clone(proxy.pushes), func(at float64) bool { return at < s.nowMs-s.settings.MessageSpanMs })
+		recent := slices.DeleteFunc(slices.Clone(proxy.pushes), func(at float64) bool { return at < s.nowMs-s.settings.MessageWindowMs })
 		s.join(proxy, recent...)
-		s.planner.Brings(proxy.id)
+		s.planner.ExpectInheritedEjections(proxy.id)
 	}
-	s.planner.Listed(policy.Whole, s.list())
+	s.planner.UpdateEndpoints(policy.FullUpdate, s.list())
 }
 
 // phases starts whatever the scenario has at this time. Each has servers of its own, so that they do not mix.
@@ -486,7 +486,7 @@
 	}
 	switch {
 	case reached(listAtMs):
-		s.planner.Listed(policy.Whole, append(s.list(), policy.Entry{Server: "elsewhere", Zone: 99, Size: 1}))
+		s.planner.UpdateEndpoints(policy.FullUpdate, append(s.list(), policy.Endpoint{Server: "elsewhere", Zone: 99, RelativeCapacity: 1}))
 	case reached(failAtMs):
 		s.servers[0].failUntilMs = s.nowMs + failForMs
 	case reached(slowAtMs):
@@ -502,18 +502,18 @@
 		s.servers[2].State = policy.Draining
 		s.change(s.servers[2])
 	case reached(drainAtMs + goneAfterMs):
-		s.servers[2].State = policy.Gone
+		s.servers[2].State = policy.Removed
 		s.change(s.servers[2])
 	case reached(missingAtMs):
 		s.servers[3].unlisted = true
-		s.servers[3].State = policy.Gone
-		s.planner.Listed(policy.Whole, s.list())
+		s.servers[3].State = policy.Removed
+		s.planner.UpdateEndpoints(policy.FullUpdate, s.list())
 	case reached(takeOverAtMs), reached(slowChannelAtMs + slowChannelForMs/2):
 		s.takeOver()
 	case reached(behindAtMs), reached(behindAtMs + behindForMs):
-		s.planner.Behind(reached(behindAtMs))
+		s.planner.SetLagging(reached(behindAtMs))
 	case reached(failedListsAtMs), reached(failedListsAtMs + 1000), reached(failedListsAtMs + 3000):
-		s.planner.Listed(policy.Failed, nil)
+		s.planner.UpdateEndpoints(policy.FailedUpdate, nil)
 	case reached(coldRestartsAtMs):
 		for _, server := range s.servers[4:] {
 			s.restartServer(server)
@@ -540,7 +540,7 @@
 	for _, proxy := range s.proxies[:len(s.proxies)/2] {
 		s.leave(proxy)
 		s.join(proxy, s.nowMs-4000, s.nowMs-2500, s.nowMs-900)
-		s.planner.Brings(proxy.id)
+		s.planner.ExpectInheritedEjections(proxy.id)
 	}
 }
 
@@ -568,15 +568,15 @@
 
 // noise is input that must change nothing: of servers, proxies, zones and traffic groups that there are not.
 func (s *simulation) noise() {
-	s.planner.Heard("nobody", 0, 5, 1, 100, 1000)
-	s.planner.Heard(s.servers[0].Server, -1, 5, 1, 100, 1000)
-	s.planner.Heard(s.servers[0].Server, 0, 0, 0, 0, 1000)
-	s.planner.Usage(999, 0, 5, 0, 1000)
-	s.planner.Usage(0, 99, 5, 0, 1000)
-	s.planner.Applied(999, 1, 100)
-	s.planner.Brings(999)
-	s.planner.Left(999)
-	s.planner.Joined(998, 99, 10)
+	s.planner.RecordReport("nobody", 0, 5, 1, 100, 1000)
+	s.planner.RecordReport(s.servers[0].Server, -1, 5, 1, 100, 1000)
+	s.planner.RecordReport(s.servers[0].Server, 0, 0, 0, 0, 1000)
+	s.planner.RecordDemand(999, 0, 5, 0, 1000)
+	s.planner.RecordDemand(0, 99, 5, 0, 1000)
+	s.planner.Acknowledge(999, 1, 100)
+	s.planner.ExpectInheritedEjections(999)
+	s.planner.RemoveProxy(999)
+	s.planner.AddProxy(998, 99, 10)
 }
 
 func (s *simulation) acknowledge() {
@@ -586,7 +586,7 @@
 			later = append(later, answer)
 			continue
 		}
-		s.planner.Applied(answer.proxy, answer.number, answer.tookMs)
+		s.planner.Acknowledge(answer.proxy, answer.number, answer.tookMs)
 	}
 	s.answers = later
 }
@@ -594,10 +594,10 @@
 // step lets time go by and has the planner decide.
 func (s *simulation) step(number int) {
 	s.nowMs += s.stepMs()
-	s.planner.Tick(s.nowMs)
+	s.planner.SetTime(s.nowMs)
 	if s.asked && !within(s.elapsed(), failedListsAtMs, 5000) {
 		s.asked = false
-		s.planner.Listed(policy.Whole, s.list())
+		s.planner.UpdateEndpoints(policy.FullUpdate, s.list())
 	}
 	s.phases()
 	s.churn()
@@ -681,7 +681,7 @@
 			t.Errorf("%s: there were no %s", s.name, occurrence.what)
 		}
 	}
-	if s.settings.MustFollow != (o.followed > 0) {
+	if s.settings.WatchRequired != (o.followed > 0) {
 		t.Errorf("%s: the list was asked for %d times", s.name, o.followed)
 	}
 	if o.busiest >= mostDecisions {
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -7,7 +7,7 @@
 
 // fake is a host that keeps what it is told, as proxies would.
 type fake struct {
-	p       *Planner
+	p       *Policy
 	now     float64
 	lines   map[int]map[string]float64
 	bound   map[string]int // "proxy/group" to table
@@ -22,14 +22,14 @@
 
 func settings() Settings {
 	return Settings{
-		Zones: 2, DefaultRetry: RetryProven, CanAdmit: true, AskWithinMs: 10000,
-		Groups: []TrafficGroup{
-			{BudgetMs: 600, Utility: 1, Repeat: Retriable},
-			{BudgetMs: 1000, Utility: 5, Repeat: NonRetriable},
+		Zones: 2, DefaultRetry: RetryUnprocessed, PartialAdmission: true, AssumeNotifiedMs: 10000,
+		Classes: []TrafficClass{
+			{LatencyObjectiveMs: 600, PriorityWeight: 1, Idempotency: Idempotent},
+			{LatencyObjectiveMs: 1000, PriorityWeight: 5, Idempotency: NonIdempotent},
 		},
-		ChannelRate: 2500, HeadLines: 4, MostWaiting: 3500, MostMessages: 20, MessageSpanMs: 10000,
-		LongestWayMs: 1000, ReportEveryMs: 1000, ColdShare: 0.2, WarmUpMs: 16000, FallMs: 3000, GraceMs: 3000,
-		Proxies: 4, Planners: 1, LeastConns: 300, IdleMs: 15000,
+		EntriesPerSecond: 2500, MessageOverhead: 4, MaxBacklog: 3500, MaxMessages: 20, MessageWindowMs: 10000,
+		MaxPropagationMs: 1000, ReportIntervalMs: 1000, ColdCapacity: 0.2, SlowStartMs: 16000, ColdOverloadWindowMs: 3000, DrainGraceMs: 3000,
+		Proxies: 4, Planners: 1, MinServerConnections: 300, IdleTimeoutMs: 15000,
 	}
 }
 
@@ -38,14 +38,14 @@
 		now: 1e6, lines: map[int]map[string]float64{}, bound: map[string]int{}, out: map[string]bool{},
 		levels: map[int]float64{}, retries: map[int]int{}, p: New(set, 1),
 	}
-	f.p.Tick(f.now)
+	f.p.SetTime(f.now)
 	return f
 }
 
 // ready makes n entries over two zones.
-func ready(n int) (list []Entry) {
+func ready(n int) (list []Endpoint) {
 	for i := 0; i < n; i++ {
-		list = append(list, Entry{Server: fmt.Sprint("s", i), Zone: i % 2, Size: 1})
+		list = append(list, Endpoint{Server: fmt.Sprint("s", i), Zone: i % 2, RelativeCapacity: 1})
 	}
 	return list
 }
@@ -53,9 +53,9 @@
 // fleet starts a planner with n servers and four proxies, all bound.
 func fleet(set Settings, n int) *fake {
 	f := start(set)
-	f.p.Listed(Restored, ready(n))
+	f.p.UpdateEndpoints(RestoredUpdate, ready(n))
 	for i := 0; i < 4; i++ {
-		f.p.Joined(i, i%2, 10)
+		f.p.AddProxy(i, i%2, 10)
 	}
 	f.pull()
 	return f
@@ -76,18 +76,18 @@
 func (f *fake) run(seconds int, hear func(s string) (count, failed int, latency float64)) {
 	for i := 0; i < seconds*5; i++ {
 		f.now += 200
-		f.p.Tick(f.now)
+		f.p.SetTime(f.now)
 		f.answer()
 		for _, s := range f.p.servers {
 			if i%5 == 0 && hear != nil {
 				if n, bad, ms := hear(s.Server); n > 0 {
-					f.p.Heard(s.Server, s.Zone, n, bad, ms, 1000)
+					f.p.RecordReport(s.Server, s.Zone, n, bad, ms, 1000)
 				}
 			}
 		}
 		for q := 0; q < 4 && i%5 == 0; q++ {
-			f.p.Usage(q, 0, 5, 0, 1000)
-			f.p.Usage(q, 1, 5, 0, 1000)
+			f.p.RecordDemand(q, 0, 5, 0, 1000)
+			f.p.RecordDemand(q, 1, 5, 0, 1000)
 		}
 		f.pull()
 	}
@@ -126,7 +126,7 @@
 
 func (f *fake) log(format string, a ...any) { f.orders = append(f.orders, fmt.Sprintf(format, a...)) }
 
-func (f *fake) SetLine(table int, server string, weight float64) {
+func (f *fake) SetWeight(table int, server string, weight float64) {
 	f.log("line %d %s %g", table, server, weight)
 	if f.lines[table] == nil {
 		f.lines[table] = map[string]float64{}
@@ -134,24 +134,24 @@
 	f.lines[table][server] = weight
 }
 
-func (f *fake) Bind(proxy, table int, groups []int) {
+func (f *fake) AssignTable(proxy, table int, groups []int) {
 	f.log("bind %d %d %d", proxy, table, groups)
 	for _, g := range groups {
 		f.bound[fmt.Sprint(proxy, "/", g)] = table
 	}
 }
 
-func (f *fake) Withdraw(server string, out bool) {
+func (f *fake) SetEjected(server string, out bool) {
 	f.log("withdraw %s %v", server, out)
 	f.out[server] = out
 }
 
-func (f *fake) Admit(table, group int, share float64, retry int) {
+func (f *fake) SetAdmission(table, group int, share float64, retry int) {
 	f.log("admit %d %g %d", group, share, retry)
 	f.levels[group], f.retries[group] = share, retry
 }
 
-func (f *fake) Receipt(number int) {
+func (f *fake) RequestAcknowledgement(number int) {
 	f.log("receipt %d", number)
 	f.asked = append(f.asked, number)
 }
@@ -160,10 +160,10 @@
 func (f *fake) answer() {
 	for _, n := range f.asked {
 		for _, q := range f.p.proxies {
-			f.p.Applied(q.id, n, 300)
+			f.p.Acknowledge(q.id, n, 300)
 		}
 	}
 	f.asked = nil
 }
-func (f *fake) Follow()           { f.follows = append(f.follows, f.now) }
-func (f *fake) Wake(inMs float64) { f.log("wake %g", inMs) }
+func (f *fake) WatchEndpoints()       { f.follows = append(f.follows, f.now) }
+func (f *fake) SetTimer(inMs float64) { f.log("wake %g", inMs) }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	for n := 0; n < solves; n++ {
-		solve(D, C, cost, x, lambdaMost)
+		solve(D, C, cost, x, maxLambda)
 	}
 	return x
 }
@@ -59,7 +59,7 @@
 		near(t, "second stays at home", x[1][1].alpha, 1, 0.02)
 	})
 	t.Run("a client with one server, and one without demand", func(t *testing.T) {
-		x := split([]float64{2, leastDemand}, []float64{1, 3}, [][]float64{{inf, 0}, {0, 0}}, 5)
+		x := split([]float64{2, minDemand}, []float64{1, 3}, [][]float64{{inf, 0}, {0, 0}}, 5)
 		near(t, "only server", x[0][1].alpha, 1, 1e-9)
 		near(t, "sum of the idle", x[1][0].alpha+x[1][1].alpha, 1, 1e-9)
 	})
@@ -70,7 +70,7 @@
 			for i := range D {
 				D[i], cost[i] = []float64{0.2, 1.8}[i%2], make([]float64, n)
 				for j := range C {
-					C[j] = 6 * headroom / float64(n)
+					C[j] = 6 * capacityHeadroom / float64(n)
 					cost[i][j] = (1 + 0.3*float64((i+j)%3)) / float64(n) * step
 				}
 			}
@@ -88,9 +88,9 @@
 	})
 	t.Run("caps below demand are scaled to it, cold ones are not", func(t *testing.T) {
 		f := fleet(settings(), 4)
-		f.p.servers[0].BornMs = f.now
+		f.p.servers[0].StartedMs = f.now
 		C := f.p.caps(f.p.servers, 20)
-		near(t, "sum", C[0]+C[1]+C[2]+C[3], headroom, 0.5)
+		near(t, "sum", C[0]+C[1]+C[2]+C[3], capacityHeadroom, 0.5)
 		if C[0] > 0.25*0.2 {
 			t.Errorf("a cold server's cap is %.3f of all demand", C[0])
 		}
@@ -114,11 +114,11 @@
 		near := map[float64]float64{}
 		for _, covers := range []float64{1000, 14000} {
 			set := settings()
-			set.CrossPrice = 0.1
+			set.CrossZoneCost = 0.1
 			f := fleet(set, 6)
 			for range 20 {
 				for _, s := range f.p.servers {
-					f.p.Heard(s.Server, s.Zone, 5, 0, 100, covers)
+					f.p.RecordReport(s.Server, s.Zone, 5, 0, 100, covers)
 				}
 				f.run(1, nil)
 			}
@@ -149,12 +149,12 @@
 		for _, behind := range []bool{false, true} {
 			f := fleet(settings(), 6)
 			f.run(15, fine)
-			f.p.Behind(behind)
+			f.p.SetLagging(behind)
 			f.orders = nil
 			f.run(10, but("s0", 5, 0, 400))
 			lines := slices.ContainsFunc(f.orders, func(o string) bool { return o[0] == 'l' })
 			receipts := slices.ContainsFunc(f.orders, func(o string) bool { return o[0] == 'r' })
-			f.p.Listed(Change, []Entry{{Server: "s2", Zone: 0, Size: 1, State: Draining}})
+			f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "s2", Zone: 0, RelativeCapacity: 1, State: Draining}})
 			f.run(1, fine)
 			if lines == behind || receipts == behind || !f.out["s2"] {
 				t.Errorf("behind %v: lines %v, receipts %v, drained %v", behind, lines, receipts, f.out["s2"])
@@ -172,14 +172,14 @@
 	})
 	t.Run("spill where a zone is short", func(t *testing.T) {
 		f := start(settings())
-		f.p.Listed(Whole, []Entry{
-			{Server: "s0", Zone: 0, Size: 1},
-			{Server: "s1", Zone: 1, Size: 1},
-			{Server: "s3", Zone: 1, Size: 1},
-			{Server: "s5", Zone: 1, Size: 1},
+		f.p.UpdateEndpoints(FullUpdate, []Endpoint{
+			{Server: "s0", Zone: 0, RelativeCapacity: 1},
+			{Server: "s1", Zone: 1, RelativeCapacity: 1},
+			{Server: "s3", Zone: 1, RelativeCapacity: 1},
+			{Server: "s5", Zone: 1, RelativeCapacity: 1},
 		})
-		f.p.Joined(0, 0, 30)
-		f.p.Joined(1, 1, 10)
+		f.p.AddProxy(0, 0, 30)
+		f.p.AddProxy(1, 1, 10)
 		f.pull()
 		if s := f.share(0, 0, "s0"); s > 0.7 {
 			t.Errorf("%.2f of the short zone's flows stay there", s)
@@ -187,7 +187,7 @@
 	})
 	t.Run("a traffic group that may not leave its zone does not", func(t *testing.T) {
 		set := settings()
-		set.Groups[0].OnlyZone = true
+		set.Classes[0].SameZoneOnly = true
 		f := fleet(set, 6)
 		if f.share(0, 0, "s1") != 0 || f.share(0, 1, "s0") == 0 {
 			t.Error("the table of a bound group holds another zone")
@@ -195,21 +195,21 @@
 	})
 	t.Run("a large fleet is shared out over short tables, evenly", func(t *testing.T) {
 		set := settings()
-		set.Proxies, set.Zones, set.ChannelRate = 40, 1, 400
+		set.Proxies, set.Zones, set.EntriesPerSecond = 40, 1, 400
 		f := start(set)
-		var list []Entry
+		var list []Endpoint
 		for i := 0; i < 60; i++ {
-			list = append(list, Entry{Server: fmt.Sprint("s", i), Size: 1})
+			list = append(list, Endpoint{Server: fmt.Sprint("s", i), RelativeCapacity: 1})
 		}
-		f.p.Listed(Restored, list)
+		f.p.UpdateEndpoints(RestoredUpdate, list)
 		for i := 0; i < 40; i++ {
-			f.p.Joined(i, 0, 10)
+			f.p.AddProxy(i, 0, 10)
 		}
 		for i := 0; i < 100; i++ {
 			f.pull()
 			f.answer()
 			f.now += 200
-			f.p.Tick(f.now)
+			f.p.SetTime(f.now)
 		}
 		load := map[string]float64{}
 		for q := 0; q < 40; q++ {
@@ -226,11 +226,11 @@
 	})
 	t.Run("a planner with one zone's proxies leaves the rest to other planners", func(t *testing.T) {
 		set := settings()
-		set.Proxies, set.Planners, set.CrossPrice = 8, 2, 0.05
+		set.Proxies, set.Planners, set.CrossZoneCost = 8, 2, 0.05
 		f := start(set)
-		f.p.Listed(Restored, ready(8))
+		f.p.UpdateEndpoints(RestoredUpdate, ready(8))
 		for i := 0; i < 4; i++ {
-			f.p.Joined(i, 0, 10)
+			f.p.AddProxy(i, 0, 10)
 		}
 		f.run(6, fine)
 		if away := f.share(0, 0, "s1") + f.share(0, 0, "s3") + f.share(0, 0, "s5") + f.share(0, 0, "s7"); away > 0.2 {
@@ -252,7 +252,7 @@
 	t.Run("a drain is withdrawn in the same tick", func(t *testing.T) {
 		f := fleet(settings(), 6)
 		f.run(5, fine)
-		f.p.Listed(Change, []Entry{{Server: "s2", Zone: 0, State: Draining, Size: 1}})
+		f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "s2", Zone: 0, State: Draining, RelativeCapacity: 1}})
 		f.pull()
 		if !f.out["s2"] {
 			t.Error("a draining server is still sent to")
@@ -260,7 +260,7 @@
 	})
 	t.Run("a server missing from the whole list is gone", func(t *testing.T) {
 		f := fleet(settings(), 6)
-		f.p.Listed(Whole, ready(5))
+		f.p.UpdateEndpoints(FullUpdate, ready(5))
 		f.pull()
 		if !f.out["s5"] {
 			t.Error("a server that the list dropped is still sent to")
@@ -269,8 +269,8 @@
 	t.Run("a server withdrawn while ready is withdrawn again when it goes", func(t *testing.T) {
 		f := fleet(settings(), 6)
 		f.run(10, fine)
-		f.p.byName["s2"].out = true // at some proxies only: others were sent it since
-		f.p.Listed(Change, []Entry{{Server: "s2", Zone: 0, State: Gone, Size: 1}})
+		f.p.byName["s2"].ejected = true // at some proxies only: others were sent it since
+		f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "s2", Zone: 0, State: Removed, RelativeCapacity: 1}})
 		f.pull()
 		if !f.out["s2"] {
 			t.Error("tables that were not told keep a server that is gone")
@@ -278,13 +278,13 @@
 	})
 	t.Run("drains keep messages of their own", func(t *testing.T) {
 		set := settings()
-		set.MostMessages = 6
+		set.MaxMessages = 6
 		f := fleet(set, 8)
-		for f.p.pay(1, f.p.proxies, ruled) {
+		for f.p.spendBudget(1, f.p.proxies, required) {
 			f.now += 100
-			f.p.Tick(f.now)
+			f.p.SetTime(f.now)
 		}
-		f.p.Listed(Change, []Entry{{Server: "s2", Zone: 0, State: Draining, Size: 1}})
+		f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "s2", Zone: 0, State: Draining, RelativeCapacity: 1}})
 		f.run(2, nil)
 		if !f.out["s2"] {
 			t.Error("other orders used up the messages")
@@ -292,19 +292,19 @@
 	})
 	t.Run("no proxy gets more messages than allowed", func(t *testing.T) {
 		set := settings()
-		set.MostMessages = 6
+		set.MaxMessages = 6
 		f := fleet(set, 8)
 		for i := 0; i < 40; i++ {
-			f.p.Listed(Change, []Entry{{Server: fmt.Sprint("s", i%8), Zone: i % 2, State: State(i / 8 % 2), Size: 1}})
+			f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: fmt.Sprint("s", i%8), Zone: i % 2, State: State(i / 8 % 2), RelativeCapacity: 1}})
 			f.run(1, fine)
 			for _, q := range f.p.proxies {
 				n := 0
 				for _, at := range q.sent {
-					if at > f.now-set.MessageSpanMs {
+					if at > f.now-set.MessageWindowMs {
 						n++
 					}
 				}
-				if n > set.MostMessages {
+				if n > set.MaxMessages {
 					t.Fatalf("%d messages in a span", n)
 				}
 			}
@@ -312,26 +312,26 @@
 	})
 	t.Run("the queue counts lines and heads and drains slowly after late receipts", func(t *testing.T) {
 		f := fleet(settings(), 6)
-		f.p.waiting, f.p.proxies[0].ordered, f.p.proxies[0].done = 1000, 1000, 0
+		f.p.backlog, f.p.proxies[0].ordered, f.p.proxies[0].acknowledged = 1000, 1000, 0
 		f.now += 100
-		f.p.Tick(f.now)
+		f.p.SetTime(f.now)
 		near(t, "healthy", f.p.queue(), 750, 1)
-		f.p.Applied(0, 9, 5000)
+		f.p.Acknowledge(0, 9, 5000)
 		f.now += 100
-		f.p.Tick(f.now)
-		near(t, "slow", f.p.queue(), 750-250/slowest, 1)
+		f.p.SetTime(f.now)
+		near(t, "slow", f.p.queue(), 750-250/maxQueueSlowdown, 1)
 	})
 	t.Run("lines not known to have arrived fill the queue until a receipt", func(t *testing.T) {
 		f := fleet(settings(), 6)
 		f.run(10, fine)
 		q := f.p.proxies[0]
-		q.ordered = q.done + 3400 // a channel slower than it was said to be
-		if f.p.pay(1, f.p.proxies, ruled) {
+		q.ordered = q.acknowledged + 3400 // a channel slower than it was said to be
+		if f.p.spendBudget(1, f.p.proxies, required) {
 			t.Error("more is ordered than may wait")
 		}
-		q.marks[7] = q.ordered
-		f.p.Applied(q.id, 7, 900)
-		if !f.p.pay(1, f.p.proxies, ruled) {
+		q.acknowledgements[7] = q.ordered
+		f.p.Acknowledge(q.id, 7, 900)
+		if !f.p.spendBudget(1, f.p.proxies, required) {
 			t.Error("what has arrived still counts")
 		}
 	})
@@ -342,21 +342,21 @@
 			f := fleet(settings(), 6)
 			f.run(10, fine)
 			f.p.queue() // as of now
-			f.p.waiting = 3400
+			f.p.backlog = 3400
 			for _, q := range f.p.proxies {
-				q.ordered = q.done + 850
+				q.ordered = q.acknowledged + 850
 			}
 			for id := range 4 {
-				if f.p.Left(id); again {
-					f.p.Joined(id, id%2, 10)
+				if f.p.RemoveProxy(id); again {
+					f.p.AddProxy(id, id%2, 10)
 				}
 			}
 			near(t, "waiting", f.p.queue(), 3400, 0)
-			if f.p.Joined(9, 0, 10); f.p.pay(8, f.p.proxies, ruled) {
+			if f.p.AddProxy(9, 0, 10); f.p.spendBudget(8, f.p.proxies, required) {
 				t.Error("more is ordered than may wait")
 			}
 			f.now += 1500
-			f.p.Tick(f.now)
+			f.p.SetTime(f.now)
 			near(t, "left", f.p.queue(), 0, 0)
 			near(t, "unsure", f.p.unsure(), 0, 0)
 		}
@@ -364,7 +364,7 @@
 	t.Run("the times of messages that a host hands over stay the host's own", func(t *testing.T) {
 		f := fleet(settings(), 8)
 		at := []float64{f.now - 400, f.now - 300, f.now - 200, f.now - 100}
-		f.p.Joined(1, 1, 10, at...)
+		f.p.AddProxy(1, 1, 10, at...)
 		if at[0] = f.now; f.p.byID[1].sent[0] == f.now {
 			t.Error("the host's list is taken for the module's")
 		}
@@ -374,26 +374,26 @@
 		q := f.p.proxies[0]
 		for n := range 100 {
 			q.ordered++
-			q.marks[n] = q.ordered
+			q.acknowledgements[n] = q.ordered
 		}
-		f.p.Applied(q.id, 98, 300) // applied in order: all before are, too
-		if len(q.marks) != 1 || q.ordered-q.done != 1 {
-			t.Errorf("%d marks, %g lines unsure", len(q.marks), q.ordered-q.done)
+		f.p.Acknowledge(q.id, 98, 300) // applied in order: all before are, too
+		if len(q.acknowledgements) != 1 || q.ordered-q.acknowledged != 1 {
+			t.Errorf("%d marks, %g lines unsure", len(q.acknowledgements), q.ordered-q.acknowledged)
 		}
 	})
 	t.Run("a queue full of first tables and resting servers holds back no drain", func(t *testing.T) {
 		f := fleet(settings(), 6)
-		f.p.waiting, f.p.proxies[0].ordered = 2500, f.p.proxies[0].done+2500
-		if f.p.pay(1, f.p.proxies, ruled) || !f.p.pay(1, f.p.proxies, drained) {
+		f.p.backlog, f.p.proxies[0].ordered = 2500, f.p.proxies[0].acknowledged+2500
+		if f.p.spendBudget(1, f.p.proxies, required) || !f.p.spendBudget(1, f.p.proxies, drainEjection) {
 			t.Error("urgency does not decide")
 		}
 	})
 	t.Run("cold servers start low, and rest after a restart", func(t *testing.T) {
 		f := fleet(settings(), 6)
 		f.run(12, fine)
-		f.p.Listed(Change, []Entry{
-			{Server: "s0", Zone: 0, Size: 1, BornMs: f.now - 500},
-			{Server: "new", Zone: 0, Size: 1, BornMs: f.now - 500},
+		f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{
+			{Server: "s0", Zone: 0, RelativeCapacity: 1, StartedMs: f.now - 500},
+			{Server: "new", Zone: 0, RelativeCapacity: 1, StartedMs: f.now - 500},
 		})
 		f.pull()
 		if f.share(0, 0, "s0") != 0 {
@@ -414,13 +414,13 @@
 		t.Run(name, func(t *testing.T) {
 			f := fleet(settings(), 10)
 			f.run(10, fine)
-			f.p.Listed(Change, []Entry{{Server: "new", Zone: 0, Size: 1, BornMs: f.now}})
+			f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "new", Zone: 0, RelativeCapacity: 1, StartedMs: f.now}})
 			f.run(6, fine)
 			if f.share(0, 0, "new") == 0 {
 				t.Fatal("a cold server gets nothing in a calm")
 			}
 			for _, s := range f.p.servers[:out] {
-				s.bad, s.badUntil = true, f.now+9000
+				s.unhealthy, s.unhealthyUntil = true, f.now+9000
 			}
 			f.run(4, func(string) (int, int, float64) { return 10, 6, 300 })
 			if w := f.share(0, 0, "new"); w != 0 {
@@ -431,10 +431,10 @@
 	t.Run("a cold server rests while many proxies are new", func(t *testing.T) {
 		f := fleet(settings(), 10)
 		f.run(10, fine)
-		f.p.Listed(Change, []Entry{{Server: "new", Zone: 0, Size: 1, BornMs: f.now}})
+		f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "new", Zone: 0, RelativeCapacity: 1, StartedMs: f.now}})
 		f.run(6, fine)
-		f.p.Joined(2, 0, 10)
-		f.p.Joined(3, 1, 10)
+		f.p.AddProxy(2, 0, 10)
+		f.p.AddProxy(3, 1, 10)
 		f.run(2, fine)
 		if w := f.share(0, 0, "new"); w != 0 {
 			t.Errorf("a cold server has %.3f of a proxy that is hardly known", w)
@@ -448,18 +448,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := start(settings())
-			f.p.Listed(Restored, ready(10))
+			f.p.UpdateEndpoints(RestoredUpdate, ready(10))
 			hear := fine
 			if !known {
 				hear = nil
 			}
-			f.p.Joined(0, 0, 10)
-			f.p.Joined(1, 1, 10)
+			f.p.AddProxy(0, 0, 10)
+			f.p.AddProxy(1, 1, 10)
 			f.run(10, hear)
-			f.p.Listed(Change, []Entry{{Server: "new", Zone: 0, Size: 1, BornMs: f.now}})
+			f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "new", Zone: 0, RelativeCapacity: 1, StartedMs: f.now}})
 			f.run(6, hear)
-			f.p.Joined(2, 0, 10, f.now-9000, f.now-100)
-			f.p.Joined(3, 1, 10, f.now-9000, f.now-100)
+			f.p.AddProxy(2, 0, 10, f.now-9000, f.now-100)
+			f.p.AddProxy(3, 1, 10, f.now-9000, f.now-100)
 			f.run(2, hear)
 			if w := f.share(2, 0, "new"); known != (w > 0) {
 				t.Errorf("the cold server has %.3f", w)
@@ -470,7 +470,7 @@
 		f := fleet(settings(), 8)
 		f.run(6, fine)
 		for i := 0; i < 8; i += 2 {
-			f.p.Listed(Change, []Entry{{Server: fmt.Sprint("s", i), Zone: 0, State: Gone, Size: 1}})
+			f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: fmt.Sprint("s", i), Zone: 0, State: Removed, RelativeCapacity: 1}})
 		}
 		f.run(1, nil)
 		if f.share(0, 0, "s1")+f.share(0, 0, "s3")+f.share(0, 0, "s5")+f.share(0, 0, "s7") == 0 {
@@ -479,7 +479,7 @@
 	})
 	t.Run("with no server to use, tables keep what they hold", func(t *testing.T) {
 		f := fleet(settings(), 4)
-		f.p.Listed(Whole, nil)
+		f.p.UpdateEndpoints(FullUpdate, nil)
 		f.orders = nil
 		f.run(5, nil)
 		for _, o := range f.orders {
@@ -492,7 +492,7 @@
 		set := settings()
 		set.DefaultRetry = RetryTwice
 		f := fleet(set, 4)
-		if f.retries[1] != RetryProven {
+		if f.retries[1] != RetryUnprocessed {
 			t.Errorf("non-retriable flows are repeated in mode %d", f.retries[1])
 		}
 		if _, told := f.retries[0]; told {
@@ -530,7 +530,7 @@
 		for i := 0; i < 8; i++ { // a round of sums takes four seconds where the intake is small
 			f.run(3, nil)
 			for _, s := range f.p.servers {
-				f.p.Heard(s.Server, s.Zone, 20, 0, 100, 4000)
+				f.p.RecordReport(s.Server, s.Zone, 20, 0, 100, 4000)
 			}
 			f.run(1, nil)
 		}
@@ -541,11 +541,11 @@
 	t.Run("strangers in the list get little, and soon nothing", func(t *testing.T) {
 		f := fleet(settings(), 8)
 		f.run(10, fine)
-		var ghosts []Entry
+		var ghosts []Endpoint
 		for i := 0; i < 8; i++ {
-			ghosts = append(ghosts, Entry{Server: fmt.Sprint("x", i), Zone: i % 2, Size: 1})
+			ghosts = append(ghosts, Endpoint{Server: fmt.Sprint("x", i), Zone: i % 2, RelativeCapacity: 1})
 		}
-		f.p.Listed(Change, ghosts)
+		f.p.UpdateEndpoints(DeltaUpdate, ghosts)
 		hear := func(s string) (int, int, float64) {
 			if s[0] == 'x' {
 				return 2, 2, 0
@@ -568,7 +568,7 @@
 	t.Run("a newcomer that says when it started is no stranger", func(t *testing.T) {
 		f := fleet(settings(), 8)
 		f.run(10, fine)
-		f.p.Listed(Change, []Entry{{Server: "x", Zone: 0, Size: 1, BornMs: f.now - f.p.set.WarmUpMs - 1}})
+		f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "x", Zone: 0, RelativeCapacity: 1, StartedMs: f.now - f.p.set.SlowStartMs - 1}})
 		f.run(4, but("x", 0, 0, 0))
 		if w := f.share(0, 0, "x"); w < 0.05 {
 			t.Errorf("it has %.3f of a proxy's flows before it is heard", w)
@@ -655,28 +655,28 @@
 func TestList(t *testing.T) {
 	t.Run("it is followed from the start, and asked again at a pace", func(t *testing.T) {
 		set := settings()
-		set.MustFollow = true
+		set.WatchRequired = true
 		f := fleet(set, 4)
 		for seen := 0; len(f.follows) < 6 && f.now < 1.1e6; f.run(1, nil) {
 			if len(f.follows) > seen { // each call fails once
 				seen = len(f.follows)
-				f.p.Listed(Failed, nil)
+				f.p.UpdateEndpoints(FailedUpdate, nil)
 			}
 		}
 		if len(f.follows) < 2 {
 			t.Fatal("a failed call is not repeated")
 		}
 		for i := 1; i < len(f.follows); i++ {
-			if gap := f.follows[i] - f.follows[i-1]; gap < askAgainMs/2 || gap > set.AskWithinMs {
+			if gap := f.follows[i] - f.follows[i-1]; gap < pollBackoffMs/2 || gap > set.AssumeNotifiedMs {
 				t.Errorf("asked again after %.0f ms", gap)
 			}
 		}
 	})
 	t.Run("no more calls once it comes", func(t *testing.T) {
 		set := settings()
-		set.MustFollow = true
+		set.WatchRequired = true
 		f := fleet(set, 4)
-		f.p.Listed(Change, nil)
+		f.p.UpdateEndpoints(DeltaUpdate, nil)
 		f.run(30, fine)
 		if len(f.follows) != 1 {
 			t.Errorf("%d calls", len(f.follows))
@@ -684,7 +684,7 @@
 	})
 	t.Run("a stale restored list is mended by the first news", func(t *testing.T) {
 		f := fleet(settings(), 4)
-		f.p.Listed(Whole, append(ready(3), Entry{Server: "s9", Zone: 1, Size: 1}))
+		f.p.UpdateEndpoints(FullUpdate, append(ready(3), Endpoint{Server: "s9", Zone: 1, RelativeCapacity: 1}))
 		f.run(6, fine)
 		if !f.out["s3"] || f.share(1, 0, "s9") == 0 {
 			t.Error("the tables follow the old list")
@@ -694,26 +694,26 @@
 	t.Run("a server long gone is forgotten with its withdrawal, and may come back", func(t *testing.T) {
 		f := fleet(settings(), 8)
 		f.run(6, fine)
-		f.p.Listed(Change, []Entry{{Server: "s3", Zone: 1, Size: 1, State: Gone}})
+		f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "s3", Zone: 1, RelativeCapacity: 1, State: Removed}})
 		hear := but("s3", 0, 0, 0)
 		f.run(30, hear)
 		if !f.out["s3"] || f.p.byName["s3"] == nil {
 			t.Fatal("it is forgotten at once")
 		}
-		f.now += forgetMs
+		f.now += forgetRemovedMs
 		f.run(2, hear)
-		f.p.Listed(Change, nil)
+		f.p.UpdateEndpoints(DeltaUpdate, nil)
 		if f.out["s3"] || f.p.byName["s3"] != nil || len(f.p.servers) != 7 {
 			t.Errorf("out %v, %d servers known", f.out["s3"], len(f.p.servers))
 		}
 		for _, q := range f.p.proxies {
-			for s := range q.shut {
+			for s := range q.ejected {
 				if s.Server == "s3" {
 					t.Errorf("proxy %d is still known to have been told of it", q.id)
 				}
 			}
 		}
-		f.p.Listed(Change, []Entry{{Server: "s3", Zone: 1, Size: 1}})
+		f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "s3", Zone: 1, RelativeCapacity: 1}})
 		f.run(20, fine)
 		if f.share(1, 0, "s3") == 0 {
 			t.Error("it came back and is not sent to")
@@ -721,14 +721,14 @@
 	})
 	t.Run("odd news is harmless", func(t *testing.T) {
 		f := fleet(settings(), 2)
-		f.p.Heard("unknown", 0, 3, 0, 10, 1000)
-		f.p.Heard("s0", 7, 3, 0, 10, 1000)
-		f.p.Usage(99, 0, 1, 0, 1000)
-		f.p.Usage(0, 99, 1, 0, 1000)
-		f.p.Left(99)
-		f.p.Joined(5, 9, 1)
-		f.p.Applied(99, 9, 1)
-		f.p.Listed(Change, []Entry{{Server: "far", Zone: 9, Size: 1}})
+		f.p.RecordReport("unknown", 0, 3, 0, 10, 1000)
+		f.p.RecordReport("s0", 7, 3, 0, 10, 1000)
+		f.p.RecordDemand(99, 0, 1, 0, 1000)
+		f.p.RecordDemand(0, 99, 1, 0, 1000)
+		f.p.RemoveProxy(99)
+		f.p.AddProxy(5, 9, 1)
+		f.p.Acknowledge(99, 9, 1)
+		f.p.UpdateEndpoints(DeltaUpdate, []Endpoint{{Server: "far", Zone: 9, RelativeCapacity: 1}})
 		f.run(2, fine)
 		if f.p.byName["far"] != nil || f.p.byID[5] != nil {
 			t.Error("a zone that does not exist was taken in")
@@ -736,11 +736,11 @@
 	})
 	t.Run("one server, one proxy, all servers replaced", func(t *testing.T) {
 		f := start(settings())
-		f.p.Listed(Restored, ready(1))
-		f.p.Joined(0, 0, 5)
+		f.p.UpdateEndpoints(RestoredUpdate, ready(1))
+		f.p.AddProxy(0, 0, 5)
 		f.run(3, fine)
 		near(t, "the only server", f.share(0, 0, "s0"), 1, 0)
-		f.p.Listed(Whole, []Entry{{Server: "n0", Zone: 1, Size: 1, BornMs: f.now}})
+		f.p.UpdateEndpoints(FullUpdate, []Endpoint{{Server: "n0", Zone: 1, RelativeCapacity: 1, StartedMs: f.now}})
 		f.run(20, fine)
 		near(t, "its successor", f.share(0, 0, "n0"), 1, 0)
 	})
@@ -749,25 +749,25 @@
 // BenchmarkSecond is one second of a planner at full size: looks, a round of sums, and what it orders.
 func BenchmarkSecond(b *testing.B) {
 	set := settings()
-	set.Zones, set.Proxies, set.Planners, set.MostMessages = 3, 420, 1, 0
+	set.Zones, set.Proxies, set.Planners, set.MaxMessages = 3, 420, 1, 0
 	f := start(set)
-	var list []Entry
+	var list []Endpoint
 	for i := range 550 {
-		list = append(list, Entry{Server: fmt.Sprint("s", i), Zone: i % 3, Size: 1})
+		list = append(list, Endpoint{Server: fmt.Sprint("s", i), Zone: i % 3, RelativeCapacity: 1})
 	}
-	f.p.Listed(Restored, list)
+	f.p.UpdateEndpoints(RestoredUpdate, list)
 	for i := range 420 {
-		f.p.Joined(i, i%3, 5)
+		f.p.AddProxy(i, i%3, 5)
 	}
 	for n := 0; b.Loop(); n++ {
 		for range 5 {
 			f.now += 200
-			f.p.Tick(f.now)
+			f.p.SetTime(f.now)
 			f.answer()
 			f.pull()
 		}
 		for i, s := range f.p.servers {
-			f.p.Heard(s.Server, s.Zone, 8, 0, float64(90+(i+n)%40), 2000)
+			f.p.RecordReport(s.Server, s.Zone, 8, 0, float64(90+(i+n)%40), 2000)
 		}
 		f.orders = nil
 	}
