--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	stepMs     = 5.0
-	runMs      = 40_000.0
-	healMs     = 32_000.0 // no faults from then on
-	digestMs   = 1000.0   // one line of the golden file
-	seed       = 20261202
-	plannerNum = 3
-	proxyNum   = 15
-	cutChance  = 0.02 // of a random stream, in a step
-	dialChance = 0.05 // of each missing stream, in a step
-	jumpMs     = 1500 // that a paused planner is away
+	stepMs           = 5.0
+	runMs            = 40_000.0
+	healMs           = 32_000.0 // no faults from then on
+	digestMs         = 1000.0   // one line of the golden file
+	seed             = 20261202
+	plannerNum       = 3
+	proxyNum         = 15
+	disconnectChance = 0.02 // of one random stream, in a step
+	dialChance       = 0.05 // of each missing stream, in a step
+	pauseMs          = 1500 // that a paused planner is away
 )
 
 // simulation is three planners that share fifteen proxies, in simulated time, with seeded faults. What a planner says
@@ -86,7 +86,7 @@
 	view := p.simulation.viewOf(proxy)
 	p.inbox = append(p.inbox, func() { p.manager.HandleAnswer(proxyName, nonce, granted, view) })
 	if proxy.grantor.Controller != before {
-		p.simulation.spread(proxy)
+		p.simulation.broadcast(proxy)
 	}
 }
 
@@ -94,7 +94,7 @@
 	p.log("releases %s epoch %d", proxyName, epoch)
 	proxy := p.simulation.proxyNamed(proxyName)
 	if proxy.connected[p.name] && proxy.grantor.Release(p.name, p.incarnation, epoch) {
-		p.simulation.spread(proxy)
+		p.simulation.broadcast(proxy)
 	}
 }
 
@@ -120,7 +120,7 @@
 	p.log("is open: %t", open)
 	p.open = open
 	for _, proxy := range p.simulation.proxies {
-		p.simulation.spread(proxy)
+		p.simulation.broadcast(proxy)
 	}
 }
 
@@ -149,8 +149,8 @@
 	return view
 }
 
-// spread tells all planners that a proxy has streams to how its lease stands.
-func (s *simulation) spread(proxy *simulatedProxy) {
+// broadcast tells all planners that a proxy has streams to how its lease stands.
+func (s *simulation) broadcast(proxy *simulatedProxy) {
 	view := s.viewOf(proxy)
 	for _, planner := range s.planners {
 		if proxy.connected[planner.name] {
@@ -163,22 +163,22 @@
 	proxy.connected[planner.name] = true
 	view := s.viewOf(proxy)
 	planner.inbox = append(planner.inbox, func() { planner.manager.AddProxy(proxy.name, view) })
-	s.spread(proxy)
+	s.broadcast(proxy)
 }
 
-func (s *simulation) cut(proxy *simulatedProxy, planner *simulatedPlanner) {
+func (s *simulation) disconnect(proxy *simulatedProxy, planner *simulatedPlanner) {
 	if !proxy.connected[planner.name] {
 		return
 	}
 	proxy.connected[planner.name] = false
 	planner.inbox = append(planner.inbox, func() { planner.manager.RemoveProxy(proxy.name) })
-	s.spread(proxy)
+	s.broadcast(proxy)
 }
 
 // restart ends a planner with all its streams, and starts it anew.
 func (s *simulation) restart(planner *simulatedPlanner) {
 	for _, proxy := range s.proxies {
-		s.cut(proxy, planner)
+		s.disconnect(proxy, planner)
 	}
 	planner.start()
 }
@@ -187,7 +187,7 @@
 func (s *simulation) scheduledFaults() {
 	switch s.nowMs {
 	case 6000:
-		s.planners[0].resumeMs = s.nowMs + jumpMs
+		s.planners[0].resumeMs = s.nowMs + pauseMs
 	case 9000:
 		s.restart(s.planners[1])
 	case 14000:
@@ -201,16 +201,16 @@
 	case 26000:
 		s.planners[0].diskFull = false
 	case 28000:
-		s.planners[1].resumeMs = s.nowMs + 3*jumpMs
+		s.planners[1].resumeMs = s.nowMs + 3*pauseMs
 	case 29000:
 		s.proxies[3].grantor.Epoch += 5_000_000 // beyond what any planner has reserved
 	}
 }
 
 func (s *simulation) randomFaults() {
-	if s.random.Float64() < cutChance {
+	if s.random.Float64() < disconnectChance {
 		proxy := s.proxies[s.random.Intn(proxyNum)]
-		s.cut(proxy, s.planners[s.random.Intn(plannerNum)])
+		s.disconnect(proxy, s.planners[s.random.Intn(plannerNum)])
 	}
 }
 
@@ -223,7 +223,7 @@
 	for _, proxy := range s.proxies {
 		if proxy.grantor.SetTime(s.nowMs) {
 			s.digest.Add(s.nowMs, "lease of %s expires", proxy.name)
-			s.spread(proxy)
+			s.broadcast(proxy)
 		}
 		for _, planner := range s.planners {
 			if !proxy.connected[planner.name] && s.random.Float64() < dialChance {
@@ -242,8 +242,8 @@
 	inbox := p.inbox
 	p.inbox = nil
 	p.manager.SetTime(p.simulation.nowMs)
-	for _, hear := range inbox {
-		hear()
+	for _, message := range inbox {
+		message()
 	}
 	for p.manager.Next(p) {
 	}
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -1,89 +1,86 @@
-// Package lease decides who commands which proxy where several controllers share one fleet. The proxy is the only
-// judge of that: it grants a lease under an epoch that only rises (Grantor), and obeys nothing that was ordered under
-// another. A controller (Manager) claims, renews, yields and gives back. Neither does I/O or reads a clock.
-//
-// Why no proxy has two commanders: a proxy counts a lease from when it grants it, its holder from before it asked, less what
-// their clocks may differ by. So the holder has stopped to believe before the proxy grants another, and what was under way by
-// then carries an epoch that is past.
 package lease
 
-// All constants of package lease.
-const (
-	DurationMs         = 2000.0  // ms; how long a proxy is without a commander after one died, at the most, less a claim's way
-	renewMs            = 400.0   // ms between renewals; four may be lost before a lease ends
-	rateBound          = 0.1     // part by which two clocks may run apart; quartz keeps 0.0001, a paused machine does not count
-	marginMs           = 20.0    // ms of a lease that its holder does not use; a decision in hand is sent within that
-	staggerMs          = 150.0   // ms by which each next in rank waits to claim; a claim's way and answer take a tenth of it
-	gatherMs           = 500.0   // ms that a new stream's proxy may take to reach the other controllers; a redial takes as long
-	answerMs           = 600.0   // ms until a claim that was not answered is made again
-	settledMs          = 3000.0  // ms that a better placed controller must be reachable before it is handed proxies
-	mostBack           = 5       // doublings of that, as many as a proxy came back; a minute and a half then
-	ReachableMs        = 1200.0  // ms without a frame after which a proxy no longer names a controller reachable
-	HeartbeatMs        = 400.0   // ms between a controller's frames at the least; three make the above
-	transfersPerSecond = 20.0    // proxies a second that are handed over; each brings its successor a table to send
-	reserveAhead       = 1000    // epochs that one write to the store covers; a takeover of so many proxies costs one
-	DrainMemoryMs      = 30000.0 // ms that a drain known by a predecessor is kept while one's own list does not show it
-)
-
 // Lease is what a proxy has granted.
 type Lease struct {
-	Epoch       uint64 // the highest granted; it never falls
-	Controller  string // empty: free
-	Incarnation uint64
-	ExpiresMs   float64 // ms of the proxy's clock
+	Epoch       uint64  // the highest granted; it never falls
+	Controller  string  // name of the holder; empty while the proxy is free
+	Incarnation uint64  // process of the holder; 0 while the proxy is free
+	ExpiresMs   float64 // by the proxy's clock; no meaning while the proxy is free
 }
 
-// Grantor is a proxy's judgement. It is a value: a copy is a snapshot.
+// Grantor is a proxy's side of the protocol: it grants leases and checks orders. The zero value is a free proxy that has
+// granted nothing. It is a plain value: a copy is a snapshot. SetTime must be called before the other methods whenever time
+// has passed.
 type Grantor struct {
 	Lease
-	now float64
+	nowMs float64
 }
 
-// SetTime tells the time, in ms of a clock that never jumps. It says whether a lease ran out.
-func (a *Grantor) SetTime(now float64) (ended bool) {
-	a.now = now
-	if a.Controller != "" && now >= a.ExpiresMs {
-		a.Controller, a.Incarnation = "", 0
-		return true
+// SetTime states the time, in ms of a monotonic clock, and reports whether a lease expired by it.
+func (g *Grantor) SetTime(nowMs float64) (expired bool) {
+	g.nowMs = nowMs
+	if g.Controller == "" || nowMs < g.ExpiresMs {
+		return false
 	}
-	return false
+	g.clearHolder()
+	return true
 }
 
-// Grant judges one: the holder's renewal under its epoch, or a new epoch while no other holds. A process that bears the
-// holder's name and is another is another.
-func (a *Grantor) Grant(controller string, incarnation, epoch uint64, leaseMs float64) (granted bool) {
-	mine := a.Controller == controller && a.Incarnation == incarnation
+// Grant decides on a lease request of leaseMs and reports whether it is granted. It grants a renewal to the holder, and a
+// lease under a new epoch while nobody else holds one. The duration is cut to DurationMs.
+func (g *Grantor) Grant(controller string, incarnation, epoch uint64, leaseMs float64) (granted bool) {
+	isHolder := g.heldBy(controller, incarnation)
+	free := g.Controller == ""
 	switch {
-	case controller == "" || a.Controller != "" && !mine:
-		return false
-	case epoch < a.Epoch, epoch == a.Epoch && !mine:
-		return false
+	case controller == "":
+		return false // the empty name stands for a free proxy
+	case !free && !isHolder:
+		return false // guards against two holders, also of one name
+	case epoch < g.Epoch:
+		return false // guards against a request that was delayed past a later grant
+	case epoch == g.Epoch && !isHolder:
+		return false // guards against an epoch's use by two holders
+	}
+	g.Lease = Lease{
+		Epoch:       epoch,
+		Controller:  controller,
+		Incarnation: incarnation,
+		ExpiresMs:   g.nowMs + min(leaseMs, DurationMs),
 	}
-	a.Lease = Lease{Epoch: epoch, Controller: controller, Incarnation: incarnation, ExpiresMs: a.now + min(leaseMs, DurationMs)}
 	return true
 }
 
-// Release takes a lease back from its holder, and from nobody else.
-func (a *Grantor) Release(controller string, incarnation, epoch uint64) (released bool) {
-	if a.Controller != controller || a.Incarnation != incarnation || a.Epoch != epoch || controller == "" {
+// Release frees the proxy if the caller holds its lease under the epoch, and reports whether it did.
+func (g *Grantor) Release(controller string, incarnation, epoch uint64) (released bool) {
+	if controller == "" || !g.heldBy(controller, incarnation) || g.Epoch != epoch {
 		return false
 	}
-	a.Controller, a.Incarnation = "", 0
+	g.clearHolder()
 	return true
 }
 
-// Accepts says whether orders under an epoch from a controller are to be obeyed now.
-func (a *Grantor) Accepts(controller string, incarnation, epoch uint64) bool {
-	return a.Controller != "" && a.Controller == controller && a.Incarnation == incarnation && a.Epoch == epoch && a.now < a.ExpiresMs
+// Accepts reports whether orders that a controller decided under an epoch are to be obeyed now.
+func (g *Grantor) Accepts(controller string, incarnation, epoch uint64) bool {
+	if g.Controller == "" || g.nowMs >= g.ExpiresMs {
+		return false
+	}
+	return g.heldBy(controller, incarnation) && g.Epoch == epoch
 }
 
-// RemainingMs is how long the lease lasts, in ms; 0 while free.
-func (a *Grantor) RemainingMs() float64 {
-	if a.Controller == "" {
+// RemainingMs is how long the lease lasts from the time set, in ms; 0 while the proxy is free.
+func (g *Grantor) RemainingMs() float64 {
+	if g.Controller == "" {
 		return 0
 	}
-	return max(a.ExpiresMs-a.now, 0)
+	return max(g.ExpiresMs-g.nowMs, 0)
 }
 
-// heldUntil is when a holder stops to believe, by its own clock, of a lease that it asked for at a time.
-func heldUntil(askedAt, leaseMs float64) float64 { return askedAt + leaseMs*(1-rateBound) - marginMs }
+// heldBy reports whether a process is the holder. A process of the holder's name with another incarnation is not.
+func (g *Grantor) heldBy(controller string, incarnation uint64) bool {
+	return g.Controller == controller && g.Incarnation == incarnation
+}
+
+func (g *Grantor) clearHolder() {
+	g.Controller = ""
+	g.Incarnation = 0
+}
--- /dev/null
+++ b/internal/lease/grantor_test.go
@@ -0,0 +1,46 @@
+package lease
+
+import (
+	"math"
+	"testing"
+)
+
+// TestGrantorGrants states which requests a proxy grants: none that would give it two holders or reuse an epoch.
+func TestGrantorGrants(t *testing.T) {
+	const nowMs = 1000
+	tests := []struct {
+		name        string
+		controller  string
+		incarnation uint64
+		epoch       uint64
+		expired     bool // the holder's lease, before
+		want        bool
+	}{
+		{name: "the holder renews under its epoch", controller: "A", incarnation: 1, epoch: 5, want: true},
+		{name: "the holder renews under a higher epoch", controller: "A", incarnation: 1, epoch: 6, want: true},
+		{name: "the holder asks under a past epoch", controller: "A", incarnation: 1, epoch: 4},
+		{name: "another controller asks while the lease is held", controller: "B", incarnation: 2, epoch: 6},
+		{name: "another process of the holder's name asks", controller: "A", incarnation: 2, epoch: 6},
+		{name: "a request without a name", epoch: 6, expired: true},
+		{name: "another controller asks once the lease expired", controller: "B", incarnation: 2, epoch: 6, expired: true, want: true},
+		{name: "the used epoch is asked for once the lease expired", controller: "B", incarnation: 2, epoch: 5, expired: true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			var grantor Grantor
+			grantor.SetTime(nowMs)
+			if !grantor.Grant("A", 1, 5, math.Inf(1)) {
+				t.Fatal("the first request is not granted")
+			}
+			if grantor.RemainingMs() != DurationMs {
+				t.Errorf("granted for %g ms", grantor.RemainingMs())
+			}
+			if test.expired && !grantor.SetTime(grantor.ExpiresMs) {
+				t.Fatal("the lease has not expired")
+			}
+			if granted := grantor.Grant(test.controller, test.incarnation, test.epoch, DurationMs); granted != test.want {
+				t.Errorf("granted %t", granted)
+			}
+		})
+	}
+}
