--- a/internal/lease/model/model_test.go
+++ b/internal/lease/model/model_test.go
@@ -8,33 +8,51 @@
 
 var large = flag.Bool("large", false, "explore larger spaces, for some minutes")
 
+// smallSpace is where each mutation breaks a rule.
+var smallSpace = Bounds{Proxies: 1, Epochs: 2, Restarts: 1, Losses: true, MaxStates: 5e6}
+
 func TestExplore(t *testing.T) {
-	one := Bounds{Proxies: 1, Epochs: 2, Restarts: 1, Losses: true, MaxStates: 5e6}
-	spaces := map[string]Bounds{"one proxy, with restarts and losses": one, "two proxies": {Proxies: 2, Epochs: 1, MaxStates: 5e6}}
+	spaces := map[string]Bounds{
+		"one proxy, with restarts and losses": smallSpace,
+		"two proxies":                         {Proxies: 2, Epochs: 1, MaxStates: 5e6},
+	}
 	if *large {
 		spaces = map[string]Bounds{
 			"one proxy, three epochs": {Proxies: 1, Epochs: 3, Restarts: 1, Losses: true, MaxStates: 5e7},
 			"two proxies, two epochs": {Proxies: 2, Epochs: 2, MaxStates: 3e7},
 		}
 	}
-	for name, b := range spaces {
+	for name, bounds := range spaces {
 		t.Run(name+": no state breaks a rule", func(t *testing.T) {
-			r := Explore(b, NoMutation)
-			t.Logf("%d states, %d steps deep, all: %v", r.States, r.Depth, r.Complete)
-			if r.Violation != "" || !r.Complete && !*large || r.States < 1000 {
-				t.Errorf("%s\n%s", r.Violation, strings.Join(r.Trace, "\n"))
+			result := Explore(bounds, NoMutation)
+			t.Logf("%d states, %d steps deep, complete: %t", result.States, result.Depth, result.Complete)
+			if result.Violation != "" {
+				t.Errorf("%s\n%s", result.Violation, strings.Join(result.Trace, "\n"))
+			}
+			if !result.Complete && !*large {
+				t.Error("the space was not explored to its end")
+			}
+			if result.States < 1000 {
+				t.Errorf("only %d states", result.States)
 			}
 		})
 	}
-	for broken, want := range map[Mutation]string{
-		WithoutFencing: "an order that is past was obeyed", LeaseFromAnswer: "both controllers believe",
-		WithoutIncarnation: "an order that is past", WithoutClockRateBound: "both controllers believe",
-	} {
-		t.Run("a part left out is found: "+want, func(t *testing.T) {
-			r := Explore(one, broken)
-			t.Logf("%d states until:\n%s\n%s", r.States, r.Violation, strings.Join(r.Trace, "\n"))
-			if !strings.Contains(r.Violation, want) || len(r.Trace) < 3 {
-				t.Errorf("variant %d: %q in %d states, %v", broken, r.Violation, r.States, r.Trace)
+	mutations := []struct {
+		name      string
+		mutation  Mutation
+		violation string
+	}{
+		{"without fencing", WithoutFencing, "a stale order was obeyed"},
+		{"with leases counted from the answer", LeaseFromAnswer, "both controllers believe"},
+		{"without incarnations", WithoutIncarnation, "a stale order was obeyed"},
+		{"without a bound on clock rates", WithoutClockRateBound, "both controllers believe"},
+	}
+	for _, test := range mutations {
+		t.Run(test.name+" a violation is found: "+test.violation, func(t *testing.T) {
+			result := Explore(smallSpace, test.mutation)
+			t.Logf("%d states until:\n%s\n%s", result.States, result.Violation, strings.Join(result.Trace, "\n"))
+			if !strings.Contains(result.Violation, test.violation) || len(result.Trace) < 3 {
+				t.Errorf("%q in %d states, %v", result.Violation, result.States, result.Trace)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/lease/model/transitions.go
@@ -0,0 +1,249 @@
+package model
+
+import "fmt"
+
+// clockStop is which controllers' clocks stand still in a tick: bit n for controller n.
+type clockStop uint
+
+func (c clockStop) includes(number int) bool { return c&(1<<number) != 0 }
+
+func (c clockStop) String() string {
+	return [...]string{"", ", not for A", ", not for B", ", for proxies only"}[c]
+}
+
+const clockStops = 1 << controllerCount
+
+// expand adds all steps from a state.
+func (e *explorer) expand(current state) {
+	for stop := range clockStop(clockStops) {
+		if next, possible := e.tick(current, stop); possible {
+			e.add(next, current, "a tick passes%s", stop)
+		}
+	}
+	for number := range controllerCount {
+		e.restart(current, number)
+		for proxyNumber := range e.bounds.Proxies {
+			e.request(current, number, proxyNumber)
+			e.decideOrder(current, number, proxyNumber)
+			e.deliverRequest(current, number, proxyNumber)
+			e.deliverAnswer(current, number, proxyNumber)
+			e.deliverOrder(current, number, proxyNumber)
+		}
+	}
+}
+
+// tick lets time pass for all but the controllers whose clocks stand still. It reports false if one of these has stood still
+// too lately.
+func (e *explorer) tick(current state, stop clockStop) (next state, possible bool) {
+	next = current
+	for number := range e.bounds.Proxies {
+		proxy := &next.proxies[number]
+		if proxy.remaining == 0 {
+			continue
+		}
+		proxy.remaining--
+		if proxy.remaining == 0 {
+			proxy.free()
+		}
+	}
+	for number := range controllerCount {
+		controller := &next.controllers[number]
+		if !stop.includes(number) {
+			controller.steadyTicks -= min(controller.steadyTicks, 1)
+			e.tickLinks(&next, number)
+			continue
+		}
+		if controller.steadyTicks > 0 {
+			return current, false
+		}
+		controller.steadyTicks = leaseTicks
+	}
+	return next, true
+}
+
+// tickLinks lets time pass for what a controller believes and has asked for.
+func (e *explorer) tickLinks(next *state, number int) {
+	for proxyNumber := range e.bounds.Proxies {
+		link := &next.links[number][proxyNumber]
+		link.heldRemaining -= min(link.heldRemaining, 1)
+		if link.heldRemaining == 0 {
+			link.heldEpoch = 0
+		}
+		link.request.grow()
+		link.answer.grow()
+	}
+}
+
+// restart replaces a controller's process by one that believes nothing.
+func (e *explorer) restart(current state, number int) {
+	if current.controllers[number].process >= e.bounds.Restarts {
+		return
+	}
+	next := current
+	controller := &next.controllers[number]
+	controller.process++
+	if e.mutation == WithoutIncarnation {
+		controller.lastEpoch = 0
+	}
+	for proxyNumber := range e.bounds.Proxies {
+		link := &next.links[number][proxyNumber]
+		link.heldEpoch = 0
+		link.heldRemaining = 0
+	}
+	e.add(next, current, "%s restarts", controllerName(number))
+}
+
+// request has a controller renew a lease that it believes to hold, or ask for one under a new epoch.
+func (e *explorer) request(current state, number, proxyNumber int) {
+	link := current.links[number][proxyNumber]
+	if link.request.epoch > 0 || link.answer.epoch > 0 {
+		return
+	}
+	next := current
+	request := &next.links[number][proxyNumber].request
+	request.process = current.controllers[number].process
+	request.age = 0
+	if link.heldRemaining > 0 {
+		request.epoch = link.heldEpoch
+		e.add(next, current, "%s asks proxy %d to renew epoch %d", controllerName(number), proxyNumber, request.epoch)
+		return
+	}
+	request.epoch = e.newEpoch(current.controllers[number].lastEpoch, current.proxies[proxyNumber].epoch)
+	if request.epoch > e.bounds.Epochs {
+		return
+	}
+	next.controllers[number].lastEpoch = request.epoch
+	e.add(next, current, "%s requests proxy %d under epoch %d", controllerName(number), proxyNumber, request.epoch)
+}
+
+// newEpoch is above all that the controller requested and the proxy granted.
+func (e *explorer) newEpoch(requested, granted uint8) uint8 {
+	if e.mutation == WithoutIncarnation {
+		return requested + 1
+	}
+	return max(requested, granted) + 1
+}
+
+// decideOrder has a controller send an order to a proxy whose lease it believes to hold. It may arrive at any time.
+func (e *explorer) decideOrder(current state, number, proxyNumber int) {
+	link := current.links[number][proxyNumber]
+	if link.heldRemaining == 0 || link.order.epoch > 0 {
+		return
+	}
+	next := current
+	next.links[number][proxyNumber].order = message{
+		epoch:   link.heldEpoch,
+		process: current.controllers[number].process,
+	}
+	e.add(next, current, "%s decides an order for proxy %d under epoch %d", controllerName(number), proxyNumber, link.heldEpoch)
+}
+
+// deliverRequest has a request arrive, or be lost.
+func (e *explorer) deliverRequest(current state, number, proxyNumber int) {
+	request := current.links[number][proxyNumber].request
+	if request.epoch == 0 {
+		return
+	}
+	name := controllerName(number)
+	next := current
+	proxy := &next.proxies[proxyNumber]
+	grantor := proxy.grantor()
+	granted := grantor.Grant(name, e.incarnation(request), uint64(request.epoch), leaseTicks)
+	proxy.update(&grantor)
+	link := &next.links[number][proxyNumber]
+	link.request = message{}
+	decision := "denies"
+	if granted {
+		link.answer = request
+		decision = "grants"
+	}
+	e.add(next, current, "proxy %d %s %s epoch %d", proxyNumber, decision, name, request.epoch)
+	if !e.bounds.Losses {
+		return
+	}
+	next = current
+	next.links[number][proxyNumber].request = message{}
+	e.add(next, current, "a request of %s for proxy %d is lost", name, proxyNumber)
+}
+
+// deliverAnswer has a controller learn of a grant. A process ignores what an earlier one asked for.
+func (e *explorer) deliverAnswer(current state, number, proxyNumber int) {
+	answer := current.links[number][proxyNumber].answer
+	if answer.epoch == 0 {
+		return
+	}
+	next := current
+	link := &next.links[number][proxyNumber]
+	link.answer = message{}
+	if answer.process == current.controllers[number].process {
+		e.believe(link, answer)
+	}
+	e.add(next, current, "%s learns that proxy %d granted epoch %d, asked for %d ticks ago",
+		controllerName(number), proxyNumber, answer.epoch, answer.age)
+}
+
+// believe has a controller take a lease to be held, as long as the answer allows.
+func (e *explorer) believe(link *link, answer message) {
+	remaining := uint8(beliefTicks)
+	if e.mutation == WithoutClockRateBound {
+		remaining = leaseTicks
+	}
+	if e.mutation != LeaseFromAnswer {
+		remaining -= min(remaining, answer.age)
+	}
+	if link.heldEpoch != answer.epoch {
+		link.heldRemaining = 0
+	}
+	link.heldRemaining = max(link.heldRemaining, remaining)
+	if link.heldRemaining > 0 {
+		link.heldEpoch = answer.epoch
+	}
+}
+
+// deliverOrder has an order arrive, and checks that no proxy obeys a stale one.
+func (e *explorer) deliverOrder(current state, number, proxyNumber int) {
+	order := current.links[number][proxyNumber].order
+	if order.epoch == 0 {
+		return
+	}
+	next := current
+	next.links[number][proxyNumber].order = message{}
+	verb := "rejects"
+	obeyed := e.obeys(&current.proxies[proxyNumber], number, order)
+	if obeyed {
+		verb = "obeys"
+	}
+	step := fmt.Sprintf("proxy %d %s an order of %s under epoch %d", proxyNumber, verb, controllerName(number), order.epoch)
+	if obeyed && isStale(&current, number, proxyNumber) && e.violation == "" {
+		e.violate("a stale order was obeyed", current, step)
+		return
+	}
+	e.add(next, current, "%s", step)
+}
+
+func (e *explorer) obeys(proxy *proxy, number int, order message) bool {
+	if e.mutation == WithoutFencing {
+		return true
+	}
+	grantor := proxy.grantor()
+	return grantor.Accepts(controllerName(number), e.incarnation(order), uint64(order.epoch))
+}
+
+// isStale reports whether an order under way was decided under another epoch or by another controller than the proxy granted
+// last, or by an earlier process while the present one holds the same epoch.
+func isStale(current *state, number, proxyNumber int) bool {
+	proxy := current.proxies[proxyNumber]
+	link := current.links[number][proxyNumber]
+	if link.order.epoch != proxy.epoch || int(proxy.holder) != number+1 {
+		return true
+	}
+	return link.order.process != current.controllers[number].process && link.heldEpoch == link.order.epoch
+}
+
+// incarnation is what a message names as its process.
+func (e *explorer) incarnation(sent message) uint64 {
+	if e.mutation == WithoutIncarnation {
+		return 0
+	}
+	return uint64(sent.process)
+}
