--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// recordedStore was written on 2026-12-02 by Init for planner-1, and by ReserveEpochs of 1001 and then of recordedMark. It
+	// recordedStore was written on 2026-12-02 by Init for planner-1, and by ReserveEpochs of 1001 and then of recordedEpoch. It
 	// stands for the stores of planners in service: don't write it anew.
 	recordedStore = "testdata/planner-1.store"
 	recordedName  = "planner-1"
-	recordedMark  = 123456789012
+	recordedEpoch = 123456789012
 	ownerOnly     = 0o600
 	lockTimeout   = time.Second
 )
@@ -46,7 +46,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer database.Close()
+	t.Cleanup(func() {
+		if err := database.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	var text strings.Builder
 	err = database.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucketName []byte, bucket *bbolt.Bucket) error {
@@ -64,7 +68,7 @@
 }
 
 // TestRecordedStore opens a store that an earlier release wrote: an epoch that is used twice has two planners command one
-// proxy, so the mark must be read as it was, and what it reserves next must be kept.
+// proxy, so the reserved epoch must be read as it was written, and the next reservation must be stored.
 func TestRecordedStore(t *testing.T) {
 	path := copyStore(t)
 	if _, err := store.Open(path, "planner-2"); !errors.Is(err, store.ErrWrongController) {
@@ -74,11 +78,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if opened.ReservedEpoch() != recordedMark {
-		t.Errorf("mark %d, want %d", opened.ReservedEpoch(), recordedMark)
+	if opened.ReservedEpoch() != recordedEpoch {
+		t.Errorf("epoch %d, want %d", opened.ReservedEpoch(), recordedEpoch)
 	}
-	const nextMark = recordedMark + 1000
-	if err := opened.ReserveEpochs(nextMark); err != nil {
+	const nextEpoch = recordedEpoch + 1000
+	if err := opened.ReserveEpochs(nextEpoch); err != nil {
 		t.Fatal(err)
 	}
 	if err := opened.Close(); err != nil {
@@ -88,9 +92,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer opened.Close()
-	if opened.ReservedEpoch() != nextMark {
-		t.Errorf("mark %d after another was reserved, want %d", opened.ReservedEpoch(), nextMark)
+	t.Cleanup(func() {
+		if err := opened.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	if opened.ReservedEpoch() != nextEpoch {
+		t.Errorf("epoch %d after another was reserved, want %d", opened.ReservedEpoch(), nextEpoch)
 	}
 }
 
@@ -106,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := opened.ReserveEpochs(recordedMark); err != nil {
+	if err := opened.ReserveEpochs(recordedEpoch); err != nil {
 		t.Fatal(err)
 	}
 	if err := opened.Close(); err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,17 +1,29 @@
-// Package store keeps what a controller must not forget over a crash: who it is, and up to which epoch it may have claimed.
-// It stands on bbolt, whose writes are synced before they return. On any doubt it opens nothing: a controller without its
-// store must not command, as it might use an epoch twice.
+// Package store keeps on disk what a controller must not forget over a crash: who it is, and up to which epoch it may have
+// requested leases. Two uses of one epoch could have two controllers command one proxy, so on any doubt nothing is opened:
+// a controller without its store must not command.
+//
+// # File
+//
+// The file is a bbolt database with one bucket, "controller", of two records:
+//
+//	name   the controller's name, UTF-8
+//	mark   the highest epoch that may have been used, 8 bytes, big endian
+//
+// Each value is followed by its CRC-32 (IEEE), 4 bytes, big endian, as bbolt's own checksum covers its two meta pages only.
+//
+// bbolt syncs the file before a write returns. Where the meta page of the last write is damaged it falls back to the state
+// before that write; so each mark is written by two transactions, and both states hold it.
+//
+// The file is locked while it is open. It is made once by Init, for a controller that is new: a copy, an older version, or
+// a new file under a used name would allow epochs to be used again.
 package store
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io/fs"
 	"os"
 	"os/signal"
-	"runtime/debug"
 	"syscall"
 	"time"
 
@@ -19,153 +31,131 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// What can be wrong with a store.
+// Errors of Init and Open, to be tested by errors.Is.
 var (
-	ErrNotFound        = errors.New("there is no store; 'lichenpick store init' makes one for a new controller")
-	ErrExists          = errors.New("there is a store already")
-	ErrCorrupt         = errors.New("the store is damaged; if this controller's other state is gone too, give it a new name and a new store")
+	// ErrNotFound is that the file is missing.
+	ErrNotFound = errors.New("there is no store; 'lichenpick store init' makes one for a new controller")
+	// ErrExists is that Init would overwrite a file.
+	ErrExists = errors.New("there is a store already")
+	// ErrCorrupt is that the file is no store, or that a part of it is damaged.
+	ErrCorrupt = errors.New("the store is damaged; if this controller's other state is gone too, give it a new name and a new store")
+	// ErrWrongController is that the store holds another name than it was opened with.
 	ErrWrongController = errors.New("the store belongs to another controller")
-	ErrLocked          = errors.New("the store is in use by another process")
+	// ErrLocked is that another process, or this one, has the store open.
+	ErrLocked = errors.New("the store is in use by another process")
 )
 
-const lockWithin = 500 * time.Millisecond
-
-var (
-	bucket  = []byte("controller")
-	nameKey = []byte("name")
-	markKey = []byte("mark")
+const (
+	lockTimeout             = 500 * time.Millisecond
+	ownerOnly   fs.FileMode = 0o600
 )
 
-// Store is an open one.
+// Store is the open store of one controller. Its methods are to be called by one goroutine at a time.
 type Store struct {
-	db   *bbolt.DB
-	name string
-	mark uint64
+	database      *bbolt.DB
+	reservedEpoch uint64
 }
 
-// Init makes a store for a new controller.
-func Init(path, name string) error {
-	if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
-		if err == nil {
-			err = ErrExists
-		}
+// Init makes the store of a new controller, without reserved epochs. The file must not exist: ErrExists.
+func Init(path, controller string) error {
+	_, err := os.Stat(path)
+	if err == nil {
+		return fmt.Errorf("%s: %w", path, ErrExists)
+	}
+	if !errors.Is(err, fs.ErrNotExist) {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWithin})
+	database, err := openDatabase(path)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	defer db.Close()
-	return db.Update(func(tx *bbolt.Tx) error {
-		b, err := tx.CreateBucket(bucket)
-		if err != nil {
-			return err
-		}
-		if err := b.Put(nameKey, sealed([]byte(name))); err != nil {
-			return err
-		}
-		return b.Put(markKey, sealed(number(0)))
-	})
+	writeErr := database.Update(func(tx *bbolt.Tx) error { return writeNewRecords(tx, controller) })
+	closeErr := database.Close()
+	if err := errors.Join(writeErr, closeErr); err != nil {
+		return fmt.Errorf("%s: write the new store: %w", path, err)
+	}
+	return nil
 }
 
-// Open opens the store of a controller.
-func Open(path, name string) (s *Store, err error) {
-	signal.Ignore(syscall.SIGXFSZ) // a limit on file sizes is to show as a failed write, not to end the process
-	if _, err := os.Stat(path); err != nil {
-		if errors.Is(err, fs.ErrNotExist) {
-			err = ErrNotFound
-		}
+// Open opens the store of a controller, and locks it until Close. It fails by ErrNotFound, ErrLocked, ErrCorrupt or
+// ErrWrongController. From then on the process ignores SIGXFSZ, by which the kernel would end it at a limit on file sizes:
+// the write is to fail instead.
+func Open(path, controller string) (*Store, error) {
+	signal.Ignore(syscall.SIGXFSZ)
+	_, err := os.Stat(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		err = ErrNotFound // bbolt would make an empty file
+	}
+	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	err = guarded(func() error {
-		db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWithin})
-		if errors.Is(err, bbolterrors.ErrTimeout) {
-			return ErrLocked
-		}
-		if err != nil {
-			return fmt.Errorf("%w (%v)", ErrCorrupt, err)
-		}
-		s = &Store{db: db, name: name}
-		if err = s.read(); err != nil {
-			db.Close()
-		}
+	var store *Store
+	err = recoverFaults(func() error {
+		opened, err := open(path, controller)
+		store = opened
 		return err
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return s, nil
+	return store, nil
 }
 
-// read checks all that is kept.
-func (s *Store) read() error {
-	return s.db.View(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucket)
-		if b == nil {
-			return fmt.Errorf("%w (it is empty)", ErrCorrupt)
-		}
-		name, ok := unsealed(b.Get(nameKey))
-		mark, ok2 := unsealed(b.Get(markKey))
-		if !ok || !ok2 || len(mark) != 8 {
-			return fmt.Errorf("%w (a record does not match its checksum)", ErrCorrupt)
-		}
-		if string(name) != s.name {
-			return fmt.Errorf("%w: %q, not %q", ErrWrongController, name, s.name)
-		}
-		s.mark = binary.BigEndian.Uint64(mark)
-		return nil
+// open opens a file that exists and checks all that it holds.
+func open(path, controller string) (*Store, error) {
+	database, err := openDatabase(path)
+	if errors.Is(err, bbolterrors.ErrTimeout) {
+		return nil, ErrLocked
+	}
+	if err != nil {
+		return nil, fmt.Errorf("%w (%w)", ErrCorrupt, err)
+	}
+	var reservedEpoch uint64
+	err = database.View(func(tx *bbolt.Tx) error {
+		epoch, err := readRecords(tx, controller)
+		reservedEpoch = epoch
+		return err
 	})
+	if err != nil {
+		return nil, errors.Join(err, database.Close())
+	}
+	return &Store{database: database, reservedEpoch: reservedEpoch}, nil
+}
+
+// openDatabase opens a bbolt file, or makes it.
+func openDatabase(path string) (*bbolt.DB, error) {
+	return bbolt.Open(path, ownerOnly, &bbolt.Options{Timeout: lockTimeout})
 }
 
 // ReservedEpoch is the highest epoch that may have been used.
-func (s *Store) ReservedEpoch() uint64 { return s.mark }
+func (s *Store) ReservedEpoch() uint64 { return s.reservedEpoch }
 
-// ReserveEpochs writes down that epochs up to a mark may be used. When it returns without an error that is on the disk, twice:
-// the library falls back to the state before the last where the page that names the last is damaged, and that one must
-// hold the mark as well.
+// ReserveEpochs records that epochs up to upTo may be used. Once it returns nil that is on the disk, and outlives damage to
+// either meta page of the file. After an error ReservedEpoch is as before, and it may be called again. A bound that is not
+// above ReservedEpoch changes nothing.
 func (s *Store) ReserveEpochs(upTo uint64) error {
-	if upTo <= s.mark {
+	if upTo <= s.reservedEpoch {
 		return nil
 	}
-	err := guarded(func() error {
-		for range 2 {
-			if err := s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(markKey, sealed(number(upTo))) }); err != nil {
-				return err
-			}
-		}
-		return nil
-	})
-	if err == nil {
-		s.mark = upTo
+	err := recoverFaults(func() error { return s.writeReservation(upTo) })
+	if err != nil {
+		return err
 	}
-	return err
+	s.reservedEpoch = upTo
+	return nil
 }
 
-// Close lets another process have it.
-func (s *Store) Close() error { return s.db.Close() }
-
-// guarded turns a fault that the library or the memory map meets in a damaged file into an error.
-func guarded(do func() error) (err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer func() {
-		if r := recover(); r != nil {
-			err = fmt.Errorf("%w (%v)", ErrCorrupt, r)
+// writeReservation writes a bound to both states that the file may be opened with.
+func (s *Store) writeReservation(upTo uint64) error {
+	const metaPages = 2
+	for range metaPages {
+		err := s.database.Update(func(tx *bbolt.Tx) error { return putReservedEpoch(tx.Bucket(bucketName), upTo) })
+		if err != nil {
+			return err
 		}
-	}()
-	return do()
-}
-
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
-
-// sealed appends a checksum of its own, as the library's covers its first pages only.
-func sealed(v []byte) []byte {
-	return binary.BigEndian.AppendUint32(append([]byte(nil), v...), crc32.ChecksumIEEE(v))
-}
-
-func unsealed(v []byte) ([]byte, bool) {
-	if len(v) < 4 {
-		return nil, false
 	}
-	body := v[:len(v)-4]
-	return body, crc32.ChecksumIEEE(body) == binary.BigEndian.Uint32(v[len(v)-4:])
+	return nil
 }
+
+// Close unlocks the file. The store is not to be used afterwards.
+func (s *Store) Close() error { return s.database.Close() }
