--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// recordedList was written on 2026-12-02 by Save, from the memory of recordedMemory. It stands for the files of planners
+	// recordedList was written on 2026-12-02 by Save, from the tracker of recordedTracker. It stands for the files of planners
 	// in service: don't write it anew.
 	recordedList = "testdata/cached-list.txtpb"
 	writtenMs    = 1_790_000_100_000 // unix, when the list was cached
@@ -24,7 +24,7 @@
 
 var zones = []string{"east", "west"}
 
-// recordingHost prints what a memory makes known.
+// recordingHost prints what a tracker makes known.
 type recordingHost struct{ text strings.Builder }
 
 func (h *recordingHost) UpdateEndpoints(form policy.UpdateKind, entries []policy.Endpoint) {
@@ -35,12 +35,12 @@
 	}
 }
 
-// recordedMemory holds servers of each state, with and without a birth, after a while.
-func recordedMemory() *discovery.Tracker {
+// recordedTracker holds servers of each state, with and without a birth, after a while.
+func recordedTracker() *discovery.Tracker {
 	const firstMs, cachedMs = 60_000, 160_000 // of the planner's clock
-	memory := discovery.NewTracker(zones, serverLimit)
-	memory.SetTime(firstMs)
-	memory.RecordUpdate(discovery.Update{Kind: policy.FullUpdate, AsOfMs: sourceMs, Version: 4, Endpoints: []discovery.Endpoint{
+	tracker := discovery.NewTracker(zones, serverLimit)
+	tracker.SetTime(firstMs)
+	tracker.RecordUpdate(discovery.Update{Kind: policy.FullUpdate, AsOfMs: sourceMs, Version: 4, Endpoints: []discovery.Endpoint{
 		{Server: "10.0.0.1:80", Zone: "east", State: policy.Ready, RelativeCapacity: 1},
 		{Server: "10.0.0.2:80", Zone: "west", State: policy.Draining, RelativeCapacity: 2.5},
 		{Server: "10.0.0.3:80", Zone: "west", State: policy.Removed, RelativeCapacity: 1},
@@ -48,16 +48,16 @@
 		{Server: "10.0.0.5:80", Zone: "south", State: policy.Ready, RelativeCapacity: 1}, // a zone that is not known
 	}})
 	host := &recordingHost{}
-	for memory.Next(host) {
+	for tracker.Next(host) {
 	}
-	memory.SetTime(cachedMs)
-	return memory
+	tracker.SetTime(cachedMs)
+	return tracker
 }
 
 // TestGoldenCachedList compares the file that is written now with the recorded one, byte for byte.
 func TestGoldenCachedList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	if err := discovery.Save(path, recordedMemory().Snapshot(writtenMs)); err != nil {
+	if err := discovery.Save(path, recordedTracker().Snapshot(writtenMs)); err != nil {
 		t.Fatal(err)
 	}
 	content, err := os.ReadFile(path)
@@ -68,7 +68,7 @@
 }
 
 // TestRecordedCachedList reads a list that an earlier release cached, as a planner does at its start, and hands it to a
-// memory: servers must be of the same state, size and age as when it was written.
+// tracker: servers must be of the same state, size and age as when it was written.
 func TestRecordedCachedList(t *testing.T) {
 	update, found, err := discovery.Restore(recordedList, writtenMs+restartMs)
 	if err != nil || !found {
@@ -82,10 +82,10 @@
 			entry.Server, entry.Zone, int(entry.State), entry.RelativeCapacity, entry.StartedUnixMs)
 	}
 	const startMs = 300_000 // of the planner's clock
-	memory := discovery.NewTracker(zones, serverLimit)
-	memory.SetTime(startMs)
-	memory.RecordUpdate(update)
-	for memory.Next(host) {
+	tracker := discovery.NewTracker(zones, serverLimit)
+	tracker.SetTime(startMs)
+	tracker.RecordUpdate(update)
+	for tracker.Next(host) {
 	}
 	golden.Check(t, "testdata/cached-list-read.golden.txt", []byte(host.text.String()))
 }
--- a/internal/discovery/tracker.go
+++ b/internal/discovery/tracker.go
@@ -1,10 +1,8 @@
-// Package discovery brings the list of servers to a planner: sources that poll or follow, and a memory between them
-// and the module that doubts a list from which too much is missing at once.
 package discovery
 
 import (
-	"context"
 	"math"
+	"slices"
 
 	"google.golang.org/protobuf/proto"
 
@@ -12,253 +10,308 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Endpoint is one server as a source names it. Times are those of the source's own clock.
-type Endpoint struct {
-	Server           string
-	Zone             string
-	State            policy.State
-	RelativeCapacity float64
-	StartedUnixMs    uint64 // latest start; 0: long past
-}
-
-// Update is one word of a source.
-type Update struct {
-	Kind      policy.UpdateKind // Change, Whole or Failed
-	AsOfMs    uint64            // the source's clock, when it was true; births are counted from it
-	Version   uint64
-	Endpoints []Endpoint
-	Fault     string // of a Failed one
-	Restored  bool   // a whole list as last held before a restart
-}
-
-// Source follows a list until the context ends. It delivers in order, from one goroutine. It returns early only
-// for what waiting will not mend.
-type Source interface {
-	Run(ctx context.Context, deliver func(Update)) error
-}
-
+// How missing servers are treated.
 const (
-	unverifiedShare = 0.3     // part of the servers that may vanish at once unseen; more is rather a fault of the source
-	minUnverified   = 3       // servers; of a handful, one or two may well go together
-	unverifiedMs    = 10000.0 // ms that vanished servers are kept; a source that polls drops them for one poll, or two
-	goneMs          = 9e5     // ms that a server is remembered when it is gone; longer than the module does
-	longPast        = 1.0     // ms; births before the clock's origin count as this late, which is warm by far
+	// maxMissingShare is the part of the servers that may be missing from a full list at once and are believed gone. More is
+	// rather a fault of the source.
+	maxMissingShare = 0.3
+	// minUnverified is the number of missing servers from which on they may be kept. Of a handful, one or two may well go
+	// together.
+	minUnverified = 3
+	// unverifiedMs is how long missing servers are kept, in ms. A source that polls may lack them for a poll or two.
+	unverifiedMs = 10_000.0
+	// removedMemoryMs is how long a removed server is remembered, in ms: longer than the policy does.
+	removedMemoryMs = 900_000.0
 )
 
-// Host is told what to take as listed. Births are in ms of the planner's clock.
+// earliestStartMs is what starts before the origin of the planner's clock count as, in ms. 0 would mean that the start is not
+// known; any server is warm by far by the time that this is decided on.
+const earliestStartMs = 1.0
+
+// Host takes what a tracker decided. It is called by Tracker.Next, in its caller's goroutine.
 type Host interface {
-	UpdateEndpoints(form policy.UpdateKind, list []policy.Endpoint)
+	// UpdateEndpoints states the endpoints that changed, or all in the first call that is no failed update. Starts are in ms
+	// of the planner's clock. A failed update has no endpoints.
+	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint)
 }
 
+// trackedEndpoint is what the tracker knows of one server.
 type trackedEndpoint struct {
-	Endpoint
-	born    float64 // ms of the planner's clock, as worked out when this birth was first named
-	listed  bool    // in the source's last word
-	vanish  float64 // when it is believed gone, if not listed
-	changed bool    // not told yet
-	gone    float64 // since when
+	Endpoint           // as last listed; State is Removed once it is believed gone
+	startedMs  float64 // by the planner's clock, worked out when StartedUnixMs was first listed; 0: not known
+	listed     bool    // in the last update that covers it
+	removalMs  float64 // when it is believed gone if it is not listed; infinite while it is listed
+	changed    bool    // since the host was told
+	reportedMs float64 // when the host was told last
 }
 
-// Tracker turns what sources say into what the module is told. A server that a source states to drain or be gone is
-// believed at once. One that is only missing from a whole list is believed gone at once while few are, and after
-// doubtMs when many are: guards against a source that answers with a part of its list, or with none. It also
-// covers a file read while it is written; it harms when a zone is really taken out of the list in one step, as
-// flows go there until verdicts find it dead or the time is over.
+// Tracker turns the updates of sources into those for the policy. A server that a source states to be draining or removed is
+// believed at once. One that is only missing from a full list is believed gone at once while few are, and after
+// unverifiedMs when many are. This guards against a source that answers with a part of its list, or with none, and a file
+// that is read while it is written. It harms when a whole zone is really taken out of the list in one step: requests go
+// there until its servers are ejected or the time is over.
+//
+// Input methods only update what the tracker knows; Next passes on what follows from it. A tracker is not safe for use by
+// two goroutines at once. Times are in ms of the planner's monotonic clock, unless said otherwise.
 type Tracker struct {
-	zones   map[string]int
-	most    int // servers held
-	now     float64
-	servers map[string]*trackedEndpoint
-	order   []string // of first naming, so that the module hears the same each time
-	failed  bool
-	told    bool // a first list was told
-	fresh   bool // a first list came
-	stale   bool // and was kept over a restart
-	news    bool // a word came since the last look
-	due     float64
+	zones        map[string]int // index by name
+	maxEndpoints int
+	nowMs        float64
+	endpoints    map[string]*trackedEndpoint // by server
+	order        []string                    // servers as first listed, so that the host is told in the same order each time
 
-	Rejected   int // entries over the limit or of zones not known, in all
-	Unverified int // entries missing that are kept for now
+	sourceFailed bool    // a failed update is to be passed on
+	received     bool    // a first list came
+	restored     bool    // the first list is one from before a restart
+	announced    bool    // a first list was passed on
+	dirty        bool    // an update came since the last evaluation
+	deadlineMs   float64 // when the next unverified endpoint is believed gone; infinite if none is
+
+	Rejected   int // endpoints over the limit or of unknown zones, since the start
+	Unverified int // endpoints that are missing from the last list and are kept for now
 }
 
-// NewTracker makes one for zones by name, that holds at most so many servers.
-func NewTracker(zones []string, most int) *Tracker {
-	m := &Tracker{zones: map[string]int{}, most: most, servers: map[string]*trackedEndpoint{}, due: math.Inf(1)}
-	for n, z := range zones {
-		m.zones[z] = n
+// NewTracker returns a tracker for zones, by name in the order of the policy's indices, that holds at most maxEndpoints.
+func NewTracker(zones []string, maxEndpoints int) *Tracker {
+	tracker := &Tracker{
+		zones:        map[string]int{},
+		maxEndpoints: maxEndpoints,
+		endpoints:    map[string]*trackedEndpoint{},
+		deadlineMs:   math.Inf(1),
+	}
+	for index, zone := range zones {
+		tracker.zones[zone] = index
 	}
-	return m
+	return tracker
 }
 
-// SetTime tells the time, in ms of the planner's clock.
-func (m *Tracker) SetTime(now float64) { m.now = now }
+// SetTime states the time. It is to be called before other inputs and before Next.
+func (t *Tracker) SetTime(nowMs float64) { t.nowMs = nowMs }
 
-// RecordUpdate takes in a word of a source.
-func (m *Tracker) RecordUpdate(u Update) {
-	if u.Kind == policy.FailedUpdate {
-		m.failed = true
+// RecordUpdate records an update of a source.
+func (t *Tracker) RecordUpdate(update Update) {
+	if update.Kind == policy.FailedUpdate {
+		t.sourceFailed = true
 		return
 	}
-	m.news = true
-	m.stale = u.Restored && !m.fresh
-	m.fresh = true
-	if u.Kind == policy.FullUpdate {
-		for _, h := range m.servers {
-			h.listed = false
+	t.dirty = true
+	t.restored = update.Restored && !t.received
+	t.received = true
+	if update.Kind == policy.FullUpdate {
+		for _, endpoint := range t.endpoints {
+			endpoint.listed = false
 		}
 	}
-	for _, e := range u.Endpoints {
-		m.take(e, u.AsOfMs)
+	for _, endpoint := range update.Endpoints {
+		t.recordEndpoint(endpoint, update.AsOfMs)
+	}
+	if update.Kind == policy.FullUpdate {
+		t.scheduleRemovals()
 	}
-	if u.Kind != policy.FullUpdate {
+}
+
+// recordEndpoint updates one listed server.
+func (t *Tracker) recordEndpoint(listed Endpoint, asOfUnixMs uint64) {
+	endpoint := t.endpoints[listed.Server]
+	_, zoneKnown := t.zones[listed.Zone]
+	if !zoneKnown || endpoint == nil && !t.hasRoom() {
+		t.Rejected++
 		return
 	}
-	missing, all := 0, 0
-	for _, h := range m.servers {
-		if h.State != policy.Removed {
-			if all++; !h.listed {
-				missing++
-			}
-		}
+	if endpoint == nil {
+		endpoint = &trackedEndpoint{changed: true}
+		t.endpoints[listed.Server] = endpoint
+		t.order = append(t.order, listed.Server)
 	}
-	many := missing >= minUnverified && float64(missing) > unverifiedShare*float64(all)
-	m.Unverified = 0
-	for _, h := range m.servers {
-		switch {
-		case h.listed || h.State == policy.Removed:
-			h.vanish = math.Inf(1)
-		case !many:
-			h.vanish = m.now
-		case math.IsInf(h.vanish, 1):
-			h.vanish = m.now + unverifiedMs
-		}
-		if !h.listed && h.State != policy.Removed && h.vanish > m.now {
-			m.Unverified++
-		}
+	// The start is worked out once, and by the source's clock alone. Guards against steps of this machine's date or the
+	// source's, which would otherwise look like restarts of all servers.
+	if listed.StartedUnixMs != endpoint.StartedUnixMs {
+		endpoint.startedMs = t.startedMs(listed, asOfUnixMs)
+		endpoint.changed = true
 	}
+	if endpoint.State != listed.State || endpoint.Zone != listed.Zone || endpoint.RelativeCapacity != listed.RelativeCapacity {
+		endpoint.changed = true
+	}
+	endpoint.Endpoint = listed
+	endpoint.listed = true
+	endpoint.removalMs = math.Inf(1)
 }
 
-func (m *Tracker) take(e Endpoint, asOf uint64) {
-	h := m.servers[e.Server]
-	if _, known := m.zones[e.Zone]; !known || h == nil && len(m.servers) >= m.most && !m.forget() {
-		m.Rejected++
-		return
+// startedMs is when a server started by the planner's clock; 0: not known.
+func (t *Tracker) startedMs(listed Endpoint, asOfUnixMs uint64) float64 {
+	if listed.StartedUnixMs == 0 {
+		return 0
 	}
-	if h == nil {
-		h = &trackedEndpoint{vanish: math.Inf(1), changed: true}
-		h.State = -1
-		m.servers[e.Server], m.order = h, append(m.order, e.Server)
+	ageMs := math.Max(float64(asOfUnixMs)-float64(listed.StartedUnixMs), 0)
+	return math.Max(t.nowMs-ageMs, earliestStartMs)
+}
+
+// hasRoom reports whether one more server can be held. If need be it forgets one that is removed and was reported so.
+func (t *Tracker) hasRoom() bool {
+	if len(t.endpoints) < t.maxEndpoints {
+		return true
 	}
-	// A birth is worked out once, from the source's own clock: steps of this machine's date would otherwise look
-	// like restarts.
-	if e.StartedUnixMs != h.StartedUnixMs {
-		h.born, h.changed = 0, true
-		if e.StartedUnixMs > 0 {
-			age := math.Max(float64(asOf)-float64(e.StartedUnixMs), 0)
-			h.born = math.Max(m.now-age, longPast)
+	for index, server := range t.order {
+		endpoint := t.endpoints[server]
+		if endpoint.State == policy.Removed && !endpoint.changed {
+			delete(t.endpoints, server)
+			t.order = slices.Delete(t.order, index, index+1)
+			return true
 		}
 	}
-	h.changed = h.changed || h.State != e.State || h.Zone != e.Zone || h.RelativeCapacity != e.RelativeCapacity
-	h.Endpoint, h.listed, h.vanish = e, true, math.Inf(1)
+	return false
 }
 
-// forget makes room by a server that is gone and was told so.
-func (m *Tracker) forget() bool {
-	for n, name := range m.order {
-		if h := m.servers[name]; h.State == policy.Removed && !h.changed {
-			delete(m.servers, name)
-			m.order = append(m.order[:n], m.order[n+1:]...)
-			return true
+// scheduleRemovals sets when each server that is missing from a full list is believed gone.
+func (t *Tracker) scheduleRemovals() {
+	tooMany := t.tooManyMissing()
+	t.Unverified = 0
+	for _, endpoint := range t.endpoints {
+		if endpoint.listed || endpoint.State == policy.Removed {
+			endpoint.removalMs = math.Inf(1)
+			continue
+		}
+		if !tooMany {
+			endpoint.removalMs = t.nowMs
+		} else if math.IsInf(endpoint.removalMs, 1) {
+			endpoint.removalMs = t.nowMs + unverifiedMs
+		}
+		if endpoint.removalMs > t.nowMs {
+			t.Unverified++
 		}
 	}
-	return false
 }
 
-// Next tells the host at most one thing, and says whether it did.
-func (m *Tracker) Next(h Host) bool {
-	if m.failed {
-		m.failed = false
-		h.UpdateEndpoints(policy.FailedUpdate, nil)
+// tooManyMissing reports whether more servers are missing from the last full list than are likely gone.
+func (t *Tracker) tooManyMissing() bool {
+	missing := 0
+	present := 0
+	for _, endpoint := range t.endpoints {
+		if endpoint.State == policy.Removed {
+			continue
+		}
+		present++
+		if !endpoint.listed {
+			missing++
+		}
+	}
+	return missing >= minUnverified && float64(missing) > maxMissingShare*float64(present)
+}
+
+// Next passes on at most one update, and reports whether it did: callers call it until it does not.
+func (t *Tracker) Next(host Host) bool {
+	if t.sourceFailed {
+		t.sourceFailed = false
+		host.UpdateEndpoints(policy.FailedUpdate, nil)
 		return true
 	}
-	if !m.fresh || !m.news && m.now < m.due {
+	if !t.received || !t.dirty && t.nowMs < t.deadlineMs {
 		return false
 	}
-	m.news, m.due = false, math.Inf(1)
-	var list []policy.Endpoint
-	order := m.order[:0]
-	for _, name := range m.order {
-		s := m.servers[name]
-		if s.State == policy.Removed && !s.changed && m.now-s.gone > goneMs {
-			delete(m.servers, name)
+	t.dirty = false
+	t.deadlineMs = math.Inf(1)
+	changes := t.takeChanges()
+	kind := policy.DeltaUpdate
+	switch {
+	case t.announced && len(changes) == 0:
+		return false
+	case !t.announced && t.restored:
+		kind = policy.RestoredUpdate
+	case !t.announced:
+		kind = policy.FullUpdate
+	}
+	t.announced = true
+	host.UpdateEndpoints(kind, changes)
+	return true
+}
+
+// takeChanges returns the endpoints that the host is to be told of, and marks them as told. It forgets servers that were
+// removed long ago.
+func (t *Tracker) takeChanges() []policy.Endpoint {
+	var changes []policy.Endpoint
+	remembered := t.order[:0]
+	for _, server := range t.order {
+		endpoint := t.endpoints[server]
+		if endpoint.State == policy.Removed && !endpoint.changed && t.nowMs-endpoint.reportedMs > removedMemoryMs {
+			delete(t.endpoints, server)
 			continue
 		}
-		order = append(order, name)
-		if !s.listed && s.State != policy.Removed && s.vanish <= m.now {
-			s.State, s.changed = policy.Removed, true
-			m.Unverified = max(m.Unverified-1, 0)
-		}
-		if !s.listed && s.State != policy.Removed {
-			m.due = math.Min(m.due, s.vanish)
-		}
-		if s.changed || !m.told && s.State != policy.Removed {
-			s.changed, s.gone = false, m.now
-			list = append(list, policy.Endpoint{Server: name, Zone: m.zones[s.Zone], State: s.State, RelativeCapacity: s.RelativeCapacity, StartedMs: s.born})
+		remembered = append(remembered, server)
+		t.verifyMissing(endpoint)
+		if !endpoint.changed && (t.announced || endpoint.State == policy.Removed) {
+			continue
 		}
+		endpoint.changed = false
+		endpoint.reportedMs = t.nowMs
+		changes = append(changes, policy.Endpoint{
+			Server:           server,
+			Zone:             t.zones[endpoint.Zone],
+			State:            endpoint.State,
+			RelativeCapacity: endpoint.RelativeCapacity,
+			StartedMs:        endpoint.startedMs,
+		})
 	}
-	m.order = order
-	form := policy.DeltaUpdate
-	if !m.told {
-		if form, m.told = policy.FullUpdate, true; m.stale {
-			form = policy.RestoredUpdate
-		}
-	} else if len(list) == 0 {
-		return false
+	t.order = remembered
+	return changes
+}
+
+// verifyMissing removes a server that has been missing for long enough, and sets the deadline for one that has not.
+func (t *Tracker) verifyMissing(endpoint *trackedEndpoint) {
+	if endpoint.listed || endpoint.State == policy.Removed {
+		return
 	}
-	h.UpdateEndpoints(form, list)
-	return true
+	if endpoint.removalMs > t.nowMs {
+		t.deadlineMs = math.Min(t.deadlineMs, endpoint.removalMs)
+		return
+	}
+	endpoint.State = policy.Removed
+	endpoint.changed = true
+	t.Unverified = max(t.Unverified-1, 0)
 }
 
-// Deadline is when something missing will be believed gone, in ms; infinite if nothing is.
-func (m *Tracker) Deadline() float64 {
-	if m.news {
-		return m.now
+// Deadline is when Next may have something to pass on: now after an update, when a missing server is believed gone
+// otherwise. It is infinite if no server is missing.
+func (t *Tracker) Deadline() float64 {
+	if t.dirty {
+		return t.nowMs
 	}
-	return m.due
+	return t.deadlineMs
 }
 
-// CountByState counts what is held by state.
-func (m *Tracker) CountByState() (ready, draining, gone int) {
-	for _, h := range m.servers {
-		switch h.State {
+// CountByState counts the servers that are held, the removed ones that are remembered among them.
+func (t *Tracker) CountByState() (ready, draining, removed int) {
+	for _, endpoint := range t.endpoints {
+		switch endpoint.State {
 		case policy.Ready:
 			ready++
 		case policy.Draining:
 			draining++
 		default:
-			gone++
+			removed++
 		}
 	}
-	return ready, draining, gone
+	return ready, draining, removed
 }
 
-// Snapshot gives what is held, to be written down for a restart, with births by this machine's date.
-func (m *Tracker) Snapshot(wallMs uint64) *pb.List {
-	l := &pb.List{KeptUnixMs: wallMs, AsOfUnixMs: wallMs}
-	names := map[int]string{}
-	for name, n := range m.zones {
-		names[n] = name
-	}
-	for _, name := range m.order {
-		h := m.servers[name]
-		if h.State == policy.Removed {
+// Snapshot returns the servers that are not removed, for Save, with starts by this machine's date, which is wallMs (unix) now.
+func (t *Tracker) Snapshot(wallMs uint64) *pb.List {
+	list := &pb.List{KeptUnixMs: wallMs, AsOfUnixMs: wallMs}
+	for _, server := range t.order {
+		endpoint := t.endpoints[server]
+		if endpoint.State == policy.Removed {
 			continue
 		}
-		e := &pb.List_Entry{Server: name, Zone: h.Zone, State: pb.List_State(h.State), Size: proto.Float64(h.RelativeCapacity)}
-		if age := math.Max(m.now-h.born, 0); h.StartedUnixMs > 0 && float64(wallMs) > age {
-			e.BornUnixMs = wallMs - uint64(age)
+		entry := &pb.List_Entry{
+			Server: server,
+			Zone:   endpoint.Zone,
+			State:  pb.List_State(endpoint.State),
+			Size:   proto.Float64(endpoint.RelativeCapacity),
+		}
+		ageMs := math.Max(t.nowMs-endpoint.startedMs, 0)
+		if endpoint.StartedUnixMs > 0 && float64(wallMs) > ageMs {
+			entry.BornUnixMs = wallMs - uint64(ageMs)
 		}
-		l.Servers = append(l.Servers, e)
+		list.Servers = append(list.Servers, entry)
 	}
-	return l
+	return list
 }
--- a/internal/discovery/tracker_test.go
+++ b/internal/discovery/tracker_test.go
@@ -1,207 +1,224 @@
 package discovery
 
 import (
-	"context"
 	"fmt"
-	"os"
-	"path/filepath"
-	"strings"
+	"slices"
 	"testing"
 
-	"lichenpick/internal/clock"
 	"lichenpick/policy"
-	"lichenpick/proto/order"
 )
 
-// module keeps what the module would hold.
-type module struct {
-	states map[string]policy.State
-	born   map[string]float64
-	forms  []policy.UpdateKind
+const (
+	testAsOfMs       = 1e12 // unix, of the lists of listOf
+	testMaxEndpoints = 100
+)
+
+// trackerTest is a tracker, and what the policy would hold by what it passes on.
+type trackerTest struct {
+	tracker *Tracker
+	states  map[string]policy.State
+	started map[string]float64
+	kinds   []policy.UpdateKind
 }
 
-func (m *module) UpdateEndpoints(form policy.UpdateKind, list []policy.Endpoint) {
-	m.forms = append(m.forms, form)
-	for _, e := range list {
-		m.states[e.Server], m.born[e.Server] = e.State, e.StartedMs
+func newTrackerTest() *trackerTest {
+	return &trackerTest{
+		tracker: NewTracker([]string{"a", "b"}, testMaxEndpoints),
+		states:  map[string]policy.State{},
+		started: map[string]float64{},
 	}
 }
 
-func (m *module) ready() (n int) {
-	for _, s := range m.states {
-		if s == policy.Ready {
-			n++
-		}
+func (h *trackerTest) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) {
+	h.kinds = append(h.kinds, kind)
+	for _, endpoint := range endpoints {
+		h.states[endpoint.Server] = endpoint.State
+		h.started[endpoint.Server] = endpoint.StartedMs
 	}
-	return n
 }
 
-func whole(n int) Update {
-	u := Update{Kind: policy.FullUpdate, AsOfMs: 1e12}
-	for i := range n {
-		u.Endpoints = append(u.Endpoints, Endpoint{Server: fmt.Sprint("s", i), Zone: "a", RelativeCapacity: 1})
+// at sets the time, records updates, and has the tracker pass on all that follows.
+func (h *trackerTest) at(nowMs float64, updates ...Update) {
+	h.tracker.SetTime(nowMs)
+	for _, update := range updates {
+		h.tracker.RecordUpdate(update)
+	}
+	for h.tracker.Next(h) {
 	}
-	return u
 }
 
-func TestMemory(t *testing.T) {
-	begin := func() (*Tracker, *module, func(now float64, u ...Update)) {
-		m, h := NewTracker([]string{"a", "b"}, 100), &module{states: map[string]policy.State{}, born: map[string]float64{}}
-		return m, h, func(now float64, all ...Update) {
-			m.SetTime(now)
-			for _, u := range all {
-				m.RecordUpdate(u)
-			}
-			for m.Next(h) {
-			}
+func (h *trackerTest) countReady() int {
+	ready := 0
+	for _, state := range h.states {
+		if state == policy.Ready {
+			ready++
 		}
 	}
-	t.Run("an empty list is doubted for a while, and a full one ends the doubt", func(t *testing.T) {
-		m, h, at := begin()
-		at(1000, whole(10))
-		at(1500, whole(0))
-		at(2000, whole(0))
-		if h.ready() != 10 || m.Unverified != 10 {
-			t.Errorf("%d ready, %d doubted", h.ready(), m.Unverified)
-		}
-		at(2500, whole(10))
-		at(30000)
-		if h.ready() != 10 || m.Unverified != 0 {
-			t.Errorf("%d ready, %d doubted", h.ready(), m.Unverified)
-		}
-	})
-	t.Run("what is long gone is forgotten, and may come back", func(t *testing.T) {
-		m, h, at := begin()
-		at(1000, whole(10))
-		at(2000, whole(9))
-		at(2000+goneMs/2, whole(9))
-		if m.servers["s9"] == nil {
-			t.Error("forgotten at once")
-		}
-		at(3000+goneMs, whole(9))
-		if len(m.servers) != 9 || len(m.order) != 9 {
-			t.Errorf("%d known, %d in order", len(m.servers), len(m.order))
-		}
-		if at(4000+goneMs, whole(10)); h.ready() != 10 {
-			t.Errorf("%d ready", h.ready())
-		}
-	})
-	t.Run("but believed in the end", func(t *testing.T) {
-		m, h, at := begin()
-		at(1000, whole(10))
-		at(2000, whole(0))
-		if due := m.Deadline(); due != 2000+unverifiedMs {
-			t.Errorf("due %g", due)
-		}
-		at(6000, whole(0))
-		at(2000 + unverifiedMs)
-		if h.ready() != 0 {
-			t.Errorf("%d ready", h.ready())
-		}
-	})
-	t.Run("a drain is believed at once, in the same list as a doubt", func(t *testing.T) {
-		_, h, at := begin()
-		at(1000, whole(10))
-		u := whole(3)
-		u.Endpoints[0].State = policy.Draining
-		at(1500, u)
-		if h.states["s0"] != policy.Draining || h.ready() != 9 {
-			t.Errorf("%v", h.states)
-		}
-	})
-	t.Run("one that is missing among many is gone at once", func(t *testing.T) {
-		_, h, at := begin()
-		at(1000, whole(10))
-		at(1500, whole(9))
-		if h.states["s9"] != policy.Removed {
-			t.Errorf("%v", h.states)
-		}
-	})
-	t.Run("births are by the source's clock, and steps of a clock are no restarts", func(t *testing.T) {
-		_, h, at := begin()
-		u := whole(1)
-		u.Endpoints[0].StartedUnixMs = 1e12 - 4000
-		at(1e9, u)
-		at(1e9+500, u)
-		u.AsOfMs += 3600e3 // the same birth, told by a clock that was set forward
-		at(1e9+1000, u)
-		if h.born["s0"] != 1e9-4000 || len(h.forms) != 1 {
-			t.Errorf("born %g, told %v", h.born["s0"], h.forms)
-		}
-		u.Endpoints[0].StartedUnixMs = u.AsOfMs - 100
-		at(1e9+2000, u)
-		if h.born["s0"] != 1e9+1900 {
-			t.Errorf("born %g", h.born["s0"])
-		}
-	})
-	t.Run("a birth before the clock's origin is long past, not unknown, and never negative", func(t *testing.T) {
-		_, h, at := begin()
-		u := whole(1)
-		u.Endpoints[0].StartedUnixMs = 5
-		at(1000, u)
-		if h.born["s0"] != longPast {
-			t.Errorf("born %g", h.born["s0"])
-		}
-	})
-	t.Run("what is over the limit is refused, and the dead make room", func(t *testing.T) {
-		m, h, at := begin()
-		at(1000, whole(120))
-		if h.ready() != 100 || m.Rejected != 20 {
-			t.Errorf("%d ready, %d refused", h.ready(), m.Rejected)
-		}
-		at(2000, Update{Kind: policy.DeltaUpdate, Endpoints: []Endpoint{{Server: "s0", Zone: "a", State: policy.Removed}}})
-		at(2500, Update{Kind: policy.DeltaUpdate, Endpoints: []Endpoint{{Server: "new", Zone: "a"}, {Server: "odd", Zone: "nowhere"}}})
-		if h.states["new"] != policy.Ready || m.Rejected != 21 {
-			t.Errorf("%v, %d refused", h.states["new"], m.Rejected)
-		}
-	})
-	t.Run("a failed call changes nothing", func(t *testing.T) {
-		_, h, at := begin()
-		at(1000, whole(4))
-		at(2000, Update{Kind: policy.FailedUpdate})
-		if h.ready() != 4 || fmt.Sprint(h.forms) != fmt.Sprint([]policy.UpdateKind{policy.FullUpdate, policy.FailedUpdate}) {
-			t.Errorf("%v", h.forms)
-		}
-	})
+	return ready
 }
 
-func TestFile(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "list.txtpb")
-	write := func(text string) {
-		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Rename(path+".new", path); err != nil {
-			t.Fatal(err)
-		}
+func (h *trackerTest) expectReady(t *testing.T, want int) {
+	t.Helper()
+	if ready := h.countReady(); ready != want {
+		t.Errorf("%d ready, want %d", ready, want)
+	}
+}
+
+func (h *trackerTest) expectUnverified(t *testing.T, want int) {
+	t.Helper()
+	if h.tracker.Unverified != want {
+		t.Errorf("%d unverified, want %d", h.tracker.Unverified, want)
+	}
+}
+
+func (h *trackerTest) expectRejected(t *testing.T, want int) {
+	t.Helper()
+	if h.tracker.Rejected != want {
+		t.Errorf("%d rejected, want %d", h.tracker.Rejected, want)
+	}
+}
+
+func (h *trackerTest) expectState(t *testing.T, server string, want policy.State) {
+	t.Helper()
+	state, known := h.states[server]
+	if !known || state != want {
+		t.Errorf("%s is in state %v (known: %t), want %v", server, state, known, want)
 	}
-	write(`servers { server: "127.0.0.1:1" zone: "a" }`)
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
-	got := make(chan Update, 10)
-	go (&FileSource{Path: path, PollIntervalMs: 5, Clock: clock.NewReal()}).Run(ctx, func(u Update) { got <- u })
-	if u := <-got; u.Kind != policy.FullUpdate || len(u.Endpoints) != 1 {
-		t.Errorf("%v", u)
-	}
-	// A file cut short is one failed call, named with its place; the whole file is read again afterwards.
-	write(`servers { server: "127.0.0.1:1" zone: "a`)
-	if u := <-got; u.Kind != policy.FailedUpdate || !strings.Contains(u.Fault, "list.txtpb:1:") {
-		t.Errorf("%v", u)
-	}
-	write(`servers { server: "127.0.0.1:1" zone: "a" }`)
-	if u := <-got; u.Kind != policy.FullUpdate || u.Version != 2 {
-		t.Errorf("%v", u)
-	}
-}
-
-func TestFollower(t *testing.T) {
-	var got []Update
-	f := &follower{deliver: func(u Update) { got = append(got, u) }}
-	f.OnEndpoints(&order.Listing{Form: order.Listing_WHOLE, Version: 4})
-	f.OnEndpoints(&order.Listing{Form: order.Listing_CHANGE, Version: 5})
-	f.OnEndpoints(&order.Listing{Form: order.Listing_CHANGE, Version: 7}) // 6 was lost: it may have been a drain
-	f.OnEndpoints(&order.Listing{Form: order.Listing_CHANGE, Version: 8})
-	if len(got) != 2 || !f.gap {
-		t.Errorf("%v, gap %v", got, f.gap)
+}
+
+func (h *trackerTest) expectStarted(t *testing.T, server string, wantMs float64) {
+	t.Helper()
+	if h.started[server] != wantMs {
+		t.Errorf("%s started at %g ms, want %g", server, h.started[server], wantMs)
+	}
+}
+
+// listOf is a full list of the servers s0, s1, ... in zone a.
+func listOf(count int) Update {
+	update := Update{Kind: policy.FullUpdate, AsOfMs: testAsOfMs}
+	for number := range count {
+		update.Endpoints = append(update.Endpoints, Endpoint{Server: fmt.Sprint("s", number), Zone: "a", RelativeCapacity: 1})
+	}
+	return update
+}
+
+func TestTracker(t *testing.T) {
+	t.Run("an empty list leaves servers unverified for a while, and a full one verifies them", testEmptyListIsUnverified)
+	t.Run("a server that was removed long ago is forgotten, and may come back", testRemovedServerIsForgotten)
+	t.Run("an empty list is believed in the end", testEmptyListIsBelievedInTheEnd)
+	t.Run("a draining state is believed at once, in a list that lacks many servers", testDrainingIsBelievedAtOnce)
+	t.Run("one missing server of many is removed at once", testOneMissingServerIsRemoved)
+	t.Run("starts go by the source's clock, and steps of a clock are no restarts", testStartsGoByTheSourcesClock)
+	t.Run("a start before the clock's origin is long ago, neither unknown nor negative", testStartBeforeOrigin)
+	t.Run("endpoints over the limit are rejected, and removed ones make room", testEndpointLimit)
+	t.Run("a failed update changes no endpoint", testFailedUpdate)
+}
+
+func testEmptyListIsUnverified(t *testing.T) {
+	test := newTrackerTest()
+	test.at(1000, listOf(10))
+	test.at(1500, listOf(0))
+	test.at(2000, listOf(0))
+	test.expectReady(t, 10)
+	test.expectUnverified(t, 10)
+	test.at(2500, listOf(10))
+	test.at(30000)
+	test.expectReady(t, 10)
+	test.expectUnverified(t, 0)
+}
+
+func testRemovedServerIsForgotten(t *testing.T) {
+	test := newTrackerTest()
+	test.at(1000, listOf(10))
+	test.at(2000, listOf(9))
+	test.at(2000+removedMemoryMs/2, listOf(9))
+	if test.tracker.endpoints["s9"] == nil {
+		t.Error("forgotten at once")
+	}
+	test.at(3000+removedMemoryMs, listOf(9))
+	if len(test.tracker.endpoints) != 9 || len(test.tracker.order) != 9 {
+		t.Errorf("%d known, %d in order", len(test.tracker.endpoints), len(test.tracker.order))
+	}
+	test.at(4000+removedMemoryMs, listOf(10))
+	test.expectReady(t, 10)
+}
+
+func testEmptyListIsBelievedInTheEnd(t *testing.T) {
+	test := newTrackerTest()
+	test.at(1000, listOf(10))
+	test.at(2000, listOf(0))
+	if deadlineMs := test.tracker.Deadline(); deadlineMs != 2000+unverifiedMs {
+		t.Errorf("deadline %g", deadlineMs)
+	}
+	test.at(6000, listOf(0))
+	test.at(2000 + unverifiedMs)
+	test.expectReady(t, 0)
+}
+
+func testDrainingIsBelievedAtOnce(t *testing.T) {
+	test := newTrackerTest()
+	test.at(1000, listOf(10))
+	update := listOf(3)
+	update.Endpoints[0].State = policy.Draining
+	test.at(1500, update)
+	test.expectState(t, "s0", policy.Draining)
+	test.expectReady(t, 9)
+}
+
+func testOneMissingServerIsRemoved(t *testing.T) {
+	test := newTrackerTest()
+	test.at(1000, listOf(10))
+	test.at(1500, listOf(9))
+	test.expectState(t, "s9", policy.Removed)
+}
+
+func testStartsGoByTheSourcesClock(t *testing.T) {
+	const beginMs = 1e9
+	test := newTrackerTest()
+	update := listOf(1)
+	update.Endpoints[0].StartedUnixMs = testAsOfMs - 4000
+	test.at(beginMs, update)
+	test.at(beginMs+500, update)
+	update.AsOfMs += 3600e3 // the same start, from a clock that was set forward
+	test.at(beginMs+1000, update)
+	test.expectStarted(t, "s0", beginMs-4000)
+	if len(test.kinds) != 1 {
+		t.Errorf("told %v", test.kinds)
+	}
+	update.Endpoints[0].StartedUnixMs = update.AsOfMs - 100
+	test.at(beginMs+2000, update)
+	test.expectStarted(t, "s0", beginMs+1900)
+}
+
+func testStartBeforeOrigin(t *testing.T) {
+	test := newTrackerTest()
+	update := listOf(1)
+	update.Endpoints[0].StartedUnixMs = 5
+	test.at(1000, update)
+	test.expectStarted(t, "s0", earliestStartMs)
+}
+
+func testEndpointLimit(t *testing.T) {
+	test := newTrackerTest()
+	test.at(1000, listOf(testMaxEndpoints+20))
+	test.expectReady(t, testMaxEndpoints)
+	test.expectRejected(t, 20)
+	test.at(2000, Update{Kind: policy.DeltaUpdate, Endpoints: []Endpoint{{Server: "s0", Zone: "a", State: policy.Removed}}})
+	test.at(2500, Update{Kind: policy.DeltaUpdate, Endpoints: []Endpoint{
+		{Server: "new", Zone: "a"},
+		{Server: "odd", Zone: "nowhere"},
+	}})
+	test.expectState(t, "new", policy.Ready)
+	test.expectRejected(t, 21)
+}
+
+func testFailedUpdate(t *testing.T) {
+	test := newTrackerTest()
+	test.at(1000, listOf(4))
+	test.at(2000, Update{Kind: policy.FailedUpdate})
+	test.expectReady(t, 4)
+	want := []policy.UpdateKind{policy.FullUpdate, policy.FailedUpdate}
+	if !slices.Equal(test.kinds, want) {
+		t.Errorf("told %v, want %v", test.kinds, want)
 	}
 }
