--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,7 @@
-// Package clock is the program's door to time and network: all else is handed a Clock and a Network, so that
-// the same code runs on the machine's own and on simulated ones.
+// Package clock is the program's only way to time and network. All other packages are handed a Clock and a Network, so that
+// the same code runs with the machine's own (Real, TCP) and with simulated ones.
+//
+// Spans are in ms, as float64, like those of the policy. All types are safe for use by several goroutines.
 package clock
 
 import (
@@ -9,44 +11,31 @@
 	"time"
 )
 
-// Clock tells time. Monotonic never jumps and is for spans, limits and deadlines; WallTime is the date, may be stepped by
-// whoever sets the machine's clock, and is only ever shown or sent along.
+// Clock tells time and sets timers.
 type Clock interface {
-	Monotonic() float64 // ms since an arbitrary origin
+	// Monotonic is the time since an arbitrary origin, in ms. It never jumps. It is for spans, limits and deadlines.
+	Monotonic() float64
+	// WallTime is the date. It jumps when the machine's clock is set, so it is only to be shown or sent along.
 	WallTime() time.Time
-	NewTimer(ms float64) (<-chan time.Time, func()) // fires once; the func releases it early
-	Deadline(ms float64) time.Time                  // so long from now, for reads and writes; no step of the date moves it
+	// NewTimer returns a channel that gets one value after a span, and a function that releases the timer before that. The
+	// function is to be called in any case; it may be called more than once.
+	NewTimer(ms float64) (fired <-chan time.Time, stop func())
+	// Deadline is the time after a span, as net.Conn takes it for reads and writes. A jump of the date does not move it.
+	Deadline(ms float64) time.Time
 }
 
 // Network dials and listens.
 type Network interface {
+	// Dial connects to an address, host:port, from a local address, or from any if that is invalid. The context bounds the
+	// time until the connection is up.
 	Dial(ctx context.Context, from netip.Addr, to string) (net.Conn, error)
+	// Listen accepts connections at an address, host:port. The context does not end the listener.
 	Listen(ctx context.Context, at string) (net.Listener, error)
 }
 
-// Real is the machine's clock.
-type Real struct{ origin time.Time }
-
-// NewReal starts the machine's clock with Monotonic at a little over 0.
-func NewReal() *Real { return &Real{origin: time.Now()} }
-
-// Monotonic goes by the runtime's monotonic reading, which steps of the date do not touch.
-func (r *Real) Monotonic() float64 { return float64(time.Since(r.origin)) / float64(time.Millisecond) }
-
-func (r *Real) WallTime() time.Time { return time.Now() }
-
-func (r *Real) NewTimer(ms float64) (<-chan time.Time, func()) {
-	t := time.NewTimer(time.Duration(max(ms, 0) * float64(time.Millisecond)))
-	return t.C, func() { t.Stop() }
-}
-
-func (r *Real) Deadline(ms float64) time.Time {
-	return time.Now().Add(time.Duration(max(ms, 0) * float64(time.Millisecond)))
-}
-
-// Sleep waits for a while, or until the context ends, which it then says.
-func Sleep(ctx context.Context, c Clock, ms float64) error {
-	fired, stop := c.NewTimer(ms)
+// Sleep waits for a span. If the context ends before, it returns the context's error.
+func Sleep(ctx context.Context, clock Clock, ms float64) error {
+	fired, stop := clock.NewTimer(ms)
 	defer stop()
 	select {
 	case <-fired:
@@ -55,19 +44,3 @@
 		return ctx.Err()
 	}
 }
-
-// TCP is the machine's network.
-type TCP struct{ KeepAlive time.Duration }
-
-func (t TCP) Dial(ctx context.Context, from netip.Addr, to string) (net.Conn, error) {
-	d := net.Dialer{KeepAlive: t.KeepAlive}
-	if from.IsValid() {
-		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(from, 0))
-	}
-	return d.DialContext(ctx, "tcp", to)
-}
-
-func (t TCP) Listen(ctx context.Context, at string) (net.Listener, error) {
-	lc := net.ListenConfig{KeepAlive: t.KeepAlive}
-	return lc.Listen(ctx, "tcp", at)
-}
--- /dev/null
+++ b/internal/clock/clock_test.go
@@ -0,0 +1,79 @@
+package clock
+
+import (
+	"context"
+	"errors"
+	"net/netip"
+	"testing"
+	"time"
+)
+
+const longMs = 3_600_000
+
+func TestSleep(t *testing.T) {
+	t.Run("it lasts for the span", func(t *testing.T) {
+		const spanMs = 5
+		clock := NewReal()
+		startMs := clock.Monotonic()
+		if err := Sleep(t.Context(), clock, spanMs); err != nil {
+			t.Fatal(err)
+		}
+		if elapsedMs := clock.Monotonic() - startMs; elapsedMs < spanMs {
+			t.Errorf("ended after %g ms", elapsedMs)
+		}
+	})
+	t.Run("a negative span ends at once", func(t *testing.T) {
+		if err := Sleep(t.Context(), NewReal(), -longMs); err != nil {
+			t.Error(err)
+		}
+	})
+	t.Run("the end of the context ends it", func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		cancel()
+		if err := Sleep(ctx, NewReal(), longMs); !errors.Is(err, context.Canceled) {
+			t.Errorf("ended by %v, want %v", err, context.Canceled)
+		}
+	})
+}
+
+func TestRealDeadline(t *testing.T) {
+	clock := NewReal()
+	before := time.Now()
+	deadline := clock.Deadline(longMs)
+	if span := deadline.Sub(before); span < longMs*time.Millisecond || span > (longMs+60_000)*time.Millisecond {
+		t.Errorf("a deadline in %v", span)
+	}
+	if past := clock.Deadline(-longMs); past.Before(before) {
+		t.Errorf("a negative span gives a deadline before now: %v", past)
+	}
+}
+
+// TestTCPDialsFromAddress states that a connection comes from the local address that was asked for.
+func TestTCPDialsFromAddress(t *testing.T) {
+	listener, err := TCP{}.Listen(t.Context(), "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := listener.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	from := netip.MustParseAddr("127.0.0.2")
+	connection, err := TCP{}.Dial(t.Context(), from, listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := connection.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	local, err := netip.ParseAddrPort(connection.LocalAddr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if local.Addr() != from {
+		t.Errorf("dialled from %v, want %v", local.Addr(), from)
+	}
+}
