--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -67,7 +67,7 @@
 	golden.Check(t, "testdata/cached-list.golden.txt", content)
 }
 
-// TestRecordedCachedList reads a list that an earlier release cached, as a planner does at its start, and hands it to a
+// TestRecordedCachedList reads a list that an earlier release cached, as a planner does at its start, and records it in a
 // tracker: servers must be of the same state, size and age as when it was written.
 func TestRecordedCachedList(t *testing.T) {
 	update, found, err := discovery.Restore(recordedList, writtenMs+restartMs)
--- a/internal/discovery/streamsource_test.go
+++ b/internal/discovery/streamsource_test.go
@@ -1,8 +1,15 @@
 package discovery
 
 import (
+	"context"
+	"errors"
+	"net"
+	"net/netip"
+	"strings"
 	"testing"
 
+	"lichenpick/internal/clock"
+	"lichenpick/policy"
 	"lichenpick/proto/order"
 )
 
@@ -18,3 +25,53 @@
 		t.Errorf("%v, version gap %t", updates, decoder.versionGap)
 	}
 }
+
+// failingNetwork fails each dial by the next error, and ends the source after the last.
+type failingNetwork struct {
+	errs []error
+	stop context.CancelFunc
+}
+
+func (n *failingNetwork) Dial(context.Context, netip.Addr, string) (net.Conn, error) {
+	err := n.errs[0]
+	if len(n.errs) > 1 {
+		n.errs = n.errs[1:]
+	} else {
+		n.stop()
+	}
+	return nil, err
+}
+
+func (n *failingNetwork) Listen(context.Context, string) (net.Listener, error) {
+	return nil, errors.ErrUnsupported
+}
+
+// TestStreamSourceReportsFaultOnce states that a fault is delivered once, not at each attempt that meets it.
+func TestStreamSourceReportsFaultOnce(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	refused := errors.New("refused")
+	unreachable := errors.New("unreachable")
+	ended := errors.New("after the end")
+	network := &failingNetwork{errs: []error{refused, refused, refused, unreachable, unreachable, refused, ended}, stop: cancel}
+	source := &StreamSource{
+		Address:            "registry:1",
+		ReconnectDelayMs:   1,
+		HeartbeatTimeoutMs: 1000,
+		MaxFrameBytes:      1 << 10,
+		Clock:              clock.NewReal(),
+		Network:            network,
+	}
+	var updates []Update
+	if err := source.Run(ctx, func(update Update) { updates = append(updates, update) }); err != nil {
+		t.Fatal(err)
+	}
+	want := []error{refused, unreachable, refused}
+	if len(updates) != len(want) {
+		t.Fatalf("%d updates, want %d: %v", len(updates), len(want), updates)
+	}
+	for index, update := range updates {
+		if update.Kind != policy.FailedUpdate || !strings.HasSuffix(update.Fault, want[index].Error()) {
+			t.Errorf("update %d is %v, want the fault %q", index, update, want[index])
+		}
+	}
+}
--- a/internal/discovery/tracker.go
+++ b/internal/discovery/tracker.go
@@ -15,10 +15,10 @@
 	// maxMissingShare is the part of the servers that may be missing from a full list at once and are believed gone. More is
 	// rather a fault of the source.
 	maxMissingShare = 0.3
-	// minUnverified is the number of missing servers from which on they may be kept. Of a handful, one or two may well go
+	// minUnverified is the number of missing servers from which on their removal may be delayed. Of a handful, one or two may well go
 	// together.
 	minUnverified = 3
-	// unverifiedMs is how long missing servers are kept, in ms. A source that polls may lack them for a poll or two.
+	// unverifiedMs is how long the removal of missing servers is delayed, in ms. A source that polls may lack them for a poll or two.
 	unverifiedMs = 10_000.0
 	// removedMemoryMs is how long a removed server is remembered, in ms: longer than the policy does.
 	removedMemoryMs = 900_000.0
@@ -41,8 +41,8 @@
 	startedMs  float64 // by the planner's clock, worked out when StartedUnixMs was first listed; 0: not known
 	listed     bool    // in the last update that covers it
 	removalMs  float64 // when it is believed gone if it is not listed; infinite while it is listed
-	changed    bool    // since the host was told
-	reportedMs float64 // when the host was told last
+	changed    bool    // since it was reported to the host
+	reportedMs float64 // when it was reported to the host last
 }
 
 // Tracker turns the updates of sources into those for the policy. A server that a source states to be draining or removed is
@@ -58,7 +58,7 @@
 	maxEndpoints int
 	nowMs        float64
 	endpoints    map[string]*trackedEndpoint // by server
-	order        []string                    // servers as first listed, so that the host is told in the same order each time
+	order        []string                    // servers as first listed, so that reports have the same order each time
 
 	sourceFailed bool    // a failed update is to be passed on
 	received     bool    // a first list came
@@ -68,7 +68,7 @@
 	deadlineMs   float64 // when the next unverified endpoint is believed gone; infinite if none is
 
 	Rejected   int // endpoints over the limit or of unknown zones, since the start
-	Unverified int // endpoints that are missing from the last list and are kept for now
+	Unverified int // endpoints that are missing from the last list and whose removal is delayed
 }
 
 // NewTracker returns a tracker for zones, by name in the order of the policy's indices, that holds at most maxEndpoints.
@@ -225,8 +225,8 @@
 	return true
 }
 
-// takeChanges returns the endpoints that the host is to be told of, and marks them as told. It forgets servers that were
-// removed long ago.
+// takeChanges returns the endpoints that are to be reported to the host, and records that they are reported. It forgets
+// servers that were removed long ago.
 func (t *Tracker) takeChanges() []policy.Endpoint {
 	var changes []policy.Endpoint
 	remembered := t.order[:0]
--- a/internal/discovery/tracker_test.go
+++ b/internal/discovery/tracker_test.go
@@ -183,7 +183,7 @@
 	test.at(beginMs+1000, update)
 	test.expectStarted(t, "s0", beginMs-4000)
 	if len(test.kinds) != 1 {
-		t.Errorf("told %v", test.kinds)
+		t.Errorf("passed on %v", test.kinds)
 	}
 	update.Endpoints[0].StartedUnixMs = update.AsOfMs - 100
 	test.at(beginMs+2000, update)
@@ -219,6 +219,6 @@
 	test.expectReady(t, 4)
 	want := []policy.UpdateKind{policy.FullUpdate, policy.FailedUpdate}
 	if !slices.Equal(test.kinds, want) {
-		t.Errorf("told %v, want %v", test.kinds, want)
+		t.Errorf("passed on %v, want %v", test.kinds, want)
 	}
 }
--- a/internal/lease/decisions.go
+++ b/internal/lease/decisions.go
@@ -10,7 +10,7 @@
 type Host interface {
 	// RequestLease sends a lease request of leaseMs to a proxy. The answer comes by Manager.HandleAnswer with the same nonce.
 	RequestLease(proxy string, nonce, epoch uint64, leaseMs float64)
-	// ReleaseLease tells a proxy that its lease is given back.
+	// ReleaseLease sends a proxy that its lease is released.
 	ReleaseLease(proxy string, epoch uint64)
 	// StartCommand states that the controller holds a proxy's lease from now on.
 	StartCommand(proxy string, epoch uint64)
@@ -19,7 +19,7 @@
 	// ReserveEpochs writes to stable storage that epochs up to upTo may be used, and answers by Manager.EpochsReserved or
 	// Manager.ReservationFailed, at once or later.
 	ReserveEpochs(upTo uint64)
-	// SetOpen tells all proxies whether this controller is open to proxies.
+	// SetOpen notifies all proxies whether this controller is open to proxies.
 	SetOpen(open bool)
 	// SetTimer has the host call Manager.SetTime and Next at a time, in ms of the controller's clock. It replaces the last.
 	SetTimer(atMs float64)
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -5,8 +5,8 @@
 //
 // # Protocol
 //
-// Each proxy is the only judge of who commands it, and has a stream to each controller. All times are in ms of the clock of
-// whoever keeps them; messages carry spans, never times.
+// Each proxy alone decides who commands it, and has a stream to each controller. All times are in ms of the clock of
+// whoever holds them; messages carry spans, never times.
 //
 //   - A controller requests a lease on a free proxy under an epoch that is above all that it used itself and above the last
 //     that the proxy granted. The proxy grants it if nobody else holds a lease, and answers with its view: epoch, holder, time
--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -25,7 +25,7 @@
 
 var seeds = flag.Int64("seeds", 15, "seeds of random faults")
 
-// runWithFaults draws pauses, kills, partitions and full disks for a while, and then lets all heal. Unfenced proxies don't
+// runWithFaults draws pauses, kills, partitions and full disks for a while, and then ends all faults. Unfenced proxies don't
 // check epochs.
 func runWithFaults(t *testing.T, seed int64, unfenced bool) *world {
 	t.Helper()
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -13,10 +13,10 @@
 	stepMs           = 5.0
 	runMs            = 40_000.0
 	healMs           = 32_000.0 // no faults from then on
-	digestMs         = 1000.0   // one line of the golden file
+	digestMs         = 1000.0   // that each digest in the golden file covers
 	seed             = 20261202
-	plannerNum       = 3
-	proxyNum         = 15
+	plannerCount     = 3
+	proxyCount       = 15
 	disconnectChance = 0.02 // of one random stream, in a step
 	dialChance       = 0.05 // of each missing stream, in a step
 	pauseMs          = 1500 // that a paused planner is away
@@ -52,12 +52,12 @@
 
 func newSimulation() *simulation {
 	s := &simulation{digest: golden.NewDigest("leases", digestMs), random: rand.New(rand.NewSource(seed))}
-	for number := range plannerNum {
+	for number := range plannerCount {
 		planner := &simulatedPlanner{simulation: s, name: fmt.Sprint("planner-", number), open: true}
 		planner.start()
 		s.planners = append(s.planners, planner)
 	}
-	for number := range proxyNum {
+	for number := range proxyCount {
 		s.proxies = append(s.proxies, &simulatedProxy{name: fmt.Sprint("edge-", number), connected: map[string]bool{}})
 	}
 	return s
@@ -70,6 +70,7 @@
 	p.manager = lease.NewManager(p.name, p.incarnation, p.reserved, p.simulation.nowMs)
 }
 
+// log adds an event to the digest. The words of its events are part of what the golden file covers, so they stay as they are.
 func (p *simulatedPlanner) log(format string, args ...any) {
 	p.simulation.digest.Add(p.simulation.nowMs, p.name+" "+format, args...)
 }
@@ -139,7 +140,7 @@
 		Controller:        proxy.grantor.Controller,
 		Incarnation:       proxy.grantor.Incarnation,
 		RemainingMs:       proxy.grantor.RemainingMs(),
-		DialedControllers: plannerNum,
+		DialedControllers: plannerCount,
 	}
 	for _, planner := range s.planners {
 		if proxy.connected[planner.name] && planner.open {
@@ -149,7 +150,7 @@
 	return view
 }
 
-// broadcast tells all planners that a proxy has streams to how its lease stands.
+// broadcast sends a proxy's view to all planners that it has streams to.
 func (s *simulation) broadcast(proxy *simulatedProxy) {
 	view := s.viewOf(proxy)
 	for _, planner := range s.planners {
@@ -209,8 +210,8 @@
 
 func (s *simulation) randomFaults() {
 	if s.random.Float64() < disconnectChance {
-		proxy := s.proxies[s.random.Intn(proxyNum)]
-		s.disconnect(proxy, s.planners[s.random.Intn(plannerNum)])
+		proxy := s.proxies[s.random.Intn(proxyCount)]
+		s.disconnect(proxy, s.planners[s.random.Intn(plannerCount)])
 	}
 }
 
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -24,7 +24,7 @@
 	draining       bool
 	openAnnounced  bool    // whether proxies know the present value of Open
 	lastTransferMs float64 // minus infinity: never
-	timerMs        float64 // what the host was told last
+	timerMs        float64 // of the last Host.SetTimer
 
 	Takeovers   int // leases gained, by grants under a new epoch
 	Transferred int // leases given back for another controller
@@ -62,8 +62,8 @@
 	m.recordView(proxy, view)
 }
 
-// RemoveProxy records that a proxy's stream ended. Its lease is no longer held, as no order can reach it; the host is not
-// told by StopCommand.
+// RemoveProxy records that a proxy's stream ended. Its lease is no longer held, as no order can reach it; Host.StopCommand
+// is not called.
 func (m *Manager) RemoveProxy(proxyName string) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil {
@@ -117,7 +117,7 @@
 }
 
 // ReservationFailed records that epochs could not be reserved. It is tried again after answerTimeoutMs. Until a write
-// succeeds no new lease is requested, held ones are renewed, and proxies are told that this controller is not open: guards
+// succeeds no new lease is requested, held ones are renewed, and proxies are notified that this controller is not open: guards
 // against others that transfer proxies to it which it cannot take.
 func (m *Manager) ReservationFailed() {
 	if !m.reservationFailed {
--- a/internal/lease/model/explorer.go
+++ b/internal/lease/model/explorer.go
@@ -16,7 +16,7 @@
 	lastState state  // before the step that broke a rule
 	lastStep  string // that step
 
-	// describe, if set, is called for each step in place of searching. It tells a trace.
+	// describe, if set, is called for each step in place of searching. It is for traces.
 	describe func(next state, step string)
 }
 
@@ -50,7 +50,7 @@
 	e.lastStep = step
 }
 
-// trace describes the way to the violation. Steps are not kept, so each state on the way is expanded once more to find the
+// trace describes the way to the violation. Steps are not stored, so each state on the way is expanded once more to find the
 // one that leads to the next.
 func (e *explorer) trace() []string {
 	steps := []string{e.lastStep}
--- a/internal/lease/model/model.go
+++ b/internal/lease/model/model.go
@@ -6,7 +6,7 @@
 // after. The exploration shows what random runs cannot: that no order of events breaks a rule, or the shortest one that does.
 package model
 
-// Bounds keep the state space finite. There are always two controllers.
+// Bounds make the state space finite. There are always two controllers.
 type Bounds struct {
 	Proxies   int   // 1 or 2
 	Epochs    uint8 // the highest that is requested
@@ -41,7 +41,7 @@
 	Trace     []string // the shortest way to the violation, step by step
 }
 
-// Explore goes through all states within the bounds, breadth first, until a rule is broken. It keeps each state that it has
+// Explore goes through all states within the bounds, breadth first, until a rule is broken. It holds each state that it has
 // reached in memory, with its predecessor.
 func Explore(bounds Bounds, mutation Mutation) Result {
 	start := state{}
--- a/internal/lease/model/state.go
+++ b/internal/lease/model/state.go
@@ -14,7 +14,7 @@
 )
 
 // state is all that matters of the two controllers, the proxies and the messages between them. It is comparable, as the
-// explorer keeps states as keys of a map. Epoch 0 stands for none.
+// explorer stores states as keys of a map. Epoch 0 stands for none.
 type state struct {
 	proxies     [maxProxies]proxy
 	controllers [controllerCount]controller
@@ -60,7 +60,7 @@
 
 func controllerName(number int) string { return string(rune('A' + number)) }
 
-// grantor returns a proxy's judgement in this state, at time 0 of its clock.
+// grantor returns the proxy's grantor in this state, at time 0 of its clock.
 func (p *proxy) grantor() lease.Grantor {
 	grantor := lease.Grantor{Lease: lease.Lease{Epoch: uint64(p.epoch), ExpiresMs: float64(p.remaining)}}
 	if p.holder > 0 {
--- a/internal/lease/proxystate.go
+++ b/internal/lease/proxystate.go
@@ -8,7 +8,7 @@
 	Controller        string   // name of the holder; empty while the proxy is free
 	Incarnation       uint64   // process of the holder
 	RemainingMs       float64  // until the lease expires, in ms
-	Reachable         []string // controllers that the proxy hears and that are open to proxies; not to be changed afterwards
+	Reachable         []string // controllers that it gets heartbeats of and that are open; not to be changed afterwards
 	DialedControllers int      // how many controllers the proxy dials
 }
 
@@ -25,12 +25,12 @@
 	pending     []leaseRequest // unanswered, oldest first
 	epoch       uint64         // of the lease that this controller holds; 0: none
 	heldUntilMs float64        // when this controller stops believing that it holds the lease
-	commanded   bool           // whether the host was told that the lease is held
+	commanded   bool           // whether Host.StartCommand was called for the lease
 
 	rank             int     // of this controller among those that the proxy can reach, from 0
 	betterSinceMs    float64 // since when a better ranked controller has been reachable; infinite while none is
 	transferredMs    float64 // when it was last transferred; minus infinity: never
-	settleDoublings  int     // transfers in a row that the other controller did not take up
+	settleDoublings  int     // transfers in a row after which no other controller requested the proxy
 	nextEvaluationMs float64 // when it is due for a decision
 	queueIndex       int     // in Manager.queue
 }
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -47,7 +47,7 @@
 	dead          bool
 	diskFull      bool
 	open          bool
-	inbox         []func() // what it hears once it runs
+	inbox         []func() // messages that it handles once it runs
 }
 
 // testProxy is one proxy with its clock and its streams to controllers.
@@ -99,7 +99,7 @@
 
 func (c *testController) running() bool { return !c.dead && c.world.nowMs >= c.pausedUntilMs }
 
-// deliver has a controller's present process hear something as soon as it runs.
+// deliver has a controller's present process handle a message as soon as it runs.
 func (c *testController) deliver(message func()) {
 	addressee := c.manager
 	c.inbox = append(c.inbox, func() {
@@ -242,7 +242,7 @@
 	}
 }
 
-// step lets a millisecond pass: leases expire, controllers hear and decide, and holders send orders.
+// step advances the time by a millisecond: leases expire, controllers handle messages and decide, and holders send orders.
 func (w *world) step() {
 	w.nowMs++
 	for _, proxy := range w.proxies {
@@ -266,7 +266,7 @@
 	}
 }
 
-// decide has a running controller hear its messages and carry out all its decisions.
+// decide has a running controller handle its messages and carry out all its decisions.
 func (c *testController) decide() {
 	if !c.running() {
 		return
@@ -274,8 +274,8 @@
 	messages := c.inbox
 	c.inbox = nil
 	c.manager.SetTime(c.clockMs())
-	for _, hear := range messages {
-		hear()
+	for _, handle := range messages {
+		handle()
 	}
 	for decisions := 0; c.manager.Next(c); decisions++ {
 		if decisions > maxDecisions {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps on disk what a controller must not forget over a crash: who it is, and up to which epoch it may have
-// requested leases. Two uses of one epoch could have two controllers command one proxy, so on any doubt nothing is opened:
-// a controller without its store must not command.
+// Package store holds on disk what a controller must not forget over a crash: who it is, and up to which epoch it may have
+// requested leases. Two uses of one epoch could have two controllers command one proxy, so a store whose state is not
+// certain is not opened: a controller without its store must not command.
 //
 // # File
 //
@@ -12,7 +12,7 @@
 // Each value is followed by its CRC-32 (IEEE), 4 bytes, big endian, as bbolt's own checksum covers its two meta pages only.
 //
 // bbolt syncs the file before a write returns. Where the meta page of the last write is damaged it falls back to the state
-// before that write; so each mark is written by two transactions, and both states hold it.
+// before that write; so each reservation is written by two transactions, and both states hold it.
 //
 // The file is locked while it is open. It is made once by Init, for a controller that is new: a copy, an older version, or
 // a new file under a used name would allow epochs to be used again.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -53,7 +53,7 @@
 
 func TestStore(t *testing.T) {
 	t.Run("the reserved epoch outlives its process and never falls", testReservationPersists)
-	t.Run("a missing store, another controller's and an existing one are told apart", testErrors)
+	t.Run("a missing store, another controller's and an existing one have errors of their own", testErrors)
 	t.Run("a damaged file never opens with an older epoch", testDamage)
 }
 
--- a/internal/weighttable/registry.go
+++ b/internal/weighttable/registry.go
@@ -1,18 +1,18 @@
-// Package weighttable records what a planner's policy has decided and proxies are to be told: weight tables and which proxies
-// use them, ejected servers, and admission rates.
+// Package weighttable records what a planner's policy has decided and proxies are to be notified of: weight tables and which
+// proxies use them, ejected servers, and admission rates.
 //
 // It decides and sends nothing. The front ends that speak to proxies write the policy's decisions into a Registry and read
-// from it what a proxy has to be told; each has its own type of proxies, P. A registry and its tables are used by one
+// from it what a proxy has to be notified of; each has its own type of proxies, P. A registry and its tables are used by one
 // goroutine at a time.
 package weighttable
 
 import "slices"
 
-// AdmissionRate is what proxies were told to admit of one traffic class. The zero value is that they were told nothing.
+// AdmissionRate is what proxies are to admit of one traffic class. The zero value is that the policy has not decided.
 type AdmissionRate struct {
 	Fraction float64 // part of the requests that is admitted, from 0 to 1
 	Retry    int     // a retry mode of package policy
-	Set      bool    // whether proxies were told
+	Set      bool    // whether the policy has decided
 }
 
 // Registry is all that one planner's policy has decided. Users may write Admission, and read Ejected.
@@ -50,7 +50,7 @@
 	delete(r.Ejected, server)
 }
 
-// Assign has a proxy use a table for some traffic classes. The caller keeps which table the proxy uses by class, nil for
+// Assign has a proxy use a table for some traffic classes. The caller holds which table the proxy uses by class, nil for
 // none; Assign updates that in place.
 func (r *Registry[P]) Assign(proxy P, tableByClass []*Table[P], table *Table[P], classes []int) {
 	for _, class := range classes {
--- a/internal/weighttable/registry_test.go
+++ b/internal/weighttable/registry_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestAssignByClass states that a proxy of which one class moves to another table hears of both tables, and of the first no
+// TestAssignByClass states that a proxy of which one class moves to another table is a user of both tables, and of the first no
 // longer once all classes have moved.
 func TestAssignByClass(t *testing.T) {
 	const proxy = "p"
