--- a/internal/controlstream/golden_test.go
+++ b/internal/controlstream/golden_test.go
@@ -43,16 +43,16 @@
 }
 
 const (
-	startMs     = 0
-	hexPerLine  = 32 // bytes
-	frameLimit  = 1 << 16
-	withinMs    = 1000
-	silentMs    = 5000
-	unixMs      = 1_790_000_000_000
-	incarnation = 0xfedcba9876543210
+	startMs       = 0
+	hexChunkBytes = 32 // bytes
+	frameLimit    = 1 << 16
+	handshakeMs   = 1000
+	heartbeatMs   = 5000
+	unixMs        = 1_790_000_000_000
+	incarnation   = 0xfedcba9876543210
 )
 
-var conversationLimits = controlstream.Limits{MaxFrameBytes: frameLimit, HandshakeTimeoutMs: withinMs, HeartbeatTimeoutMs: silentMs}
+var conversationLimits = controlstream.Limits{MaxFrameBytes: frameLimit, HandshakeTimeoutMs: handshakeMs, HeartbeatTimeoutMs: heartbeatMs}
 
 func weightTable() *order.Holding {
 	return &order.Holding{
@@ -111,11 +111,11 @@
 		Levels:    []*order.Level{{}, {Group: 1, Share: 1, Retry: 3}},
 		Going:     []string{"10.0.0.4:80"},
 	}
-	line := &order.SetLine{Table: 9, Line: &order.Line{Server: "10.0.0.1:80", Weight: 0.1}, Forget: true}
+	entry := &order.SetLine{Table: 9, Line: &order.Line{Server: "10.0.0.1:80", Weight: 0.1}, Forget: true}
 	return []*order.Order{
 		{What: &order.Order_Bind{Bind: bind}},
 		{What: &order.Order_Bind{Bind: &order.Bind{}}},
-		{What: &order.Order_Line{Line: line}},
+		{What: &order.Order_Line{Line: entry}},
 		{What: &order.Order_Line{Line: &order.SetLine{Line: &order.Line{Server: "10.0.0.2:80"}}}},
 		{What: &order.Order_Withdraw{Withdraw: &order.Withdraw{Server: "10.0.0.3:80", Out: true, Going: true}}},
 		{What: &order.Order_Withdraw{Withdraw: &order.Withdraw{Server: "10.0.0.3:80"}}},
@@ -173,7 +173,7 @@
 		}
 		fmt.Fprintf(text, "%s: %s\n", who, f.label)
 		for rest := stream[before:]; len(rest) > 0; {
-			size := min(hexPerLine, len(rest))
+			size := min(hexChunkBytes, len(rest))
 			fmt.Fprintf(text, "  %s\n", hex.EncodeToString(rest[:size]))
 			rest = rest[size:]
 		}
@@ -247,7 +247,7 @@
 		for _, f := range frames {
 			seenKinds[f.kind] = true
 			if f.body != nil {
-				markFields(f.body.ProtoReflect(), seenFields)
+				collectFields(f.body.ProtoReflect(), seenFields)
 			}
 		}
 	}
@@ -260,18 +260,18 @@
 	checkFields(t, order.File_proto_order_order_proto.Messages(), seenFields)
 }
 
-// markFields notes the fields that a message, or one below it, holds.
-func markFields(message protoreflect.Message, seen map[protoreflect.FullName]bool) {
+// collectFields notes the fields that a message, or one below it, holds.
+func collectFields(message protoreflect.Message, seen map[protoreflect.FullName]bool) {
 	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		seen[field.FullName()] = true
 		switch {
 		case field.Message() == nil:
 		case field.IsList():
 			for index := range value.List().Len() {
-				markFields(value.List().Get(index).Message(), seen)
+				collectFields(value.List().Get(index).Message(), seen)
 			}
 		default:
-			markFields(value.Message(), seen)
+			collectFields(value.Message(), seen)
 		}
 		return true
 	})
--- /dev/null
+++ b/internal/controlstream/helpers_test.go
@@ -0,0 +1,78 @@
+package controlstream
+
+import (
+	"fmt"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"lichenpick/proto/order"
+)
+
+var testLimits = Limits{MaxFrameBytes: 4096, HandshakeTimeoutMs: 1000, HeartbeatTimeoutMs: 5000}
+
+// recorder is a host of both ends that notes each call as a text.
+type recorder struct {
+	SingleController
+	calls []string
+}
+
+func (r *recorder) record(parts ...any) { r.calls = append(r.calls, fmt.Sprint(parts...)) }
+
+func (r *recorder) OnJoin(join *order.Join)         { r.record("join " + join.Proxy) }
+func (r *recorder) OnLoadReport(report *order.Sums) { r.record("load report ", len(report.Servers)) }
+func (r *recorder) OnAck(ack *order.Applied)        { r.record("acknowledgement ", ack.Number) }
+func (r *recorder) OnLease(*order.Lease)            { r.record("lease") }
+func (r *recorder) OnWelcome(*order.Welcome)        { r.record("welcome") }
+func (r *recorder) OnOrders(message *order.Orders) {
+	r.record("orders ", message.Number, " ", len(message.Orders))
+}
+
+// testFrame is one frame to encode.
+type testFrame struct {
+	kind FrameKind
+	body proto.Message // nil: none
+}
+
+// encode gives the bytes of frames, with sequence numbers from 1 on.
+func encode(t testing.TB, frames ...testFrame) []byte {
+	t.Helper()
+	var encoded []byte
+	for index, frame := range frames {
+		var err error
+		encoded, err = AppendFrame(encoded, frame.kind, uint64(index+1), frame.body)
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return encoded
+}
+
+// concatenate gives all pieces as one new slice.
+func concatenate(pieces ...[]byte) []byte {
+	var all []byte
+	for _, piece := range pieces {
+		all = append(all, piece...)
+	}
+	return all
+}
+
+// drainPlanner pulls all frames of a planner's session.
+func drainPlanner(session *PlannerSession, host PlannerHost) {
+	for session.Next(host) {
+	}
+}
+
+// drainProxy pulls all frames of a proxy's session.
+func drainProxy(session *ProxySession, host ProxyHost) {
+	for session.Next(host) {
+	}
+}
+
+// checkClosed fails the test unless a stream ended for a reason.
+func checkClosed(t *testing.T, cause *CloseError, want CloseReason) {
+	t.Helper()
+	if cause == nil || cause.Reason != want {
+		t.Errorf("the stream ended with %v, want %s", cause, want)
+	}
+}
--- a/internal/controlstream/session.go
+++ b/internal/controlstream/session.go
@@ -1,377 +1,150 @@
 package controlstream
 
 import (
-	"math"
-
 	"google.golang.org/protobuf/proto"
 
 	"lichenpick/proto/order"
 )
 
-// Limits bound a stream. Times in ms.
+// Limits bound what a peer may do to a session. All must be set.
 type Limits struct {
-	MaxFrameBytes      int
-	HandshakeTimeoutMs float64 // a planner's: from the opening to the FrameJoin; a proxy's: to the FrameWelcome
-	HeartbeatTimeoutMs float64 // without a frame
-}
-
-const (
-	maxNameBytes = 256   // characters of a proxy's, server's or zone's name
-	maxEntries   = 65536 // lines, orders or sums of one frame; far beyond any table
-)
-
-// PlannerHost is told what a proxy said. Each method is one frame.
-type PlannerHost interface {
-	OnJoin(*order.Join)
-	OnLoadReport(*order.Sums)
-	OnAck(*order.Applied)
-	OnLease(*order.Lease)
-}
-
-// ProxyHost is told what a planner said. Each method is one frame.
-type ProxyHost interface {
-	OnWelcome(*order.Welcome)
-	OnOrders(*order.Orders)
-	OnLeaseRequest(*order.Claim)
-	OnLeaseRelease(*order.Release)
-	OnControllerStatus(*order.Standing)
+	MaxFrameBytes      int     // bytes of a body
+	HandshakeTimeoutMs float64 // a planner's: from the opening to FrameJoin; a proxy's: to FrameWelcome
+	HeartbeatTimeoutMs float64 // without a frame, once the stream is established
 }
 
-// SingleController is the part of a ProxyHost that only fleets with several controllers need.
-type SingleController struct{}
-
-func (SingleController) OnLeaseRequest(*order.Claim)        {}
-func (SingleController) OnLeaseRelease(*order.Release)      {}
-func (SingleController) OnControllerStatus(*order.Standing) {}
-
-// EndpointHost is told what a list source said.
-type EndpointHost interface {
-	OnEndpoints(*order.Listing)
-}
-
-// session is what both sides of a stream share: reading in sequence, deadlines, and the sequence of what is written.
+// session is what the ends of a stream share: decoding in sequence, time-outs, and the sequence of what is sent. Its methods
+// are those of PlannerSession, ProxySession and EndpointSession, and are called by one goroutine at a time; only Append may
+// be called by another one at the same time, as it shares nothing with the rest.
 type session struct {
-	dec     *Decoder
-	lim     Limits
-	now     float64
-	opened  float64
-	heard   float64
-	greeted bool // the first frame came
-	ended   *CloseError
-	wrote   uint64
+	decoder      *Decoder
+	limits       Limits
+	nowMs        float64
+	openedMs     float64
+	lastFrameMs  float64
+	established  bool // the first frame came
+	closed       *CloseError
+	lastSequence uint64 // of the frames that this end appended
 }
 
-func newSession(lim Limits, now float64) session {
-	return session{dec: NewDecoder(lim.MaxFrameBytes), lim: lim, now: now, opened: now, heard: now}
+func newSession(limits Limits, nowMs float64) session {
+	return session{
+		decoder:     NewDecoder(limits.MaxFrameBytes),
+		limits:      limits,
+		nowMs:       nowMs,
+		openedMs:    nowMs,
+		lastFrameMs: nowMs,
+	}
 }
 
-// Feed adds bytes that came in at a time.
-func (e *session) Feed(now float64, p []byte) {
-	e.now = now
-	e.dec.Feed(p)
+// Feed adds bytes that came in by a time in ms, none if there were none. Call Next until it returns false before the next
+// Feed: messages refer to bytes of the one before.
+func (s *session) Feed(nowMs float64, data []byte) {
+	s.nowMs = nowMs
+	s.decoder.Feed(data)
 }
 
-// SetTime tells the time, so that a peer which says nothing is noticed.
-func (e *session) SetTime(now float64) { e.now = now }
+// SetTime sets the time in ms, so that the next call of Next notices a time-out.
+func (s *session) SetTime(nowMs float64) { s.nowMs = nowMs }
 
-// Deadline is when the stream ends if nothing comes until then.
-func (e *session) Deadline() float64 {
-	if !e.greeted {
-		return e.opened + e.lim.HandshakeTimeoutMs
+// Deadline is the time in ms at which the stream ends if no frame comes before.
+func (s *session) Deadline() float64 {
+	if !s.established {
+		return s.openedMs + s.limits.HandshakeTimeoutMs
 	}
-	return e.heard + e.lim.HeartbeatTimeoutMs
+	return s.lastFrameMs + s.limits.HeartbeatTimeoutMs
 }
 
-// CloseCause is why the stream is over; nil while it goes on.
-func (e *session) CloseCause() *CloseError { return e.ended }
+// CloseCause is why the stream ended, or nil while it goes on.
+func (s *session) CloseCause() *CloseError { return s.closed }
 
-// Append appends a frame of this side, with the next sequence.
-func (e *session) Append(dst []byte, kind FrameKind, body proto.Message) ([]byte, error) {
-	dst, err := AppendFrame(dst, kind, e.wrote+1, body)
+// Append appends a frame of this end, with the next sequence number, and returns the extended slice. What it returns must be
+// sent in the order of the calls. If the body does not encode, the sequence number is not used up.
+func (s *session) Append(dst []byte, kind FrameKind, body proto.Message) ([]byte, error) {
+	dst, err := AppendFrame(dst, kind, s.lastSequence+1, body)
 	if err == nil {
-		e.wrote++
+		s.lastSequence++
 	}
 	return dst, err
 }
 
-// pull gives the next frame, or ends the stream.
-func (e *session) pull(first FrameKind) (f Frame, ok bool) {
-	if e.ended != nil {
-		return f, false
+// next takes the next frame. It ends the stream on a fault of decoding, a time-out, FrameClose, or when the stream does not
+// start with the handshake's frame, and takes that one only once.
+func (s *session) next(handshake FrameKind) (frame Frame, ok bool) {
+	if s.closed != nil {
+		return Frame{}, false
 	}
-	f, ok, err := e.dec.Next()
+	frame, ok, closed := s.decoder.next()
 	switch {
-	case err != nil:
-		e.ended = err.(*CloseError)
-		return f, false
-	case !ok && e.now >= e.Deadline() && !e.greeted:
-		e.ended = newCloseError(ReasonJoinTimeout, "nothing whole within %g ms; %d bytes of a frame", e.lim.HandshakeTimeoutMs, e.dec.Buffered())
-		return f, false
-	case !ok && e.now >= e.Deadline():
-		e.ended = newCloseError(ReasonHeartbeatTimeout, "for %g ms; %d bytes of a frame", e.lim.HeartbeatTimeoutMs, e.dec.Buffered())
-		return f, false
+	case closed != nil:
+		s.closed = closed
+		return Frame{}, false
 	case !ok:
-		return f, false
-	case f.Kind == FrameClose:
-		var b order.Bye
-		if e.body(f, &b) {
-			e.ended = newCloseError(ReasonPeerClosed, "%s", clip(b.Reason))
-		}
-		return f, false
-	case !e.greeted && f.Kind != first || e.greeted && f.Kind == first:
-		e.ended = newCloseError(ReasonUnexpectedFrame, "%s", f.Kind)
-		return f, false
-	}
-	e.heard, e.greeted = e.now, true
-	return f, true
-}
-
-func clip(s string) string { return s[:min(len(s), maxNameBytes)] }
-
-func (e *session) body(f Frame, into proto.Message) bool {
-	if err := proto.Unmarshal(f.Body, into); err != nil {
-		e.ended = newCloseError(ReasonBadBody, "%s: %v", f.Kind, err)
-		return false
-	}
-	return true
-}
-
-func (e *session) bad(f Frame, format string, args ...any) bool {
-	e.ended = newCloseError(ReasonBadBody, f.Kind.String()+": "+format, args...)
-	return false
-}
-
-// PlannerSession is a planner's side of a stream. It is not safe for use by several goroutines at once.
-type PlannerSession struct{ session }
-
-// NewPlannerSession starts at a time in ms.
-func NewPlannerSession(lim Limits, now float64) *PlannerSession {
-	return &PlannerSession{newSession(lim, now)}
-}
-
-// Next takes at most one frame, tells the host of it, and says whether there may be more.
-func (p *PlannerSession) Next(h PlannerHost) bool {
-	f, ok := p.pull(FrameJoin)
-	if !ok {
-		return false
-	}
-	switch f.Kind {
-	case FrameJoin:
-		m := &order.Join{}
-		if !p.body(f, m) || !p.checkJoin(f, m) {
-			return false
-		}
-		h.OnJoin(m)
-	case FrameLoadReport:
-		m := &order.Sums{}
-		if !p.body(f, m) || !p.checkSums(f, m) {
-			return false
-		}
-		h.OnLoadReport(m)
-	case FrameAck:
-		m := &order.Applied{}
-		if !p.body(f, m) {
-			return false
-		}
-		h.OnAck(m)
-	case FrameLease:
-		m := &order.Lease{}
-		if !p.body(f, m) || !p.checkLease(f, m) {
-			return false
-		}
-		h.OnLease(m)
-	case FrameHeartbeat:
-	default:
-		p.ended = newCloseError(ReasonUnexpectedFrame, "%s", f.Kind)
-		return false
-	}
-	return true
-}
-
-func named(s string) bool { return s != "" && len(s) <= maxNameBytes }
-
-func finite(x float64) bool { return x >= 0 && !math.IsInf(x, 0) } // NaN is not
-
-func (p *PlannerSession) checkJoin(f Frame, m *order.Join) bool {
+		s.closed = s.checkTimeout()
+		return Frame{}, false
+	case frame.Kind == FrameClose:
+		s.closed = closeOfPeer(frame)
+		return Frame{}, false
+	case s.established == (frame.Kind == handshake):
+		s.closed = unexpected(frame)
+		return Frame{}, false
+	}
+	s.lastFrameMs = s.nowMs
+	s.established = true
+	return frame, true
+}
+
+// checkTimeout says whether too much time went by without a complete frame. It guards against peers that connect and say
+// nothing, die without closing the connection, or send a frame byte by byte.
+func (s *session) checkTimeout() *CloseError {
 	switch {
-	case !named(m.Proxy):
-		return p.bad(f, "a proxy's name of %d characters", len(m.Proxy))
-	case len(m.Zone) > maxNameBytes:
-		return p.bad(f, "a zone's name of %d characters", len(m.Zone))
-	case !finite(m.UsualPerS):
-		return p.bad(f, "usual flows of %g", m.UsualPerS)
-	case len(m.Holds) > maxNameBytes:
-		return p.bad(f, "%d tables", len(m.Holds))
-	case m.Lease != nil && !p.checkLease(f, m.Lease):
-		return false
-	}
-	for _, t := range m.Holds {
-		if len(t.Lines) > maxEntries || len(t.Withdrawn) > maxEntries {
-			return p.bad(f, "a table of %d lines and %d withdrawn", len(t.Lines), len(t.Withdrawn))
-		}
+	case s.nowMs < s.Deadline():
+		return nil
+	case s.established:
+		return newCloseError(ReasonHeartbeatTimeout, "no frame for %g ms; %d bytes of one",
+			s.limits.HeartbeatTimeoutMs, s.decoder.Buffered())
+	default:
+		return newCloseError(ReasonJoinTimeout, "no frame within %g ms; %d bytes of one",
+			s.limits.HandshakeTimeoutMs, s.decoder.Buffered())
 	}
-	return true
 }
 
-func (p *PlannerSession) checkLease(f Frame, m *order.Lease) bool {
-	if !finite(m.LeftMs) || len(m.Reachable) > maxNameBytes || len(m.MessagesAgoMs) > maxEntries || len(m.Going) > maxEntries ||
-		len(m.Holds) > maxNameBytes {
-		return p.bad(f, "a lease of %g ms with %d tables", m.LeftMs, len(m.Holds))
-	}
-	for _, ago := range m.MessagesAgoMs {
-		if !finite(ago) {
-			return p.bad(f, "a message %g ms ago", ago)
-		}
+// closeOfPeer reads a FrameClose.
+func closeOfPeer(frame Frame) *CloseError {
+	var body order.Bye
+	if err := proto.Unmarshal(frame.Body, &body); err != nil {
+		return badBody(frame, err)
 	}
-	return true
+	return newCloseError(ReasonPeerClosed, "%s", truncate(body.Reason))
 }
 
-func (p *PlannerSession) checkSums(f Frame, m *order.Sums) bool {
-	if !finite(m.CoversMs) || len(m.Servers) > maxEntries || len(m.Groups) > maxEntries {
-		return p.bad(f, "%d servers, %d groups over %g ms", len(m.Servers), len(m.Groups), m.CoversMs)
-	}
-	for _, s := range m.Servers {
-		if !named(s.Server) || s.Dropped > s.Tries || !finite(s.LatencyMs) {
-			return p.bad(f, "%d of %d dropped, %g ms", s.Dropped, s.Tries, s.LatencyMs)
-		}
-	}
-	for _, g := range m.Groups {
-		if g.Dropped > g.Came {
-			return p.bad(f, "%d of %d dropped", g.Dropped, g.Came)
-		}
-	}
-	return true
+func unexpected(frame Frame) *CloseError {
+	return newCloseError(ReasonUnexpectedFrame, "%s", frame.Kind)
 }
 
-// ProxySession is a proxy's side of a stream.
-type ProxySession struct{ session }
-
-// NewProxySession starts at a time in ms.
-func NewProxySession(lim Limits, now float64) *ProxySession {
-	return &ProxySession{newSession(lim, now)}
+func badBody(frame Frame, err error) *CloseError {
+	return newCloseError(ReasonBadBody, "%s: %v", frame.Kind, err)
 }
 
-// Next takes at most one frame, tells the host of it, and says whether there may be more.
-func (p *ProxySession) Next(h ProxyHost) bool {
-	f, ok := p.pull(FrameWelcome)
-	if !ok {
+// receive decodes a frame's body into a message, checks it and delivers it to the host; check may be nil. The host never
+// sees a part of a message that is invalid elsewhere: a proxy that applied half of one would hold a table that nobody knows.
+func receive[M proto.Message](s *session, frame Frame, message M, check func(M) error, deliver func(M)) bool {
+	if err := proto.Unmarshal(frame.Body, message); err != nil {
+		s.closed = badBody(frame, err)
 		return false
 	}
-	switch f.Kind {
-	case FrameWelcome:
-		m := &order.Welcome{}
-		if !p.body(f, m) {
+	if check != nil {
+		if err := check(message); err != nil {
+			s.closed = badBody(frame, err)
 			return false
 		}
-		h.OnWelcome(m)
-	case FrameOrders:
-		m := &order.Orders{}
-		if !p.body(f, m) || !p.checkOrders(f, m) {
-			return false
-		}
-		h.OnOrders(m)
-	case FrameLeaseRequest:
-		m := &order.Claim{}
-		if !p.body(f, m) {
-			return false
-		}
-		if !named(m.Controller) || m.Epoch == 0 {
-			p.bad(f, "epoch %d of %q", m.Epoch, clip(m.Controller))
-			return false
-		}
-		h.OnLeaseRequest(m)
-	case FrameLeaseRelease:
-		m := &order.Release{}
-		if !p.body(f, m) {
-			return false
-		}
-		h.OnLeaseRelease(m)
-	case FrameControllerStatus:
-		m := &order.Standing{}
-		if !p.body(f, m) {
-			return false
-		}
-		h.OnControllerStatus(m)
-	case FrameHeartbeat:
-	default:
-		p.ended = newCloseError(ReasonUnexpectedFrame, "%s", f.Kind)
-		return false
-	}
-	return true
-}
-
-// checkOrders refuses a message whole, so that a proxy never obeys the half of one.
-func (p *ProxySession) checkOrders(f Frame, m *order.Orders) bool {
-	line := func(l *order.Line) bool { return l != nil && named(l.Server) && finite(l.Weight) }
-	level := func(l *order.Level) bool { return l != nil && finite(l.Share) && l.Retry <= 3 }
-	for _, o := range m.Orders {
-		ok := false
-		switch w := o.What.(type) {
-		case *order.Order_Line:
-			ok = line(w.Line.GetLine())
-		case *order.Order_Bind:
-			ok = w.Bind != nil
-			for _, l := range w.Bind.GetLines() {
-				ok = ok && line(l)
-			}
-			for _, l := range w.Bind.GetLevels() {
-				ok = ok && level(l)
-			}
-		case *order.Order_Withdraw:
-			ok = w.Withdraw != nil && named(w.Withdraw.Server)
-		case *order.Order_Level:
-			ok = level(w.Level)
-		case *order.Order_Receipt:
-			ok = true
-		}
-		if !ok {
-			return p.bad(f, "an order that makes no sense: %v", o)
-		}
 	}
+	deliver(message)
 	return true
 }
 
-// EndpointSession reads a list source's stream.
-type EndpointSession struct{ session }
-
-// NewEndpointSession starts at a time in ms.
-func NewEndpointSession(lim Limits, now float64) *EndpointSession {
-	return &EndpointSession{newSession(lim, now)}
-}
-
-// Next takes at most one frame, tells the host of it, and says whether there may be more.
-func (p *EndpointSession) Next(h EndpointHost) bool {
-	if p.ended != nil {
-		return false
-	}
-	f, ok, err := p.dec.Next()
-	if err != nil {
-		p.ended = err.(*CloseError)
-		return false
-	}
-	if !ok {
-		if p.now >= p.heard+p.lim.HeartbeatTimeoutMs {
-			p.ended = newCloseError(ReasonHeartbeatTimeout, "for %g ms", p.lim.HeartbeatTimeoutMs)
-		}
-		return false
-	}
-	p.heard, p.greeted = p.now, true
-	switch f.Kind {
-	case FrameEndpoints:
-		m := &order.Listing{}
-		if !p.body(f, m) {
-			return false
-		}
-		for _, e := range m.Entries {
-			if !named(e.Server) || len(e.Zone) > maxNameBytes || e.State > 2 || !finite(e.Size) {
-				return p.bad(f, "server %q in state %d, size %g", clip(e.Server), e.State, e.Size)
-			}
-		}
-		h.OnEndpoints(m)
-	case FrameHeartbeat:
-	default:
-		p.ended = newCloseError(ReasonUnexpectedFrame, "%s", f.Kind)
-		return false
-	}
-	return true
+// reject ends the stream on a frame that the peer may not send.
+func (s *session) reject(frame Frame) bool {
+	s.closed = unexpected(frame)
+	return false
 }
