--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -87,7 +87,7 @@
 
 func (c *conversation) randomServer() string { return serverName(c.random.Intn(serverCount)) }
 
-func (c *conversation) randomLevel() *order.Level {
+func (c *conversation) randomAdmission() *order.Level {
 	level := &order.Level{Group: uint32(c.random.Intn(classCount)), Share: 1, Retry: uint32(c.random.Intn(highestRetry + 1))}
 	if c.random.Float64() < rejectChance {
 		level.Share = c.random.Float64()
@@ -95,8 +95,8 @@
 	return level
 }
 
-func (c *conversation) randomBind() *order.Bind {
-	bind := &order.Bind{Table: uint32(c.random.Intn(tableCount)), Levels: []*order.Level{c.randomLevel()}}
+func (c *conversation) randomAssignment() *order.Bind {
+	bind := &order.Bind{Table: uint32(c.random.Intn(tableCount)), Levels: []*order.Level{c.randomAdmission()}}
 	for class := range classCount {
 		if c.random.Intn(2) == 0 {
 			bind.Groups = append(bind.Groups, uint32(class))
@@ -115,7 +115,7 @@
 func (c *conversation) randomOrder() *order.Order {
 	switch c.random.Intn(6) {
 	case 0:
-		return &order.Order{What: &order.Order_Bind{Bind: c.randomBind()}}
+		return &order.Order{What: &order.Order_Bind{Bind: c.randomAssignment()}}
 	case 1, 2:
 		entry := &order.SetLine{Table: uint32(c.random.Intn(tableCount)), Line: &order.Line{Server: c.randomServer()}}
 		if c.random.Intn(4) > 0 {
@@ -128,14 +128,14 @@
 		withdraw.Going = withdraw.Out && c.random.Intn(2) == 0
 		return &order.Order{What: &order.Order_Withdraw{Withdraw: withdraw}}
 	case 4:
-		return &order.Order{What: &order.Order_Level{Level: c.randomLevel()}}
+		return &order.Order{What: &order.Order_Level{Level: c.randomAdmission()}}
 	default:
 		return &order.Order{What: &order.Order_Receipt{Receipt: uint32(c.message)}}
 	}
 }
 
-// command has the planner send one message of orders, or start over with a welcome.
-func (c *conversation) command() {
+// sendOrders has the planner send one message of orders, or start over with a welcome.
+func (c *conversation) sendOrders() {
 	if c.random.Float64() < welcomeChance {
 		c.core.StartSession(&order.Welcome{Withdrawn: []string{c.randomServer()}})
 		c.log("welcome")
@@ -151,14 +151,14 @@
 	c.log("receipts %v", c.core.ApplyOrders(message))
 }
 
-func (c *conversation) claim() {
-	claim := &order.Claim{
+func (c *conversation) requestLease() {
+	request := &order.Claim{
 		Controller:  []string{"planner-1", "planner-2"}[c.random.Intn(2)],
 		Epoch:       c.message/8 + uint64(c.random.Intn(2)),
 		Incarnation: 1,
 		LeaseMs:     leaseMs,
 	}
-	granted, fresh := c.core.HandleLeaseRequest(c.nowMs, claim)
+	granted, fresh := c.core.HandleLeaseRequest(c.nowMs, request)
 	c.log("granted %t, fresh %t", granted, fresh)
 	c.logMessage("lease", c.core.LeaseState(c.nowMs, fresh))
 }
@@ -213,10 +213,10 @@
 func (c *conversation) advance() {
 	c.nowMs += requestMs
 	if c.every(orderMs) {
-		c.command()
+		c.sendOrders()
 	}
 	if c.every(leaseEveryMs) {
-		c.claim()
+		c.requestLease()
 	}
 	c.request()
 	for c.random.Intn(40) < len(c.attempts) { // the more are open, the sooner one ends
--- /dev/null
+++ b/internal/settings/retry.go
@@ -0,0 +1,20 @@
+package settings
+
+import (
+	"lichenpick/policy"
+	pb "lichenpick/proto/settings"
+)
+
+// RetryMode gives the policy's number of a retry mode of the settings.
+func RetryMode(retry pb.Retry) int {
+	switch retry {
+	case pb.Retry_AFTER_PROOF:
+		return policy.RetryUnprocessed
+	case pb.Retry_ONCE:
+		return policy.RetryOnce
+	case pb.Retry_TWICE:
+		return policy.RetryTwice
+	default:
+		return policy.RetryNever
+	}
+}
