--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts planners on the simulator's wire, on standard input and output.
+// Command adapter hosts planners on the simulator's wire, on standard input and output. It ends with the input, or with
+// status 1 and one line on standard error when the input cannot be decoded.
 package main
 
 import (
--- a/internal/simulator/adapter.go
+++ b/internal/simulator/adapter.go
@@ -1,227 +1,166 @@
-// Package simulator is the door between the simulator's wire and the decision module: it decodes
-// batches into calls on planners and writes their decisions as messages. It decides nothing.
 package simulator
 
 import (
 	"bufio"
 	"bytes"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"strconv"
 
 	"lichenpick/policy"
 )
 
-// instance is one planner and the host it decides through.
-type instance struct {
-	name    string
-	planner *policy.Policy
-	out     *writer
-	timer   uint64
-	touched bool
+// ioBufferBytes is the size of the buffers of input and output.
+const ioBufferBytes = 1 << 16
+
+// adapter keeps the instances and drives them batch by batch.
+type adapter struct {
+	instances   map[string]*instance // by name
+	actions     actionWriter         // of the present batch
+	diagnostics io.Writer
+	unknown     map[string]bool // names of unknown messages that were reported
 }
 
-type server struct {
-	instances map[string]*instance
-	out       writer
-	errs      io.Writer
-	reported  map[string]bool // unknown message names told once
+func newAdapter(diagnostics io.Writer) *adapter {
+	return &adapter{instances: map[string]*instance{}, diagnostics: diagnostics, unknown: map[string]bool{}}
 }
 
-// Serve answers batches until the input ends.
-func Serve(in io.Reader, out, errs io.Writer) error {
-	s := &server{instances: map[string]*instance{}, errs: errs, reported: map[string]bool{}}
-	r := bufio.NewReaderSize(in, 1<<16)
-	w := bufio.NewWriterSize(out, 1<<16)
+// Serve reads batches and writes a reply to each until the input ends, and then returns nil. Input that it cannot decode ends
+// it with an error of one line. Messages of unknown names are skipped, and reported once each on diagnostics.
+func Serve(input io.Reader, output, diagnostics io.Writer) error {
+	adapter := newAdapter(diagnostics)
+	reader := bufio.NewReaderSize(input, ioBufferBytes)
+	writer := bufio.NewWriterSize(output, ioBufferBytes)
 	for {
-		line, err := r.ReadBytes('\n')
+		line, readErr := reader.ReadBytes('\n')
 		if len(bytes.TrimSpace(line)) > 0 {
-			if e := s.batch(line); e != nil {
-				return e
+			if err := adapter.handleBatch(line); err != nil {
+				return err
 			}
-			w.WriteString(`{"output":[`)
-			w.Write(s.out.buf)
-			w.WriteString("]}\n")
-			if e := w.Flush(); e != nil {
-				return fmt.Errorf("writing the reply: %w", e)
+			if err := adapter.writeReply(writer); err != nil {
+				return fmt.Errorf("writing the reply: %w", err)
 			}
 		}
-		if errors.Is(err, io.EOF) {
+		if errors.Is(readErr, io.EOF) {
 			return nil
 		}
-		if err != nil {
-			return fmt.Errorf("reading a batch: %w", err)
+		if readErr != nil {
+			return fmt.Errorf("reading a batch: %w", readErr)
 		}
 	}
 }
 
-func (s *server) batch(line []byte) error {
-	s.out.buf = s.out.buf[:0]
-	var b struct {
-		TMs  float64
-		Msgs []json.RawMessage `json:"msgs"`
+// writeReply writes the actions of the present batch as one line.
+func (a *adapter) writeReply(writer *bufio.Writer) error {
+	for _, part := range [][]byte{replyStart, a.actions.buffer, replyEnd} {
+		if _, err := writer.Write(part); err != nil {
+			return err
+		}
 	}
-	if err := json.Unmarshal(line, &b); err != nil {
-		return fmt.Errorf("batch: %s", plain(err))
+	return writer.Flush()
+}
+
+// handleBatch hands all messages of a batch to their instances, in order, and then pulls the decisions of those that got one,
+// in the order of their first messages.
+func (a *adapter) handleBatch(line []byte) error {
+	a.actions.reset()
+	batch, err := decodeBatch(line)
+	if err != nil {
+		return err
 	}
-	var acting []*instance
-	for _, raw := range b.Msgs {
-		var h struct {
-			What *string `json:"what"`
-			Who  *string
-		}
-		if err := json.Unmarshal(raw, &h); err != nil {
-			return fmt.Errorf("message: %s", plain(err))
-		}
-		if h.What == nil || *h.What == "" {
-			return errors.New("message without its name: field what")
-		}
-		read, known := readers[*h.What]
-		if !known {
-			if !s.reported[*h.What] {
-				s.reported[*h.What] = true
-				fmt.Fprintf(s.errs, "adapter: unknown message %q skipped\n", *h.What)
-			}
-			continue
-		}
-		if h.Who == nil || *h.Who == "" {
-			return fmt.Errorf("message %s without its instance: field Who", *h.What)
-		}
-		in := s.instances[*h.Who]
-		var err error
-		switch {
-		case *h.What == "OpenInstance":
-			in, err = s.open(*h.Who, raw, b.TMs)
-		case *h.What == "Kill":
-			delete(s.instances, *h.Who)
-			continue
-		case in == nil:
-			// Fields of the wrong type are faults even when the instance is stopped.
-			err = read(nil, raw)
-		default:
-			in.protect(func() { in.planner.SetTime(b.TMs); err = read(in, raw) })
-		}
+	var pending []*instance
+	for _, raw := range batch.Messages {
+		target, err := a.handleMessage(raw, batch.TMs)
 		if err != nil {
-			return fmt.Errorf("message %s: %s", *h.What, plain(err))
+			return err
 		}
-		if in != nil && !in.touched {
-			in.touched = true
-			acting = append(acting, in)
+		if target != nil && !target.pending {
+			target.pending = true
+			pending = append(pending, target)
 		}
 	}
-	for _, in := range acting {
-		in.touched = false
-		if s.instances[in.name] == in && in.planner != nil {
-			in.protect(func() {
-				for in.planner.Next(in) {
-				}
-			})
+	for _, target := range pending {
+		target.pending = false
+		if a.instances[target.name] == target { // not killed, or replaced, later in the batch
+			target.guarded(func() { pullDecisions(target) })
 		}
 	}
 	return nil
 }
 
-// protect turns a panic of the module into a Crash of its instance.
-func (in *instance) protect(call func()) {
-	defer func() {
-		if r := recover(); r != nil {
-			in.out.start("Crash", in.name).str("Line", fmt.Sprint(r)).end()
-			in.planner = nil
-		}
-	}()
-	if in.planner != nil {
-		call()
+// pullDecisions writes all decisions that an instance's policy has to make now.
+func pullDecisions(target *instance) {
+	for target.policy.Next(target) {
 	}
 }
 
-// plain words a decoding error without Go's own terms.
-func plain(err error) string {
-	var t *json.UnmarshalTypeError
-	if errors.As(err, &t) {
-		return fmt.Sprintf("field %s holds a %s where a value of another type belongs", t.Field, t.Value)
+// handleMessage decodes a message and applies it. It returns the instance that it was for, or nil if no decisions can follow
+// from it.
+func (a *adapter) handleMessage(raw []byte, nowMs float64) (*instance, error) {
+	name, instanceName, err := decodeHeader(raw)
+	if err != nil {
+		return nil, err
 	}
-	var syn *json.SyntaxError
-	if errors.As(err, &syn) {
-		return "not JSON: " + syn.Error()
+	decode, known := decoders[name]
+	if !known {
+		a.reportUnknown(name)
+		return nil, nil
 	}
-	return err.Error()
-}
-
-// writer builds the actions of one reply.
-type writer struct{ buf []byte }
-
-func (w *writer) start(name, who string) *writer {
-	if len(w.buf) > 0 {
-		w.buf = append(w.buf, ',')
+	if instanceName == "" {
+		return nil, fmt.Errorf("message %s without its instance: field Who", name)
 	}
-	w.buf = append(w.buf, `{"what":"`...)
-	w.buf = append(w.buf, name...)
-	w.buf = append(w.buf, '"')
-	return w.str("Who", who)
-}
-
-func (w *writer) key(name string) {
-	w.buf = append(w.buf, `,"`...)
-	w.buf = append(w.buf, name...)
-	w.buf = append(w.buf, `":`...)
-}
-
-func (w *writer) str(name, v string) *writer {
-	w.key(name)
-	q, _ := json.Marshal(v)
-	w.buf = append(w.buf, q...)
-	return w
-}
-
-func (w *writer) num(name string, v float64) *writer {
-	w.key(name)
-	w.buf = strconv.AppendFloat(w.buf, v, 'f', -1, 64)
-	return w
-}
-
-func (w *writer) flag(name string, v bool) *writer {
-	w.key(name)
-	w.buf = strconv.AppendBool(w.buf, v)
-	return w
-}
-
-func (w *writer) end() { w.buf = append(w.buf, '}') }
-
-// The decisions of a planner, as messages.
-
-func (in *instance) SetWeight(table int, server string, weight float64) {
-	in.out.start("SetLine", in.name).str("Server", server).num("W", weight).num("MapId", float64(table)).end()
-}
-
-func (in *instance) AssignTable(proxy, table int, groups []int) {
-	set := 0.0
-	for _, g := range groups {
-		set += bit(g)
+	target := a.instances[instanceName]
+	switch name {
+	case messageOpen:
+		target, err = a.open(instanceName, raw, nowMs)
+	case messageKill:
+		delete(a.instances, instanceName)
+		return nil, nil
+	default:
+		err = deliver(target, decode, raw, nowMs)
 	}
-	in.out.start("HandTable", in.name).num("Proxy", float64(proxy)).num("MapId", float64(table)).
-		num("ForClasses", set).end()
-}
-
-func (in *instance) SetEjected(server string, out bool) {
-	in.out.start("Mask", in.name).str("Server", server).flag("Active", out).end()
+	if err != nil {
+		return nil, fmt.Errorf("message %s: %w", name, &decodeError{err})
+	}
+	return target, nil
 }
 
-func (in *instance) SetAdmission(table, group int, share float64, retry int) {
-	in.out.start("Ration", in.name).num("How", float64(retry)).num("ForClasses", bit(group)).
-		num("MapId", float64(table)).num("Limit", share).end()
+// deliver decodes a message and applies it to an instance, which is nil if none of its name runs: fields of the wrong type
+// are then faults of the input all the same.
+func deliver(target *instance, decode decoder, raw []byte, nowMs float64) error {
+	if target == nil {
+		_, err := decode(raw)
+		return err
+	}
+	var err error
+	target.guarded(func() {
+		target.policy.SetTime(nowMs)
+		var apply input
+		apply, err = decode(raw)
+		if err == nil {
+			apply(target.policy)
+		}
+	})
+	return err
 }
 
-func (in *instance) RequestAcknowledgement(number int) {
-	in.out.start("AskReceipt", in.name).num("Number", float64(number)).flag("Active", false).end()
+// open starts an instance, in place of one of the same name if there is one.
+func (a *adapter) open(name string, raw []byte, nowMs float64) (*instance, error) {
+	settings, seed, err := decodeOpen(raw)
+	if err != nil {
+		return nil, err
+	}
+	opened := &instance{name: name, actions: &a.actions, policy: policy.New(settings.Policy, seed)}
+	opened.policy.SetTime(nowMs)
+	a.instances[name] = opened
+	return opened, nil
 }
 
-func (in *instance) WatchEndpoints() { in.out.start("Follow", in.name).flag("Active", true).end() }
-
-func (in *instance) SetTimer(inMs float64) {
-	in.timer++
-	in.out.start("SetTimer", in.name).num("SleepForMs", inMs).num("Nonce", float64(in.timer)).end()
+// reportUnknown reports the name of an unknown message, once: a newer simulator may send many.
+func (a *adapter) reportUnknown(name string) {
+	if a.unknown[name] {
+		return
+	}
+	a.unknown[name] = true
+	_, _ = fmt.Fprintf(a.diagnostics, "adapter: unknown message %q skipped\n", name) // without diagnostics, replies still count
 }
-
-func bit(group int) float64 { return float64(uint64(1) << group) }
