--- a/cmd/lichenpick/settings.go
+++ b/cmd/lichenpick/settings.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"runtime/debug"
 	"slices"
 	"strings"
@@ -14,8 +15,8 @@
 	pb "lichenpick/proto/settings"
 )
 
-// kinds are the files that there are, by the sub-command that reads them.
-var kinds = map[string]func() proto.Message{
+// settingsKinds are the kinds of settings files, by the sub-command that reads them.
+var settingsKinds = map[string]func() proto.Message{
 	"planner": func() proto.Message { return &pb.Planner{} },
 	"proxy":   func() proto.Message { return &pb.Proxy{} },
 	"server":  func() proto.Message { return &pb.Server{} },
@@ -23,62 +24,74 @@
 	"script":  func() proto.Message { return &script.Script{} },
 }
 
-func kindNames() string {
-	var names []string
-	for k := range kinds {
-		names = append(names, k)
-	}
-	slices.Sort(names)
+// settingsKindNames lists the kinds for an error text.
+func settingsKindNames() string {
+	names := slices.Sorted(maps.Keys(settingsKinds))
 	return strings.Join(names, ", ")
 }
 
-func settingsCommand() *cobra.Command {
-	c := &cobra.Command{Use: "settings", Short: "Check or print a settings file"}
-	load := func(args []string) (proto.Message, error) {
-		kind, known := kinds[args[0]]
-		if !known {
-			return nil, usage{fmt.Errorf("no kind of file %q; there are %s", args[0], kindNames())}
-		}
-		m := kind()
-		return m, settings.Load(args[1], m)
+// loadSettings reads a file of a kind; the error is a usage error or a *settings.Error.
+func loadSettings(kind, path string) (proto.Message, error) {
+	newMessage, known := settingsKinds[kind]
+	if !known {
+		return nil, usage{fmt.Errorf("no kind of file %q; there are %s", kind, settingsKindNames())}
 	}
-	c.AddCommand(&cobra.Command{
+	message := newMessage()
+	return message, settings.Load(path, message)
+}
+
+func settingsCommand() *cobra.Command {
+	command := &cobra.Command{Use: "settings", Short: "Check or print a settings file"}
+	command.AddCommand(settingsCheckCommand(), settingsPrintCommand())
+	return command
+}
+
+func settingsCheckCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "check KIND FILE", Short: "Check a file; one line and exit 2 if it is bad", Args: exactly(2),
-		RunE: func(c *cobra.Command, args []string) error {
-			_, err := load(args)
+		RunE: func(_ *cobra.Command, args []string) error {
+			_, err := loadSettings(args[0], args[1])
 			return err
 		},
-	}, &cobra.Command{
+	}
+}
+
+func settingsPrintCommand() *cobra.Command {
+	return &cobra.Command{
 		Use: "print KIND FILE", Short: "Print a file with all defaults filled in", Args: exactly(2),
-		RunE: func(c *cobra.Command, args []string) error {
-			m, err := load(args)
-			if err == nil {
-				fmt.Fprint(c.OutOrStdout(), settings.Format(m))
+		RunE: func(command *cobra.Command, args []string) error {
+			message, err := loadSettings(args[0], args[1])
+			if err != nil {
+				return err
 			}
+			_, err = fmt.Fprint(command.OutOrStdout(), settings.Format(message))
 			return err
 		},
-	})
-	return c
+	}
 }
 
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "version", Short: "Print the version", Args: exactly(0),
-		RunE: func(c *cobra.Command, _ []string) error {
-			fmt.Fprintln(c.OutOrStdout(), "lichenpick", version())
-			return nil
+		RunE: func(command *cobra.Command, _ []string) error {
+			_, err := fmt.Fprintln(command.OutOrStdout(), "lichenpick", version())
+			return err
 		},
 	}
 }
 
+// revisionLength is how many characters of a commit's hash name a version.
+const revisionLength = 12
+
+// version names the commit that the program was built from, or its module's version.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			return s.Value[:min(12, len(s.Value))]
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			return setting.Value[:min(revisionLength, len(setting.Value))]
 		}
 	}
 	return info.Main.Version
--- a/internal/settings/crossfield.go
+++ b/internal/settings/crossfield.go
@@ -9,145 +9,109 @@
 	pb "lichenpick/proto/settings"
 )
 
-// checkAcrossFields checks what no field shows alone.
-func checkAcrossFields(m proto.Message) *fault {
-	switch m := m.(type) {
+// minMessagesQueued is how many messages without entries a planner's send queue must hold at the least.
+const minMessagesQueued = 4
+
+// checkAcrossFields checks what no field shows alone. Each field by itself was checked, and filled in, before.
+func checkAcrossFields(message proto.Message) *problem {
+	switch message := message.(type) {
 	case *pb.Planner:
-		if bad := checkGroups(m.Groups); bad != nil {
-			return bad
-		}
-		if bad := checkZones(m.Zones); bad != nil {
-			return bad
-		}
-		if m.List.From == nil {
-			return wrong(field(nil, "list"), "names no source; file or stream is wanted")
-		}
-		if m.GetPlanners() > m.GetProxies() {
-			return wrong(field(nil, "planners"), "holds %d, more than the %d proxies", m.GetPlanners(), m.GetProxies())
-		}
-		head, most := m.Channel.GetHeadLines(), float64(m.Channel.GetMostWaiting())
-		if head*4 > most {
-			return wrong(entryless("channel", "most_waiting"), "holds %g, under four head_lines of %g", most, head)
-		}
+		return checkPlanner(message)
 	case *pb.Proxy:
-		if bad := checkGroups(m.Groups); bad != nil {
-			return bad
-		}
-		if m.From != "" {
-			if _, err := netip.ParseAddr(m.From); err != nil {
-				return wrong(field(nil, "from"), "holds %q; an IP address is wanted", m.From)
-			}
-		}
-	case *script.Script:
-		return checkScript(m)
+		return checkProxy(message)
 	case *pb.List:
-		seen := map[string]bool{}
-		for n, e := range m.Servers {
-			if seen[e.Server] {
-				return wrong(entry(nil, "servers", n), "names %s a second time", e.Server)
-			}
-			seen[e.Server] = true
-			if e.BornUnixMs > 0 && m.AsOfUnixMs == 0 {
-				return wrong(field(nil, "as_of_unix_ms"), "is missing; births need it")
-			}
-			if e.BornUnixMs > m.AsOfUnixMs {
-				return wrong(field(entry(nil, "servers", n), "born_unix_ms"), "holds %d, after as_of_unix_ms", e.BornUnixMs)
-			}
-		}
+		return checkEndpointList(message)
+	case *script.Script:
+		return checkScript(message)
 	}
 	return nil
 }
 
-func entryless(names ...string) (path []step) {
-	for _, n := range names {
-		path = append(path, step{n, -1})
+func checkPlanner(planner *pb.Planner) *problem {
+	if found := checkClasses(planner.Groups); found != nil {
+		return found
+	}
+	if found := checkZones(planner.Zones); found != nil {
+		return found
 	}
-	return path
+	if planner.List.From == nil {
+		return newProblem(fieldPath("list"), "names no source; file or stream is wanted")
+	}
+	if planner.GetPlanners() > planner.GetProxies() {
+		return newProblem(fieldPath("planners"), "holds %d, more than the %d proxies", planner.GetPlanners(), planner.GetProxies())
+	}
+	overhead := planner.Channel.GetHeadLines()
+	most := float64(planner.Channel.GetMostWaiting())
+	if overhead*minMessagesQueued > most {
+		return newProblem(fieldPath("channel", "most_waiting"), "holds %g, under four head_lines of %g", most, overhead)
+	}
+	return nil
 }
 
-func checkGroups(groups []*pb.Group) *fault {
-	seen := map[string]bool{}
-	for n, g := range groups {
-		at := entry(nil, "groups", n)
-		if seen[g.Name] {
-			return wrong(field(at, "name"), "holds %q, which an earlier group has", g.Name)
-		}
-		seen[g.Name] = true
-		if Milliseconds(g.Expiry) < Milliseconds(g.LatencyBudget) {
-			return wrong(field(at, "expiry"), "holds %q, under the latency_budget of %q", g.Expiry, g.LatencyBudget)
-		}
+func checkProxy(proxy *pb.Proxy) *problem {
+	if found := checkClasses(proxy.Groups); found != nil {
+		return found
+	}
+	if proxy.From == "" {
+		return nil
+	}
+	if _, err := netip.ParseAddr(proxy.From); err != nil {
+		return newProblem(fieldPath("from"), "holds %q; an IP address is wanted", proxy.From)
 	}
 	return nil
 }
 
-func checkZones(zones []*pb.Zone) *fault {
-	names, prefixes := map[string]bool{}, map[netip.Prefix]string{}
-	for n, z := range zones {
-		at := entry(nil, "zones", n)
-		if names[z.Name] {
-			return wrong(field(at, "name"), "holds %q, which an earlier zone has", z.Name)
+// checkEndpointList checks that no server is listed twice, and that start times can be told from the list's own time.
+func checkEndpointList(list *pb.List) *problem {
+	seen := map[string]bool{}
+	for index, endpoint := range list.Servers {
+		at := path(nil).entry("servers", index)
+		if seen[endpoint.Server] {
+			return newProblem(at, "names %s a second time", endpoint.Server)
 		}
-		names[z.Name] = true
-		for k, text := range z.Prefixes {
-			p := netip.MustParsePrefix(text).Masked()
-			if other, taken := prefixes[p]; taken {
-				return wrong(entry(at, "prefixes", k), "holds %s, which zone %q has", text, other)
-			}
-			prefixes[p] = z.Name
+		seen[endpoint.Server] = true
+		if endpoint.BornUnixMs > 0 && list.AsOfUnixMs == 0 {
+			return newProblem(fieldPath("as_of_unix_ms"), "is missing; born_unix_ms needs it")
+		}
+		if endpoint.BornUnixMs > list.AsOfUnixMs {
+			return newProblem(at.field("born_unix_ms"), "holds %d, after as_of_unix_ms", endpoint.BornUnixMs)
 		}
 	}
 	return nil
 }
 
-func checkScript(s *script.Script) *fault {
-	if bad := checkGroups(s.Groups); bad != nil {
-		return bad
-	}
-	if n := len(s.Traffic.Shares); n > 0 && n != len(s.Groups) {
-		return wrong(entryless("traffic", "shares"), "has %d entries for %d groups", n, len(s.Groups))
-	}
-	sum := 0.0
-	for n, x := range s.Traffic.Shares {
-		if !(x >= 0 && x <= 1e6) {
-			return wrong(entry(field(nil, "traffic"), "shares", n), "holds %g, out of its range; from 0 to 1e+06", x)
+// checkClasses checks traffic classes: names apart, and deadlines no shorter than latency objectives.
+func checkClasses(classes []*pb.Group) *problem {
+	seen := map[string]bool{}
+	for index, class := range classes {
+		at := path(nil).entry("groups", index)
+		if seen[class.Name] {
+			return newProblem(at.field("name"), "holds %q, which an earlier group has", class.Name)
 		}
-		sum += x
-	}
-	if len(s.Traffic.Shares) > 0 && sum == 0 {
-		return wrong(entryless("traffic", "shares"), "add up to nothing")
-	}
-	places, proxies, servers := map[string]bool{}, uint32(0), uint32(0)
-	for n, p := range s.Places {
-		if places[p.Name] {
-			return wrong(field(entry(nil, "places", n), "name"), "holds %q, which an earlier place has", p.Name)
+		seen[class.Name] = true
+		if Milliseconds(class.Expiry) < Milliseconds(class.LatencyBudget) {
+			return newProblem(at.field("expiry"), "holds %q, under the latency_budget of %q", class.Expiry, class.LatencyBudget)
 		}
-		places[p.Name] = true
-		proxies, servers = proxies+p.GetProxies(), servers+p.GetServers()
-	}
-	if proxies == 0 || servers == 0 {
-		return wrong(field(nil, "places"), "have %d proxies and %d servers; one of each is needed", proxies, servers)
 	}
-	if s.Servers.GetSlowest() > s.Servers.GetFastest() {
-		return wrong(entryless("servers", "slowest"), "holds %g, over fastest", s.Servers.GetSlowest())
-	}
-	for n, t := range s.Troubles {
-		at := entry(nil, "troubles", n)
-		zone, name := "", ""
-		switch w := t.What.(type) {
-		case nil:
-			return wrong(at, "says nothing of what goes wrong")
-		case *script.Trouble_ZoneCut:
-			zone, name = w.ZoneCut.Zone, "zone_cut"
-		case *script.Trouble_ZoneLoss:
-			zone, name = w.ZoneLoss.Zone, "zone_loss"
-		case *script.Trouble_OneSided:
-			zone, name = w.OneSided.Zone, "one_sided"
-		}
-		if name != "" && !places[zone] {
-			return wrong(field(field(at, name), "zone"), "holds %q, which is no place of this script", zone)
-		}
-		if Milliseconds(t.At) >= Milliseconds(s.Length) {
-			return wrong(field(at, "at"), "holds %q, after the day's length of %q", t.At, s.Length)
+	return nil
+}
+
+// checkZones checks that names and prefixes are apart, so that each address is in one zone.
+func checkZones(zones []*pb.Zone) *problem {
+	names := map[string]bool{}
+	zoneByPrefix := map[netip.Prefix]string{}
+	for index, zone := range zones {
+		at := path(nil).entry("zones", index)
+		if names[zone.Name] {
+			return newProblem(at.field("name"), "holds %q, which an earlier zone has", zone.Name)
+		}
+		names[zone.Name] = true
+		for prefixIndex, text := range zone.Prefixes {
+			prefix := netip.MustParsePrefix(text).Masked() // checked before
+			if other, used := zoneByPrefix[prefix]; used {
+				return newProblem(at.entry("prefixes", prefixIndex), "holds %s, which zone %q has", text, other)
+			}
+			zoneByPrefix[prefix] = zone.Name
 		}
 	}
 	return nil
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -88,7 +88,7 @@
 			if err := prototext.Unmarshal(text, message); err != nil {
 				t.Fatalf("%s: %v", path, err)
 			}
-			markSeen(message.ProtoReflect(), seen)
+			collectNames(message.ProtoReflect(), seen)
 		}
 	}
 	for _, file := range []protoreflect.FileDescriptor{pb.File_proto_settings_settings_proto, script.File_proto_script_script_proto} {
@@ -97,8 +97,8 @@
 	}
 }
 
-// markSeen notes the fields that a message, or one below it, holds, and the names of the enumerations.
-func markSeen(message protoreflect.Message, seen map[protoreflect.FullName]bool) {
+// collectNames notes the fields that a message, or one below it, holds, and the names of the enumerations.
+func collectNames(message protoreflect.Message, seen map[protoreflect.FullName]bool) {
 	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		seen[field.FullName()] = true
 		switch {
@@ -107,10 +107,10 @@
 		case field.Message() == nil:
 		case field.IsList():
 			for index := range value.List().Len() {
-				markSeen(value.List().Get(index).Message(), seen)
+				collectNames(value.List().Get(index).Message(), seen)
 			}
 		default:
-			markSeen(value.Message(), seen)
+			collectNames(value.Message(), seen)
 		}
 		return true
 	})
