--- a/internal/controlstream/doc.go
+++ b/internal/controlstream/doc.go
@@ -1,6 +1,6 @@
 // Package controlstream is the stream between a proxy and a planner, and between a planner and an endpoint source: the
 // frames and their parser, the state machines of the ends, and the queue that paces what a planner sends. It does no I/O,
-// starts no goroutine and reads no clock: its users own the connection and hand in bytes and times. All times are in
+// starts no goroutine and reads no clock: its users own the connection and pass in bytes and times. All times are in
 // milliseconds of a clock that never jumps, with an origin of the user's choice.
 //
 // # Frames
@@ -29,7 +29,7 @@
 //	}
 //	if cause := session.CloseCause(); cause != nil { ... }
 //
-// Next takes one frame, checks it and hands it to the host as one call. The stream starts unestablished:
+// Next takes one frame, checks it and delivers it to the host as one call. The stream starts unestablished:
 //
 //   - The planner's end waits for a Join, the proxy's for a Welcome, for Limits.HandshakeTimeoutMs. Any other frame ends
 //     the stream, and so does a second Join or Welcome later on.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -32,7 +32,7 @@
 
 // Request is one that was admitted. Its attempts run one after the other.
 type Request struct {
-	Class      int // traffic class, by its place in the settings
+	Class      int // traffic class, as its index in the settings
 	Attempts   int // started so far
 	admittedMs float64
 	attempted  []string // servers
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,6 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"lichenpick/policy"
 	pb "lichenpick/proto/settings"
 )
 
@@ -79,3 +80,23 @@
 		t.Errorf("got %q, want one line with %q", err, want)
 	}
 }
+
+// TestRetryMode checks that each retry mode of the settings has its own of the policy.
+func TestRetryMode(t *testing.T) {
+	want := map[pb.Retry]int{
+		pb.Retry_AFTER_PROOF: policy.RetryUnprocessed,
+		pb.Retry_NEVER:       policy.RetryNever,
+		pb.Retry_ONCE:        policy.RetryOnce,
+		pb.Retry_TWICE:       policy.RetryTwice,
+	}
+	for number := range pb.Retry_name {
+		retry := pb.Retry(number)
+		mode, known := want[retry]
+		if !known {
+			t.Errorf("no policy mode is expected of %s", retry)
+		}
+		if got := RetryMode(retry); got != mode {
+			t.Errorf("%s is read as mode %d, want %d", retry, got, mode)
+		}
+	}
+}
--- a/internal/simulator/adapter.go
+++ b/internal/simulator/adapter.go
@@ -13,7 +13,7 @@
 // ioBufferBytes is the size of the buffers of input and output.
 const ioBufferBytes = 1 << 16
 
-// adapter keeps the instances and drives them batch by batch.
+// adapter owns the instances and drives them batch by batch.
 type adapter struct {
 	instances   map[string]*instance // by name
 	actions     actionWriter         // of the present batch
@@ -60,7 +60,7 @@
 	return writer.Flush()
 }
 
-// handleBatch hands all messages of a batch to their instances, in order, and then pulls the decisions of those that got one,
+// handleBatch delivers all messages of a batch to their instances, in order, and then pulls the decisions of those that got one,
 // in the order of their first messages.
 func (a *adapter) handleBatch(line []byte) error {
 	a.actions.reset()
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -5,6 +5,6 @@
 // reads and answers batches until its input ends.
 //
 // The package has three parts. The codec (decode.go, encode.go, settings.go) knows the wire's words and maps them to the
-// policy's terms; no other file does. The adapter (adapter.go) keeps the instances, hands each its messages in order and then
-// pulls its decisions. An instance (host.go) is the policy.Host that turns decisions into actions.
+// policy's terms; no other file does. The adapter (adapter.go) owns the instances, delivers each its messages in order and
+// then pulls its decisions. An instance (host.go) is the policy.Host that turns decisions into actions.
 package simulator
