--- /dev/null
+++ b/internal/architecture/doc.go
@@ -0,0 +1,10 @@
+// Package architecture holds checks of the module as a whole, and no program code. They run with the other tests:
+//
+//   - packages listed in testdata/done.txt are free of the project's retired vocabulary (words_test.go has the list).
+//
+// The number of retired words in every package is logged by
+//
+//	go test ./internal/architecture -run Words -v
+//
+// and the places in one package with -words internal/planner added.
+package architecture
--- /dev/null
+++ b/internal/architecture/vocabulary_test.go
@@ -0,0 +1,280 @@
+package architecture
+
+import (
+	"flag"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"maps"
+	"os"
+	"path"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const (
+	donePackagesFile = "testdata/done.txt"
+	maxShownHits     = 40 // of one package in a failure's text
+)
+
+var shownPackage = flag.String("words", "", "list every hit of this package, as internal/planner, whether or not it is done")
+
+// exemptFiles gives the reason why a file may use retired words: it names what others define, and translates it at once.
+var exemptFiles = map[string]string{
+	"internal/platform/codec.go": "constants with the words of the operators' wire",
+}
+
+// hit is a retired word at a place.
+type hit struct {
+	Position token.Position
+	Where    string // identifier, comment, ...
+	Word     retiredWord
+}
+
+func (h hit) String() string {
+	return fmt.Sprintf("%s: %s has %q; instead: %s",
+		h.Position, h.Where, strings.TrimSuffix(h.Word.Forms[0], "*"), h.Word.Instead)
+}
+
+// wordFinder collects the retired words of files.
+type wordFinder struct {
+	positions *token.FileSet
+	generated map[string]bool // names of generated code, which may be used but not declared
+	seen      map[string]bool
+	hits      []hit
+}
+
+func TestWords(t *testing.T) {
+	module := loadModule(t)
+	done := donePackages(t)
+	generated := generatedNames(module)
+	for _, packagePath := range slices.Sorted(maps.Keys(module.Packages)) {
+		finder := &wordFinder{positions: module.Positions, generated: generated, seen: map[string]bool{}}
+		for _, file := range module.Packages[packagePath] {
+			if exemptFiles[file.Path] == "" && !file.Generated {
+				finder.inspectFile(file)
+			}
+		}
+		switch {
+		case !done[packagePath] && len(finder.hits) == 0:
+			t.Logf("%-28s   0  clean: may be added to %s", packagePath, donePackagesFile)
+		case !done[packagePath]:
+			t.Logf("%-28s %3d  %s", packagePath, len(finder.hits), summary(finder.hits))
+			if packagePath == *shownPackage {
+				t.Logf("\n%s", listing(finder.hits, len(finder.hits)))
+			}
+		case len(finder.hits) == 0:
+			t.Logf("%-28s   0  done", packagePath)
+		default:
+			t.Errorf("%s is listed in internal/architecture/%s, and has %d retired words:\n%s",
+				packagePath, donePackagesFile, len(finder.hits), listing(finder.hits, maxShownHits))
+		}
+		delete(done, packagePath)
+	}
+	for _, packagePath := range slices.Sorted(maps.Keys(done)) {
+		t.Errorf("%s lists %q, which is no package of the module", donePackagesFile, packagePath)
+	}
+}
+
+func TestWordsExemptFilesExist(t *testing.T) {
+	module := loadModule(t)
+	for name := range exemptFiles {
+		exists := func(file sourceFile) bool { return file.Path == name }
+		if !slices.ContainsFunc(module.Packages[path.Dir(name)], exists) {
+			t.Errorf("exemptFiles names %s, which is no Go file of the module; name the file that holds the codec now", name)
+		}
+	}
+}
+
+// donePackages reads the packages that must be free of retired words.
+func donePackages(t *testing.T) map[string]bool {
+	t.Helper()
+	text, err := os.ReadFile(donePackagesFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := map[string]bool{}
+	for line := range strings.Lines(string(text)) {
+		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
+			done[line] = true
+		}
+	}
+	return done
+}
+
+// generatedNames gives every name that generated code exports, without its type or package.
+func generatedNames(module goModule) map[string]bool {
+	names := map[string]bool{}
+	for _, files := range module.Packages {
+		generated := slices.DeleteFunc(slices.Clone(files), func(file sourceFile) bool { return !file.Generated })
+		for name := range exportedNames(generated) {
+			names[name[strings.LastIndex(name, ".")+1:]] = true
+		}
+	}
+	return names
+}
+
+func (f *wordFinder) inspectFile(file sourceFile) {
+	f.record(file.Tree.Package, "the file's name", identifierTerms(strings.TrimSuffix(path.Base(file.Path), ".go")))
+	for _, group := range file.Tree.Comments {
+		for _, comment := range group.List {
+			f.inspectComment(comment)
+		}
+	}
+	used := f.generatedUses(file.Tree)
+	ast.Inspect(file.Tree, func(node ast.Node) bool {
+		switch node := node.(type) {
+		case *ast.Ident:
+			if !used[node] {
+				f.record(node.Pos(), "identifier "+node.Name, identifierTerms(node.Name))
+			}
+		case *ast.CallExpr:
+			f.inspectCall(node)
+		}
+		return true
+	})
+}
+
+// inspectComment takes a block comment line by line, so that a hit has its own line.
+func (f *wordFinder) inspectComment(comment *ast.Comment) {
+	offset := 0
+	for line := range strings.Lines(comment.Text) {
+		f.record(comment.Pos()+token.Pos(offset), "comment", proseTerms(line))
+		offset += len(line)
+	}
+}
+
+// generatedUses gives the identifiers that name something of generated code: selected, or the key of a literal.
+func (f *wordFinder) generatedUses(tree *ast.File) map[*ast.Ident]bool {
+	used := map[*ast.Ident]bool{}
+	ast.Inspect(tree, func(node ast.Node) bool {
+		switch node := node.(type) {
+		case *ast.SelectorExpr:
+			used[node.Sel] = f.generated[node.Sel.Name]
+		case *ast.KeyValueExpr:
+			if key, isName := node.Key.(*ast.Ident); isName {
+				used[key] = f.generated[key.Name]
+			}
+		}
+		return true
+	})
+	return used
+}
+
+// inspectCall looks at the names of sub-tests and at log messages.
+func (f *wordFinder) inspectCall(call *ast.CallExpr) {
+	method, isMethod := call.Fun.(*ast.SelectorExpr)
+	if !isMethod {
+		return
+	}
+	where := "log message"
+	switch method.Sel.Name {
+	case "Run":
+		where = "test name"
+	case "Debug", "Info", "Warn", "Error", "Log", "LogAttrs", "DebugContext", "InfoContext", "WarnContext", "ErrorContext":
+		if isNoLogger(method.X) {
+			return
+		}
+	default:
+		return
+	}
+	for _, argument := range call.Args {
+		literal, isLiteral := argument.(*ast.BasicLit)
+		if !isLiteral || literal.Kind != token.STRING {
+			continue
+		}
+		if text, err := strconv.Unquote(literal.Value); err == nil {
+			f.record(literal.Pos(), where+" "+literal.Value, proseTerms(text))
+		}
+		return
+	}
+}
+
+// isNoLogger says whether a method's receiver is known for methods of the same names: a test, or package http.
+func isNoLogger(receiver ast.Expr) bool {
+	name, isName := receiver.(*ast.Ident)
+	return isName && slices.Contains([]string{"t", "b", "f", "tb", "http"}, name.Name)
+}
+
+// record adds the retired words among terms, each once a line.
+func (f *wordFinder) record(at token.Pos, where string, terms []term) {
+	position := f.positions.Position(at)
+	position.Filename = strings.TrimPrefix(position.Filename, moduleRoot+"/")
+	position.Column = 0
+	for _, word := range findRetired(terms) {
+		found := hit{position, where, word}
+		if key := found.String(); !f.seen[key] {
+			f.seen[key] = true
+			f.hits = append(f.hits, found)
+		}
+	}
+}
+
+// summary counts hits by word, most frequent first.
+func summary(hits []hit) string {
+	count := map[string]int{}
+	for _, found := range hits {
+		count[found.Word.Forms[0]]++
+	}
+	words := slices.SortedFunc(maps.Keys(count), func(a, b string) int {
+		return 2*(count[b]-count[a]) + strings.Compare(a, b)
+	})
+	var text []string
+	for _, word := range words {
+		text = append(text, fmt.Sprintf("%s %d", word, count[word]))
+	}
+	return strings.Join(text, ", ")
+}
+
+// listing gives hits a line each, and says how many there are beyond the most that it shows.
+func listing(hits []hit, most int) string {
+	var lines []string
+	for _, found := range hits[:min(len(hits), most)] {
+		lines = append(lines, "  "+found.String())
+	}
+	if more := len(hits) - most; more > 0 {
+		lines = append(lines, fmt.Sprintf("  and %d more", more))
+	}
+	return strings.Join(lines, "\n")
+}
+
+func TestWordsAreFoundWhereReadersMeetThem(t *testing.T) {
+	cases := []struct{ name, source, want string }{
+		{"identifier", "var toldWhen int", "x.go:3: told"},
+		{"acronym in an identifier", "var httpTROUBLE, jamCount int", "x.go:3: trouble; x.go:3: jam"},
+		{"stem", "var isWithdrawn bool", "x.go:3: withdraw*"},
+		{"comment", "// It was thrown out.\nvar x int", "x.go:3: thrown out"},
+		{"block comment", "/* One line.\nThe verdict. */\nvar x int", "x.go:4: verdict*"},
+		{"hyphen in prose", "// a stand-in; they stand in the way\nvar x int", "x.go:3: stand-in"},
+		{"phrase in an identifier", "var letIn int", "x.go:3: let in"},
+		{"test name", `func f() { t.Run("the crowd", nil) }`, "x.go:3: crowd"},
+		{"log message", `func f() { log.Log(ctx, level, "trouble", "told", 1) }`, "x.go:3: trouble"},
+		{"declared name of generated code", "var Utility int", "x.go:3: utility"},
+		{"used name of generated code", "var x = y.Utility + T{Utility: 1}.z", ""},
+		{"quoted name", "// `utility` or \"jam\" or order.Withdraw\nvar x int", ""},
+		{"standard sense", "// control flow, go mod tidy\nvar x int", ""},
+		{"part of another word", "var heartbeat, bookkeeping, seating, jamb int", ""},
+		{"test's own message", `func f() { t.Error("trouble") }`, ""},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			positions := token.NewFileSet()
+			tree, err := parser.ParseFile(positions, "x.go", "package x\n\n"+c.source+"\n", parser.ParseComments)
+			if err != nil {
+				t.Fatal(err)
+			}
+			finder := &wordFinder{positions: positions, generated: map[string]bool{"Utility": true}, seen: map[string]bool{}}
+			finder.inspectFile(sourceFile{Path: "x.go", Tree: tree})
+			var got []string
+			for _, found := range finder.hits {
+				got = append(got, found.Position.String()+": "+found.Word.Forms[0])
+			}
+			if strings.Join(got, "; ") != c.want {
+				t.Errorf("found %q, want %q", got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/architecture/words_test.go
@@ -0,0 +1,159 @@
+package architecture
+
+import (
+	"regexp"
+	"slices"
+	"strings"
+	"unicode"
+)
+
+// retiredWord is a word of the project's earlier vocabulary.
+//
+// Forms are lower-case words or phrases. A form that ends with '*' stands for all words that begin with it. A phrase with a
+// space matches words that follow each other; one with a hyphen matches only hyphenated words and parts of an identifier.
+type retiredWord struct {
+	Forms   []string
+	Instead string
+}
+
+// retiredWords are from the tables of names that the project gave up. Words that are also ordinary or standard terms are left
+// out: line, row, level, mark, sum, out, copy, look, list, report, usage.
+var retiredWords = []retiredWord{
+	{[]string{"flow", "flows"}, "request"},
+	{[]string{"traffic group", "traffic groups"}, "traffic class"},
+	{[]string{"utility", "utilities"}, "priority weight"},
+	{[]string{"retriable"}, "idempotent"},
+	{[]string{"deduped"}, "deduplicated"},
+	{[]string{"let in", "lets in", "letting in"}, "admit"},
+	{[]string{"turn away", "turns away", "turned away", "turning away"}, "reject"},
+	{[]string{"throw out", "throws out", "thrown out", "throwing out"}, "eject"},
+	{[]string{"withdraw*"}, "eject, ejection"},
+	{[]string{"verdict*"}, "ejection"},
+	{[]string{"jam", "jams", "jammed", "jamming"}, "overload"},
+	{[]string{"calm", "calms"}, "the threshold by its name"},
+	{[]string{"heard", "hear", "hears", "unheard"}, "load report, received, recorded"},
+	{[]string{"told", "untold"}, "notified, stated"},
+	{[]string{"receipt", "receipts"}, "acknowledgement"},
+	{[]string{"trouble", "troubles"}, "fault"},
+	{[]string{"doubt*"}, "unverified, reject"},
+	{[]string{"stranger", "strangers"}, "unauthenticated connection, unverified endpoint"},
+	{[]string{"tidy"}, "deferrable"},
+	{[]string{"stirred"}, "dirty"},
+	{[]string{"ripe"}, "due"},
+	{[]string{"seat", "seats", "seated"}, "assign"},
+	{[]string{"shy", "shyness"}, "recovery ramp"},
+	{[]string{"brings"}, "expected rate, demand; has, causes"},
+	{[]string{"sharer", "sharers"}, "lease manager"},
+	{[]string{"arbiter", "arbiters"}, "lease grantor"},
+	{[]string{"swarm", "swarms"}, "stress test"},
+	{[]string{"rehears*"}, "scenario"},
+	{[]string{"standin", "standins", "stand-in", "stand-ins"}, "fake"},
+	{[]string{"emulat*"}, "simulate, simulation"},
+	{[]string{"crowd", "crowds"}, "load generator"},
+	{[]string{"book", "books"}, "registry"},
+	{[]string{"shell", "shells"}, "server, runtime"},
+	{[]string{"door", "doors"}, "adapter"},
+	{[]string{"wake", "wakes", "woken", "woke"}, "timer, signal"},
+}
+
+// permittedPhrases contain a retired word in a standard sense.
+var permittedPhrases = []string{"flow control", "control flow", "mod tidy", "shell script"}
+
+// term is one word of a text or one part of an identifier, in lower case.
+type term struct {
+	Text   string
+	Joined bool // by a hyphen or within an identifier, to the term before
+}
+
+var (
+	// notProse is what a comment quotes: code, names on the wire, names of generated messages.
+	notProse = regexp.MustCompile("`[^`]*`" + `|"[^"\n]*"|\b(order|pb|script|settings)\.\w+`)
+	prose    = regexp.MustCompile(`[\pL\d_]+(-[\pL\d_]+)*`)
+)
+
+// proseTerms splits a comment or message into words. Identifiers in it are split as well.
+func proseTerms(text string) (terms []term) {
+	text = notProse.ReplaceAllString(text, " . ")
+	for _, compound := range prose.FindAllString(text, -1) {
+		for position, word := range strings.Split(compound, "-") {
+			parts := identifierTerms(word)
+			if len(parts) > 0 {
+				parts[0].Joined = position > 0
+			}
+			terms = append(terms, parts...)
+		}
+	}
+	return terms
+}
+
+// identifierTerms splits an identifier at underscores and changes of case: "sendHTTPReply" is send, http, reply.
+func identifierTerms(name string) (terms []term) {
+	letters := []rune(name)
+	start := 0
+	flush := func(end int) {
+		if end > start {
+			terms = append(terms, term{strings.ToLower(string(letters[start:end])), len(terms) > 0})
+		}
+		start = end
+	}
+	for at, letter := range letters {
+		switch {
+		case !unicode.IsLetter(letter):
+			flush(at)
+			start = at + 1
+		case unicode.IsUpper(letter) && at > 0 && beginsPart(letters, at):
+			flush(at)
+		}
+	}
+	flush(len(letters))
+	return terms
+}
+
+// beginsPart says whether the upper-case letter at a place begins a new part: after a lower-case one, or before one.
+func beginsPart(letters []rune, at int) bool {
+	return unicode.IsLower(letters[at-1]) || at+1 < len(letters) && unicode.IsLower(letters[at+1])
+}
+
+// findRetired gives the retired forms among terms, each as often as it occurs, with what to write instead.
+func findRetired(terms []term) (found []retiredWord) {
+	permitted := make([]bool, len(terms))
+	for _, phrase := range permittedPhrases {
+		for at := range terms {
+			if length := matchLength(terms[at:], phrase); length > 0 {
+				for covered := at; covered < at+length; covered++ {
+					permitted[covered] = true
+				}
+			}
+		}
+	}
+	for at := range terms {
+		for _, word := range retiredWords {
+			matches := func(form string) bool { return matchLength(terms[at:], form) > 0 }
+			if n := slices.IndexFunc(word.Forms, matches); n >= 0 && !permitted[at] {
+				found = append(found, retiredWord{word.Forms[n : n+1], word.Instead})
+			}
+		}
+	}
+	return found
+}
+
+// matchLength gives how many terms at the beginning make up a form, 0 if they do not.
+func matchLength(terms []term, form string) int {
+	if stem, isStem := strings.CutSuffix(form, "*"); isStem {
+		if strings.HasPrefix(terms[0].Text, stem) {
+			return 1
+		}
+		return 0
+	}
+	joined := strings.Contains(form, "-")
+	words := strings.FieldsFunc(form, func(r rune) bool { return r == ' ' || r == '-' })
+	if len(words) > len(terms) {
+		return 0
+	}
+	for n, word := range words {
+		if terms[n].Text != word || joined && n > 0 && !terms[n].Joined {
+			return 0
+		}
+	}
+	return len(words)
+}
