--- a/internal/architecture/page_test.go
+++ b/internal/architecture/page_test.go
@@ -1,29 +1,44 @@
 package architecture
 
 import (
+	"fmt"
+	"go/ast"
+	"go/token"
 	"maps"
 	"os"
 	"path"
 	"path/filepath"
 	"regexp"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 )
 
 const architecturePage = "docs/architecture.md"
 
+// checkedPages describe the program as it is now. Pages that record what was, such as docs/results.md, are not among them.
+var checkedPages = []string{
+	"README.md", "CONTRIBUTING.md", architecturePage, "docs/cores.md", "docs/design.md", "docs/measurements.md", "docs/oncall.md",
+	"docs/operators.md", "docs/planner.md", "docs/platform.md", "docs/sharing.md", "docs/simulation.md",
+}
+
 var (
 	codeSpan = regexp.MustCompile("`([^`\n]+)`")
 	// packagePathForm is a code span that names a package of the module by its path.
 	packagePathForm = regexp.MustCompile(`^(cmd|internal|policy|proto)(/[a-z]+)*$`)
 	// exportedNameForm is a code span that names something that a package exports: `planner.Core`, `planner.Core.Next`.
 	exportedNameForm = regexp.MustCompile(`^([a-z]+)\.([A-Z]\w*(\.[A-Z]\w*)?)$`)
+	// filePathForm is a word that names a file or folder of the repository.
+	filePathForm = regexp.MustCompile(`^(\./)?(cmd|internal|policy|proto|docs|scenarios|deploy|tools)/[\w./-]*$`)
+	testNameForm = regexp.MustCompile(`\b(Test|Fuzz)[A-Z]\w*`)
+	benchForm    = regexp.MustCompile(`-bench ([A-Z]\w*)`)
+	metricForm   = regexp.MustCompile(`\blichenpick_([a-z_0-9]+)`)
 )
 
 func TestArchitecturePageNamesEveryPackage(t *testing.T) {
 	module := loadModule(t)
-	page := readPage(t)
+	page := readPage(t, architecturePage)
 	named := map[string]bool{}
 	for _, span := range codeSpan.FindAllStringSubmatch(page, -1) {
 		if packagePathForm.MatchString(span[1]) {
@@ -52,7 +67,7 @@
 		}
 		maps.Copy(declared[base], exportedNames(files))
 	}
-	for number, line := range strings.Split(readPage(t), "\n") {
+	for number, line := range strings.Split(readPage(t, architecturePage), "\n") {
 		for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
 			name := exportedNameForm.FindStringSubmatch(span[1])
 			if name == nil || declared[name[1]] == nil {
@@ -65,9 +80,100 @@
 	}
 }
 
-func readPage(t *testing.T) string {
+func TestPagesNameExistingFilesTestsAndMetrics(t *testing.T) {
+	module := loadModule(t)
+	functions := testFunctions(module)
+	literals := stringLiterals(module.Packages["internal/planner"])
+	eachPageLine(t, func(place, line string) {
+		for _, name := range namedPaths(line) {
+			if _, err := os.Stat(filepath.Join(moduleRoot, name)); err != nil {
+				t.Errorf("%s: there is no %s", place, name)
+			}
+		}
+		for _, name := range testNameForm.FindAllString(line, -1) {
+			if !functions[name] {
+				t.Errorf("%s: no package has %s; was it renamed?", place, name)
+			}
+		}
+		for _, name := range benchForm.FindAllStringSubmatch(line, -1) {
+			isMatch := func(function string) bool { return strings.HasPrefix(function, "Benchmark"+name[1]) }
+			if !slices.ContainsFunc(slices.Collect(maps.Keys(functions)), isMatch) {
+				t.Errorf("%s: no package has Benchmark%s; was it renamed?", place, name[1])
+			}
+		}
+		for _, name := range metricForm.FindAllStringSubmatch(line, -1) {
+			if !literals[name[1]] {
+				t.Errorf("%s: internal/planner exports no metric %s; was it renamed?", place, name[0])
+			}
+		}
+	})
+}
+
+func TestPagesUseNoRetiredWords(t *testing.T) {
+	eachPageLine(t, func(place, line string) {
+		for _, word := range findRetired(proseTerms(line)) {
+			t.Errorf("%s: %q; instead: %s", place, word.Forms[0], word.Instead)
+		}
+	})
+}
+
+// namedPaths gives the files, folders and packages that a line names in code type or in an indented command.
+func namedPaths(line string) (paths []string) {
+	var words []string
+	for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
+		words = append(words, strings.Fields(span[1])...)
+	}
+	if strings.HasPrefix(line, "    ") {
+		words = append(words, strings.Fields(line)...)
+	}
+	for _, word := range words {
+		if word = strings.TrimSuffix(word, "/..."); filePathForm.MatchString(word) {
+			paths = append(paths, word)
+		}
+	}
+	return paths
+}
+
+// eachPageLine visits the lines of all checked pages, with their place.
+func eachPageLine(t *testing.T, visit func(place, line string)) {
+	t.Helper()
+	for _, page := range checkedPages {
+		for number, line := range strings.Split(readPage(t, page), "\n") {
+			visit(fmt.Sprintf("%s:%d", page, number+1), line)
+		}
+	}
+}
+
+// testFunctions gives the names of all functions in test files.
+func testFunctions(module goModule) map[string]bool {
+	names := map[string]bool{}
+	for _, files := range module.Packages {
+		isProgram := func(file sourceFile) bool { return !strings.HasSuffix(file.Path, "_test.go") }
+		maps.Copy(names, exportedNames(slices.DeleteFunc(slices.Clone(files), isProgram)))
+	}
+	return names
+}
+
+func stringLiterals(files []sourceFile) map[string]bool {
+	literals := map[string]bool{}
+	for _, file := range files {
+		ast.Inspect(file.Tree, func(node ast.Node) bool {
+			literal, isLiteral := node.(*ast.BasicLit)
+			if !isLiteral || literal.Kind != token.STRING {
+				return true
+			}
+			if text, err := strconv.Unquote(literal.Value); err == nil {
+				literals[text] = true
+			}
+			return true
+		})
+	}
+	return literals
+}
+
+func readPage(t *testing.T, page string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(moduleRoot, architecturePage))
+	text, err := os.ReadFile(filepath.Join(moduleRoot, page))
 	if err != nil {
 		t.Fatal(err)
 	}
