--- a/cmd/lichenpick/serve.go
+++ b/cmd/lichenpick/serve.go
@@ -25,8 +25,9 @@
 	c := &cobra.Command{
 		Use: "serve", Short: "Run a planner on the operators' platform until SIGTERM; EDGE_CONFIG names its configuration",
 		Args: exactly(0), RunE: func(c *cobra.Command, _ []string) error {
-			hup := make(chan os.Signal, 1)
-			signal.Notify(hup, syscall.SIGHUP) // first of all: by itself it would end the program
+			hangup := make(chan os.Signal, 1)
+			signal.Notify(hangup, syscall.SIGHUP) // first of all: by itself it would end the program
+			defer signal.Stop(hangup)
 			log, err := logger(level, form)
 			if err != nil {
 				return err
@@ -40,12 +41,6 @@
 				debug.SetMemoryLimit(int64(heapShare * float64(config.MemoryMB) * (1 << 20)))
 				debug.SetGCPercent(garbage)
 			}
-			hangup := make(chan struct{}, 1)
-			go func() {
-				for range hup {
-					hangup <- struct{}{}
-				}
-			}()
 			var to io.Writer
 			if trace {
 				to = os.Stderr
--- /dev/null
+++ b/internal/platform/accept.go
@@ -0,0 +1,63 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"net"
+
+	"lichenpick/internal/clock"
+)
+
+const acceptBackoffMs = 5.0 // ms of rest after a failed accept
+
+// accept takes in connections until the context ends and the listener is closed.
+func (s *serverRuntime) accept(ctx context.Context, listener net.Listener) {
+	for ctx.Err() == nil {
+		conn, err := listener.Accept()
+		if err != nil {
+			s.handleAcceptError(ctx, err)
+			continue
+		}
+		s.admit(conn)
+	}
+}
+
+// handleAcceptError makes room where the machine has none, as descriptors may have run out, and rests.
+func (s *serverRuntime) handleAcceptError(ctx context.Context, err error) {
+	if ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
+		s.Log.Warn("accepting failed", keyError, err)
+		s.withCore(func() { s.core.ShedConnection(s) })
+	}
+	if clock.Sleep(ctx, s.Clock, acceptBackoffMs) != nil {
+		return // accept ends with the context
+	}
+}
+
+// admit serves a connection, or closes it where there is no room and none can be made.
+func (s *serverRuntime) admit(conn net.Conn) {
+	t := &stream{Conn: conn}
+	admitted := false
+	s.withCore(func() {
+		for s.isFull() {
+			if !s.core.ShedConnection(s) {
+				return
+			}
+		}
+		admitted = true
+		s.streams[&t.connection] = t
+		s.core.HandleConnect(&t.connection)
+	})
+	if !admitted {
+		s.closeQuietly(conn)
+		return
+	}
+	s.tasks.Go(func() { s.read(t) })
+}
+
+// isFull says whether there is no room for one more connection. Those that linger make room first. The lock is held.
+func (s *serverRuntime) isFull() bool {
+	for len(s.lingering) > maxLingering {
+		s.drop(s.lingering[0])
+	}
+	return len(s.streams)-len(s.lingering) >= s.maxConnections
+}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -13,102 +14,158 @@
 	"lichenpick/policy"
 )
 
-const maxConfigBytes = 16 << 20 // bytes of a configuration
+const (
+	maxConfigBytes = 16 << 20 // bytes of a configuration
+	maxProxies     = 1 << 16  // of a site
+)
 
-// Config is what the platform tells a planner.
+// Config is what the platform tells a planner. It is read once at the start; of a later one only Discovery is followed.
 type Config struct {
-	Name, Listen, Discovery string
-	Seed                    int64
-	Cores                   float64
-	MemoryMB, Sockets       int
-	KnownVersion            int64             // of KnownEndpoints
-	KnownEndpoints          []policy.Endpoint // perhaps old
-	Settings                simulator.Settings
+	Name           string
+	Listen         string // address with a port
+	Discovery      string // address of discovery's agent, with a port
+	Seed           int64
+	Cores          float64
+	MemoryMB       int               // limit of the process in MiB; 0 where none is stated
+	Sockets        int               // descriptors that the process may have; 0 where no limit is stated
+	KnownVersion   int64             // of KnownEndpoints
+	KnownEndpoints []policy.Endpoint // as last known, perhaps outdated
+	Settings       simulator.Settings
+}
+
+// configDocument is a configuration as the platform writes it.
+type configDocument struct {
+	Name      string
+	Listen    string
+	Discovery string
+	Seed      string // 16 hex digits
+	Limits    struct {
+		Cores    float64
+		MemoryMB int `json:"memory_mb"`
+		Sockets  int
+	}
+	Known    json.RawMessage // a list as discovery serves it
+	Settings json.RawMessage // as the simulator's
 }
 
-// ReadConfig loads and checks a configuration. It is refused whole, with an error of the program's kind for bad input.
+// ReadConfig reads and checks a configuration. It is refused whole, with a *settings.Error of one line.
 func ReadConfig(path string) (Config, error) {
-	bad := func(form string, args ...any) (Config, error) {
-		return Config{}, &settings.Error{File: path, Problem: fmt.Sprintf(form, args...)}
+	text, err := readConfigFile(path)
+	if err != nil {
+		return Config{}, &settings.Error{File: path, Problem: err.Error()}
 	}
+	config, err := parseConfig(text)
+	if err != nil {
+		return Config{}, &settings.Error{File: path, Problem: err.Error()}
+	}
+	return config, nil
+}
+
+func readConfigFile(path string) ([]byte, error) {
 	if path == "" {
-		return bad("no configuration is named; EDGE_CONFIG or -c must name it")
+		return nil, errors.New("no configuration is named; EDGE_CONFIG or -c must name it")
 	}
 	info, err := os.Stat(path)
 	if err != nil {
-		return bad("%v", err)
+		return nil, err
 	}
 	if info.Size() > maxConfigBytes {
-		return bad("%d bytes, where %d are the most", info.Size(), maxConfigBytes)
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return bad("%v", err)
-	}
-	var f struct {
-		Name, Listen, Discovery, Seed string
-		Limits                        struct {
-			Cores    float64
-			MemoryMB int `json:"memory_mb"`
-			Sockets  int
-		}
-		Known    json.RawMessage
-		Settings json.RawMessage
+		return nil, fmt.Errorf("%d bytes, where %d are the most", info.Size(), maxConfigBytes)
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return bad("%v", err)
+	return os.ReadFile(path)
+}
+
+func parseConfig(text []byte) (Config, error) {
+	var document configDocument
+	if err := json.Unmarshal(text, &document); err != nil {
+		return Config{}, err
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	seed, err := strconv.ParseUint(document.Seed, 16, 64)
 	if err != nil {
-		return bad("seed: %q is no number of 16 hex digits", f.Seed)
+		return Config{}, fmt.Errorf("seed: %q is no number of 16 hex digits", document.Seed)
 	}
-	for _, a := range [][2]string{{"listen", f.Listen}, {"discovery", f.Discovery}} {
-		if _, port, err := net.SplitHostPort(a[1]); err != nil || port == "" {
-			return bad("%s: %q is no address with a port", a[0], a[1])
-		}
+	if err := checkAddress("listen", document.Listen); err != nil {
+		return Config{}, err
 	}
-	if len(f.Settings) == 0 {
-		return bad("settings are missing")
+	if err := checkAddress("discovery", document.Discovery); err != nil {
+		return Config{}, err
 	}
-	site, err := simulator.ReadSettings(f.Settings)
+	site, err := parseSettings(document.Settings)
 	if err != nil {
-		return bad("settings: %v", err)
+		return Config{}, err
 	}
-	if err := check(site); err != nil {
-		return bad("settings: %v", err)
+	known, err := parseKnown(document.Known, site.Zones)
+	if err != nil {
+		return Config{}, fmt.Errorf("known: %w", err)
+	}
+	return Config{
+		Name:           document.Name,
+		Listen:         document.Listen,
+		Discovery:      document.Discovery,
+		Seed:           int64(seed),
+		Cores:          document.Limits.Cores,
+		MemoryMB:       document.Limits.MemoryMB,
+		Sockets:        document.Limits.Sockets,
+		KnownVersion:   known.version,
+		KnownEndpoints: known.entries,
+		Settings:       site,
+	}, nil
+}
+
+func checkAddress(name, address string) error {
+	_, port, err := net.SplitHostPort(address)
+	if err != nil || port == "" {
+		return fmt.Errorf("%s: %q is no address with a port", name, address)
 	}
-	c := Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Seed: int64(seed), Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Settings: site,
+	return nil
+}
+
+func parseSettings(text json.RawMessage) (simulator.Settings, error) {
+	if len(text) == 0 {
+		return simulator.Settings{}, errors.New("settings are missing")
 	}
-	if len(f.Known) > 0 && string(f.Known) != "null" {
-		l, err := readListing(f.Known, site.Zones)
-		if err != nil {
-			return bad("known: %v", err)
-		}
-		c.KnownVersion, c.KnownEndpoints = l.version, l.entries
+	site, err := simulator.ReadSettings(text)
+	if err == nil {
+		err = checkSettings(site)
 	}
-	return c, nil
+	if err != nil {
+		return simulator.Settings{}, fmt.Errorf("settings: %w", err)
+	}
+	return site, nil
 }
 
-// check looks for what the module or the lines could not work with.
-func check(s simulator.Settings) error {
-	m := s.Policy
+// parseKnown decodes the list of a configuration, which may have none.
+func parseKnown(text json.RawMessage, zones []string) (endpointList, error) {
+	if len(text) == 0 || string(text) == "null" {
+		return endpointList{}, nil
+	}
+	return parseEndpointList(text, zones)
+}
+
+// checkSettings looks for what the policy or the protocol could not work with.
+func checkSettings(site simulator.Settings) error {
+	limits := site.Policy
 	switch {
-	case len(s.Zones) == 0 || len(s.Classes) == 0:
-		return fmt.Errorf("%d zones and %d traffic groups; there must be some", len(s.Zones), len(s.Classes))
-	case m.Proxies < 1 || m.Proxies > 1<<16:
-		return fmt.Errorf("%d proxies, where 1 to %d can be", m.Proxies, 1<<16)
-	case !(m.EntriesPerSecond > 0) || !(m.MaxBacklog > 0):
-		return fmt.Errorf("a channel of %g lines a second with %g waiting; both must be above 0", m.EntriesPerSecond, m.MaxBacklog)
-	case m.Sharded:
-		return fmt.Errorf("tables are slices, which this front does not serve")
-	}
-	for _, list := range [][]string{s.Zones, s.Classes} {
-		for n, name := range list {
-			if !fits(name) || slices.Contains(list[:n], name) {
-				return fmt.Errorf("name %q cannot stand in a line, or comes twice", name)
-			}
+	case len(site.Zones) == 0 || len(site.Classes) == 0:
+		return fmt.Errorf("%d zones and %d traffic classes; there must be some", len(site.Zones), len(site.Classes))
+	case limits.Proxies < 1 || limits.Proxies > maxProxies:
+		return fmt.Errorf("%d proxies, where 1 to %d can be", limits.Proxies, maxProxies)
+	case !(limits.EntriesPerSecond > 0) || !(limits.MaxBacklog > 0):
+		return fmt.Errorf("a channel of %g entries per second with a backlog of %g; both must be above 0",
+			limits.EntriesPerSecond, limits.MaxBacklog)
+	case limits.Sharded:
+		return errors.New("sharded tables, which are not served here")
+	}
+	if err := checkNames(site.Zones); err != nil {
+		return err
+	}
+	return checkNames(site.Classes)
+}
+
+func checkNames(names []string) error {
+	for index, name := range names {
+		if !isValidName(name) || slices.Contains(names[:index], name) {
+			return fmt.Errorf("name %q cannot stand in a message, or comes twice", name)
 		}
 	}
 	return nil
--- a/internal/platform/core_test.go
+++ b/internal/platform/core_test.go
@@ -36,13 +36,13 @@
 	at    float64 // ms since the start
 	said  map[*Connection]string
 	ended map[*Connection]bool
-	why   map[*Connection]string
+	why   map[*Connection]CloseReason
 }
 
 func begin(t testing.TB, servers int) *story {
 	s := &story{
 		Core: NewCore(site(t), 7, origin), t: t, said: map[*Connection]string{}, ended: map[*Connection]bool{},
-		why: map[*Connection]string{},
+		why: map[*Connection]CloseReason{},
 	}
 	s.UpdateEndpoints(policy.RestoredUpdate, entries(servers, policy.Ready))
 	return s
@@ -56,7 +56,7 @@
 }
 
 func (s *story) Send(k *Connection, message []byte) { s.said[k] += string(message) }
-func (s *story) CloseConnection(k *Connection, why string) {
+func (s *story) CloseConnection(k *Connection, why CloseReason, _ error) {
 	s.ended[k], s.why[k] = true, why
 }
 func (s *story) SetTimer(at float64) {}
@@ -95,7 +95,7 @@
 
 // answer answers every mark that a proxy was sent and not answered, as the proxy would.
 func (s *story) answer(k *Connection, id int) {
-	for _, m := range slices.Clone(k.proxy.acknowledgements) {
+	for _, m := range slices.Clone(k.proxy.unacknowledged) {
 		s.say(k, fmt.Sprintf("applied id=%d seq=%d ms=300", id, m.number))
 	}
 }
@@ -113,14 +113,14 @@
 	}
 	t.Run("its answer reaches the module", func(t *testing.T) {
 		s.answer(k, 3)
-		if len(k.proxy.acknowledgements) != 0 || s.Counts.Marks == 0 || s.Counts.Spoilt > 0 {
+		if len(k.proxy.unacknowledged) != 0 || s.Counts.Acknowledgements == 0 || s.Counts.RejectedMessages > 0 {
 			t.Errorf("%+v", s.Counts)
 		}
 	})
 	t.Run("each message is whole lines, with part=1 on all but the last", func(t *testing.T) {
 		lines := strings.Split(strings.TrimSuffix(said, "\r\n"), "\r\n")
 		for _, l := range lines {
-			if !strings.HasPrefix(l, sayUpdate+" ") || strings.Contains(l, "  ") {
+			if !strings.HasPrefix(l, wireUpdate+" ") || strings.Contains(l, "  ") {
 				t.Errorf("%q", l)
 			}
 		}
@@ -131,7 +131,7 @@
 	t.Run("more failed than came is no fault: flows end in a later period than they come in", func(t *testing.T) {
 		before := s.Counts
 		s.say(k, "usage id=3 lane=lookup count=0 fail=2 over=1000.0")
-		if s.Counts.Usage != before.Usage+1 || s.Counts.Spoilt != before.Spoilt {
+		if s.Counts.DemandReports != before.DemandReports+1 || s.Counts.RejectedMessages != before.RejectedMessages {
 			t.Errorf("%+v", s.Counts)
 		}
 	})
@@ -153,20 +153,20 @@
 	next := s.joined(3)
 	s.pass(1000)
 	t.Run("a new stream of a proxy takes the place of the old one and gets its table whole", func(t *testing.T) {
-		if s.proxies[3] == nil || s.proxies[3].conn != next || !strings.Contains(s.said[next], "replace=1") {
+		if s.proxies.byID[3] == nil || s.proxies.byID[3].connection != next || !strings.Contains(s.said[next], "replace=1") {
 			t.Errorf("%q", s.said[next])
 		}
 	})
 	t.Run("the old one's end is not taken for a leaving", func(t *testing.T) {
 		s.HandleDisconnect(old)
-		if !s.ended[old] || s.proxies[3] == nil || len(s.order) != 1 {
-			t.Errorf("ended %t, joined %d", s.ended[old], len(s.order))
+		if !s.ended[old] || s.proxies.byID[3] == nil || len(s.proxies.joined) != 1 {
+			t.Errorf("ended %t, joined %d", s.ended[old], len(s.proxies.joined))
 		}
 	})
 	t.Run("the new one's end is", func(t *testing.T) {
 		s.HandleDisconnect(next)
-		if s.proxies[3] != nil || len(s.order) != 0 || s.OpenConnections() != 0 {
-			t.Errorf("joined %d, open %d", len(s.order), s.OpenConnections())
+		if s.proxies.byID[3] != nil || len(s.proxies.joined) != 0 || s.OpenConnections() != 0 {
+			t.Errorf("joined %d, open %d", len(s.proxies.joined), s.OpenConnections())
 		}
 	})
 	t.Run("a proxy from elsewhere is let back what others may have shut out", func(t *testing.T) {
@@ -189,7 +189,7 @@
 			s.pass(3000)
 			for id, k := range all { // what comes by others does not speak for a stream; its own words wake it
 				s.say(k, fmt.Sprintf("usage id=%d lane=lookup count=1 fail=0 over=1000", id))
-				k.heard -= quietMs
+				k.lastMessageMs -= silenceMs
 			}
 		}
 		for id, k := range all {
@@ -197,14 +197,14 @@
 				t.Errorf("proxy %d: asleep %t, %d whole tables", id, k.proxy.inactive, n)
 			}
 		}
-		if s.Counts.Asleep != 0 {
-			t.Errorf("%d were taken for left", s.Counts.Asleep)
+		if s.Counts.SilentProxies != 0 {
+			t.Errorf("%d were taken for left", s.Counts.SilentProxies)
 		}
 	})
 	t.Run("where nobody answers, what may wait bounds the time", func(t *testing.T) {
 		s := begin(t, 8)
 		k := s.joined(5)
-		s.pass(quietMs + slowest*s.settings.Policy.MaxBacklog/s.settings.Policy.EntriesPerSecond*1000 + 3000)
+		s.pass(silenceMs + maxChannelSlowdown*s.settings.Policy.MaxBacklog/s.settings.Policy.EntriesPerSecond*1000 + 3000)
 		if !k.proxy.inactive || s.ended[k] {
 			t.Errorf("asleep %t, ended %t", k.proxy.inactive, s.ended[k])
 		}
@@ -213,7 +213,7 @@
 		k := s.joined(5)
 		other := s.joined(6)
 		for n := range 60 {
-			if s.pass(200); k.proxy.inactive && n*200 < quietMs {
+			if s.pass(200); k.proxy.inactive && n*200 < silenceMs {
 				t.Fatalf("it was taken for left after %d ms", 200*n)
 			}
 			if s.answer(other, 6); n%20 == 0 { // something to be told, and to be answered
@@ -237,11 +237,11 @@
 	t.Run("a long message behind the joining, in the same bytes, meets the bound of who has joined", func(t *testing.T) {
 		s := begin(t, 8)
 		k := s.open()
-		long := "usage id=3 lane=lookup count=1 fail=0 over=1000 extra=" + strings.Repeat("1", 2*firstLine)
-		s.HandleData(k, []byte("joined id=3 site=a rps=10 new=1\r\n"+long+"\r\n"+long[:2*firstLine]))
-		s.HandleData(k, []byte(long[2*firstLine:]+"\r\n"))
+		long := "usage id=3 lane=lookup count=1 fail=0 over=1000 extra=" + strings.Repeat("1", 2*maxFirstMessageBytes)
+		s.HandleData(k, []byte("joined id=3 site=a rps=10 new=1\r\n"+long+"\r\n"+long[:2*maxFirstMessageBytes]))
+		s.HandleData(k, []byte(long[2*maxFirstMessageBytes:]+"\r\n"))
 		s.pass(0)
-		if s.ended[k] || s.Counts.Usage != 2 || s.Counts.Unreadable != 0 {
+		if s.ended[k] || s.Counts.DemandReports != 2 || s.Counts.Unreadable != 0 {
 			t.Errorf("ended %t, %+v", s.ended[k], s.Counts)
 		}
 	})
@@ -253,7 +253,7 @@
 		y := s.open()
 		s.HandleData(y, []byte("GET / HTTP/1.1\r\n"))
 		s.pass(0)
-		if !strings.Contains(s.why[old], "newer stream") || s.why[y] != errUnreadable.Error() {
+		if s.why[old] != CloseReplacedStream || s.why[y] != CloseUnreadable {
 			t.Errorf("%q and %q", s.why[old], s.why[y])
 		}
 	})
@@ -278,15 +278,15 @@
 			all = append(all, k)
 		}
 		s.pass(0)
-		if s.ended[all[0]] || s.ended[all[1]] || s.ended[all[2]] || !s.ended[all[3]] || s.partialBytes > s.MaxPartialBytes || len(s.order) != 3 {
-			t.Errorf("%t %t %t %t, %d bytes held", s.ended[all[0]], s.ended[all[1]], s.ended[all[2]], s.ended[all[3]], s.partialBytes)
+		if s.ended[all[0]] || s.ended[all[1]] || s.ended[all[2]] || !s.ended[all[3]] || s.sessions.partialBytes > s.MaxPartialBytes || len(s.proxies.joined) != 3 {
+			t.Errorf("%t %t %t %t, %d bytes held", s.ended[all[0]], s.ended[all[1]], s.ended[all[2]], s.ended[all[3]], s.sessions.partialBytes)
 		}
 		for _, k := range all {
 			s.HandleData(k, []byte("\r\n"))
 			s.HandleDisconnect(k)
 		}
-		if s.partialBytes != 0 {
-			t.Errorf("%d bytes held of nobody", s.partialBytes)
+		if s.sessions.partialBytes != 0 {
+			t.Errorf("%d bytes held of nobody", s.sessions.partialBytes)
 		}
 	})
 }
@@ -298,7 +298,7 @@
 	set.Policy.Proxies = 150
 	s := &story{
 		Core: NewCore(set, 7, origin), t: t, said: map[*Connection]string{}, ended: map[*Connection]bool{},
-		why: map[*Connection]string{},
+		why: map[*Connection]CloseReason{},
 	}
 	s.UpdateEndpoints(policy.RestoredUpdate, entries(30, policy.Ready))
 	conns := make([]*Connection, 150)
@@ -319,8 +319,8 @@
 			t.Errorf("proxy %d has no table after 6 s", id)
 		}
 	}
-	if most := 0.7 * set.Policy.MaxBacklog; s.Counts.MostWaiting > most || s.Counts.MostWaiting < most/4 {
-		t.Errorf("%.0f lines waited, where %.0f may", s.Counts.MostWaiting, most)
+	if most := 0.7 * set.Policy.MaxBacklog; s.Counts.MaxBacklog > most || s.Counts.MaxBacklog < most/4 {
+		t.Errorf("%.0f lines waited, where %.0f may", s.Counts.MaxBacklog, most)
 	}
 }
 
@@ -338,9 +338,9 @@
 				site := site(t)
 				site.Policy.Proxies = 60
 				set(&site)
-				s := &story{Core: NewCore(site, 7, origin), t: t, said: map[*Connection]string{}, ended: map[*Connection]bool{}, why: map[*Connection]string{}}
+				s := &story{Core: NewCore(site, 7, origin), t: t, said: map[*Connection]string{}, ended: map[*Connection]bool{}, why: map[*Connection]CloseReason{}}
 				s.UpdateEndpoints(policy.RestoredUpdate, entries(40, policy.Ready))
-				at := func() float64 { return s.now }
+				at := func() float64 { return s.nowMs }
 				collector := s.open("collector site=a")
 				drains := 0
 				for n := range 50 { // 10 s; in 12 a channel eight times slower would have sent all
@@ -371,7 +371,7 @@
 					}
 					s.pass(200)
 				}
-				in := float64(s.Counts.Lines) + site.Policy.MessageOverhead*float64(s.Counts.Messages)
+				in := float64(s.Counts.Entries) + site.Policy.MessageOverhead*float64(s.Counts.Updates)
 				t.Logf("%.0f lines of %.0f", in, site.Policy.MaxBacklog)
 				if in > site.Policy.MaxBacklog {
 					t.Errorf("%.0f lines wait, where %.0f may", in, site.Policy.MaxBacklog)
@@ -408,9 +408,9 @@
 	}
 	t.Run("a stranger's message without end is not kept", func(t *testing.T) {
 		x := s.open()
-		s.HandleData(x, []byte("joined x="+strings.Repeat("1", 2*firstLine)))
+		s.HandleData(x, []byte("joined x="+strings.Repeat("1", 2*maxFirstMessageBytes)))
 		if s.pass(0); !s.ended[x] {
-			t.Errorf("%d bytes are kept", len(x.lines.part))
+			t.Errorf("%d bytes are kept", len(x.reader.partial))
 		}
 	})
 	t.Run("one that says nothing, half a message, or only ping is closed in time", func(t *testing.T) {
@@ -431,7 +431,7 @@
 		t.Run("spoilt alone: "+line, func(t *testing.T) {
 			was := s.Counts
 			s.say(c, line, "heard site=a target=s-0 count=2 fail=1 mean=1 over=1000 util=inflight:7")
-			if s.Counts.Spoilt != was.Spoilt+1 || s.Counts.Heard != was.Heard+1 || s.Counts.Usage != was.Usage || s.ended[c] {
+			if s.Counts.RejectedMessages != was.RejectedMessages+1 || s.Counts.LoadReports != was.LoadReports+1 || s.Counts.DemandReports != was.DemandReports || s.ended[c] {
 				t.Errorf("%+v, ended %t", s.Counts, s.ended[c])
 			}
 		})
@@ -439,14 +439,14 @@
 	t.Run("an answer to a mark never sent is not heard", func(t *testing.T) {
 		was := s.Counts
 		s.say(k, "applied id=3 seq=60000 ms=1")
-		if s.Counts.Marks != was.Marks || s.ended[k] {
+		if s.Counts.Acknowledgements != was.Acknowledgements || s.ended[k] {
 			t.Errorf("%+v", s.Counts)
 		}
 	})
 	t.Run("half a word is no message, and an order is not heard", func(t *testing.T) {
 		x := s.open("joined id=5 site=a rps=1 new=1")
 		was := s.Counts
-		if s.say(x, "update rows=s-1:1"); s.Counts.Spoilt != was.Spoilt+1 || s.ended[x] {
+		if s.say(x, "update rows=s-1:1"); s.Counts.RejectedMessages != was.RejectedMessages+1 || s.ended[x] {
 			t.Errorf("%+v", s.Counts)
 		}
 		if s.say(x, "usa"); !s.ended[x] {
@@ -456,7 +456,7 @@
 	t.Run("a stream that goes on with what can't be read is closed", func(t *testing.T) {
 		s.HandleData(k, []byte("\x01\x02garbage"))
 		s.pass(0)
-		if !s.ended[k] || s.proxies[3] != nil || strings.Contains(strings.TrimPrefix(s.said[k], before), "refused") {
+		if !s.ended[k] || s.proxies.byID[3] != nil || strings.Contains(strings.TrimPrefix(s.said[k], before), "refused") {
 			t.Errorf("ended %t", s.ended[k])
 		}
 	})
@@ -474,13 +474,13 @@
 	})
 }
 
-func asJoined() int { return maxLineBytes }
+func asJoined() int { return maxMessageBytes }
 
 func TestSplitter(t *testing.T) {
 	text := "joined id=3 site=a rps=10 new=1\r\nping\r\nusage id=3 lane=lookup count=1 fail=0 over=1000.0\r\n"
 	want := strings.Split(strings.TrimSuffix(text, "\r\n"), "\r\n")
 	for cut := range len(text) {
-		var s splitter
+		var s messageReader
 		var got []string
 		for _, piece := range []string{text[:cut], text[cut:]} {
 			if err := s.feed([]byte(piece), asJoined, func(l []byte) bool { got = append(got, string(l)); return true }); err != nil {
@@ -493,13 +493,13 @@
 	}
 	t.Run("a message of the most bytes is held, one more is not", func(t *testing.T) {
 		for _, more := range []int{0, 1} {
-			var s splitter
-			line := sayHeard + " x=" + strings.Repeat("1", maxLineBytes-len(sayHeard)-3+more) + "\r\n"
+			var s messageReader
+			line := "heard" + " x=" + strings.Repeat("1", maxMessageBytes-len("heard")-3+more) + "\r\n"
 			err := s.feed([]byte(line[:len(line)/2]), asJoined, func([]byte) bool { return true })
 			if err == nil {
 				err = s.feed([]byte(line[len(line)/2:]), asJoined, func([]byte) bool { return true })
 			}
-			if (err == errLong) != (more == 1) || len(s.part) > maxLineBytes {
+			if (err == ErrMessageTooLong) != (more == 1) || len(s.partial) > maxMessageBytes {
 				t.Errorf("%d more: %v", more, err)
 			}
 		}
@@ -519,8 +519,8 @@
 			s.HandleData(k, []byte(piece))
 			s.pass(100)
 		}
-		if k.Unauthenticated() && len(k.lines.part) > firstLine+2 || len(s.said[k]) > 1<<16 {
-			t.Errorf("a stranger holds %d bytes and was told %d", len(k.lines.part), len(s.said[k]))
+		if k.Unauthenticated() && len(k.reader.partial) > maxFirstMessageBytes+2 || len(s.said[k]) > 1<<16 {
+			t.Errorf("a stranger holds %d bytes and was told %d", len(k.reader.partial), len(s.said[k]))
 		}
 	})
 }
@@ -528,12 +528,12 @@
 func TestListing(t *testing.T) {
 	zones := []string{"a", "b"}
 	one := `{"version":%s,"full":%s,"servers":[{"id":"s-1","addr":"x:1","zone":"b","kind":"m","cell":3,"state":"%s","weight":1.5,"started_ms":%s}]}`
-	f := follower{zones: zones, version: 41}
-	l, ok, err := f.take([]byte(fmt.Sprintf(one, "43", "false", "draining", "1.8e12")))
+	f := versionTracker{zones: zones, version: 41}
+	l, ok, err := f.accept([]byte(fmt.Sprintf(one, "43", "false", "draining", "1.8e12")))
 	if e := (policy.Endpoint{Server: "s-1", Zone: 1, State: policy.Draining, RelativeCapacity: 1.5, StartedMs: 1.8e12}); err != nil || !ok || l.entries[0] != e || f.version != 43 {
 		t.Errorf("%+v %t %v", l, ok, err)
 	}
-	if _, ok, err := f.take(nil); ok || err != nil {
+	if _, ok, err := f.accept(nil); ok || err != nil {
 		t.Errorf("an empty line tells something: %v", err)
 	}
 	for name, line := range map[string]string{
@@ -543,15 +543,15 @@
 		"name":   strings.Replace(fmt.Sprintf(one, "44", "false", "ready", "0"), "s-1", "s 1", 1),
 	} {
 		t.Run("what can't be read changes nothing and asks for the whole list: "+name, func(t *testing.T) {
-			f := follower{zones: zones, version: 43}
-			if _, ok, err := f.take([]byte(line)); ok || err == nil || f.version != 43 || !f.whole {
+			f := versionTracker{zones: zones, version: 43}
+			if _, ok, err := f.accept([]byte(line)); ok || err == nil || f.version != 43 || !f.needsFullList {
 				t.Errorf("%t %v %+v", ok, err, f)
 			}
 		})
 	}
 	t.Run("a whole list is taken whatever its version", func(t *testing.T) {
-		f := follower{zones: zones, version: 43, whole: true}
-		if _, ok, err := f.take([]byte(fmt.Sprintf(one, "2", "true", "ready", "0"))); !ok || err != nil || f.version != 2 || f.whole {
+		f := versionTracker{zones: zones, version: 43, needsFullList: true}
+		if _, ok, err := f.accept([]byte(fmt.Sprintf(one, "2", "true", "ready", "0"))); !ok || err != nil || f.version != 2 || f.needsFullList {
 			t.Errorf("%t %v %+v", ok, err, f)
 		}
 	})
@@ -561,7 +561,7 @@
 			m.Servers = append(m.Servers, map[string]any{"id": "s-" + strconv.Itoa(k), "zone": "a", "state": "ready"})
 		}
 		raw, _ := json.Marshal(map[string]any{"version": 1, "full": true, "servers": m.Servers})
-		if l, err := readListing(raw, zones); err != nil || len(l.entries) != 300 {
+		if l, err := parseEndpointList(raw, zones); err != nil || len(l.entries) != 300 {
 			t.Errorf("%d %v", len(l.entries), err)
 		}
 	})
--- a/internal/platform/digest_test.go
+++ b/internal/platform/digest_test.go
@@ -73,8 +73,8 @@
 	"joined " + strings.Repeat("x=1 ", 400),
 }
 
-// spoiltMessages are what a joined connection is not heard of, and stays open.
-var spoiltMessages = []string{
+// invalidMessages are what a joined connection is not heard of, and stays open.
+var invalidMessages = []string{
 	"heard site=a target=s-0 count=2 fail=3 mean=1 over=1000",
 	"heard site=a target=s-0 count=2 fail=1 mean=inf over=1000",
 	"heard site=a target=s-99 count=2 fail=1 mean=1 over=1000",
@@ -129,7 +129,7 @@
 	shutdown []string // events of Close, whose order is not defined; nil before
 	closing  bool
 
-	drops, undrops, cuts, replaced, sheds, doubts int
+	ejections, readmissions, admissionCuts, replaced, sheds, rejected int
 }
 
 func newConversation(t *testing.T, seed int64) *conversation {
@@ -151,7 +151,7 @@
 	if seed%2 == 0 {
 		c.core.MaxPartialBytes = partialMost
 	}
-	c.core.OnReject = func(string) { c.doubts++ }
+	c.core.OnReject = func(error, []byte) { c.rejected++ }
 	c.core.UpdateEndpoints(policy.RestoredUpdate, digestEntries())
 	return c
 }
@@ -183,9 +183,9 @@
 
 // read takes in a line as a proxy does: marks are answered, some late and some never.
 func (c *conversation) read(p *peer, line string) {
-	c.drops += strings.Count(line, " drop=")
-	c.undrops += strings.Count(line, " undrop=")
-	c.cuts += strings.Count(line, " gate=0.")
+	c.ejections += strings.Count(line, " drop=")
+	c.readmissions += strings.Count(line, " undrop=")
+	c.admissionCuts += strings.Count(line, " gate=0.")
 	_, stamp, found := strings.Cut(line, " stamp=")
 	if !found || c.random.Float64() < 0.05 {
 		return
@@ -199,8 +199,8 @@
 	p.answers = append(p.answers, digestAnswer{c.atMs + delayMs, number})
 }
 
-// CloseConnection records that a connection is closed; the reason is free text, and not recorded.
-func (c *conversation) CloseConnection(conn *platform.Connection, _ string) {
+// CloseConnection records that a connection is closed; the reason is not recorded.
+func (c *conversation) CloseConnection(conn *platform.Connection, _ platform.CloseReason, _ error) {
 	p := c.byConn[conn]
 	c.record("end %d", p.number)
 	if p.proxy >= 0 && c.proxies[p.proxy] != p {
@@ -343,8 +343,8 @@
 	p.answers = later
 }
 
-// trouble is what happens at random, once or twice a second.
-func (c *conversation) trouble() {
+// disturb does what happens at random, once or twice a second.
+func (c *conversation) disturb() {
 	if c.atMs < completeListMs || c.random.Intn(7) != 0 {
 		return
 	}
@@ -358,13 +358,13 @@
 	case 3:
 		c.open("ping")
 	case 4:
-		stranger := c.open("")
-		stranger.unsent = []byte("joined id=4 si")
+		unjoined := c.open("")
+		unjoined.unsent = []byte("joined id=4 si")
 		if c.random.Intn(2) == 0 {
-			c.finish(stranger)
+			c.finish(unjoined)
 		}
 	case 5, 6:
-		p.write(spoiltMessages[c.random.Intn(len(spoiltMessages))])
+		p.write(invalidMessages[c.random.Intn(len(invalidMessages))])
 	case 7:
 		p.write("ping")
 	case 8:
@@ -375,7 +375,7 @@
 	case 10:
 		c.lose(p)
 	case 11:
-		c.spoil(p)
+		c.sendUnreadable(p)
 	case 12:
 		p.unsent = append(p.unsent, "usage id=1 lane=lookup pad="+strings.Repeat("1", partialMessage)...)
 	case 13:
@@ -402,8 +402,8 @@
 	}
 }
 
-// spoil has a peer write what cannot be read, or a message longer than any may be.
-func (c *conversation) spoil(p *peer) {
+// sendUnreadable has a peer write what cannot be read, or a message longer than any may be.
+func (c *conversation) sendUnreadable(p *peer) {
 	switch c.random.Intn(3) {
 	case 0:
 		p.unsent = append(p.unsent, "\x01\x02garbage"...)
@@ -428,7 +428,7 @@
 	c.atMs += digestStepMs
 	c.core.SetTime(digestOriginMs + c.atMs)
 	c.phases()
-	c.trouble()
+	c.disturb()
 	c.rejoin()
 	if number%10 == 0 {
 		c.reports()
@@ -448,8 +448,9 @@
 
 func (c *conversation) recordCounts() {
 	n := c.core.Counts
-	c.record("counts %d %d %d %d %d %d %d %d %d %d %d %d %d %g open %d", n.Joins, n.Lost, n.Asleep, n.Refused, n.Unreadable,
-		n.Spoilt, n.Heard, n.Usage, n.Marks, n.Messages, n.Lines, n.Bytes, n.Lists, n.MostWaiting, c.core.OpenConnections())
+	c.record("counts %d %d %d %d %d %d %d %d %d %d %d %d %d %g open %d", n.Joins, n.LostStreams, n.SilentProxies, n.Refusals,
+		n.Unreadable, n.RejectedMessages, n.LoadReports, n.DemandReports, n.Acknowledgements, n.Updates, n.Entries, n.Bytes,
+		n.EndpointUpdates, n.MaxBacklog, c.core.OpenConnections())
 }
 
 func (c *conversation) run() []byte {
@@ -486,23 +487,23 @@
 func (c *conversation) check(t *testing.T) {
 	t.Helper()
 	counts := c.core.Counts
-	t.Logf("%+v drops %d undrops %d cuts %d replaced %d sheds %d", counts, c.drops, c.undrops, c.cuts, c.replaced, c.sheds)
+	t.Logf("%+v ejections %d readmissions %d admission cuts %d replaced %d sheds %d", counts, c.ejections, c.readmissions, c.admissionCuts, c.replaced, c.sheds)
 	occurrences := []struct {
 		what  string
 		count int
 	}{
 		{"joins beyond the first ones", int(counts.Joins) - digestProxies},
-		{"lost streams", int(counts.Lost)},
-		{"silent proxies", int(counts.Asleep)},
-		{"refusals", int(counts.Refused)},
+		{"lost streams", int(counts.LostStreams)},
+		{"silent proxies", int(counts.SilentProxies)},
+		{"refusals", int(counts.Refusals)},
 		{"unreadable bytes", int(counts.Unreadable)},
-		{"spoilt messages", int(counts.Spoilt)},
-		{"load reports", int(counts.Heard)},
-		{"demand reports", int(counts.Usage)},
-		{"acknowledgements", int(counts.Marks)},
-		{"withdrawals", c.drops},
-		{"ends of withdrawals", c.undrops},
-		{"cuts of admission", c.cuts},
+		{"rejected messages", int(counts.RejectedMessages)},
+		{"load reports", int(counts.LoadReports)},
+		{"demand reports", int(counts.DemandReports)},
+		{"acknowledgements", int(counts.Acknowledgements)},
+		{"ejections", c.ejections},
+		{"readmissions", c.readmissions},
+		{"cuts of admission", c.admissionCuts},
 		{"replaced streams", c.replaced},
 		{"connections closed for room", c.sheds},
 		{"connections closed at the end", len(c.shutdown)},
@@ -512,7 +513,7 @@
 			t.Errorf("there were no %s", occurrence.what)
 		}
 	}
-	if c.doubts != int(counts.Spoilt) {
-		t.Errorf("%d spoilt messages were told of, and %d counted", c.doubts, counts.Spoilt)
+	if c.rejected != int(counts.RejectedMessages) {
+		t.Errorf("OnReject was called %d times, with %d rejected messages counted", c.rejected, counts.RejectedMessages)
 	}
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -18,152 +19,220 @@
 	"lichenpick/policy"
 )
 
+// The requests that discovery's agent serves.
 const (
-	silentMs      = 2600.0  // ms without a byte after which the agent is asked anew; it says something every 2 s
-	wholeMs       = 5000.0  // ms that an answer, or a line of a watch, may take from its asking to its end
-	dialMs        = 1000.0  // ms; the agent is on the same machine
-	againMs       = 50.0    // ms; first wait before asking again, doubled each time
-	againMost     = 500.0   // ms; what is to be told counts as told after 6 s
-	maxShownBytes = 1000    // bytes of a line that a debug log shows
-	maxListBytes  = 4 << 20 // bytes of a list, or of a line of a watch
+	endpointsPath = "/catalog/members"                   // the complete list
+	watchFormat   = endpointsPath + "?follow=1&since=%d" // one line for each change after a version, and empty ones between
 )
 
-// agent follows discovery: the whole list, then the watch from its version on.
-type agent struct {
-	clock   clock.Clock
-	network clock.Network
-	log     *slog.Logger
-	deliver func(policy.UpdateKind, []policy.Endpoint)
-	follow  follower
-	since   atomic.Int64 // µs of Mono: when what is being read was asked for, or the last line ended
+// Limits of what is read from the agent, and of the time that it may take.
+const (
+	discoverySilenceMs   = 2600.0  // ms without a byte after which the agent is asked anew; it says something every 2 s
+	discoveryResponseMs  = 5000.0  // ms that an answer, or a line of a watch, may take from its asking to its end
+	discoveryDialMs      = 1000.0  // ms; the agent is on the same machine
+	minDiscoveryRetryMs  = 50.0    // ms; first backoff, doubled after each failure
+	maxDiscoveryRetryMs  = 500.0   // ms; what is to be notified counts as notified after 6 s
+	maxEndpointListBytes = 4 << 20 // bytes of a list, or of a line of a watch
+	maxHeaderBytes       = 1 << 14 // bytes of a response's header
+	maxLoggedBytes       = 1000    // bytes of a list that a debug log shows
+	microsPerMs          = 1000.0
+)
+
+var errListTooLong = errors.New("list longer than allowed")
+
+// discoveryClient follows discovery: the complete list, then the watch from its version on. One goroutine at a time calls
+// run, and owns all fields but progressMicros.
+type discoveryClient struct {
+	clock     clock.Clock
+	network   clock.Network
+	log       *slog.Logger
+	deliver   func(policy.UpdateKind, []policy.Endpoint) // is handed each list that says something
+	tracker   versionTracker
+	retryMs   float64 // backoff after the next failure
+	lastError string  // that was logged; a failure that repeats is logged once
+
+	// progressMicros is when what is being read was asked for, or the last line ended, in µs of clock.Monotonic. The
+	// transport's goroutines read it.
+	progressMicros atomic.Int64
 }
 
-// run follows the agent at an address until the context ends.
-func (a *agent) run(ctx context.Context, address string) {
+// run follows the agent at an address until the context ends, from the version that is known.
+func (d *discoveryClient) run(ctx context.Context, address string) {
 	client := &http.Client{Transport: &http.Transport{
-		DisableKeepAlives: true, DisableCompression: true, MaxResponseHeaderBytes: 1 << 14,
-		DialContext: func(ctx context.Context, _, to string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, dialMs*time.Millisecond)
-			defer cancel()
-			conn, err := a.network.Dial(ctx, netip.Addr{}, to)
-			if err != nil {
-				return nil, err
-			}
-			return watched{conn, a}, nil
-		},
+		DisableKeepAlives:      true,
+		DisableCompression:     true,
+		MaxResponseHeaderBytes: maxHeaderBytes,
+		DialContext:            d.dial,
 	}}
-	wait := againMs
-	for said := ""; ctx.Err() == nil; {
-		err := a.poll(ctx, client, address, func() { wait, said = againMs, "" })
+	d.resetBackoff()
+	for ctx.Err() == nil {
+		err := d.poll(ctx, client, address)
 		if ctx.Err() != nil {
 			return
 		}
-		if err.Error() != said { // once, not at each try
-			said = err.Error()
-			a.log.Info("discovery", "at", address, "trouble", said)
+		if err.Error() != d.lastError {
+			d.lastError = err.Error()
+			d.log.Info("discovery failed", keyAddress, address, keyError, err)
 		}
-		if clock.Sleep(ctx, a.clock, wait) != nil {
+		if clock.Sleep(ctx, d.clock, d.retryMs) != nil {
 			return
 		}
-		wait = math.Min(2*wait, againMost)
+		d.retryMs = math.Min(2*d.retryMs, maxDiscoveryRetryMs)
 	}
 }
 
-// poll asks once, for the whole list where that is not known and then for the watch, and returns why that ended.
-func (a *agent) poll(ctx context.Context, client *http.Client, address string, alive func()) error {
-	if a.follow.whole {
-		if err := a.get(ctx, client, "http://"+address+"/catalog/members", func(body *bufio.Reader) error {
-			raw, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
-			if err != nil {
-				return err
-			}
-			if len(raw) > maxListBytes {
-				return errLong
-			}
-			a.follow.version = 0 // another discovery may count anew
-			return a.told(raw)
-		}); err != nil {
-			a.follow.whole = true
-			return err
+func (d *discoveryClient) resetBackoff() {
+	d.retryMs = minDiscoveryRetryMs
+	d.lastError = ""
+}
+
+func (d *discoveryClient) dial(ctx context.Context, _, address string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, discoveryDialMs*time.Millisecond)
+	defer cancel()
+	conn, err := d.network.Dial(ctx, netip.Addr{}, address)
+	if err != nil {
+		return nil, err
+	}
+	return progressConn{conn, d}, nil
+}
+
+// poll asks once, for the complete list where that is needed and then for the watch, and returns why that ended. The error
+// is never nil.
+func (d *discoveryClient) poll(ctx context.Context, client *http.Client, address string) error {
+	if d.tracker.needsFullList {
+		err := d.get(ctx, client, "http://"+address+endpointsPath, d.readFullList)
+		if err != nil {
+			d.tracker.needsFullList = true
+			return fmt.Errorf("complete list: %w", err)
 		}
 	}
-	path := fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", address, a.follow.version)
-	return a.get(ctx, client, path, func(body *bufio.Reader) error {
-		for {
-			line, err := readLine(body)
-			if err != nil {
-				return err
-			}
-			a.begun()
-			if err := a.told(line); err != nil {
-				return err
-			}
-			alive()
+	url := "http://" + address + fmt.Sprintf(watchFormat, d.tracker.version)
+	return fmt.Errorf("watch: %w", d.get(ctx, client, url, d.readWatch))
+}
+
+func (d *discoveryClient) readFullList(body *bufio.Reader) error {
+	text, err := io.ReadAll(io.LimitReader(body, maxEndpointListBytes+1))
+	if err != nil {
+		return err
+	}
+	if len(text) > maxEndpointListBytes {
+		return errListTooLong
+	}
+	d.tracker.version = 0 // another discovery may count anew
+	return d.handleList(text)
+}
+
+// readWatch reads lines until the watch ends; the error is never nil.
+func (d *discoveryClient) readWatch(body *bufio.Reader) error {
+	for {
+		line, err := readListLine(body)
+		if err != nil {
+			return err
 		}
-	})
+		d.noteProgress()
+		if err := d.handleList(line); err != nil {
+			return err
+		}
+		d.resetBackoff()
+	}
 }
 
-func (a *agent) told(raw []byte) error {
-	l, ok, err := a.follow.take(bytes.TrimSpace(raw))
-	if ok || err != nil {
-		a.log.Debug("listed", "version", l.version, "full", l.full, "entries", len(l.entries), "line", string(raw[:min(len(raw), maxShownBytes)]))
+func (d *discoveryClient) handleList(text []byte) error {
+	list, changed, err := d.tracker.accept(bytes.TrimSpace(text))
+	if changed || err != nil {
+		d.log.Debug("endpoints listed", keyVersion, list.version, keyFull, list.full, keyEndpoints, len(list.entries),
+			keyLine, string(text[:min(len(text), maxLoggedBytes)]))
 	}
-	if err != nil || !ok {
+	if err != nil || !changed {
 		return err
 	}
-	form := policy.DeltaUpdate
-	if l.full {
-		form = policy.FullUpdate
+	kind := policy.DeltaUpdate
+	if list.full {
+		kind = policy.FullUpdate
 	}
-	a.deliver(form, l.entries)
+	d.deliver(kind, list.entries)
 	return nil
 }
 
-func (a *agent) get(ctx context.Context, client *http.Client, path string, read func(*bufio.Reader) error) error {
-	a.begun()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
+func (d *discoveryClient) get(ctx context.Context, client *http.Client, url string, read func(*bufio.Reader) error) error {
+	d.noteProgress()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	r, err := client.Do(q)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer r.Body.Close()
-	if r.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d", r.StatusCode)
+	defer response.Body.Close() //nolint:errcheck // nothing more is wanted of it, and connections are not kept
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("status %d", response.StatusCode)
 	}
-	return read(bufio.NewReader(r.Body))
+	return read(bufio.NewReader(response.Body))
 }
 
-// readLine reads a line of a watch, whole.
-func readLine(r *bufio.Reader) (line []byte, err error) {
+// readListLine reads a line of a watch, whole.
+func readListLine(body *bufio.Reader) ([]byte, error) {
+	var line []byte
 	for {
-		part, err := r.ReadSlice('\n')
-		if line = append(line, part...); err == nil {
+		part, err := body.ReadSlice('\n')
+		line = append(line, part...)
+		if err == nil {
 			return line, nil
 		}
-		if len(line) > maxListBytes {
-			return nil, errLong
+		if len(line) > maxEndpointListBytes {
+			return nil, errListTooLong
 		}
-		if err != bufio.ErrBufferFull {
+		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
 		}
 	}
 }
 
-// begun takes down that the next answer or line is waited for from now on.
-func (a *agent) begun() { a.since.Store(int64(1000 * a.clock.Monotonic())) }
+// noteProgress notes that the next answer or line is waited for from now on.
+func (d *discoveryClient) noteProgress() {
+	d.progressMicros.Store(int64(microsPerMs * d.clock.Monotonic()))
+}
 
-// watched is a connection on which no read waits for longer than a silence may last, and that ends with an answer or a
+// progressConn is a connection on which no read waits for longer than a silence may last, and that ends with an answer or a
 // line that comes byte by byte without end: bytes alone are no sign of life.
-type watched struct {
+type progressConn struct {
 	net.Conn
-	agent *agent
+	client *discoveryClient
 }
 
-func (w watched) Read(b []byte) (int, error) {
-	left := wholeMs + float64(w.agent.since.Load())/1000 - w.agent.clock.Monotonic()
-	w.SetReadDeadline(w.agent.clock.Deadline(math.Min(silentMs, left)))
-	return w.Conn.Read(b)
+// Read fails with a timeout where nothing comes in time.
+func (c progressConn) Read(buffer []byte) (int, error) {
+	now := c.client.clock.Monotonic()
+	leftMs := discoveryResponseMs + float64(c.client.progressMicros.Load())/microsPerMs - now
+	deadline := c.client.clock.Deadline(math.Min(discoverySilenceMs, leftMs))
+	if err := c.SetReadDeadline(deadline); err != nil {
+		return 0, err
+	}
+	return c.Conn.Read(buffer)
+}
+
+// versionTracker turns lines of a watch, and complete lists, into what the core is told. It holds the version that is known.
+type versionTracker struct {
+	zones         []string
+	version       int64
+	needsFullList bool // the complete list must be asked for
+}
+
+// accept takes in a line of a watch or a complete list, and says whether it changes anything. After what can't be read or
+// does not follow the known version, the complete list must be asked for; what is known stays.
+func (t *versionTracker) accept(text []byte) (list endpointList, changed bool, err error) {
+	if len(text) == 0 { // a sign of life
+		return endpointList{}, false, nil
+	}
+	list, err = parseEndpointList(text, t.zones)
+	if err == nil && !list.full && (t.needsFullList || list.version < t.version) {
+		err = fmt.Errorf("a change to version %d does not follow version %d", list.version, t.version)
+	}
+	t.needsFullList = err != nil
+	if err != nil {
+		return list, false, err
+	}
+	t.version = list.version
+	return list, list.full || len(list.entries) > 0, nil
 }
--- /dev/null
+++ b/internal/platform/dispatch.go
@@ -0,0 +1,133 @@
+package platform
+
+import (
+	"cmp"
+	"errors"
+	"slices"
+)
+
+const (
+	collectorsPerZone = 3  // a collector that was cut off may seem open beside its successor
+	maxPendingPongs   = 16 // answers owed to one connection; a peer that asks faster than it reads gets no more
+)
+
+// Errors of messages that can be read and are not accepted, beside those of their fields, which are of type *MessageError.
+var (
+	errNotJoined     = errors.New("the connection has not joined")
+	errAlreadyJoined = errors.New("the connection has joined already")
+	errUpdate        = errors.New("an update, which only planners send")
+	errUnknownZone   = errors.New("unknown zone")
+	errUnknownProxy  = errors.New("unknown proxy")
+)
+
+// handleMessage takes in one message. A faulty one costs a joined connection that message alone, and any other its place.
+func (c *Core) handleMessage(connection *Connection, line []byte) {
+	m, err := parseMessage(line)
+	if errors.Is(err, ErrUnreadable) {
+		c.Counts.Unreadable++
+		c.startClosing(connection, CloseUnreadable, err)
+		return
+	}
+	if err == nil {
+		err = c.dispatch(connection, m)
+	}
+	if err != nil && connection.Unauthenticated() {
+		c.startClosing(connection, CloseInvalidFirstMessage, err)
+		return
+	}
+	if err != nil {
+		c.Counts.RejectedMessages++
+		if c.OnReject != nil {
+			c.OnReject(err, line)
+		}
+	}
+	connection.lastMessageMs = c.nowMs
+	if p := connection.proxy; p != nil && p.inactive {
+		c.reactivate(p)
+	}
+}
+
+// dispatch hands a message to whoever takes in its kind. What is not for this connection's role, but valid, is ignored.
+func (c *Core) dispatch(connection *Connection, m *message) error {
+	switch m.kind {
+	case kindPing:
+		c.handlePing(connection)
+		return nil
+	case kindJoin:
+		return c.handleJoin(connection, m)
+	case kindCollector:
+		return c.handleCollector(connection, m)
+	}
+	if connection.Unauthenticated() {
+		return errNotJoined
+	}
+	switch {
+	case m.kind == kindLoadReport && connection.role == roleCollector:
+		return c.recordLoadReport(m)
+	case m.kind == kindDemandReport:
+		return c.recordDemand(connection, m)
+	case m.kind == kindAcknowledgement && connection.role == roleProxy:
+		return c.acknowledge(connection.proxy, m)
+	case m.kind == kindUpdate:
+		return errUpdate
+	}
+	return nil
+}
+
+func (c *Core) handlePing(connection *Connection) {
+	if connection.pendingPongs < maxPendingPongs {
+		connection.pendingPongs++
+		c.sessions.queueReply(connection)
+	}
+}
+
+func (c *Core) handleJoin(connection *Connection, m *message) error {
+	if !connection.Unauthenticated() {
+		return errAlreadyJoined
+	}
+	join, err := m.join()
+	if err != nil {
+		return err
+	}
+	zone, known := c.zones[join.Zone]
+	if !known {
+		return errUnknownZone
+	}
+	if join.ProxyID >= len(c.proxies.byID) {
+		return errUnknownProxy
+	}
+	if old := c.proxies.byID[join.ProxyID]; old != nil { // its stream has broken, even if nobody has told us
+		c.removeProxy(old)
+		c.startClosing(old.connection, CloseReplacedStream, nil)
+	}
+	c.sessions.unauthenticated = without(c.sessions.unauthenticated, connection)
+	c.addProxy(connection, join, zone)
+	return nil
+}
+
+func (c *Core) handleCollector(connection *Connection, m *message) error {
+	if !connection.Unauthenticated() {
+		return errAlreadyJoined
+	}
+	collector, err := m.collector()
+	if err != nil {
+		return err
+	}
+	zone, known := c.zones[collector.Zone]
+	if !known {
+		return errUnknownZone
+	}
+	c.sessions.unauthenticated = without(c.sessions.unauthenticated, connection)
+	connection.role = roleCollector
+	connection.collectorZone = zone
+	others := c.sessions.collectors[zone]
+	if len(others) == collectorsPerZone { // the one that has been silent longest was cut off
+		oldest := slices.MinFunc(others, func(a, b *Connection) int {
+			return cmp.Compare(a.lastMessageMs, b.lastMessageMs)
+		})
+		c.startClosing(oldest, CloseReplacedCollector, nil)
+		others = without(others, oldest)
+	}
+	c.sessions.collectors[zone] = append(others, connection)
+	return nil
+}
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -1,80 +1,88 @@
 package platform
 
-import (
-	"encoding/json"
-	"fmt"
-	"math"
+import "lichenpick/policy"
 
-	"lichenpick/policy"
-)
+// removedRetentionMs is how long a removed endpoint is known, in ms: longer than the policy remembers it.
+const removedRetentionMs = 9e5
 
-// listing is one word of discovery.
-type listing struct {
-	version int64
-	full    bool
-	entries []policy.Endpoint // births in Unix ms, by which the module's clock goes here
+// endpoint is a server that discovery has named. Its fields are under the lock of the core.
+type endpoint struct {
+	name    string
+	state   policy.State
+	sinceMs float64 // of the state
+	// Proxies that this planner has told to eject the server, and those that another planner, or an earlier life of this
+	// one, may have told so.
+	notified, possiblyNotified proxySet
+	// Reports since the last WriteState.
+	requests, failed, latencySumMs float64 // the sum is of the requests that succeeded
 }
 
-var states = map[string]policy.State{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
+func (e *endpoint) setState(state policy.State, nowMs float64) {
+	e.state = state
+	e.sinceMs = nowMs
+}
 
-// readListing decodes discovery's form of a list, whole or not at all.
-func readListing(raw []byte, zones []string) (listing, error) {
-	var m struct {
-		Version *int64
-		Full    bool
-		Servers []struct {
-			ID      string
-			Zone    string
-			State   string
-			Weight  *float64
-			Started float64 `json:"started_ms"`
-		}
-	}
-	if err := json.Unmarshal(raw, &m); err != nil {
-		return listing{}, err
-	}
-	if m.Version == nil {
-		return listing{}, fmt.Errorf("no version")
-	}
-	l := listing{version: *m.Version, full: m.Full}
-	for _, s := range m.Servers {
-		e := policy.Endpoint{Server: s.ID, Zone: -1, RelativeCapacity: 1, StartedMs: s.Started}
-		for n, z := range zones {
-			if z == s.Zone {
-				e.Zone = n
+// endpointTable holds the servers by name. It is part of the core, and under its lock.
+type endpointTable struct {
+	byName  map[string]*endpoint
+	proxies int // that there can be
+}
+
+func newEndpointTable(proxies int) endpointTable {
+	return endpointTable{byName: map[string]*endpoint{}, proxies: proxies}
+}
+
+// update takes in a list. Removed servers are forgotten after a while, unless they are ejected: proxies have yet to be told
+// of the ejection's end.
+func (t *endpointTable) update(kind policy.UpdateKind, list []policy.Endpoint, nowMs float64, ejected map[string]bool) {
+	listed := map[string]bool{}
+	for _, entry := range list {
+		e := t.byName[entry.Server]
+		if e == nil {
+			e = &endpoint{
+				name:             entry.Server,
+				sinceMs:          nowMs,
+				notified:         newProxySet(t.proxies),
+				possiblyNotified: newProxySet(t.proxies),
 			}
+			t.byName[entry.Server] = e
+		}
+		if entry.State != e.state {
+			e.setState(entry.State, nowMs)
 		}
-		state, ok := states[s.State]
-		if e.State = state; s.Weight != nil {
-			e.RelativeCapacity = *s.Weight
+		listed[entry.Server] = true
+	}
+	complete := kind == policy.FullUpdate || kind == policy.RestoredUpdate
+	for name, e := range t.byName {
+		if complete && !listed[name] && e.state != policy.Removed {
+			e.setState(policy.Removed, nowMs)
 		}
-		if !ok || !fits(s.ID) || !(e.RelativeCapacity >= 0) || math.IsInf(e.RelativeCapacity, 0) || !(e.StartedMs >= 0) {
-			return listing{}, fmt.Errorf("server %q with state %q, weight %g, start %g", s.ID, s.State, e.RelativeCapacity, e.StartedMs)
+		if e.state == policy.Removed && nowMs-e.sinceMs > removedRetentionMs && !ejected[name] {
+			delete(t.byName, name)
 		}
-		l.entries = append(l.entries, e)
 	}
-	return l, nil
 }
 
-// follower turns the lines of a watch into what the core is told. It holds the version that is known.
-type follower struct {
-	zones   []string
-	version int64
-	whole   bool // the whole list must be asked for
+// forgetNotified notes that a proxy has joined anew: with no ejections, or with those of another planner.
+func (t *endpointTable) forgetNotified(proxyID int, inherits bool) {
+	for _, e := range t.byName {
+		e.notified.set(proxyID, false)
+		e.possiblyNotified.set(proxyID, inherits)
+	}
 }
 
-// take reads a line of a watch, or a whole list; ok where it tells something. After what can't be read or does not
-// follow, the whole list is asked for anew; what is known stays.
-func (f *follower) take(raw []byte) (l listing, ok bool, err error) {
-	if len(raw) == 0 { // a sign of life
-		return l, false, nil
+// suspectNotified notes that it is not known which ejections have reached a proxy.
+func (t *endpointTable) suspectNotified(proxyID int) {
+	for _, e := range t.byName {
+		e.possiblyNotified.set(proxyID, true)
 	}
-	if l, err = readListing(raw, f.zones); err == nil && !l.full && (f.whole || l.version < f.version) {
-		err = fmt.Errorf("a change to version %d does not follow version %d", l.version, f.version)
-	}
-	if f.whole = err != nil; err != nil {
-		return l, false, err
+}
+
+// UpdateEndpoints takes in what discovery says, or as policy.RestoredUpdate what the configuration had of it.
+func (c *Core) UpdateEndpoints(kind policy.UpdateKind, list []policy.Endpoint) {
+	if kind != policy.FailedUpdate {
+		c.Counts.EndpointUpdates++
 	}
-	f.version = l.version
-	return l, l.full || len(l.entries) > 0, nil
+	c.endpoints.update(kind, list, c.nowMs, c.publisher.registry.Ejected)
+	c.policy.UpdateEndpoints(kind, list)
 }
--- a/internal/platform/owed_test.go
+++ b/internal/platform/owed_test.go
@@ -13,6 +13,7 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -110,7 +111,7 @@
 func count(t *testing.T) (running string, descriptors int) {
 	buf := make([]byte, 1<<20)
 	for _, g := range strings.Split(string(buf[:runtime.Stack(buf, true)]), "\n\n") {
-		if strings.Contains(g, runtimeMethods) || strings.Contains(g, methodsOf[agent]()) || strings.Contains(g, reflect.TypeFor[watched]().String()) {
+		if strings.Contains(g, runtimeMethods) || strings.Contains(g, methodsOf[discoveryClient]()) || strings.Contains(g, reflect.TypeFor[progressConn]().String()) {
 			running += g + "\n\n"
 		}
 	}
@@ -270,7 +271,7 @@
 		close(release)
 		old.closed()
 		next.say("ping\r\n")
-		next.until(sayPong)
+		next.until(wirePong)
 	})
 	t.Run("a stream cut inside a message is a leaving, and half a message is not heard", func(t *testing.T) {
 		c := newCatalog(t, list(9, true, "s-1:ready"))
@@ -286,7 +287,7 @@
 			b := d.dial("joined id=1 site=a rps=10 new=0\r\n")
 			b.until("replace=1")
 			b.say("usage id=1 lane=lookup count=5 fail=0 over=1000.0\r\nping\r\n")
-			b.until(sayPong)
+			b.until(wirePong)
 			b.Close()
 		}
 	})
@@ -312,7 +313,7 @@
 		a.closed()
 		b := d.dial("joined id=1 site=a rps=10 new=1\r\n")
 		line, err := b.r.ReadString('\n')
-		if err != nil || !strings.HasPrefix(line, sayUpdate+" ") || !strings.Contains(line, "replace=1") {
+		if err != nil || !strings.HasPrefix(line, wireUpdate+" ") || !strings.Contains(line, "replace=1") {
 			t.Errorf("%q, %v", line, err)
 		}
 	})
@@ -378,11 +379,11 @@
 			}}
 		})
 		a := d.dial("joined id=1 site=a rps=10 new=1\r\nping\r\n")
-		a.untilAll(sayPong, "replace=1")
+		a.untilAll(wirePong, "replace=1")
 		e := serve(t, config(c.at(), 64))
 		long := "heard site=a target=s-1 count=2 fail=1 mean=1 over=1000.0 util=" + strings.TrimSuffix(strings.Repeat("inflight:7,", 100), ",")
 		b := e.dial("collector site=a\r\n" + long + "\r\n" + long + "\r\nping\r\n")
-		b.until(sayPong)
+		b.until(wirePong)
 	})
 	t.Run("a proxy is closed for room with a mark unanswered; it comes back, and its late answer hurts nobody", func(t *testing.T) {
 		c := newCatalog(t, list(9, true, "s-1:ready"))
@@ -431,7 +432,7 @@
 		b := d.dial("joined id=0 site=a rps=10 new=0\r\napplied id=0 seq=1 ms=9000.0\r\n")
 		b.until("replace=1")
 		b.say("ping\r\n")
-		b.until(sayPong)
+		b.until(wirePong)
 	})
 }
 
@@ -491,7 +492,7 @@
 			rest()
 		}
 		c.mu.Lock()
-		c.whole = list(20, true, "s-1:ready") + strings.Repeat(" ", maxListBytes)
+		c.whole = list(20, true, "s-1:ready") + strings.Repeat(" ", maxEndpointListBytes)
 		asked := len(c.asked)
 		c.mu.Unlock()
 		for len(c.queries()) < asked+2 {
@@ -524,7 +525,7 @@
 		drain := list(13, false, "s-3:draining")
 		c.writes <- drain[:len(drain)/2]
 		d.write(config(next.at(), 64))
-		d.hangup <- struct{}{}
+		d.hangup <- syscall.SIGHUP
 		<-next.opened
 		if q := next.queries()[0]; q != "follow=1&since=12" {
 			t.Errorf("asked for %q", q)
@@ -549,10 +550,10 @@
 			}
 		})
 		<-c.opened
-		d.hangup <- struct{}{}
+		d.hangup <- syscall.SIGHUP
 		<-second
 		d.write(config(next.at(), 64))
-		d.hangup <- struct{}{}
+		d.hangup <- syscall.SIGHUP
 		<-next.opened
 	})
 }
@@ -637,14 +638,13 @@
 		peers = append(peers, p)
 		h := &hooked{Conn: c, write: func(b []byte) (int, error) { <-hold; return c.Write(b) }}
 		x := &stream{Conn: h}
-		x.conn.Transport = x
-		s.with(func() { s.streams[x] = true; s.core.HandleConnect(&x.conn) })
+		s.withCore(func() { s.streams[&x.connection] = x; s.core.HandleConnect(&x.connection) })
 		s.tasks.Go(func() { s.read(x) })
 		all = append(all, x)
 	}
 	return s, all, func() {
 		close(hold)
-		s.end()
+		s.shutdown()
 		l.Close()
 		for _, p := range peers {
 			p.Close()
@@ -658,58 +658,58 @@
 		s, all, end := shellOf(t, 8, 64)
 		defer end()
 		message := make([]byte, 1000)
-		s.with(func() {
+		s.withCore(func() {
 			for range maxUnsentBytes / len(message) / 4 {
 				for n, x := range all {
-					if s.Send(&x.conn, message); n == 7 {
-						s.Send(&x.conn, message)
+					if s.Send(&x.connection, message); n == 7 {
+						s.Send(&x.connection, message)
 					}
-					if s.unsent > s.mostUnsent {
-						t.Fatalf("%d bytes wait, where %d may", s.unsent, s.mostUnsent)
+					if s.unsentBytes > s.maxUnsentBytes {
+						t.Fatalf("%d bytes wait, where %d may", s.unsentBytes, s.maxUnsentBytes)
 					}
 				}
 			}
 			open, sum := 0, 0
 			for _, x := range all {
-				if s.streams[x] {
-					open, sum = open+1, sum+len(x.unsent)+x.out
+				if s.streams[&x.connection] != nil {
+					open, sum = open+1, sum+len(x.unsent)+x.inFlight
 				}
 			}
-			if s.streams[all[7]] || open < 8 || open == len(all) || sum != s.unsent {
-				t.Errorf("%d are open, the one owed most %t; %d bytes wait, counted %d", open, s.streams[all[7]], sum, s.unsent)
+			if s.streams[&all[7].connection] != nil || open < 8 || open == len(all) || sum != s.unsentBytes {
+				t.Errorf("%d are open, the one owed most %t; %d bytes wait, counted %d", open, s.streams[&all[7].connection] != nil, sum, s.unsentBytes)
 			}
 		})
 	})
 	t.Run("one that stops reading goes alone", func(t *testing.T) {
 		s, all, end := shellOf(t, 64, 4)
 		defer end()
-		s.with(func() {
+		s.withCore(func() {
 			for range maxUnsentBytes/1000 + 2 {
-				s.Send(&all[0].conn, make([]byte, 1000))
+				s.Send(&all[0].connection, make([]byte, 1000))
 			}
 			// Its writer stands still; whoever ends it again must not put it among those that linger, which full would never leave.
-			if s.CloseConnection(&all[0].conn, "again"); len(s.lingering) > 0 {
+			if s.CloseConnection(&all[0].connection, CloseShed, nil); len(s.lingering) > 0 {
 				t.Error("a closed connection lingers")
 			}
-			if s.streams[all[0]] || len(s.streams) != 3 || s.unsent != 0 {
-				t.Errorf("%d are open, %d bytes wait", len(s.streams), s.unsent)
+			if s.streams[&all[0].connection] != nil || len(s.streams) != 3 || s.unsentBytes != 0 {
+				t.Errorf("%d are open, %d bytes wait", len(s.streams), s.unsentBytes)
 			}
 		})
 	})
 	t.Run("connections that linger over their last words count as open ones", func(t *testing.T) {
 		s, all, end := shellOf(t, 64, 40)
 		defer end()
-		s.room = 24
-		s.with(func() {
+		s.maxConnections = 24
+		s.withCore(func() {
 			for _, x := range all[:30] {
-				s.core.HandleData(&x.conn, []byte("GET / HTTP/1.1\r\n"))
+				s.core.HandleData(&x.connection, []byte("GET / HTTP/1.1\r\n"))
 			}
-			for len(s.core.pendingReplies) > 0 {
-				k := s.core.pendingReplies[0]
-				s.core.pendingReplies = s.core.pendingReplies[1:]
+			for len(s.core.sessions.replies) > 0 {
+				k := s.core.sessions.replies[0]
+				s.core.sessions.replies = s.core.sessions.replies[1:]
 				s.core.sendReplies(s, k)
 			}
-			if s.full() || len(s.lingering) != maxLingering || len(s.streams) != 10+maxLingering {
+			if s.isFull() || len(s.lingering) != maxLingering || len(s.streams) != 10+maxLingering {
 				t.Errorf("%d open, %d of them linger", len(s.streams), len(s.lingering))
 			}
 		})
@@ -726,7 +726,7 @@
 		a.say("usage id=1\r\n") // a doubt is logged, and the log faults
 		a.closed()
 		b.say("ping\r\n")
-		b.until(sayPong)
+		b.until(wirePong)
 		d.dial("joined id=1 site=a rps=10 new=0\r\n").until("replace=1")
 	})
 	t.Run("a planner that can decide nothing any more ends, and says so", func(t *testing.T) {
@@ -735,7 +735,7 @@
 		s.Clock = pace{clock.NewReal(), 50, 1}
 		module := s.core.policy
 		s.core.policy = nil
-		if err := s.decide(t.Context()); err == nil || !strings.Contains(err.Error(), "fault") {
+		if err := s.decide(t.Context()); !errors.Is(err, ErrRepeatedPanics) {
 			t.Errorf("ended with %v", err)
 		}
 		s.core.policy = module
@@ -748,7 +748,7 @@
 func (f faulty) Enabled(context.Context, slog.Level) bool { return true }
 
 func (f faulty) Handle(_ context.Context, r slog.Record) error {
-	if r.Message == "message not heard" {
+	if r.Message == logMessageRejected {
 		panic("a fault that the test planted")
 	}
 	return nil
--- /dev/null
+++ b/internal/platform/policyhost.go
@@ -0,0 +1,102 @@
+package platform
+
+import (
+	"slices"
+
+	"lichenpick/internal/weighttable"
+	"lichenpick/policy"
+)
+
+// policyHost carries out the decisions of the policy, as its policy.Host: it notes who holds which table, and what has to be
+// published to whom. It is called from Core.Next alone.
+type policyHost struct{ core *Core }
+
+var _ policy.Host = policyHost{}
+
+// SetWeight sets the weight of a server in a table; 0 removes its entry.
+func (h policyHost) SetWeight(tableNumber int, server string, weight float64) {
+	publisher := &h.core.publisher
+	table := publisher.registry.Table(tableNumber)
+	table.Set(server, weight)
+	for _, p := range table.Proxies {
+		update := publisher.update(p)
+		update.changed = append(update.changed, changedEntry{table, server})
+		if weight > 0 {
+			publisher.alignEjection(p, h.core.endpoints.byName[server])
+		}
+	}
+}
+
+// AssignTable has a proxy go by a table for some traffic classes. The table is sent complete, by which the proxy forgets
+// the admission rates of before, so that these are sent again.
+func (h policyHost) AssignTable(proxyID, tableNumber int, classes []int) {
+	publisher := &h.core.publisher
+	p := h.core.proxies.byID[proxyID]
+	table := publisher.registry.Table(tableNumber)
+	if p == nil { // it left after the policy last looked
+		return
+	}
+	publisher.registry.Assign(p, p.tables, table, classes)
+	update := publisher.update(p)
+	update.assigned = append(update.assigned, table)
+	for _, class := range classes {
+		update.admission[class] = publisher.registry.Admission[class].Set
+	}
+	for _, entry := range table.Entries {
+		publisher.alignEjection(p, h.core.endpoints.byName[entry.Server])
+	}
+}
+
+// SetEjected ejects a server, or ends that. It concerns the proxies whose tables hold the server, and those that go by
+// tables of another planner. A proxy that was told and holds the server no more is told of the end with the entry that
+// brings the server back.
+func (h policyHost) SetEjected(server string, ejected bool) {
+	publisher := &h.core.publisher
+	publisher.registry.SetEjected(server, ejected)
+	e := h.core.endpoints.byName[server]
+	if e == nil { // forgotten
+		return
+	}
+	for _, p := range h.core.proxies.joined {
+		concerned := !p.inactive && p.mayHold(server)
+		if concerned && (ejected || e.notified.contains(p.id)) {
+			publisher.setEjected(p, e, ejected)
+		}
+	}
+}
+
+// mayHold says whether a table of a proxy holds a server, or is not known.
+func (p *proxy) mayHold(server string) bool {
+	return slices.ContainsFunc(p.tables, func(table *weighttable.Table[*proxy]) bool {
+		return table == nil || table.Index(server) >= 0
+	})
+}
+
+// SetAdmission sets the admission rate of a traffic class at all proxies. It panics where the policy asks for it at the
+// proxies of one table, which the platform's protocol does not know and the policy's settings here exclude.
+func (h policyHost) SetAdmission(tableNumber, class int, fraction float64, retry int) {
+	if tableNumber != policy.AllTables {
+		panic("an admission rate of a single table, which the platform does not know")
+	}
+	publisher := &h.core.publisher
+	publisher.registry.Admission[class] = weighttable.AdmissionRate{Fraction: fraction, Retry: retry, Set: true}
+	for _, p := range h.core.proxies.joined {
+		if !p.inactive {
+			publisher.update(p).admission[class] = true
+		}
+	}
+}
+
+// RequestAcknowledgement has each pending update acknowledged by its proxy.
+func (h policyHost) RequestAcknowledgement(number int) {
+	for _, p := range h.core.publisher.pending {
+		p.pending.acknowledgement = number
+		p.pending.requestAcknowledgement = true
+	}
+}
+
+// WatchEndpoints does nothing: it is for lists that come on demand, and discovery's watch comes by itself.
+func (h policyHost) WatchEndpoints() {}
+
+// SetTimer asks for an evaluation after some ms.
+func (h policyHost) SetTimer(inMs float64) { h.core.policyTimerMs = h.core.nowMs + inMs }
--- /dev/null
+++ b/internal/platform/publisher.go
@@ -0,0 +1,207 @@
+package platform
+
+import (
+	"slices"
+
+	"lichenpick/internal/weighttable"
+)
+
+// pendingUpdate is what an evaluation has decided for a proxy. What tables and admission rates hold is read when the
+// update is written, as they may change again until then.
+type pendingUpdate struct {
+	assigned               []*weighttable.Table[*proxy] // to be sent complete
+	changed                []changedEntry
+	admission              []bool // by traffic class: its rate is to be sent
+	eject, readmit         []string
+	acknowledgement        int // number to be acknowledged, where requestAcknowledgement is set
+	requestAcknowledgement bool
+}
+
+type changedEntry struct {
+	table  *weighttable.Table[*proxy]
+	server string
+}
+
+// publisher holds the tables, and what each proxy has yet to be sent of them. It is part of the core, and under its lock.
+type publisher struct {
+	classes  []string // names of the traffic classes
+	registry *weighttable.Registry[*proxy]
+	pending  []*proxy // with a pending update
+	channel  channelEstimate
+}
+
+func newPublisher(classes []string, entriesPerSecond float64) publisher {
+	return publisher{
+		classes:  classes,
+		registry: weighttable.NewRegistry[*proxy](len(classes)),
+		channel:  channelEstimate{entriesPerSecond: entriesPerSecond},
+	}
+}
+
+// update returns the update that is being put together for a proxy.
+func (b *publisher) update(p *proxy) *pendingUpdate {
+	if p.pending == nil {
+		p.pending = &pendingUpdate{admission: make([]bool, len(b.registry.Admission))}
+		b.pending = append(b.pending, p)
+	}
+	return p.pending
+}
+
+// remove takes a proxy off its tables, and discards its pending update.
+func (b *publisher) remove(p *proxy) {
+	b.registry.RemoveProxy(p, p.tables)
+	b.pending = without(b.pending, p)
+	p.pending = nil
+}
+
+// setEjected has a proxy told to eject a server, or to admit it again.
+func (b *publisher) setEjected(p *proxy, e *endpoint, ejected bool) {
+	update := b.update(p)
+	update.eject = without(update.eject, e.name)
+	update.readmit = without(update.readmit, e.name)
+	if ejected {
+		update.eject = append(update.eject, e.name)
+	} else {
+		update.readmit = append(update.readmit, e.name)
+	}
+	e.notified.set(p.id, ejected)
+	e.possiblyNotified.set(p.id, false)
+}
+
+// alignEjection has a proxy whose table got a server told whether that is ejected, where the proxy may hold something else.
+func (b *publisher) alignEjection(p *proxy, e *endpoint) {
+	if e == nil {
+		return
+	}
+	ejected := b.registry.Ejected[e.name]
+	if ejected != e.notified.contains(p.id) || e.possiblyNotified.contains(p.id) {
+		b.setEjected(p, e, ejected)
+	}
+}
+
+// parts puts together what a proxy is told: its tables, with the servers to eject or readmit, then admission rates.
+func (b *publisher) parts(p *proxy) []updatePart {
+	update := p.pending
+	parts := b.tableParts(p, update)
+	if len(update.eject)+len(update.readmit) > 0 {
+		if len(parts) == 0 {
+			parts = append(parts, updatePart{})
+		}
+		parts[0].eject = update.eject
+		parts[0].readmit = update.readmit
+	}
+	parts = b.appendAdmission(parts, update)
+	if !update.requestAcknowledgement {
+		return parts
+	}
+	if len(parts) == 0 {
+		parts = append(parts, updatePart{})
+	}
+	last := &parts[len(parts)-1]
+	last.acknowledge = true
+	last.acknowledgement = update.acknowledgement
+	return parts
+}
+
+// tableParts makes a part of each table of a proxy that was assigned or has changed.
+func (b *publisher) tableParts(p *proxy, update *pendingUpdate) []updatePart {
+	var parts []updatePart
+	for class, table := range p.tables {
+		if table == nil || slices.Contains(p.tables[:class], table) {
+			continue
+		}
+		part := updatePart{replace: slices.Contains(update.assigned, table)}
+		if part.replace {
+			part.entries = table.Entries
+		} else {
+			part.entries = update.changedEntries(table)
+		}
+		if len(part.entries) > 0 || part.replace {
+			part.classes = b.classNames(func(other int) bool { return p.tables[other] == table })
+			parts = append(parts, part)
+		}
+	}
+	return parts
+}
+
+// changedEntries are the present entries of a table's servers that have changed, each once.
+func (u *pendingUpdate) changedEntries(table *weighttable.Table[*proxy]) []weighttable.Entry {
+	var entries []weighttable.Entry
+	for index, change := range u.changed {
+		if change.table == table && !slices.Contains(u.changed[:index], change) {
+			entries = append(entries, weighttable.Entry{Server: change.server, Weight: table.Weight(change.server)})
+		}
+	}
+	return entries
+}
+
+// appendAdmission makes a part of each admission rate that is to be sent; classes with equal rates share one.
+func (b *publisher) appendAdmission(parts []updatePart, update *pendingUpdate) []updatePart {
+	rates := b.registry.Admission
+	for class, rate := range rates {
+		shares := func(other int) bool { return update.admission[other] && rates[other] == rate }
+		if !shares(class) {
+			continue
+		}
+		first := 0
+		for !shares(first) {
+			first++
+		}
+		if first == class {
+			parts = append(parts, updatePart{classes: b.classNames(shares), admission: rate})
+		}
+	}
+	return parts
+}
+
+// classNames returns the names of the classes that match, none where all do.
+func (b *publisher) classNames(matches func(class int) bool) []string {
+	var names []string
+	for class, name := range b.classes {
+		if matches(class) {
+			names = append(names, name)
+		}
+	}
+	if len(names) == len(b.classes) {
+		return nil
+	}
+	return names
+}
+
+// publish sends a proxy what this evaluation decided for it, as one message.
+func (c *Core) publish(host Host, p *proxy) {
+	parts := c.publisher.parts(p)
+	update := p.pending
+	p.pending = nil
+	if len(parts) == 0 {
+		return
+	}
+	if update.requestAcknowledgement {
+		c.expectAcknowledgement(p, update.acknowledgement)
+	}
+	p.recordSent(c.nowMs, c.settings.Policy.MessageWindowMs)
+	c.buffer = appendUpdate(c.buffer[:0], parts)
+	c.countUpdate(parts, len(c.buffer))
+	host.Send(p.connection, c.buffer)
+}
+
+// recordSent notes the time of an update, and forgets those that the limit of messages does not count any more.
+func (p *proxy) recordSent(nowMs, windowMs float64) {
+	windowStartMs := nowMs - windowMs
+	if len(p.sentMs) > 0 && p.sentMs[0] < windowStartMs {
+		p.sentMs = slices.DeleteFunc(p.sentMs, func(atMs float64) bool { return atMs < windowStartMs })
+	}
+	p.sentMs = append(p.sentMs, nowMs)
+}
+
+func (c *Core) countUpdate(parts []updatePart, size int) {
+	entries := 0
+	for index := range parts {
+		entries += parts[index].entryCount()
+	}
+	backlog := c.publisher.channel.add(float64(entries), c.settings.Policy.MessageOverhead, c.nowMs)
+	c.Counts.MaxBacklog = max(c.Counts.MaxBacklog, backlog)
+	c.Counts.Updates++
+	c.Counts.Entries += uint64(entries)
+	c.Counts.Bytes += uint64(size)
+}
--- /dev/null
+++ b/internal/platform/reload.go
@@ -0,0 +1,77 @@
+package platform
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"lichenpick/policy"
+)
+
+const (
+	reloadRetryMs    = 200.0 // ms until a configuration that could not be used is read again: it may have been read while it was written
+	maxReloadRetries = 5     // after a SIGHUP
+)
+
+// followDiscovery follows discovery until the context ends, at its new address when the configuration is replaced.
+func (s *serverRuntime) followDiscovery(ctx context.Context) {
+	client := &discoveryClient{
+		clock:   s.Clock,
+		network: s.Network,
+		log:     s.Log,
+		deliver: s.deliverEndpoints,
+		tracker: versionTracker{
+			zones:         s.Config.Settings.Zones,
+			version:       s.Config.KnownVersion,
+			needsFullList: s.Config.KnownVersion == 0,
+		},
+	}
+	address := s.Config.Discovery
+	for ctx.Err() == nil {
+		clientContext, stop := context.WithCancel(ctx)
+		var done sync.WaitGroup
+		followed := address
+		done.Go(func() { client.run(clientContext, followed) })
+		address = s.awaitNewAddress(ctx, address)
+		stop()
+		done.Wait()
+	}
+}
+
+func (s *serverRuntime) deliverEndpoints(kind policy.UpdateKind, list []policy.Endpoint) {
+	s.withCore(func() { s.core.UpdateEndpoints(kind, list) })
+	s.notifyWork()
+}
+
+// awaitNewAddress waits until a configuration is read that names another address of discovery, and returns that, or the
+// present one when the context ends. A configuration that cannot be used is read again some times.
+func (s *serverRuntime) awaitNewAddress(ctx context.Context, present string) string {
+	var retry <-chan time.Time // nil where none is due
+	stopRetry := func() {}
+	defer func() { stopRetry() }()
+	retries := 0
+	for {
+		select {
+		case <-s.Hangup:
+			retries = maxReloadRetries
+		case <-retry:
+		case <-ctx.Done():
+			return present
+		}
+		stopRetry()
+		retry = nil
+		config, err := s.Reload()
+		if err != nil {
+			s.Log.Error("configuration rejected, the old one stays", keyError, err, keyRemainingRetries, retries)
+			retries--
+			if retries >= 0 {
+				retry, stopRetry = s.Clock.NewTimer(reloadRetryMs)
+			}
+			continue
+		}
+		s.Log.Info("configuration reloaded", keyDiscovery, config.Discovery)
+		if config.Discovery != present {
+			return config.Discovery
+		}
+	}
+}
--- a/internal/platform/run_test.go
+++ b/internal/platform/run_test.go
@@ -14,6 +14,7 @@
 	"slices"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 
 	"lichenpick/internal/clock"
@@ -87,7 +88,7 @@
 	t      *testing.T
 	at     string
 	path   string
-	hangup chan struct{}
+	hangup chan os.Signal
 	done   chan error
 	stop   context.CancelFunc
 }
@@ -101,7 +102,7 @@
 func serveWith(t *testing.T, text string, hook func(*Options)) *daemon {
 	t.Helper()
 	before := remains(t)
-	d := &daemon{t: t, path: filepath.Join(t.TempDir(), "config.json"), hangup: make(chan struct{}, 1), done: make(chan error, 1)}
+	d := &daemon{t: t, path: filepath.Join(t.TempDir(), "config.json"), hangup: make(chan os.Signal, 1), done: make(chan error, 1)}
 	d.write(text)
 	c, err := ReadConfig(d.path)
 	if err != nil {
@@ -201,7 +202,7 @@
 	d := serve(t, config(c.at(), 64))
 	<-c.opened
 	a := d.dial("ping\r\njoined id=1 site=a rps=10")
-	a.until(sayPong)
+	a.until(wirePong)
 	a.say(" new=1\r\n")
 	a.until("replace=1")
 	collector := d.dial("collector site=a\r\n")
@@ -236,9 +237,9 @@
 		b := d.dial("joined id=2 site=b rps=10 new=1\r\n")
 		b.until("replace=1")
 		a.say("ping\r\n")
-		a.until(sayPong)
+		a.until(wirePong)
 		collector.say("ping\r\n")
-		collector.until(sayPong)
+		collector.until(wirePong)
 	})
 	t.Run("a stream that is reset leaves the others alone, and its proxy comes back", func(t *testing.T) {
 		b := d.dial("joined id=3 site=b rps=10 new=1\r\n")
@@ -251,9 +252,9 @@
 	t.Run("a configuration that can't be used is refused, and a new one moves discovery with no stream lost", func(t *testing.T) {
 		next := newCatalog(t, list(20, true, "s-1:ready", "s-4:ready"))
 		d.write(`{"name":"n0","disc`)
-		d.hangup <- struct{}{}
+		d.hangup <- syscall.SIGHUP
 		a.say("ping\r\n")
-		a.until(sayPong)
+		a.until(wirePong)
 		d.write(config(next.at(), 64)) // with no further signal: the first came while it was written
 		<-next.opened
 		next.writes <- list(21, false, "s-4:draining")
