--- /dev/null
+++ b/internal/platform/harness_test.go
@@ -0,0 +1,371 @@
+package platform
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"lichenpick/internal/clock"
+)
+
+const (
+	peerTimeoutMs = 30000.0 // ms until a test that hangs fails; no verdict goes by time
+	rejoinText    = "joined id=1 site=a rps=10 new=0\r\n"
+	joinText      = "joined id=1 site=a rps=10 new=1\r\n"
+)
+
+// fakeDiscovery is an agent of discovery: a complete list, and a watch that can be sent lines, rubbish or an end.
+type fakeDiscovery struct {
+	*httptest.Server
+	lines   chan string // to the watch that is open; "" ends it
+	watched chan bool   // a watch was asked for
+
+	mu    sync.Mutex // guards what follows
+	full  string
+	asked []string // queries, in order
+}
+
+func newFakeDiscovery(t *testing.T, full string) *fakeDiscovery {
+	t.Helper()
+	d := &fakeDiscovery{full: full, lines: make(chan string), watched: make(chan bool, 64)}
+	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
+	t.Cleanup(func() {
+		d.CloseClientConnections()
+		d.Close()
+	})
+	return d
+}
+
+func (d *fakeDiscovery) serve(w http.ResponseWriter, r *http.Request) {
+	d.mu.Lock()
+	d.asked = append(d.asked, r.URL.RawQuery)
+	full := d.full
+	d.mu.Unlock()
+	if r.URL.Query().Get("follow") == "" {
+		writeText(w, full)
+		return
+	}
+	w.(http.Flusher).Flush()
+	d.watched <- true
+	for {
+		select {
+		case text := <-d.lines:
+			if text == "" {
+				return
+			}
+			writeText(w, text)
+			w.(http.Flusher).Flush()
+		case <-r.Context().Done():
+			return
+		}
+	}
+}
+
+// writeText writes a part of an answer. A client that has gone is no fault of a test.
+func writeText(w io.Writer, text string) {
+	if _, err := io.WriteString(w, text); err != nil {
+		return
+	}
+}
+
+func (d *fakeDiscovery) address() string { return strings.TrimPrefix(d.URL, "http://") }
+
+func (d *fakeDiscovery) queries() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.asked)
+}
+
+// setFull replaces the complete list, and returns how many queries came before.
+func (d *fakeDiscovery) setFull(full string) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.full = full
+	return len(d.asked)
+}
+
+// awaitQueries waits until so many queries have come.
+func (d *fakeDiscovery) awaitQueries(count int) {
+	for len(d.queries()) < count {
+		pause()
+	}
+}
+
+// listText is a list of servers, each given as NAME:STATE, on a line.
+func listText(version int, full bool, servers ...string) string {
+	var all []string
+	for _, server := range servers {
+		name, state, _ := strings.Cut(server, ":")
+		all = append(all, fmt.Sprintf(`{"id":"%s","addr":"127.0.0.1:1","zone":"a","state":"%s","weight":1,"started_ms":0}`, name, state))
+	}
+	return fmt.Sprintf(`{"version":%d,"full":%t,"servers":[%s]}`+"\n", version, full, strings.Join(all, ","))
+}
+
+func configText(discovery string, sockets int) string {
+	known := listText(1, true, "s-1:ready", "s-2:ready", "s-3:ready", "s-4:ready")
+	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
+"limits":{"cores":0.5,"memory_mb":64,"sockets":%d},"known":%s,"settings":%s}`, discovery, sockets, known, testSettings)
+}
+
+// writeConfig writes a configuration to a file of the test.
+func writeConfig(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// parsedConfig is a configuration as read from a file.
+func parsedConfig(t *testing.T, path string) Config {
+	t.Helper()
+	config, err := ReadConfig(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return config
+}
+
+// testPlanner runs on loopback until the test ends.
+type testPlanner struct {
+	t       *testing.T
+	address string
+	path    string // of its configuration
+	hangup  chan os.Signal
+	done    chan error
+	stop    context.CancelFunc
+}
+
+// startPlanner runs a planner with a configuration that follows discovery.
+func startPlanner(t *testing.T, discovery *fakeDiscovery) *testPlanner {
+	t.Helper()
+	return startPlannerWith(t, configText(discovery.address(), 64), nil)
+}
+
+// startPlannerWith lets a test put hooks into the seams, and sees to it that nothing of the planner is left when it ended.
+func startPlannerWith(t *testing.T, config string, hook func(*Options)) *testPlanner {
+	t.Helper()
+	leaks := startLeakCheck(t)
+	p := &testPlanner{
+		t:      t,
+		path:   filepath.Join(t.TempDir(), "config.json"),
+		hangup: make(chan os.Signal, 1),
+		done:   make(chan error, 1),
+	}
+	p.configure(config)
+	ready := make(chan net.Addr, 1)
+	options := Options{
+		Config:  parsedConfig(t, p.path),
+		Reload:  func() (Config, error) { return ReadConfig(p.path) },
+		Hangup:  p.hangup,
+		Clock:   clock.NewReal(),
+		Network: clock.TCP{},
+		Log:     slog.New(slog.DiscardHandler),
+		Ready:   func(address net.Addr) { ready <- address },
+	}
+	if hook != nil {
+		hook(&options)
+	}
+	ctx, stop := context.WithCancel(context.WithoutCancel(t.Context())) // ends after the peers, which are closed before it
+	p.stop = stop
+	go func() { p.done <- Run(ctx, options) }()
+	p.address = (<-ready).String()
+	t.Cleanup(func() {
+		stop()
+		if err := <-p.done; err != nil {
+			t.Errorf("ended with %v", err)
+		}
+		leaks.finish()
+	})
+	return p
+}
+
+func (p *testPlanner) configure(text string) {
+	p.t.Helper()
+	writeConfig(p.t, p.path, text)
+}
+
+// reload has the planner read its configuration again.
+func (p *testPlanner) reload() { p.hangup <- syscall.SIGHUP }
+
+// testPeer is a proxy, a collector, or anyone else who connects.
+type testPeer struct {
+	net.Conn
+	t      *testing.T
+	reader *bufio.Reader
+}
+
+// dial connects a peer that writes a text.
+func (p *testPlanner) dial(text string) *testPeer {
+	p.t.Helper()
+	conn, err := net.Dial("tcp", p.address)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	peer := &testPeer{conn, p.t, bufio.NewReader(conn)}
+	p.t.Cleanup(peer.close)
+	if err := conn.SetDeadline(clock.NewReal().Deadline(peerTimeoutMs)); err != nil {
+		p.t.Fatal(err)
+	}
+	peer.write(text)
+	return peer
+}
+
+func (p *testPeer) write(text string) {
+	p.t.Helper()
+	if _, err := io.WriteString(p.Conn, text); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// close ends the connection, if it has not ended.
+func (p *testPeer) close() {
+	if err := p.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		p.t.Error(err)
+	}
+}
+
+// reset ends the connection with a reset.
+func (p *testPeer) reset() {
+	if err := p.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+		p.t.Error(err)
+	}
+	p.close()
+}
+
+// closeWrite says that the peer writes no more.
+func (p *testPeer) closeWrite() {
+	if err := p.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+		p.t.Error(err)
+	}
+}
+
+// readLine reads a line with its end.
+func (p *testPeer) readLine() string {
+	p.t.Helper()
+	line, err := p.reader.ReadString('\n')
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return line
+}
+
+// await reads lines until one holds a text.
+func (p *testPeer) await(text string) {
+	p.t.Helper()
+	p.awaitAll(text)
+}
+
+// awaitAll reads lines until each text has come, in any order.
+func (p *testPeer) awaitAll(texts ...string) {
+	p.t.Helper()
+	for len(texts) > 0 {
+		line, err := p.reader.ReadString('\n')
+		if err != nil {
+			p.t.Fatalf("no %q came: %v", texts, err)
+		}
+		texts = slices.DeleteFunc(texts, func(text string) bool { return strings.Contains(line, text) })
+	}
+}
+
+// readAll reads until the connection ends, and returns what came. A reset is an end as any other.
+func (p *testPeer) readAll() string {
+	p.t.Helper()
+	text, err := io.ReadAll(p.reader)
+	var networkError net.Error
+	if errors.As(err, &networkError) && networkError.Timeout() {
+		p.t.Fatal("it was not closed")
+	}
+	return string(text)
+}
+
+// hookedConn is an accepted connection with a test's hands on it; what is nil goes to the socket.
+type hookedConn struct {
+	net.Conn
+	read, write func(buffer []byte) (int, error)
+	deadline    func() // a limit was set to what is written
+}
+
+func (c *hookedConn) Read(buffer []byte) (int, error) {
+	if c.read != nil {
+		return c.read(buffer)
+	}
+	return c.Conn.Read(buffer)
+}
+
+func (c *hookedConn) Write(buffer []byte) (int, error) {
+	if c.write != nil {
+		return c.write(buffer)
+	}
+	return c.Conn.Write(buffer)
+}
+
+func (c *hookedConn) SetWriteDeadline(at time.Time) error {
+	if c.deadline != nil {
+		c.deadline()
+	}
+	return c.Conn.SetWriteDeadline(at)
+}
+
+// hookedNetwork is a network whose accepted connections a test sees first.
+type hookedNetwork struct {
+	clock.TCP
+	accepted func(*hookedConn)
+}
+
+type hookedListener struct {
+	net.Listener
+	network hookedNetwork
+}
+
+func (n hookedNetwork) Listen(ctx context.Context, address string) (net.Listener, error) {
+	listener, err := n.TCP.Listen(ctx, address)
+	return hookedListener{listener, n}, err
+}
+
+func (l hookedListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	hooked := &hookedConn{Conn: conn}
+	l.network.accepted(hooked)
+	return hooked, nil
+}
+
+// scaledClock is the machine's clock with time that goes faster, and deadlines that come later or sooner by a factor.
+type scaledClock struct {
+	*clock.Real
+	speed, deadline float64
+}
+
+func (c scaledClock) Monotonic() float64            { return c.speed * c.Real.Monotonic() }
+func (c scaledClock) Deadline(ms float64) time.Time { return c.Real.Deadline(ms * c.deadline) }
+
+func (c scaledClock) NewTimer(ms float64) (<-chan time.Time, func()) {
+	return c.Real.NewTimer(ms / c.speed)
+}
+
+// lateDeadlines is a clock whose deadlines do not bind while a test holds something back.
+func lateDeadlines() clock.Clock { return scaledClock{clock.NewReal(), 1, 100} }
+
+// after and pause are for what may not happen, or happens by itself; no verdict on sound code hangs on their length.
+func after(ms float64) <-chan time.Time {
+	fired, _ := clock.NewReal().NewTimer(ms)
+	return fired
+}
+
+func pause() { <-after(1) }
--- /dev/null
+++ b/internal/platform/runtime_test.go
@@ -0,0 +1,196 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"lichenpick/internal/clock"
+)
+
+func TestRun(t *testing.T) {
+	discovery := newFakeDiscovery(t, fourServers())
+	planner := startPlanner(t, discovery)
+	<-discovery.watched
+	proxy := planner.dial("ping\r\njoined id=1 site=a rps=10")
+	proxy.await(wirePong)
+	proxy.write(" new=1\r\n")
+	proxy.await("replace=1")
+	collector := planner.dial("collector site=a\r\n")
+	t.Run("a watch that sends rubbish is left for the complete list, and a drain behind it is obeyed", func(t *testing.T) {
+		discovery.lines <- "{\"version\":2,\"fu\n"
+		<-discovery.watched
+		discovery.lines <- listText(12, false, "s-2:draining")
+		proxy.await("s-2")
+		asked := discovery.queries()
+		if len(asked) < 3 || asked[0] != "follow=1&since=1" || asked[1] != "" || asked[2] != "follow=1&since=9" {
+			t.Errorf("asked for %q", asked)
+		}
+	})
+	t.Run("a watch that is cut in a line is taken up again from the version before", func(t *testing.T) {
+		discovery.lines <- `{"version":13,"full":false,`
+		discovery.lines <- ""
+		<-discovery.watched
+		discovery.lines <- listText(14, false, "s-3:draining")
+		proxy.await("s-3")
+		if asked := discovery.queries(); asked[len(asked)-1] != "follow=1&since=12" {
+			t.Errorf("asked for %q", asked)
+		}
+	})
+	t.Run("unjoined connections are refused and cost a proxy nothing", func(t *testing.T) {
+		refuseMany(planner)
+		planner.dial("joined id=2 site=b rps=10 new=1\r\n").await("replace=1")
+		proxy.write("ping\r\n")
+		proxy.await(wirePong)
+		collector.write("ping\r\n")
+		collector.await(wirePong)
+	})
+	t.Run("a stream that is reset leaves the others alone, and its proxy comes back", func(t *testing.T) {
+		peer := planner.dial("joined id=3 site=b rps=10 new=1\r\n")
+		peer.await("replace=1")
+		peer.reset()
+		planner.dial("joined id=3 site=b rps=10 new=0\r\n").await("replace=1")
+	})
+	t.Run("a configuration that can't be used is rejected, and a new one moves discovery with no stream lost", func(t *testing.T) {
+		moveDiscovery(t, planner, proxy)
+	})
+	t.Run("nothing but pong was sent to the collector", func(t *testing.T) {
+		planner.stop()
+		if text := collector.readAll(); text != "" {
+			t.Errorf("%q", text)
+		}
+	})
+}
+
+// refuseMany opens more connections than there are descriptors for, and waits until all are closed.
+func refuseMany(planner *testPlanner) {
+	first := []string{"", "joined id", "ping\r\n", "GET / HTTP/1.1\r\n\r\n"}
+	var peers []*testPeer
+	for index := range 120 {
+		peers = append(peers, planner.dial(first[index%len(first)]))
+	}
+	for _, peer := range peers {
+		peer.readAll()
+	}
+}
+
+func moveDiscovery(t *testing.T, planner *testPlanner, proxy *testPeer) {
+	t.Helper()
+	next := newFakeDiscovery(t, listText(20, true, "s-1:ready", "s-4:ready"))
+	planner.configure(`{"name":"n0","disc`)
+	planner.reload()
+	proxy.write("ping\r\n")
+	proxy.await(wirePong)
+	planner.configure(configText(next.address(), 64)) // with no further signal: the first came while it was written
+	<-next.watched
+	next.lines <- listText(21, false, "s-4:draining")
+	proxy.await("s-4")
+	if asked := next.queries(); asked[0] != "follow=1&since=14" {
+		t.Errorf("asked for %q", asked)
+	}
+}
+
+// siteOfOther is what sets the second site's configuration and lists apart.
+var siteOfOther = strings.NewReplacer(
+	`"lookup"`, `"read"`,
+	`"order"`, `"write"`,
+	`"Azs":["a","b"]`, `"Azs":["x"]`,
+	`"DataPlaneSize":8`, `"DataPlaneSize":3`,
+	`"DefaultRetry":1`, `"DefaultRetry":2`,
+	`"zone":"a"`, `"zone":"x"`,
+	`s-`, `t-`,
+)
+
+func TestTwoSitesInOneProcess(t *testing.T) {
+	first := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
+	second := newFakeDiscovery(t, siteOfOther.Replace(listText(9, true, "s-1:ready")))
+	startFirst := func(t *testing.T) *testPlanner {
+		config := strings.Replace(configText(first.address(), 64), `"DefaultRetry":1`, `"DefaultRetry":3`, 1)
+		return startPlannerWith(t, config, nil)
+	}
+	startSecond := func(t *testing.T) *testPlanner {
+		return startPlannerWith(t, siteOfOther.Replace(configText(second.address(), 64)), nil)
+	}
+	t.Run("side by side", func(t *testing.T) {
+		checkSites(t, startFirst(t), startSecond(t))
+	})
+	t.Run("one after the other", func(t *testing.T) {
+		t.Run("first", func(t *testing.T) {
+			startFirst(t).dial("joined id=7 site=a rps=10 new=1\r\n").await("replace=1")
+		})
+		checkSites(t, startFirst(t), startSecond(t))
+	})
+}
+
+// checkSites holds that nothing of one planner's site is found at the other.
+func checkSites(t *testing.T, first, second *testPlanner) {
+	t.Helper()
+	ofFirst := first.dial("joined id=7 site=a rps=10 new=1\r\n")
+	ofSecond := second.dial("joined id=2 site=x rps=10 new=1\r\n")
+	checkTable(t, ofFirst, []string{"s-1", "for=order"}, []string{"t-", "read", "write"})
+	checkTable(t, ofSecond, []string{"t-1", "for=write"}, []string{"s-", "lookup", "order"})
+	if text := second.dial("joined id=7 site=x rps=10 new=1\r\n").readAll(); text != "refused\r\n" {
+		t.Errorf("the other's number of proxies holds: %q", text)
+	}
+}
+
+// checkTable reads the first update of a proxy, and holds what it contains and what not.
+func checkTable(t *testing.T, peer *testPeer, own, foreign []string) {
+	t.Helper()
+	text := ""
+	for !strings.Contains(text, " stamp=") {
+		text += peer.readLine()
+	}
+	for _, word := range own {
+		if !strings.Contains(text, word) {
+			t.Errorf("no %q in %q", word, text)
+		}
+	}
+	for _, word := range foreign {
+		if strings.Contains(text, word) {
+			t.Errorf("%q of the other in %q", word, text)
+		}
+	}
+}
+
+func TestPanics(t *testing.T) {
+	t.Run("a panic at one peer's bytes costs that peer alone", func(t *testing.T) {
+		discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
+		planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
+			o.Log = slog.New(panickingLog{slog.DiscardHandler})
+		})
+		faulty := planner.dial(joinText)
+		other := planner.dial("joined id=2 site=a rps=10 new=1\r\n")
+		other.await("replace=1")
+		faulty.await("replace=1")
+		faulty.write("usage id=1\r\n") // its rejection is logged, and the log panics
+		faulty.readAll()
+		other.write("ping\r\n")
+		other.await(wirePong)
+		planner.dial(rejoinText).await("replace=1")
+	})
+	t.Run("a planner that can decide nothing any more ends, and says so", func(t *testing.T) {
+		r := newHeldRuntime(t, 64, 2)
+		r.Clock = scaledClock{clock.NewReal(), 50, 1}
+		module := r.core.policy
+		r.core.policy = nil
+		if err := r.decide(t.Context()); !errors.Is(err, ErrRepeatedPanics) {
+			t.Errorf("ended with %v", err)
+		}
+		r.core.policy = module
+	})
+}
+
+// panickingLog is a log that panics where a message is rejected.
+type panickingLog struct{ slog.Handler }
+
+func (panickingLog) Enabled(context.Context, slog.Level) bool { return true }
+
+func (panickingLog) Handle(_ context.Context, record slog.Record) error {
+	if record.Message == logMessageRejected {
+		panic("a panic that the test planted")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/platform/stream_test.go
@@ -0,0 +1,393 @@
+package platform
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"lichenpick/internal/clock"
+)
+
+// What is owed when a stream ends, on loopback sockets, with the crossing forced.
+func TestStreamEnds(t *testing.T) {
+	t.Run("replaced while an update to the older is unsent: the newer is served at once", testStreamReplaced)
+	t.Run("cut inside a message: the proxy has left, and half a message is discarded", testStreamCutInsideMessage)
+	t.Run("cut inside an update: the next one gets its table complete", testStreamCutInsideUpdate)
+	t.Run("a peer that writes no more but reads has its pong", testStreamHalfClosed)
+	t.Run("a refused peer is sent the refusal, whatever it goes on writing", testStreamRefused)
+	t.Run("messages in single bytes, and several in one read", testStreamSingleBytes)
+	t.Run("a proxy is shed with an acknowledgement missing; it comes back, and its late one is harmless", testStreamShed)
+}
+
+func testStreamReplaced(t *testing.T) {
+	discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
+	held := make(chan bool)
+	release := make(chan bool)
+	var first atomic.Bool
+	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
+		o.Clock = lateDeadlines()
+		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
+			if !first.CompareAndSwap(false, true) {
+				return
+			}
+			c.write = func(b []byte) (int, error) {
+				close(held)
+				<-release
+				c.write = nil
+				return c.Conn.Write(b)
+			}
+		}}
+	})
+	older := planner.dial(joinText)
+	<-held
+	newer := planner.dial(rejoinText)
+	newer.await("replace=1")
+	close(release)
+	older.readAll()
+	newer.write("ping\r\n")
+	newer.await(wirePong)
+}
+
+func testStreamCutInsideMessage(t *testing.T) {
+	discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
+	planner := startPlanner(t, discovery)
+	for _, end := range []func(*testPeer){
+		(*testPeer).close,
+		(*testPeer).reset,
+		func(p *testPeer) {
+			p.closeWrite()
+			p.readAll()
+		},
+	} {
+		older := planner.dial(joinText + "usage id=1 lane=lookup count=5")
+		older.await("replace=1")
+		end(older)
+		newer := planner.dial(rejoinText)
+		newer.await("replace=1")
+		newer.write("usage id=1 lane=lookup count=5 fail=0 over=1000.0\r\nping\r\n")
+		newer.await(wirePong)
+		newer.close()
+	}
+}
+
+func testStreamCutInsideUpdate(t *testing.T) {
+	discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
+	var once sync.Once
+	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
+		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
+			c.write = func(b []byte) (n int, err error) {
+				once.Do(func() {
+					n, err = c.Conn.Write(b[:len(b)/2])
+					if closeErr := c.Close(); err == nil && closeErr == nil {
+						err = net.ErrClosed
+					}
+				})
+				if err != nil {
+					return n, err
+				}
+				return c.Conn.Write(b)
+			}
+		}}
+	})
+	planner.dial(joinText).readAll()
+	line := planner.dial(joinText).readLine()
+	if !strings.HasPrefix(line, wireUpdate+" ") || !strings.Contains(line, "replace=1") {
+		t.Errorf("%q", line)
+	}
+}
+
+func testStreamHalfClosed(t *testing.T) {
+	discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
+	ended := make(chan bool)
+	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
+		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
+			c.read = func(b []byte) (int, error) { // the ping and the end in one read
+				<-ended
+				n, err := io.ReadFull(c.Conn, b[:len("ping\r\n")])
+				if err == nil {
+					err = io.EOF
+				}
+				return n, err
+			}
+		}}
+	})
+	peer := planner.dial("ping\r\n")
+	peer.closeWrite()
+	close(ended)
+	if text := peer.readAll(); text != "pong\r\n" {
+		t.Errorf("sent %q", text)
+	}
+}
+
+func testStreamRefused(t *testing.T) {
+	discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
+	held := make(chan bool)
+	release := make(chan bool)
+	discarded := make(chan bool)
+	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
+		o.Clock = lateDeadlines()
+		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
+			reads := 0
+			c.read = func(b []byte) (int, error) {
+				reads++
+				if reads == 3 { // the second read's bytes have been handed to a core that has closed it
+					close(discarded)
+				}
+				return c.Conn.Read(b)
+			}
+			c.write = func(b []byte) (int, error) {
+				close(held)
+				<-release
+				return c.Conn.Write(b)
+			}
+		}}
+	})
+	peer := planner.dial("ping\r\nGET / HTTP/1.1\r\n")
+	<-held
+	peer.write("Host: x\r\n")
+	select {
+	case <-discarded:
+	case <-after(1000): // for a fault to show
+	}
+	close(release)
+	if text := peer.readAll(); text != "pong\r\nrefused\r\n" {
+		t.Errorf("sent %q", text)
+	}
+}
+
+func testStreamSingleBytes(t *testing.T) {
+	discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
+	slow := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
+		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
+			c.read = func(b []byte) (int, error) { return c.Conn.Read(b[:1]) }
+		}}
+	})
+	slow.dial(joinText+"ping\r\n").awaitAll(wirePong, "replace=1")
+	whole := startPlanner(t, discovery)
+	loads := strings.TrimSuffix(strings.Repeat("inflight:7,", 100), ",")
+	long := "heard site=a target=s-1 count=2 fail=1 mean=1 over=1000.0 util=" + loads + lineEnd
+	whole.dial("collector site=a\r\n" + long + long + "ping\r\n").await(wirePong)
+}
+
+func testStreamShed(t *testing.T) {
+	discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
+	planner := startPlannerWith(t, configText(discovery.address(), 32), func(o *Options) { // room for 8
+		o.Clock = scaledClock{clock.NewReal(), 5, 1}
+	})
+	silent := planner.dial("joined id=0 site=a rps=10 new=1\r\n")
+	silent.await(" stamp=")
+	var others []*testPeer
+	for id := 1; id < 8; id++ {
+		peer := planner.dial(fmt.Sprintf("joined id=%d site=a rps=10 new=1\r\n", id))
+		peer.await("replace=1")
+		others = append(others, peer)
+	}
+	stop := make(chan bool)
+	var talking sync.WaitGroup
+	for index, peer := range others { // these acknowledge nothing either, but speak
+		talking.Go(func() { keepTalking(peer, index+1, stop) })
+	}
+	defer talking.Wait()
+	defer close(stop)
+	gone := make(chan bool)
+	go func() {
+		_, _ = io.Copy(io.Discard, silent.reader) // it ends however the connection does
+		close(gone)
+	}()
+	connectUntil(t, planner.address, gone)
+	back := planner.dial("joined id=0 site=a rps=10 new=0\r\napplied id=0 seq=1 ms=9000.0\r\n")
+	back.await("replace=1")
+	back.write("ping\r\n")
+	back.await(wirePong)
+}
+
+// keepTalking has a proxy report until it is stopped or its stream ends.
+func keepTalking(peer *testPeer, id int, stop <-chan bool) {
+	for {
+		select {
+		case <-stop:
+			return
+		case <-after(20):
+		}
+		if _, err := io.WriteString(peer.Conn, demandMessage(id)+lineEnd); err != nil {
+			return
+		}
+	}
+}
+
+// connectUntil connects again and again until something has gone; each connection ends closed or refused.
+func connectUntil(t *testing.T, address string, gone <-chan bool) {
+	t.Helper()
+	for {
+		select {
+		case <-gone:
+			return
+		default:
+		}
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := conn.SetDeadline(clock.NewReal().Deadline(peerTimeoutMs)); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := io.Copy(io.Discard, conn); err != nil {
+			t.Logf("reset, as it had no room: %v", err)
+		}
+		if err := conn.Close(); err != nil {
+			t.Error(err)
+		}
+	}
+}
+
+// heldRuntime is a runtime with joined streams on loopback whose writes are held back until the test ends.
+type heldRuntime struct {
+	*serverRuntime
+	streams []*stream // in the order of connecting
+}
+
+func newHeldRuntime(t *testing.T, memoryMB, count int) heldRuntime {
+	t.Helper()
+	leaks := startLeakCheck(t)
+	path := filepath.Join(t.TempDir(), "config.json")
+	memory := fmt.Sprintf(`"memory_mb":%d`, memoryMB)
+	writeConfig(t, path, strings.Replace(configText("127.0.0.1:1", 0), `"memory_mb":64`, memory, 1))
+	r := heldRuntime{serverRuntime: newRuntime(Options{
+		Config:  parsedConfig(t, path),
+		Clock:   clock.NewReal(),
+		Network: clock.TCP{},
+		Log:     slog.New(slog.DiscardHandler),
+	})}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	release := make(chan bool)
+	var peers []net.Conn
+	for range count {
+		peers = append(peers, r.connect(t, listener, release))
+	}
+	t.Cleanup(func() {
+		close(release)
+		r.shutdown()
+		for _, open := range peers {
+			if err := open.Close(); err != nil {
+				t.Error(err)
+			}
+		}
+		if err := listener.Close(); err != nil {
+			t.Error(err)
+		}
+		leaks.finish()
+	})
+	return r
+}
+
+// connect adds a stream, and returns its peer's end.
+func (r *heldRuntime) connect(t *testing.T, listener net.Listener, release <-chan bool) net.Conn {
+	t.Helper()
+	peer, err := net.Dial("tcp", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	added := &stream{Conn: &hookedConn{Conn: conn, write: func(b []byte) (int, error) {
+		<-release
+		return conn.Write(b)
+	}}}
+	r.withCore(func() {
+		r.serverRuntime.streams[&added.connection] = added
+		r.core.HandleConnect(&added.connection)
+	})
+	r.tasks.Go(func() { r.read(added) })
+	r.streams = append(r.streams, added)
+	return peer
+}
+
+// isOpen says whether a stream's descriptor is open. The lock is held.
+func (r *heldRuntime) isOpen(t *stream) bool { return r.serverRuntime.streams[&t.connection] != nil }
+
+func TestUnsentBytesAreBounded(t *testing.T) {
+	t.Run("many peers that stop reading are held under one limit, and the one owed most is closed first", func(t *testing.T) {
+		r := newHeldRuntime(t, 8, 64)
+		r.withCore(func() { checkCommonLimit(t, &r) })
+	})
+	t.Run("one that stops reading is closed alone", func(t *testing.T) {
+		r := newHeldRuntime(t, 64, 4)
+		first := r.streams[0]
+		r.withCore(func() {
+			for range maxUnsentBytes/1000 + 2 {
+				r.Send(&first.connection, make([]byte, 1000))
+			}
+			// Its writer stands still; whoever closes it again must not put it among those that linger, which isFull would never leave.
+			r.CloseConnection(&first.connection, CloseShed, nil)
+			if len(r.lingering) > 0 {
+				t.Error("a closed connection lingers")
+			}
+			if r.isOpen(first) || len(r.serverRuntime.streams) != 3 || r.unsentBytes != 0 {
+				t.Errorf("%d are open, %d bytes wait", len(r.serverRuntime.streams), r.unsentBytes)
+			}
+		})
+	})
+	t.Run("connections that linger over their last messages count as open ones", func(t *testing.T) {
+		r := newHeldRuntime(t, 64, 40)
+		r.maxConnections = 24
+		r.withCore(func() { checkLingering(t, &r) })
+	})
+}
+
+// checkCommonLimit sends to all streams, most to the eighth, until some are closed. The lock is held.
+func checkCommonLimit(t *testing.T, r *heldRuntime) {
+	message := make([]byte, 1000)
+	for range maxUnsentBytes / len(message) / 4 {
+		for index, stream := range r.streams {
+			r.Send(&stream.connection, message)
+			if index == 7 {
+				r.Send(&stream.connection, message)
+			}
+			if r.unsentBytes > r.maxUnsentBytes {
+				t.Fatalf("%d bytes wait, where %d may", r.unsentBytes, r.maxUnsentBytes)
+			}
+		}
+	}
+	open := 0
+	sum := 0
+	for _, stream := range r.streams {
+		if r.isOpen(stream) {
+			open++
+			sum += stream.unsentBytes()
+		}
+	}
+	if r.isOpen(r.streams[7]) || open < 8 || open == len(r.streams) {
+		t.Errorf("%d are open, the one owed most %t", open, r.isOpen(r.streams[7]))
+	}
+	if sum != r.unsentBytes {
+		t.Errorf("%d bytes wait, counted %d", sum, r.unsentBytes)
+	}
+}
+
+// checkLingering has the core refuse most connections, and counts those that are left. The lock is held.
+func checkLingering(t *testing.T, r *heldRuntime) {
+	for _, stream := range r.streams[:30] {
+		r.core.HandleData(&stream.connection, []byte("GET / HTTP/1.1\r\n"))
+	}
+	sessions := &r.core.sessions
+	for len(sessions.replies) > 0 {
+		connection := sessions.replies[0]
+		sessions.replies = sessions.replies[1:]
+		r.core.sendReplies(r, connection)
+	}
+	open := len(r.serverRuntime.streams)
+	if r.isFull() || len(r.lingering) != maxLingering || len(r.serverRuntime.streams) != 10+maxLingering {
+		t.Errorf("%d open, then %d, of which %d linger", open, len(r.serverRuntime.streams), len(r.lingering))
+	}
+}
