--- a/cmd/lichenpick/serve.go
+++ b/cmd/lichenpick/serve.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"io"
 	"os"
 	"os/signal"
 	"runtime"
@@ -15,44 +14,52 @@
 )
 
 const (
-	heapShare = 0.5 // part of the memory limit for the runtime; the rest is code, stacks of the kernel, and room
-	garbage   = 50  // percent; a small heap that grows little between collections
+	heapMemoryShare = 0.5 // of the memory limit for the Go runtime; the remainder is code, kernel buffers and a reserve
+	garbagePercent  = 50  // growth of the heap between collections: a small heap, collected often
 )
 
 func serveCommand() *cobra.Command {
-	var file, level, form string
+	var path, logLevel, logForm string
 	var trace bool
-	c := &cobra.Command{
-		Use: "serve", Short: "Run a planner on the operators' platform until SIGTERM; EDGE_CONFIG names its configuration",
-		Args: exactly(0), RunE: func(c *cobra.Command, _ []string) error {
+	command := &cobra.Command{
+		Use:   "serve",
+		Short: "Run a planner on the operators' platform until SIGTERM; EDGE_CONFIG names its configuration",
+		Args:  exactly(0),
+		RunE: func(command *cobra.Command, _ []string) error {
 			hangup := make(chan os.Signal, 1)
 			signal.Notify(hangup, syscall.SIGHUP) // first of all: by itself it would end the program
-			log, err := logger(level, form)
+			log, err := logger(logLevel, logForm)
 			if err != nil {
 				return err
 			}
-			config, err := platform.ReadConfig(file)
+			reload := func() (platform.Config, error) { return platform.ReadConfig(path) }
+			config, err := reload()
 			if err != nil {
 				return err
 			}
-			runtime.GOMAXPROCS(max(int(config.Cores), 1))
-			if config.MemoryMB > 0 {
-				debug.SetMemoryLimit(int64(heapShare * float64(config.MemoryMB) * (1 << 20)))
-				debug.SetGCPercent(garbage)
+			limitResources(config)
+			options := platform.Options{
+				Config: config, Reload: reload, Hangup: hangup, Clock: clock.NewReal(), Network: machine, Log: log,
 			}
-			var to io.Writer
 			if trace {
-				to = os.Stderr
+				options.Trace = os.Stderr
 			}
-			return platform.Run(c.Context(), platform.Options{
-				Trace: to, Config: config, Hangup: hangup, Clock: clock.NewReal(), Network: machine,
-				Reload: func() (platform.Config, error) { return platform.ReadConfig(file) }, Log: log,
-			})
+			return platform.Run(command.Context(), options)
 		},
 	}
-	c.Flags().StringVarP(&file, "config", "c", os.Getenv("EDGE_CONFIG"), "configuration, in the platform's JSON")
-	c.Flags().BoolVar(&trace, "trace", false, "write each second what the module believes, beside counts off the sockets")
-	c.Flags().StringVar(&level, "log-level", "info", "debug, info, warn or error")
-	c.Flags().StringVar(&form, "log-form", "text", "text or json")
-	return c
+	flags := command.Flags()
+	flags.StringVarP(&path, "config", "c", os.Getenv("EDGE_CONFIG"), "configuration, in the platform's JSON")
+	flags.BoolVar(&trace, "trace", false, "write each second what the policy believes, beside what the sockets said")
+	flags.StringVar(&logLevel, "log-level", "info", "debug, info, warn or error")
+	flags.StringVar(&logForm, "log-form", "text", "text or json")
+	return command
+}
+
+// limitResources sets the limits of a configuration to the Go runtime.
+func limitResources(config platform.Config) {
+	runtime.GOMAXPROCS(max(int(config.Cores), 1))
+	if config.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(heapMemoryShare * float64(config.MemoryMB) * (1 << 20)))
+		debug.SetGCPercent(garbagePercent)
+	}
 }
--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -8,7 +8,7 @@
 	"lichenpick/internal/clock"
 )
 
-const acceptBackoffMs = 5.0 // ms of rest after a failed accept
+const acceptBackoffMs = 5.0 // ms of backoff after a failed accept
 
 // accept takes in connections until the context ends and the listener is closed.
 func (s *serverRuntime) accept(ctx context.Context, listener net.Listener) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// handleAcceptError makes room where the machine has none, as descriptors may have run out, and rests.
+// handleAcceptError sheds a connection, as the process may have run out of descriptors, and waits before the next attempt.
 func (s *serverRuntime) handleAcceptError(ctx context.Context, err error) {
 	if ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
 		s.Log.Warn("accepting failed", keyError, err)
@@ -33,7 +33,7 @@
 	}
 }
 
-// admit serves a connection, or closes it where there is no room and none can be made.
+// admit serves a connection. Where there are too many and none can be shed, it closes it.
 func (s *serverRuntime) admit(conn net.Conn) {
 	t := &stream{Conn: conn}
 	admitted := false
@@ -54,7 +54,8 @@
 	s.tasks.Go(func() { s.read(t) })
 }
 
-// isFull says whether there is no room for one more connection. Those that linger make room first. The lock is held.
+// isFull says whether one more connection would be too many. Those that linger over their last messages are not counted;
+// where there are more than maxLingering, the oldest of them are dropped. The lock is held.
 func (s *serverRuntime) isFull() bool {
 	for len(s.lingering) > maxLingering {
 		s.drop(s.lingering[0])
--- a/internal/platform/channel_test.go
+++ b/internal/platform/channel_test.go
@@ -79,7 +79,7 @@
 		if round < 30 { // two join every 200 ms
 			for id := 2 * round; id < 2*round+2; id++ {
 				h.connect(fmt.Sprintf("joined id=%d site=%s rps=10 new=%d", id, zoneNames[id%2], fresh))
-				h.advance(1) // no two evaluations at one instant: the runtime rests between them
+				h.advance(1) // no two evaluations at one instant: the runtime pauses between them
 			}
 		}
 		if round%5 == 2 {
--- a/internal/platform/closereason.go
+++ b/internal/platform/closereason.go
@@ -15,7 +15,7 @@
 	CloseJoinTimeout                            // not joined in time
 	CloseReplacedStream                         // the proxy has opened a newer stream
 	CloseReplacedCollector                      // newer collectors of the zone exceed their number
-	CloseShed                                   // closed to make room for a new connection
+	CloseShed                                   // closed for a new connection, as there were too many
 	CloseUnreadByPeer                           // the peer leaves unread more than may wait for it
 	CloseShutdown                               // the planner shuts down
 	numCloseReasons
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -48,7 +48,7 @@
 	Settings json.RawMessage // as the simulator's
 }
 
-// ReadConfig reads and checks a configuration. It is refused whole, with a *settings.Error of one line.
+// ReadConfig reads and checks a configuration. Where anything is wrong, it fails with a *settings.Error of one line.
 func ReadConfig(path string) (Config, error) {
 	text, err := readConfigFile(path)
 	if err != nil {
@@ -142,7 +142,7 @@
 	return parseEndpointList(text, zones)
 }
 
-// checkSettings looks for what the policy or the protocol could not work with.
+// checkSettings checks for what the policy or the protocol cannot work with.
 func checkSettings(site simulator.Settings) error {
 	limits := site.Policy
 	switch {
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -1,7 +1,7 @@
 // Package platform connects the policy to the operators' platform: proxies and collectors of load reports, which speak lines
 // of text on TCP streams, and an agent that serves the list of servers over HTTP.
 //
-// Core holds the policy and what the proxies were told, and does no I/O; Run connects it to sockets, signals and the clock.
+// Core holds the policy and what the proxies were sent, and does no I/O; Run connects it to sockets, signals and the clock.
 // The package decides nothing on weights, health, admission or pace: that is the policy's.
 package platform
 
@@ -19,7 +19,7 @@
 // Host carries out what the core decides. Each method is one decision, made in a call of Next, ShedConnection or Close. A
 // method may call HandleDisconnect and Abort of the core, and nothing else of it.
 type Host interface {
-	// Send sends whole messages. The bytes are the core's again when it returns.
+	// Send sends complete messages. The bytes are the core's again when it returns.
 	Send(connection *Connection, messages []byte)
 	// CloseConnection closes a connection once what was sent before is written. The cause says more than the reason; it
 	// may be nil.
@@ -52,7 +52,7 @@
 	MaxPartialBytes int
 	// Counts are what happened since NewCore.
 	Counts Counts
-	// OnReject is told of each message of a joined connection that is not accepted; the line is valid until it returns. It
+	// OnReject is called with each message of a joined connection that is not accepted; the line is valid until it returns. It
 	// may be nil, and is set before the first connection.
 	OnReject func(err error, line []byte)
 }
--- a/internal/platform/decide.go
+++ b/internal/platform/decide.go
@@ -11,7 +11,7 @@
 const (
 	countsIntervalMs = 10000.0 // ms between log lines of counts
 	traceIntervalMs  = 1000.0  // ms between traces
-	panicBackoffMs   = 100.0   // ms of rest after a panic, so that one that lasts does not spin
+	panicBackoffMs   = 100.0   // ms of backoff after a panic, so that one that repeats does not take a core
 	maxPanics        = 10      // evaluations in a row that end in a panic, until the program does
 )
 
@@ -31,17 +31,17 @@
 	s.schedule.countsMs = s.nowMs()
 	s.schedule.traceMs = s.nowMs()
 	for ctx.Err() == nil {
-		restMs := s.Config.Settings.EvaluationIntervalMs
+		pauseMs := s.Config.Settings.EvaluationIntervalMs
 		if s.withCore(s.evaluate) {
 			s.schedule.panics = 0
 		} else {
 			s.schedule.panics++
-			restMs = panicBackoffMs
+			pauseMs = panicBackoffMs
 		}
 		if s.schedule.panics >= maxPanics {
 			return fmt.Errorf("%d %w", s.schedule.panics, ErrRepeatedPanics)
 		}
-		if clock.Sleep(ctx, s.Clock, restMs) != nil {
+		if clock.Sleep(ctx, s.Clock, pauseMs) != nil {
 			return nil
 		}
 		s.awaitWork(ctx)
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -121,8 +121,8 @@
 // field is one name=value of a message. Both parts are of the line.
 type field struct{ name, value []byte }
 
-// message is a line taken apart. Its decoding methods keep the first fault, so that a message is read whole and then
-// checked once. It is valid as long as its line.
+// message is a line taken apart. Its decoding methods keep the first fault, so that a message is decoded completely
+// and then checked once. It is valid as long as its line.
 type message struct {
 	kind   messageKind
 	fields [maxFields]field
@@ -131,7 +131,7 @@
 }
 
 // parseMessage takes a line apart. It fails with ErrUnreadable where the line begins with no kind, and with a
-// *MessageError where its fields cannot be told apart; the message then has a kind and no fields to rely on.
+// *MessageError where its fields cannot be parsed; the message then has a kind and no fields to rely on.
 func parseMessage(line []byte) (*message, error) {
 	m := &message{}
 	word, rest, _ := bytes.Cut(line, []byte(" "))
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -171,7 +171,7 @@
 	return read(bufio.NewReader(response.Body))
 }
 
-// readListLine reads a line of a watch, whole.
+// readListLine reads a complete line of a watch.
 func readListLine(body *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
@@ -212,7 +212,7 @@
 	return c.Conn.Read(buffer)
 }
 
-// versionTracker turns lines of a watch, and complete lists, into what the core is told. It holds the version that is known.
+// versionTracker turns lines of a watch, and complete lists, into updates of the core. It holds the version that is known.
 type versionTracker struct {
 	zones         []string
 	version       int64
--- a/internal/platform/dispatch.go
+++ b/internal/platform/dispatch.go
@@ -96,7 +96,7 @@
 	if join.ProxyID >= len(c.proxies.byID) {
 		return errUnknownProxy
 	}
-	if old := c.proxies.byID[join.ProxyID]; old != nil { // its stream has broken, even if nobody has told us
+	if old := c.proxies.byID[join.ProxyID]; old != nil { // its stream has broken, even if that was not noticed here
 		c.removeProxy(old)
 		c.startClosing(old.connection, CloseReplacedStream, nil)
 	}
--- a/internal/platform/encode.go
+++ b/internal/platform/encode.go
@@ -103,7 +103,7 @@
 	return to
 }
 
-// appendRefusal writes what a connection that has not joined is told before it is closed.
+// appendRefusal writes the last message to a connection that has not joined, before it is closed.
 func appendRefusal(to []byte) []byte { return append(to, wireRefused+lineEnd...) }
 
 // isValidName says whether a name can stand in a message.
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -12,7 +12,7 @@
 
 var errNoVersion = errors.New("a list without a version")
 
-// endpointList is one word of discovery.
+// endpointList is one message of discovery.
 type endpointList struct {
 	version int64
 	full    bool              // all servers; else only those that changed
@@ -36,7 +36,7 @@
 	StartedMs float64 `json:"started_ms"`
 }
 
-// parseEndpointList decodes a list, whole or not at all. A server of a zone that is not among those given has zone -1.
+// parseEndpointList decodes a list, completely or not at all. A server of a zone that is not among those given has zone -1.
 func parseEndpointList(text []byte, zones []string) (endpointList, error) {
 	var document listDocument
 	if err := json.Unmarshal(text, &document); err != nil {
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -10,8 +10,8 @@
 	name    string
 	state   policy.State
 	sinceMs float64 // of the state
-	// Proxies that this planner has told to eject the server, and those that another planner, or an earlier life of this
-	// one, may have told so.
+	// Proxies that this planner has notified of the server's ejection, and those that another planner, or an earlier
+	// incarnation of this one, may have notified.
 	notified, possiblyNotified proxySet
 	// Reports since the last WriteState.
 	requests, failed, latencySumMs float64 // the sum is of the requests that succeeded
@@ -32,8 +32,8 @@
 	return endpointTable{byName: map[string]*endpoint{}, proxies: proxies}
 }
 
-// update takes in a list. Removed servers are forgotten after a while, unless they are ejected: proxies have yet to be told
-// of the ejection's end.
+// update takes in a list. Removed servers are forgotten after a while, unless they are ejected: proxies have yet to be
+// notified of the ejection's end.
 func (t *endpointTable) update(kind policy.UpdateKind, list []policy.Endpoint, nowMs float64, ejected map[string]bool) {
 	listed := map[string]bool{}
 	for _, entry := range list {
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -12,7 +12,7 @@
 	lineEnd              = "\r\n"
 	maxMessageBytes      = 1 << 20 // bytes of a message, by the protocol
 	maxFirstMessageBytes = 512     // bytes of a first message: a peer that has not joined is not trusted with more
-	maxKindBytes         = 16      // bytes that are looked at for a message's kind; more than any kind has
+	maxKindBytes         = 16      // bytes that are compared with the kinds of messages; more than any kind has
 )
 
 // Errors of bytes that cannot be read as messages. Each ends the connection that they came on.
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// join returns the message so far. A chunk that is a whole message is not copied.
+// join returns the message so far. A chunk that is a complete message is not copied.
 func (r *messageReader) join(chunk []byte, unended bool) []byte {
 	if len(r.partial) == 0 && !unended {
 		return chunk
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	peerTimeoutMs = 30000.0 // ms until a test that hangs fails; no verdict goes by time
+	peerTimeoutMs = 30000.0 // ms until a test that hangs fails; no result depends on it
 	rejoinText    = "joined id=1 site=a rps=10 new=0\r\n"
 	joinText      = "joined id=1 site=a rps=10 new=1\r\n"
 )
@@ -362,7 +362,7 @@
 // lateDeadlines is a clock whose deadlines do not bind while a test holds something back.
 func lateDeadlines() clock.Clock { return scaledClock{clock.NewReal(), 1, 100} }
 
-// after and pause are for what may not happen, or happens by itself; no verdict on sound code hangs on their length.
+// after and pause are for what may not happen, or happens by itself; no result for correct code depends on their length.
 func after(ms float64) <-chan time.Time {
 	fired, _ := clock.NewReal().NewTimer(ms)
 	return fired
--- a/internal/platform/policyhost.go
+++ b/internal/platform/policyhost.go
@@ -33,7 +33,7 @@
 	publisher := &h.core.publisher
 	p := h.core.proxies.byID[proxyID]
 	table := publisher.registry.Table(tableNumber)
-	if p == nil { // it left after the policy last looked
+	if p == nil { // it left after the policy's last evaluation
 		return
 	}
 	publisher.registry.Assign(p, p.tables, table, classes)
@@ -48,8 +48,8 @@
 }
 
 // SetEjected ejects a server, or ends that. It concerns the proxies whose tables hold the server, and those that go by
-// tables of another planner. A proxy that was told and holds the server no more is told of the end with the entry that
-// brings the server back.
+// tables of another planner. A proxy that was notified and holds the server no more is notified of the end with the
+// entry that brings the server back.
 func (h policyHost) SetEjected(server string, ejected bool) {
 	publisher := &h.core.publisher
 	publisher.registry.SetEjected(server, ejected)
--- a/internal/platform/proxies.go
+++ b/internal/platform/proxies.go
@@ -2,7 +2,7 @@
 
 import "lichenpick/internal/weighttable"
 
-// proxy is one that has joined, and what it was told. It is the core's, and under its lock.
+// proxy is one that has joined, and what it was sent. It is the core's, and under its lock.
 type proxy struct {
 	id             int
 	zone           int
@@ -12,7 +12,7 @@
 	pending        *pendingUpdate               // decided in this evaluation, and not sent; may be nil
 	sentMs         []float64                    // times of the last updates on this stream: the limit of messages counts from joining
 	unacknowledged []sentRequest                // oldest first
-	inactive       bool                         // silent for so long that the policy was told that it left
+	inactive       bool                         // silent for so long that it was removed from the policy
 }
 
 // proxyTable holds the joined proxies. It is part of the core, and under its lock.
--- a/internal/platform/publisher.go
+++ b/internal/platform/publisher.go
@@ -54,7 +54,7 @@
 	p.pending = nil
 }
 
-// setEjected has a proxy told to eject a server, or to admit it again.
+// setEjected has a proxy notified that a server is ejected, or readmitted.
 func (b *publisher) setEjected(p *proxy, e *endpoint, ejected bool) {
 	update := b.update(p)
 	update.eject = without(update.eject, e.name)
@@ -68,7 +68,7 @@
 	e.possiblyNotified.set(p.id, false)
 }
 
-// alignEjection has a proxy whose table got a server told whether that is ejected, where the proxy may hold something else.
+// alignEjection notifies a proxy whose table got a server whether that is ejected, where the proxy may hold something else.
 func (b *publisher) alignEjection(p *proxy, e *endpoint) {
 	if e == nil {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// parts puts together what a proxy is told: its tables, with the servers to eject or readmit, then admission rates.
+// parts puts together the update of a proxy: its tables, with the servers to eject or readmit, then admission rates.
 func (b *publisher) parts(p *proxy) []updatePart {
 	update := p.pending
 	parts := b.tableParts(p, update)
--- a/internal/platform/runtime.go
+++ b/internal/platform/runtime.go
@@ -39,7 +39,7 @@
 	Clock   clock.Clock
 	Network clock.Network
 	Log     *slog.Logger
-	Ready   func(net.Addr) // is told the address once connections are accepted; may be nil
+	Ready   func(net.Addr) // is called with the address once connections are accepted; may be nil
 	Trace   io.Writer      // is written each second what the policy believes and what the sockets said; may be nil
 }
 
@@ -178,7 +178,7 @@
 func (s *serverRuntime) notifyWork() {
 	select {
 	case s.work <- struct{}{}:
-	default: // it has been notified, and has not looked yet
+	default: // it has been notified, and has not evaluated yet
 	}
 }
 
--- a/internal/platform/runtime_test.go
+++ b/internal/platform/runtime_test.go
@@ -174,12 +174,12 @@
 	t.Run("a planner that can decide nothing any more ends, and says so", func(t *testing.T) {
 		r := newHeldRuntime(t, 64, 2)
 		r.Clock = scaledClock{clock.NewReal(), 50, 1}
-		module := r.core.policy
+		original := r.core.policy
 		r.core.policy = nil
 		if err := r.decide(t.Context()); !errors.Is(err, ErrRepeatedPanics) {
 			t.Errorf("ended with %v", err)
 		}
-		r.core.policy = module
+		r.core.policy = original
 	})
 }
 
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -52,8 +52,8 @@
 // Unauthenticated says whether the connection has joined neither as a proxy's stream nor as a collector.
 func (c *Connection) Unauthenticated() bool { return c.role == roleNone }
 
-// maxMessageBytes is the limit of the next message.
-func (c *Connection) maxMessageBytes() int {
+// messageLimit is the limit of the next message, in bytes.
+func (c *Connection) messageLimit() int {
 	if c.Unauthenticated() {
 		return maxFirstMessageBytes
 	}
@@ -168,7 +168,7 @@
 	if connection.phase != phaseOpen {
 		return
 	}
-	err := connection.reader.feed(data, connection.maxMessageBytes, func(line []byte) bool {
+	err := connection.reader.feed(data, connection.messageLimit, func(line []byte) bool {
 		c.handleMessage(connection, line)
 		return connection.phase == phaseOpen
 	})
@@ -188,7 +188,7 @@
 }
 
 // shedPartial closes the joined connection with the longest incomplete message. It guards the memory: each connection may
-// hold a message of the greatest length, but not all of them at once. First messages are short and not looked at.
+// hold a message of the greatest length, but not all of them at once. First messages are short and not considered.
 func (c *Core) shedPartial() {
 	var longest *Connection
 	consider := func(connection *Connection) {
@@ -264,7 +264,7 @@
 	return true
 }
 
-// ShedConnection closes the connection that is worth least, to make room for a new one: the oldest that is
+// ShedConnection closes the least valuable connection, in favour of a new one: the oldest that is
 // unauthenticated, else the stream of the silent proxy that joined first. It says whether there was one.
 func (c *Core) ShedConnection(host Host) bool {
 	connection := c.leastValuable()
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -28,7 +28,7 @@
 			t.Errorf("joined %d, open %d", len(h.proxies.joined), h.OpenConnections())
 		}
 	})
-	t.Run("a proxy with tables of another planner is told to readmit what that may have ejected", func(t *testing.T) {
+	t.Run("a proxy with tables of another planner is notified to readmit what that may have ejected", func(t *testing.T) {
 		connection := h.connect("joined id=4 site=b rps=10 new=0")
 		h.advance(1000)
 		if !strings.Contains(h.sent[connection], "undrop=s-") {
@@ -134,7 +134,7 @@
 			t.Errorf("sent %q", h.sent[pinging])
 		}
 	})
-	t.Run("the oldest is shed to make room, and never a joined connection", func(t *testing.T) {
+	t.Run("the oldest is shed, and never a joined connection", func(t *testing.T) {
 		older := h.connect()
 		newer := h.connect()
 		if !h.ShedConnection(h) || !h.closed[older] || h.closed[newer] {
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -136,7 +136,7 @@
 func (s *serverRuntime) CloseConnection(connection *Connection, reason CloseReason, cause error) {
 	s.logClose(connection, reason, cause)
 	t := s.streams[connection]
-	if t == nil { // dropped already; it must not linger, as room is only made of those that are open
+	if t == nil { // dropped already; it must not linger, as isFull waits for those that linger to be dropped
 		return
 	}
 	t.closing = true
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -177,7 +177,7 @@
 
 func testStreamShed(t *testing.T) {
 	discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
-	planner := startPlannerWith(t, configText(discovery.address(), 32), func(o *Options) { // room for 8
+	planner := startPlannerWith(t, configText(discovery.address(), 32), func(o *Options) { // 8 connections fit
 		o.Clock = scaledClock{clock.NewReal(), 5, 1}
 	})
 	silent := planner.dial("joined id=0 site=a rps=10 new=1\r\n")
@@ -238,7 +238,7 @@
 			t.Fatal(err)
 		}
 		if _, err := io.Copy(io.Discard, conn); err != nil {
-			t.Logf("reset, as it had no room: %v", err)
+			t.Logf("reset: %v", err)
 		}
 		if err := conn.Close(); err != nil {
 			t.Error(err)
