--- a/internal/platform/leakcheck_test.go
+++ b/internal/platform/leakcheck_test.go
@@ -32,7 +32,8 @@
 // finish holds that no goroutine of the runtime runs at all once Run has returned; net/http's own may take a moment longer
 // to close theirs.
 func (l *leakCheck) finish() {
-	if runningChecks.Add(-1); l.nested {
+	runningChecks.Add(-1)
+	if l.nested {
 		return
 	}
 	goroutines, descriptors := held(l.t)
--- a/internal/platform/runtime.go
+++ b/internal/platform/runtime.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -27,7 +26,6 @@
 	minConnections      = 8         // however few descriptors are stated
 	defaultConnections  = 1 << 20   // where the configuration states no limit
 	maxLingering        = 8         // connections that may be open for their last messages beside those that fit
-	flushTimeoutMs      = 300.0     // ms that the last messages to a connection may take; SIGKILL follows SIGTERM after 700
 	bytesPerMB          = 1 << 20
 )
 
@@ -136,22 +134,6 @@
 	)
 }
 
-// shutdown sends each connection what it is owed, closes it, and waits for all readers and writers.
-func (s *serverRuntime) shutdown() {
-	s.withCore(func() { s.core.Close(s) })
-	s.mu.Lock()
-	for _, t := range s.streams {
-		t.closing = true // a panic may have kept the core from it
-		if t.writing {
-			s.limitFlush(t)
-		} else {
-			s.drop(t)
-		}
-	}
-	s.mu.Unlock()
-	s.tasks.Wait()
-}
-
 func (s *serverRuntime) nowMs() float64 { return s.originMs + s.Clock.Monotonic() }
 
 // withCore calls a function with the lock held and the core's time set, and says whether that came to its end.
@@ -181,11 +163,3 @@
 	default: // it has been notified, and has not evaluated yet
 	}
 }
-
-// closeQuietly closes what is not used any more; a failure is only logged.
-func (s *serverRuntime) closeQuietly(closer io.Closer) {
-	err := closer.Close()
-	if err != nil && !errors.Is(err, net.ErrClosed) {
-		s.Log.Debug("closing failed", keyError, err)
-	}
-}
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -156,13 +156,6 @@
 	s.Log.Debug("connection closed", attributes...)
 }
 
-// limitFlush limits the time of the last messages to a connection, so that a peer that reads nothing does not keep it open.
-func (s *serverRuntime) limitFlush(t *stream) {
-	if err := t.SetWriteDeadline(s.Clock.Deadline(flushTimeoutMs)); err != nil {
-		s.Log.Debug("write deadline failed", keyError, err) // it is closed already, and its writer ends
-	}
-}
-
 // SetTimer sets when to evaluate next without an input, as Host of the core. The lock is held.
 func (s *serverRuntime) SetTimer(atMs float64) { s.timerMs = atMs }
 
