--- a/internal/platform/acknowledgements.go
+++ b/internal/platform/acknowledgements.go
@@ -93,7 +93,8 @@
 func (c *Core) deactivateSilent() bool {
 	silentSinceMs := c.nowMs - silenceMs
 	c.departures.trim(silentSinceMs)
-	longestMs := silenceMs + maxChannelSlowdown*c.settings.Policy.MaxBacklog/c.settings.Policy.EntriesPerSecond*millisecondsPerSecond
+	limits := c.settings.Policy
+	longestMs := silenceMs + maxChannelSlowdown*limits.MaxBacklog/limits.EntriesPerSecond*millisecondsPerSecond
 	for _, p := range c.proxies.joined {
 		if p.inactive || len(p.unacknowledged) == 0 || c.nowMs-p.connection.lastMessageMs <= silenceMs {
 			continue
--- a/internal/platform/counts.go
+++ b/internal/platform/counts.go
@@ -13,12 +13,14 @@
 	LoadReports      uint64
 	DemandReports    uint64
 	Acknowledgements uint64
-	Updates          uint64                  // messages sent to proxies, without pongs and refusals
-	Entries          uint64                  // in these
-	Bytes            uint64                  // of these
-	EndpointUpdates  uint64                  // from discovery, and from the configuration
-	MaxBacklog       float64                 // entries that waited in the channel at most, were it as fast as stated; the policy's own estimate is in the trace
-	Closed           [numCloseReasons]uint64 // connections that the planner closed, by reason
+	Updates          uint64 // messages sent to proxies, without pongs and refusals
+	Entries          uint64 // in these
+	Bytes            uint64 // of these
+	EndpointUpdates  uint64 // from discovery, and from the configuration
+	// MaxBacklog is how many entries waited in the channel at most, were it as fast as stated. The policy's own estimate is
+	// in the trace.
+	MaxBacklog float64
+	Closed     [numCloseReasons]uint64 // connections that the planner closed, by reason
 }
 
 // LogValue is a group of all counts. Of the reasons for closing connections it holds those that occurred.
--- a/internal/platform/encode.go
+++ b/internal/platform/encode.go
@@ -28,7 +28,8 @@
 	acknowledge     bool
 }
 
-// entryCount is the number of entries that the channel to the proxies counts for a part, without the overhead of its message.
+// entryCount is the number of entries that the channel to the proxies counts for a part, without the overhead of its
+// message.
 func (u *updatePart) entryCount() int {
 	count := len(u.entries) + len(u.eject) + len(u.readmit)
 	for _, present := range []bool{u.replace, u.acknowledge, u.admission.Set} {
--- a/internal/platform/runtime.go
+++ b/internal/platform/runtime.go
@@ -47,12 +47,12 @@
 // at times a writer of each connection, which tasks holds. They end with their connection, at the latest in shutdown.
 type serverRuntime struct {
 	Options
-	originMs       float64 // Unix ms at which Clock.Monotonic was 0
-	maxConnections int
-	maxUnsentBytes int           // that wait for all connections together
-	work           chan struct{} // holds one element where there are inputs that were not evaluated
-	tasks          sync.WaitGroup
-	schedule       decisionSchedule // of decide's goroutine
+	originMs            float64 // Unix ms at which Clock.Monotonic was 0
+	maxConnections      int
+	maxTotalUnsentBytes int           // that wait for all connections together
+	work                chan struct{} // holds one element where there are inputs that were not evaluated
+	tasks               sync.WaitGroup
+	schedule            decisionSchedule // of decide's goroutine
 
 	mu          sync.Mutex              // guards the core, with its connections, and what follows
 	core        *Core                   // called with the lock held only
@@ -101,12 +101,12 @@
 		memoryBytes = config.MemoryMB * bytesPerMB
 	}
 	s := &serverRuntime{
-		Options:        options,
-		originMs:       float64(options.Clock.WallTime().UnixMicro())/microsPerMs - options.Clock.Monotonic(),
-		maxConnections: defaultConnections,
-		maxUnsentBytes: max(memoryBytes/unsentMemoryPart, maxUnsentBytes),
-		work:           make(chan struct{}, 1),
-		streams:        map[*Connection]*stream{},
+		Options:             options,
+		originMs:            float64(options.Clock.WallTime().UnixMicro())/microsPerMs - options.Clock.Monotonic(),
+		maxConnections:      defaultConnections,
+		maxTotalUnsentBytes: max(memoryBytes/unsentMemoryPart, maxUnsentBytes),
+		work:                make(chan struct{}, 1),
+		streams:             map[*Connection]*stream{},
 	}
 	if config.Sockets > 0 {
 		s.maxConnections = max(config.Sockets-reservedDescriptors, minConnections)
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -106,7 +106,7 @@
 		s.closeUnread(t)
 		return
 	}
-	for s.unsentBytes > s.maxUnsentBytes { // each is within its own limit, but not all together
+	for s.unsentBytes > s.maxTotalUnsentBytes { // each is within its own limit, but not all together
 		s.closeUnread(s.mostUnsent())
 	}
 	if !t.closing && !t.writing {
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -354,8 +354,8 @@
 			if index == 7 {
 				r.Send(&stream.connection, message)
 			}
-			if r.unsentBytes > r.maxUnsentBytes {
-				t.Fatalf("%d bytes wait, where %d may", r.unsentBytes, r.maxUnsentBytes)
+			if r.unsentBytes > r.maxTotalUnsentBytes {
+				t.Fatalf("%d bytes wait, where %d may", r.unsentBytes, r.maxTotalUnsentBytes)
 			}
 		}
 	}
