--- /dev/null
+++ b/internal/platform/conversation_test.go
@@ -0,0 +1,398 @@
+package platform_test
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"lichenpick/internal/golden"
+	"lichenpick/internal/platform"
+	"lichenpick/internal/simulator"
+	"lichenpick/policy"
+)
+
+// peer is the other end of one connection.
+type peer struct {
+	conn    *platform.Connection
+	number  int    // in the order of opening
+	proxy   int    // id of the proxy that it joined as, or -1
+	zone    string // of a proxy or collector
+	unsent  []byte // what it has yet to write
+	closed  bool
+	silent  bool // it writes nothing
+	answers []digestAnswer
+}
+
+type digestAnswer struct {
+	atMs   float64
+	number int
+}
+
+// conversation plays all peers of one core, and records what the core sends and which connections it closes.
+type conversation struct {
+	core     *platform.Core
+	random   *rand.Rand // of the peers alone
+	atMs     float64    // since the start
+	peers    []*peer    // in the order of opening
+	byConn   map[*platform.Connection]*peer
+	proxies  [digestProxies]*peer // the latest stream of each
+	digest   *golden.Digest
+	shutdown []string // events of Close, whose order is not defined; nil before
+	closing  bool
+
+	ejections, readmissions, admissionCuts, replaced, sheds, rejected int
+}
+
+func newConversation(t *testing.T, seed int64) *conversation {
+	t.Helper()
+	site, err := simulator.ReadSettings([]byte(digestSite))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if seed == narrowSeed {
+		site.Policy.EntriesPerSecond = narrowChannelRate
+		site.Policy.MaxBacklog = narrowMostWaiting
+	}
+	c := &conversation{
+		core:   platform.NewCore(site, seed, digestOriginMs),
+		random: rand.New(rand.NewSource(seed)),
+		byConn: map[*platform.Connection]*peer{},
+		digest: golden.NewDigest(fmt.Sprintf("seed=%d", seed), digestIntervalMs),
+	}
+	if seed%2 == 0 {
+		c.core.MaxPartialBytes = partialMost
+	}
+	c.core.OnReject = func(error, []byte) { c.rejected++ }
+	c.core.UpdateEndpoints(policy.RestoredUpdate, digestEntries())
+	return c
+}
+
+func digestEntries() []policy.Endpoint {
+	var entries []policy.Endpoint
+	for index := range digestServers {
+		entries = append(entries, policy.Endpoint{Server: fmt.Sprint("s-", index), Zone: index % 2, RelativeCapacity: 1})
+	}
+	return entries
+}
+
+func (c *conversation) record(format string, args ...any) {
+	event := fmt.Sprintf(format, args...)
+	if c.closing {
+		c.shutdown = append(c.shutdown, event)
+		return
+	}
+	c.digest.Add(c.atMs, "%s", event)
+}
+
+func (c *conversation) Send(conn *platform.Connection, message []byte) {
+	p := c.byConn[conn]
+	c.record("send %d %q", p.number, message)
+	for line := range strings.SplitSeq(string(message), lineEnd) {
+		c.read(p, line)
+	}
+}
+
+// read takes in a line as a proxy does: requests for an acknowledgement are answered, some late and some never.
+func (c *conversation) read(p *peer, line string) {
+	c.ejections += strings.Count(line, " drop=")
+	c.readmissions += strings.Count(line, " undrop=")
+	c.admissionCuts += strings.Count(line, " gate=0.")
+	_, stamp, found := strings.Cut(line, " stamp=")
+	if !found || c.random.Float64() < 0.05 {
+		return
+	}
+	stamp, _, _ = strings.Cut(stamp, " ")
+	number, err := strconv.Atoi(stamp)
+	if err != nil {
+		panic("a request for an acknowledgement that is no number: " + line)
+	}
+	delayMs := 50 + 500*c.random.Float64()
+	p.answers = append(p.answers, digestAnswer{c.atMs + delayMs, number})
+}
+
+// CloseConnection records that a connection is closed; the reason is not recorded.
+func (c *conversation) CloseConnection(conn *platform.Connection, _ platform.CloseReason, _ error) {
+	p := c.byConn[conn]
+	c.record("end %d", p.number)
+	if p.proxy >= 0 && c.proxies[p.proxy] != p {
+		c.replaced++
+	}
+	p.closed = true
+}
+
+func (c *conversation) SetTimer(atMs float64) { c.record("wake %g", atMs-digestOriginMs) }
+
+// open makes a connection that writes a first message.
+func (c *conversation) open(first string) *peer {
+	p := &peer{conn: &platform.Connection{}, number: len(c.peers), proxy: -1}
+	c.peers = append(c.peers, p)
+	c.byConn[p.conn] = p
+	c.core.HandleConnect(p.conn)
+	p.write(first)
+	return p
+}
+
+func (p *peer) write(line string) {
+	if line != "" {
+		p.unsent = append(p.unsent, line+lineEnd...)
+	}
+}
+
+func zoneName(index int) string { return []string{"a", "b"}[index%2] }
+
+// join opens a stream of a proxy, in place of an earlier one if that is still open.
+func (c *conversation) join(id, first int) {
+	p := c.open(fmt.Sprintf("joined id=%d site=%s rps=%d new=%d", id, zoneName(id), 20+id, first))
+	p.proxy = id
+	p.zone = zoneName(id)
+	c.proxies[id] = p
+}
+
+func (c *conversation) collect(zone int) {
+	p := c.open("collector site=" + zoneName(zone))
+	p.zone = zoneName(zone)
+}
+
+// flush has a peer write what it has, in whole or up to any byte, in one or several reads.
+func (c *conversation) flush(p *peer) {
+	for len(p.unsent) > 0 && !p.closed && !p.silent {
+		size := len(p.unsent)
+		if c.random.Intn(3) == 0 {
+			size = 1 + c.random.Intn(size)
+		}
+		c.core.HandleData(p.conn, p.unsent[:size])
+		p.unsent = p.unsent[size:]
+		if c.random.Intn(4) == 0 {
+			return // the rest comes later
+		}
+	}
+}
+
+// phases starts what happens at set times.
+func (c *conversation) phases() {
+	reached := func(at float64) bool { return c.atMs >= at && c.atMs < at+digestStepMs }
+	change := func(entry policy.Endpoint) { c.core.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{entry}) }
+	for id := range digestProxies {
+		if reached(500 + 150*float64(id)) {
+			c.join(id, 1)
+		}
+	}
+	switch {
+	case reached(200), reached(1200), reached(70e3):
+		c.collect(0)
+		c.collect(1)
+	case reached(completeListMs):
+		c.core.UpdateEndpoints(policy.FullUpdate, digestEntries())
+	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // something to acknowledge
+		change(policy.Endpoint{Server: "s-4", RelativeCapacity: 1, State: policy.Draining})
+	case reached(silentFromMs + 3000), reached(silentFromMs + 9000):
+		change(policy.Endpoint{Server: "s-4", RelativeCapacity: 1, State: policy.Ready})
+	case reached(drainMs):
+		change(policy.Endpoint{Server: "s-2", RelativeCapacity: 1, State: policy.Draining})
+	case reached(drainMs + goneAfterMs):
+		change(policy.Endpoint{Server: "s-2", RelativeCapacity: 1, State: policy.Removed})
+	case reached(missingMs):
+		c.core.UpdateEndpoints(policy.FullUpdate, slices.Delete(digestEntries(), 2, 4))
+	case reached(failedListMs):
+		c.core.UpdateEndpoints(policy.FailedUpdate, nil)
+	case reached(coldMs):
+		change(policy.Endpoint{Server: "cold", Zone: 1, RelativeCapacity: 2, StartedMs: digestOriginMs + c.atMs})
+	case reached(returnMs):
+		change(policy.Endpoint{Server: "s-2", RelativeCapacity: 1, StartedMs: digestOriginMs + c.atMs})
+	}
+	c.silence()
+}
+
+// silence has the first two proxies write nothing for a while.
+func (c *conversation) silence() {
+	silent := within(c.atMs, silentFromMs, silentForMs)
+	for id, p := range c.proxies {
+		if p != nil && id < 2 {
+			p.silent = silent
+		}
+	}
+}
+
+func within(at, from, span float64) bool { return at >= from && at < from+span }
+
+// reports queues what joined peers say once a second.
+func (c *conversation) reports() {
+	for _, p := range c.peers {
+		switch {
+		case p.closed:
+		case p.proxy >= 0 && c.proxies[p.proxy] == p:
+			for _, group := range []string{"lookup", "order"} {
+				p.write(fmt.Sprintf("usage id=%d lane=%s count=%d fail=%d over=1000.0", p.proxy, group, 8+c.random.Intn(6), c.random.Intn(2)))
+			}
+		case p.proxy < 0 && p.zone != "":
+			for index := range digestServers {
+				c.report(p, index)
+			}
+		}
+	}
+}
+
+func (c *conversation) report(collector *peer, server int) {
+	count := 4 + c.random.Intn(8)
+	failed := 0
+	mean := 80 + 40*c.random.Float64()
+	if within(c.atMs, overloadFromMs, overloadForMs) {
+		failed = count / 3
+		mean *= 6
+	}
+	if server == 0 && within(c.atMs, failingFromMs, failingForMs) {
+		failed = count
+	}
+	collector.write(fmt.Sprintf("heard site=%s target=s-%d count=%d fail=%d mean=%.1f over=1000 util=inflight:%d",
+		collector.zone, server, count, failed, mean, c.random.Intn(9)))
+}
+
+func (c *conversation) answer(p *peer) {
+	var later []digestAnswer
+	for _, answer := range p.answers {
+		if answer.atMs > c.atMs {
+			later = append(later, answer)
+			continue
+		}
+		p.write(fmt.Sprintf("applied id=%d seq=%d ms=%.0f", p.proxy, answer.number, 100+200*c.random.Float64()))
+	}
+	p.answers = later
+}
+
+// disturb does what happens at random, once or twice a second.
+func (c *conversation) disturb() {
+	if c.atMs < completeListMs || c.random.Intn(7) != 0 {
+		return
+	}
+	id := 2 + c.random.Intn(digestProxies-2)
+	p := c.proxies[id]
+	switch c.random.Intn(14) {
+	case 0, 1:
+		c.open(firstMessages[c.random.Intn(len(firstMessages))])
+	case 2:
+		c.open("") // says nothing
+	case 3:
+		c.open("ping")
+	case 4:
+		c.openPartial()
+	case 5, 6:
+		p.write(invalidMessages[c.random.Intn(len(invalidMessages))])
+	case 7:
+		p.write("ping")
+	case 8:
+		c.join(id, 0) // replaces the stream if that is open
+	case 9:
+		p.write("ping")
+		c.finish(p)
+	case 10:
+		c.lose(p)
+	case 11:
+		c.sendUnreadable(p)
+	case 12:
+		p.unsent = append(p.unsent, "usage id=1 lane=lookup pad="+strings.Repeat("1", partialMessage)...)
+	case 13:
+		c.shed()
+	}
+}
+
+// openPartial makes a connection that writes a part of a first message, and perhaps says that it writes no more.
+func (c *conversation) openPartial() {
+	p := c.open("")
+	p.unsent = []byte("joined id=4 si")
+	if c.random.Intn(2) == 0 {
+		c.finish(p)
+	}
+}
+
+func (c *conversation) shed() {
+	if c.core.ShedConnection(c) {
+		c.sheds++
+	}
+}
+
+// finish has a peer write all that it has, and say that it writes no more.
+func (c *conversation) finish(p *peer) {
+	if p.closed || p.silent {
+		return
+	}
+	c.core.HandleData(p.conn, p.unsent)
+	p.unsent = nil
+	c.core.HandleHalfClose(p.conn)
+}
+
+func (c *conversation) lose(p *peer) {
+	if !p.closed {
+		p.closed = true
+		c.core.HandleDisconnect(p.conn)
+	}
+}
+
+// sendUnreadable has a peer write what cannot be read, or a message longer than any may be.
+func (c *conversation) sendUnreadable(p *peer) {
+	switch c.random.Intn(3) {
+	case 0:
+		p.unsent = append(p.unsent, "\x01\x02garbage"...)
+	case 1:
+		p.write("nonsense id=1")
+	case 2:
+		p.unsent = append(p.unsent, "usage pad="...)
+		p.unsent = append(p.unsent, bytes.Repeat([]byte("1"), longMessage)...)
+	}
+}
+
+// rejoin opens new streams of proxies that have none, after a while.
+func (c *conversation) rejoin() {
+	for id, p := range c.proxies {
+		if p != nil && p.closed && c.random.Intn(15) == 0 {
+			c.join(id, c.random.Intn(2))
+		}
+	}
+}
+
+func (c *conversation) step(number int) {
+	c.atMs += digestStepMs
+	c.core.SetTime(digestOriginMs + c.atMs)
+	c.phases()
+	c.disturb()
+	c.rejoin()
+	if number%10 == 0 {
+		c.reports()
+	}
+	for _, p := range c.peers {
+		if !p.closed {
+			c.answer(p)
+			c.flush(p)
+		}
+	}
+	for c.core.Next(c) {
+	}
+	if number%10 == 0 {
+		c.recordCounts()
+	}
+}
+
+func (c *conversation) recordCounts() {
+	n := c.core.Counts
+	c.record("counts %d %d %d %d %d %d %d %d %d %d %d %d %d %g open %d", n.Joins, n.LostStreams, n.SilentProxies, n.Refusals,
+		n.Unreadable, n.RejectedMessages, n.LoadReports, n.DemandReports, n.Acknowledgements, n.Updates, n.Entries, n.Bytes,
+		n.EndpointUpdates, n.MaxBacklog, c.core.OpenConnections())
+}
+
+func (c *conversation) run() []byte {
+	for number := 0; c.atMs < conversationMs; number++ {
+		c.step(number)
+	}
+	c.closing = true
+	c.core.Close(c)
+	c.closing = false
+	slices.Sort(c.shutdown)
+	for _, event := range c.shutdown {
+		c.record("close: %s", event)
+	}
+	c.recordCounts()
+	return c.digest.Finish(c.atMs)
+}
