--- /dev/null
+++ b/internal/invariant/endpoints.go
@@ -0,0 +1,89 @@
+package invariant
+
+import (
+	"math"
+
+	"lichenpick/proto/order"
+)
+
+// endpoint is what a planner was told of one server.
+type endpoint struct {
+	zone          string
+	startedUnixMs uint64  // incarnation of the server; 0: started long ago
+	startedAtMs   float64 // when the planner was told of this incarnation
+	removedAtMs   float64 // when it was told that the server drains or is gone; infinite while ready
+}
+
+// plannerState is what a planner knows and what it has sent.
+type plannerState struct {
+	endpoints map[string]*endpoint // by server
+	backlog   backlog
+}
+
+// planner returns the state of a planner, which it makes on first use.
+func (c *Checker) planner(name string) *plannerState {
+	planner := c.planners[name]
+	if planner == nil {
+		planner = &plannerState{endpoints: map[string]*endpoint{}}
+		c.planners[name] = planner
+	}
+	return planner
+}
+
+// RecordEndpoints records that an endpoint list passed towards a planner.
+func (c *Checker) RecordEndpoints(plannerName string, atMs float64, listing *order.Listing) {
+	if listing.Form == order.Listing_FAILED {
+		return
+	}
+	planner := c.planner(plannerName)
+	listed := map[string]bool{}
+	for _, entry := range listing.Entries {
+		listed[entry.Server] = true
+		planner.update(entry, atMs)
+	}
+	if listing.Form == order.Listing_WHOLE {
+		planner.expireMissing(listed, atMs+c.limits.MissingMs)
+	}
+	for name, proxy := range c.proxies {
+		c.evaluateNoServer(name, proxy, atMs)
+	}
+}
+
+// update takes in one entry of a list.
+func (p *plannerState) update(entry *order.Listing_Entry, atMs float64) {
+	server := p.endpoints[entry.Server]
+	if server == nil {
+		server = &endpoint{removedAtMs: math.Inf(1)}
+		p.endpoints[entry.Server] = server
+	}
+	if entry.BornUnixMs != server.startedUnixMs || server.startedAtMs == 0 {
+		server.startedAtMs = atMs
+	}
+	server.startedUnixMs = entry.BornUnixMs
+	server.zone = entry.Zone
+	switch {
+	case entry.State == 0:
+		server.removedAtMs = math.Inf(1)
+	case server.removedAtMs > atMs: // unless the planner was told before
+		server.removedAtMs = atMs
+	}
+}
+
+// expireMissing marks the servers that a full list lacks as removed from a time on.
+func (p *plannerState) expireMissing(listed map[string]bool, removedAtMs float64) {
+	for name, server := range p.endpoints {
+		if !listed[name] && math.IsInf(server.removedAtMs, 1) {
+			server.removedAtMs = removedAtMs
+		}
+	}
+}
+
+// RecordPlannerExit records that a planner's process ended: what it knew is void, and its proxies have no planner.
+func (c *Checker) RecordPlannerExit(plannerName string, atMs float64) {
+	delete(c.planners, plannerName)
+	for name, proxy := range c.proxies {
+		if proxy.planner == plannerName {
+			c.RecordDisconnect(name, plannerName, atMs)
+		}
+	}
+}
--- a/internal/scenario/watch.go
+++ b/internal/scenario/watch.go
@@ -240,7 +240,7 @@
 	defer w.j.mu.Unlock()
 	w.down.feed(p, func(first string, h textproto.MIMEHeader) {
 		unrun := strings.Contains(first, " 503 ") && h.Get(proxy.ProcessedHeader) == "no"
-		w.j.checker.RecordAnswer(w.server, at, w.now, unrun)
+		w.j.checker.RecordAnswer(w.server, w.now, unrun)
 	})
 	if w.down.bad {
 		w.j.strange("answer of a server")
