--- a/cmd/lichenpick/scenario.go
+++ b/cmd/lichenpick/scenario.go
@@ -45,7 +45,9 @@
 			if err != nil {
 				return err
 			}
-			r.Print(c.OutOrStdout())
+			if err := r.Print(c.OutOrStdout()); err != nil {
+				return err
+			}
 			if report != "" {
 				if err := r.Write(report); err != nil {
 					return err
--- a/internal/scenario/baseline.go
+++ b/internal/scenario/baseline.go
@@ -7,85 +7,123 @@
 	"lichenpick/policy"
 )
 
-// even is a baseline, for comparison only: one table of all listed servers for all proxies, changed at once. It
-// judges no server, sets no level and counts no line.
-type even struct {
-	bySize  bool
-	entries map[string]policy.Endpoint
-	order   []string
-	sent    map[string]float64 // weights of the table
-	out     map[string]bool
-	waiting []int // proxies to bind
-	groups  []int
-	woken   bool
+const (
+	baselineTable  = 0     // number of the one table
+	baselinePollMs = 200.0 // time after which a baseline is asked again
+)
+
+// baselineDecider is a policy for comparison only: one table of all listed servers for all proxies, which it changes at once.
+// It ejects no server for its faults, sheds no load and has no limit on what it sends.
+type baselineDecider struct {
+	byCapacity bool // weights are the listed capacities; else equal
+	classes    []int
+
+	endpoints      map[string]policy.Endpoint // by server
+	servers        []string                   // in the order in which they were listed first
+	sentWeights    map[string]float64         // by server
+	ejected        map[string]bool
+	unassigned     []int // proxies without the table
+	timerRequested bool  // since the last SetTime
 }
 
-func newEven(bySize bool, groups int) planner.Decider {
-	e := &even{bySize: bySize, entries: map[string]policy.Endpoint{}, sent: map[string]float64{}, out: map[string]bool{}}
-	for g := range groups {
-		e.groups = append(e.groups, g)
+var _ planner.Decider = (*baselineDecider)(nil)
+
+// newBaseline returns the decider of a baseline for a number of traffic classes.
+func newBaseline(kind Baseline, classCount int) *baselineDecider {
+	decider := &baselineDecider{
+		byCapacity:  kind == ListedCapacity,
+		endpoints:   map[string]policy.Endpoint{},
+		sentWeights: map[string]float64{},
+		ejected:     map[string]bool{},
 	}
-	return e
+	for class := range classCount {
+		decider.classes = append(decider.classes, class)
+	}
+	return decider
 }
 
-func (e *even) SetTime(float64) { e.woken = false }
+// SetTime begins a round of decisions.
+func (b *baselineDecider) SetTime(float64) { b.timerRequested = false }
 
-func (e *even) UpdateEndpoints(form policy.UpdateKind, list []policy.Endpoint) {
-	if form == policy.FailedUpdate {
+// UpdateEndpoints takes in an endpoint list. Servers that a full list lacks are kept.
+func (b *baselineDecider) UpdateEndpoints(kind policy.UpdateKind, list []policy.Endpoint) {
+	if kind == policy.FailedUpdate {
 		return
 	}
-	for _, x := range list {
-		if _, known := e.entries[x.Server]; !known {
-			e.order = append(e.order, x.Server)
+	for _, endpoint := range list {
+		if _, known := b.endpoints[endpoint.Server]; !known {
+			b.servers = append(b.servers, endpoint.Server)
 		}
-		e.entries[x.Server] = x
+		b.endpoints[endpoint.Server] = endpoint
 	}
 }
 
-func (e *even) AddProxy(id, _ int, _ float64, _ ...float64) { e.waiting = append(e.waiting, id) }
-func (e *even) RemoveProxy(id int) {
-	e.waiting = slices.DeleteFunc(e.waiting, func(x int) bool { return x == id })
+// AddProxy queues a proxy to be assigned the table.
+func (b *baselineDecider) AddProxy(proxyID, _ int, _ float64, _ ...float64) {
+	b.unassigned = append(b.unassigned, proxyID)
 }
-func (e *even) RecordReport(string, int, int, int, float64, float64) {}
-func (e *even) RecordDemand(int, int, int, int, float64)             {}
-func (e *even) Acknowledge(int, int, float64)                        {}
-func (e *even) SetLagging(bool)                                      {}
-
-func (e *even) Next(h policy.Host) bool {
-	for _, name := range e.order {
-		x := e.entries[name]
-		want := 1.0
-		if e.bySize {
-			want = x.RelativeCapacity
-		}
-		if x.State != policy.Ready {
-			if !e.out[name] {
-				e.out[name] = true
-				h.SetEjected(name, true)
-				return true
-			}
-			continue
-		}
-		if e.sent[name] != want {
-			e.sent[name] = want
-			h.SetWeight(0, name, want)
+
+// RemoveProxy forgets a proxy.
+func (b *baselineDecider) RemoveProxy(proxyID int) {
+	b.unassigned = slices.DeleteFunc(b.unassigned, func(queued int) bool { return queued == proxyID })
+}
+
+// RecordReport does nothing: a baseline ignores load reports.
+func (b *baselineDecider) RecordReport(string, int, int, int, float64, float64) {}
+
+// RecordDemand does nothing: a baseline ignores demand.
+func (b *baselineDecider) RecordDemand(int, int, int, int, float64) {}
+
+// Acknowledge does nothing: a baseline waits for no acknowledgement.
+func (b *baselineDecider) Acknowledge(int, int, float64) {}
+
+// SetLagging does nothing: a baseline has no work to put off.
+func (b *baselineDecider) SetLagging(bool) {}
+
+// Next passes the next decision to the host, and reports whether there was one.
+func (b *baselineDecider) Next(host policy.Host) bool {
+	for _, server := range b.servers {
+		if b.updateServer(host, server) {
 			return true
 		}
-		if e.out[name] {
-			delete(e.out, name)
-			h.SetEjected(name, false)
-			return true
+	}
+	if len(b.unassigned) > 0 && len(b.sentWeights) > 0 {
+		proxyID := b.unassigned[0]
+		b.unassigned = b.unassigned[1:]
+		host.AssignTable(proxyID, baselineTable, b.classes)
+		return true
+	}
+	if !b.timerRequested {
+		b.timerRequested = true
+		host.SetTimer(baselinePollMs)
+		return true
+	}
+	return false
+}
+
+// updateServer passes the next decision on one server, and reports whether there was one.
+func (b *baselineDecider) updateServer(host policy.Host, server string) bool {
+	endpoint := b.endpoints[server]
+	if endpoint.State != policy.Ready {
+		if b.ejected[server] {
+			return false
 		}
+		b.ejected[server] = true
+		host.SetEjected(server, true)
+		return true
+	}
+	weight := 1.0
+	if b.byCapacity {
+		weight = endpoint.RelativeCapacity
 	}
-	if len(e.waiting) > 0 && len(e.sent) > 0 {
-		id := e.waiting[0]
-		e.waiting = e.waiting[1:]
-		h.AssignTable(id, 0, e.groups)
+	if b.sentWeights[server] != weight {
+		b.sentWeights[server] = weight
+		host.SetWeight(baselineTable, server, weight)
 		return true
 	}
-	if !e.woken {
-		e.woken = true
-		h.SetTimer(200)
+	if b.ejected[server] {
+		delete(b.ejected, server)
+		host.SetEjected(server, false)
 		return true
 	}
 	return false
--- /dev/null
+++ b/internal/scenario/decider_test.go
@@ -0,0 +1,79 @@
+package scenario
+
+import (
+	"lichenpick/internal/planner"
+	"lichenpick/policy"
+)
+
+// editingDecider is a policy whose decisions are changed on their way to the planner, as by a faulty planner. It is both the
+// planner's decider and the policy's host. Functions that are nil change nothing.
+type editingDecider struct {
+	planner.Decider
+	host  policy.Host     // of the planner
+	cold  map[string]bool // servers that were listed with a time of start
+	fresh bool            // the next decision is the first since SetTime
+
+	editWeight   func(d *editingDecider, table int, server string, weight float64)
+	editEjection func(d *editingDecider, server string, ejected bool)
+	beforeRound  func(d *editingDecider) // called once after each SetTime
+}
+
+// editDecisions returns a hook that wraps the policy; configure sets the functions of the wrapper.
+func editDecisions(configure func(d *editingDecider)) func(planner.Decider) planner.Decider {
+	return func(wrapped planner.Decider) planner.Decider {
+		decider := &editingDecider{Decider: wrapped, cold: map[string]bool{}}
+		configure(decider)
+		return decider
+	}
+}
+
+func (d *editingDecider) SetTime(nowMs float64) {
+	d.fresh = true
+	d.Decider.SetTime(nowMs)
+}
+
+func (d *editingDecider) UpdateEndpoints(kind policy.UpdateKind, list []policy.Endpoint) {
+	for _, endpoint := range list {
+		d.cold[endpoint.Server] = endpoint.StartedMs > 0
+	}
+	d.Decider.UpdateEndpoints(kind, list)
+}
+
+func (d *editingDecider) Next(host policy.Host) bool {
+	d.host = host
+	if d.fresh && d.beforeRound != nil {
+		d.fresh = false
+		d.beforeRound(d)
+	}
+	return d.Decider.Next(d)
+}
+
+func (d *editingDecider) SetWeight(table int, server string, weight float64) {
+	if d.editWeight != nil {
+		d.editWeight(d, table, server, weight)
+		return
+	}
+	d.host.SetWeight(table, server, weight)
+}
+
+func (d *editingDecider) SetEjected(server string, ejected bool) {
+	if d.editEjection != nil {
+		d.editEjection(d, server, ejected)
+		return
+	}
+	d.host.SetEjected(server, ejected)
+}
+
+func (d *editingDecider) SetAdmission(table, class int, share float64, retry int) {
+	d.host.SetAdmission(table, class, share, retry)
+}
+
+func (d *editingDecider) AssignTable(proxyID, table int, classes []int) {
+	d.host.AssignTable(proxyID, table, classes)
+}
+
+func (d *editingDecider) RequestAcknowledgement(number int) { d.host.RequestAcknowledgement(number) }
+
+func (d *editingDecider) WatchEndpoints() { d.host.WatchEndpoints() }
+
+func (d *editingDecider) SetTimer(inMs float64) { d.host.SetTimer(inMs) }
--- /dev/null
+++ b/internal/scenario/headparser.go
@@ -0,0 +1,65 @@
+package scenario
+
+import (
+	"bufio"
+	"bytes"
+	"net/textproto"
+	"strconv"
+)
+
+// maxHeadBytes is the size from which a head is taken for corrupt.
+const maxHeadBytes = 1 << 16
+
+// headEnd ends the head of an HTTP/1.1 message.
+var headEnd = []byte("\r\n\r\n")
+
+// headParser finds the heads of the messages in one direction of an HTTP/1.1 connection. Bodies must have a stated length,
+// as both ends here send them so. The zero value is at the beginning of a connection.
+type headParser struct {
+	buffer    []byte
+	bodyBytes int  // of the current body that are still to come
+	corrupt   bool // nothing is parsed any more
+}
+
+// feed parses bytes, and calls found with the first line and the header of each head that is complete.
+func (p *headParser) feed(data []byte, found func(firstLine string, header textproto.MIMEHeader)) {
+	if p.corrupt {
+		return
+	}
+	p.buffer = append(p.buffer, data...)
+	for len(p.buffer) > 0 {
+		p.skipBody()
+		end := bytes.Index(p.buffer, headEnd)
+		if p.bodyBytes > 0 || end < 0 {
+			p.corrupt = len(p.buffer) > maxHeadBytes
+			return
+		}
+		end += len(headEnd)
+		firstLine, header, err := parseHead(p.buffer[:end])
+		p.buffer = p.buffer[end:]
+		if err != nil || header.Get("Transfer-Encoding") != "" {
+			p.corrupt = true
+			return
+		}
+		p.bodyBytes, _ = strconv.Atoi(header.Get("Content-Length")) // none: no body
+		found(firstLine, header)
+	}
+}
+
+// skipBody discards what has come of the current body.
+func (p *headParser) skipBody() {
+	count := min(p.bodyBytes, len(p.buffer))
+	p.buffer = p.buffer[count:]
+	p.bodyBytes -= count
+}
+
+// parseHead parses a complete head.
+func parseHead(head []byte) (firstLine string, header textproto.MIMEHeader, err error) {
+	reader := textproto.NewReader(bufio.NewReader(bytes.NewReader(head)))
+	firstLine, err = reader.ReadLine()
+	if err != nil {
+		return "", nil, err
+	}
+	header, err = reader.ReadMIMEHeader()
+	return firstLine, header, err
+}
--- /dev/null
+++ b/internal/scenario/plannerprocess.go
@@ -0,0 +1,233 @@
+package scenario
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"lichenpick/internal/clock"
+	"lichenpick/internal/planner"
+	"lichenpick/internal/settings"
+	"lichenpick/internal/store"
+	pb "lichenpick/proto/settings"
+)
+
+const (
+	startAttempts     = 3                     // a free port may be taken by another process before the planner listens
+	startPollInterval = 20 * time.Millisecond // of the status, until it answers
+	statusTimeout     = time.Second
+	// stopTimeout is how long a planner's process may take to end; one that takes longer hangs, and the run has failed.
+	stopTimeout = 5 * time.Second
+)
+
+// ErrNoSpawn tells that a script needs several planners, but [Hooks.Spawn] is nil.
+var ErrNoSpawn = errors.New("several planners need a way to run them as processes")
+
+// plannerProcess is a planner in its own process.
+type plannerProcess struct {
+	fleet         *fleet
+	name          string
+	command       *exec.Cmd
+	statusAddress string
+	ended         chan struct{} // closed when it has ended and command.ProcessState is set
+}
+
+// startProcess runs the planner as a process, and returns when its status answers.
+func (p *plannerInstance) startProcess(ctx context.Context, set *pb.Planner) error {
+	if p.fleet.hooks.Spawn == nil {
+		return ErrNoSpawn
+	}
+	var err error
+	for range startAttempts {
+		err = p.tryStartProcess(ctx, set)
+		if err == nil || ctx.Err() != nil {
+			return err
+		}
+	}
+	return err
+}
+
+// tryStartProcess makes one attempt to run the planner as a process, on ports that are free now.
+func (p *plannerInstance) tryStartProcess(ctx context.Context, set *pb.Planner) error {
+	file, err := p.writeSettings(set)
+	if err != nil {
+		return err
+	}
+	command := p.fleet.hooks.Spawn(file)
+	if err := command.Start(); err != nil {
+		return fmt.Errorf("starting the process: %w", err)
+	}
+	process := &plannerProcess{
+		fleet:         p.fleet,
+		name:          p.name,
+		command:       command,
+		statusAddress: set.Status,
+		ended:         make(chan struct{}),
+	}
+	p.disk.attach(command.Process.Pid)
+	p.process = process
+	p.runtime = process
+	p.fleet.group.Go(func() error {
+		_ = command.Wait() // how it ended is read from its state
+		close(process.ended)
+		return nil
+	})
+	if err := process.waitUntilReady(ctx); err != nil {
+		return err
+	}
+	p.relay.SetTarget(set.Listen)
+	return nil
+}
+
+// writeSettings completes the planner's settings with free addresses, and writes them and an empty store where the planner
+// needs one. It returns the settings file.
+func (p *plannerInstance) writeSettings(set *pb.Planner) (file string, err error) {
+	set.Listen, err = freeAddress()
+	if err != nil {
+		return "", err
+	}
+	set.Status, err = freeAddress()
+	if err != nil {
+		return "", err
+	}
+	if set.Sharing != nil {
+		err := store.Init(set.Sharing.Store, set.Name)
+		if err != nil && !errors.Is(err, store.ErrExists) {
+			return "", err
+		}
+	}
+	file = filepath.Join(p.fleet.directory, p.name+".txtpb")
+	if err := os.WriteFile(file, []byte(settings.Format(set)), 0o600); err != nil {
+		return "", fmt.Errorf("writing planner settings: %w", err)
+	}
+	return file, nil
+}
+
+// freeAddress returns a loopback address at which nobody listens now.
+func freeAddress() (string, error) {
+	listener, err := net.Listen("tcp", "127.0.1.1"+anyPort)
+	if err != nil {
+		return "", fmt.Errorf("looking for a free port: %w", err)
+	}
+	address := listener.Addr().String()
+	return address, listener.Close()
+}
+
+// waitUntilReady returns when the status answers, or with the reason why it will not. The process is then gone or killed.
+func (p *plannerProcess) waitUntilReady(ctx context.Context) error {
+	for {
+		if _, err := p.status(ctx); err == nil {
+			return nil
+		}
+		if p.hasEnded() {
+			return fmt.Errorf("%s ended at its start: %v", p.name, p.command.ProcessState)
+		}
+		if err := p.fleet.sleep(ctx, startPollInterval); err != nil {
+			p.signal(os.Kill)
+			return err
+		}
+	}
+}
+
+// status asks the planner for its status.
+func (p *plannerProcess) status(ctx context.Context) (status *planner.Status, err error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.statusAddress+"/status", http.NoBody)
+	if err != nil {
+		return nil, err
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { err = errors.Join(err, response.Body.Close()) }()
+	status = &planner.Status{}
+	err = json.NewDecoder(response.Body).Decode(status)
+	return status, err
+}
+
+// setDraining asks the planner to hand its proxies over to others, or to take part again. The end of the run does not cancel
+// it, so that a fault can still be ended then.
+func (p *plannerProcess) setDraining(ctx context.Context, draining bool) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
+	defer cancel()
+	url := fmt.Sprintf("http://%s/drain?on=%t", p.statusAddress, draining)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, http.NoBody)
+	if err != nil {
+		return err
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return fmt.Errorf("draining %s: %w", p.name, err)
+	}
+	return response.Body.Close()
+}
+
+// pause stops the process without ending it.
+func (p *plannerProcess) pause() { p.signal(syscall.SIGSTOP) }
+
+// resume lets a paused process go on.
+func (p *plannerProcess) resume() { p.signal(syscall.SIGCONT) }
+
+// signal sends a signal. A process that has ended needs none.
+func (p *plannerProcess) signal(signal os.Signal) {
+	if err := p.command.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		p.fleet.log.Error("cannot signal a planner", "planner", p.name, "signal", signal.String(), "error", err)
+	}
+}
+
+// hasEnded reports whether the process has ended.
+func (p *plannerProcess) hasEnded() bool {
+	select {
+	case <-p.ended:
+		return true
+	default:
+		return false
+	}
+}
+
+// stop ends the process, by SIGTERM or SIGKILL, and waits until it has. One that hangs is killed and counted.
+func (p *plannerProcess) stop(kill bool) {
+	f := p.fleet
+	if status, err := p.status(context.Background()); err == nil {
+		f.recordStatus(status)
+	}
+	if kill {
+		p.signal(os.Kill)
+	} else {
+		p.signal(syscall.SIGTERM)
+	}
+	if !p.waitEnded(f.clock, stopTimeout) {
+		f.log.Error("planner does not end, killing it", "planner", p.name)
+		f.mu.Lock()
+		f.hungPlanners++
+		f.mu.Unlock()
+		p.signal(os.Kill)
+		<-p.ended
+	}
+	state := p.command.ProcessState
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.plannerCPU += state.UserTime() + state.SystemTime()
+}
+
+// waitEnded waits until the process has ended, for at most a time, and reports whether it has.
+func (p *plannerProcess) waitEnded(c clock.Clock, timeout time.Duration) bool {
+	expired, stopTimer := c.NewTimer(milliseconds(timeout))
+	defer stopTimer()
+	select {
+	case <-p.ended:
+		return true
+	case <-expired:
+		return false
+	}
+}
--- /dev/null
+++ b/internal/scenario/planners.go
@@ -0,0 +1,197 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"net/netip"
+	"path/filepath"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/fake"
+	"lichenpick/internal/planner"
+	"lichenpick/internal/settings"
+	pb "lichenpick/proto/settings"
+)
+
+// disconnectDelay is how long the bytes that may still pass before a kill have to do so.
+const disconnectDelay = 50 * time.Millisecond
+
+// plannerInstance is one planner with its relays, over all its restarts. It runs in this process where there is one planner,
+// and else in its own.
+type plannerInstance struct {
+	fleet         *fleet
+	name          string
+	relay         *fake.Relay // between proxies and the planner
+	endpointRelay *fake.Relay // between the planner and the endpoint registry
+
+	runtime plannerRuntime  // the current or last one; nil before the first start
+	process *plannerProcess // the same where it is a process; else nil
+	disk    *disk
+}
+
+// plannerRuntime is a planner that runs or has ended.
+type plannerRuntime interface {
+	// stop ends the planner, gracefully or at once, and returns when it has ended.
+	stop(kill bool)
+}
+
+// plannerCount returns how many planners run.
+func (f *fleet) plannerCount() int {
+	if f.hooks.SinglePlanner || f.hooks.Baseline != NoBaseline {
+		return 1
+	}
+	return int(f.script.GetControllers())
+}
+
+// shared reports whether several planners share the fleet.
+func (f *fleet) shared() bool {
+	return f.script.Sharing && f.plannerCount() > 1 && !f.hooks.Unshared
+}
+
+// plannerNumbered returns a planner by its number in the script. Where fewer run than the script counts on, another takes
+// its part.
+func (f *fleet) plannerNumbered(number uint32) *plannerInstance {
+	return f.planners[int(number)%len(f.planners)]
+}
+
+// startPlanners starts the planners of the script. All relays listen before the first planner starts.
+func (f *fleet) startPlanners(ctx context.Context, registryAddress string) error {
+	for number := range f.plannerCount() {
+		instance, err := f.newPlannerInstance(ctx, number, registryAddress)
+		if err != nil {
+			return err
+		}
+		f.mu.Lock()
+		f.planners = append(f.planners, instance)
+		f.mu.Unlock()
+	}
+	for _, instance := range f.planners {
+		if err := instance.start(ctx); err != nil {
+			return fmt.Errorf("starting %s: %w", instance.name, err)
+		}
+	}
+	return nil
+}
+
+// newPlannerInstance returns a planner that is not started, with its relays.
+func (f *fleet) newPlannerInstance(ctx context.Context, number int, registryAddress string) (*plannerInstance, error) {
+	instance := &plannerInstance{
+		fleet: f,
+		name:  fmt.Sprintf("planner-%d", number+1),
+		disk:  &disk{log: f.log},
+	}
+	instance.endpointRelay = &fake.Relay{Clock: f.clock, Network: f.network, Observe: func(netip.Addr) fake.Observer {
+		return &endpointObserver{
+			recorder: f.recorder,
+			planner:  instance.name,
+			decoder:  controlstream.NewDecoder(maxObservedFrameBytes),
+		}
+	}}
+	if _, err := instance.endpointRelay.Start(ctx, plannerListen, registryAddress); err != nil {
+		return nil, fmt.Errorf("starting the endpoint relay of %s: %w", instance.name, err)
+	}
+	instance.relay = &fake.Relay{Clock: f.clock, Network: f.network, Observe: func(netip.Addr) fake.Observer {
+		return newStreamObserver(f.recorder, instance.name)
+	}}
+	if _, err := instance.relay.Start(ctx, plannerListen, ""); err != nil {
+		return nil, fmt.Errorf("starting the relay of %s: %w", instance.name, err)
+	}
+	return instance, nil
+}
+
+// settings returns the planner's checked settings.
+func (p *plannerInstance) settings() (*pb.Planner, error) {
+	f := p.fleet
+	proxies := uint32(proxyCount(f.script))
+	set := &pb.Planner{
+		Name:     p.name,
+		Listen:   plannerListen,
+		Groups:   f.script.Groups,
+		Channel:  f.script.Channel,
+		Reports:  f.script.Reports,
+		Servers:  f.script.Limits,
+		Streams:  &pb.Streams{},
+		Proxies:  proto.Uint32(proxies),
+		Planners: proto.Uint32(min(uint32(f.plannerCount()), proxies)),
+		Cores:    f.script.PlannerCores,
+		Dump:     filepath.Join(f.directory, p.name+"-dump.txt"),
+		List: &pb.ListSource{
+			Keep: filepath.Join(f.directory, p.name+"-list.txtpb"),
+			From: &pb.ListSource_Stream{Stream: &pb.StreamList{
+				Address: p.endpointRelay.Address(),
+				Redial:  reconnectDelay.String(),
+			}},
+		},
+	}
+	for zone, place := range f.script.Places {
+		prefix := fmt.Sprintf("127.%d.0.0/16", zone+1)
+		set.Zones = append(set.Zones, &pb.Zone{Name: place.Name, Prefixes: []string{prefix}})
+	}
+	if f.shared() {
+		set.Sharing = &pb.Sharing{Store: filepath.Join(f.directory, p.name+".store")}
+	}
+	if f.hooks.Planner != nil {
+		f.hooks.Planner(set)
+	}
+	// Read back through the check, which fills in what the script leaves to the settings' own defaults.
+	full := &pb.Planner{}
+	err := settings.Parse(p.name+" of the scenario", []byte(settings.Format(set)), full)
+	return full, err
+}
+
+// start starts the planner, again or for the first time, and returns when it listens. The planner ends with the context, or
+// by stop.
+func (p *plannerInstance) start(ctx context.Context) error {
+	set, err := p.settings()
+	if err != nil {
+		return err
+	}
+	if p.fleet.plannerCount() > 1 {
+		return p.startProcess(ctx, set)
+	}
+	return p.startLocal(ctx, set)
+}
+
+// stop ends the planner: gracefully, or by a kill after some bytes of each of its streams have still passed.
+func (p *plannerInstance) stop(kill bool, afterBytes int) {
+	f := p.fleet
+	restoreLinks := func() {}
+	if kill && afterBytes > 0 {
+		restoreLinks = p.cutLinks(afterBytes)
+		f.waitFor(context.Background(), disconnectDelay)
+	} else if kill && p.process == nil {
+		restoreLinks = p.cutLinks(0) // in this process nothing else keeps it from ending its streams gracefully
+	}
+	p.runtime.stop(kill)
+	p.relay.Disconnect(func(netip.Addr) bool { return true })
+	restoreLinks()
+	f.recorder.recordPlannerExit(p.name, f.clock.Monotonic())
+}
+
+// cutLinks breaks the planner's streams after some bytes, and returns a function that ends this.
+func (p *plannerInstance) cutLinks(afterBytes int) (restore func()) {
+	return p.fleet.addLinkFault(func(_ netip.Addr, to linkTarget) fake.LinkFault {
+		return fake.LinkFault{Cut: to.planner == p, After: afterBytes}
+	})
+}
+
+// recordStatus keeps what a planner last said of itself, for the report.
+func (f *fleet) recordStatus(status *planner.Status) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.plannerStatuses = append(f.plannerStatuses, status)
+}
+
+// stopPlannerProcesses ends all planner processes that still run, at the end of a run.
+func (f *fleet) stopPlannerProcesses() {
+	for _, instance := range f.planners {
+		if instance.process == nil || instance.process.hasEnded() {
+			continue
+		}
+		instance.process.resume()
+		instance.stop(false, 0)
+	}
+}
--- /dev/null
+++ b/internal/scenario/planted_test.go
@@ -0,0 +1,119 @@
+package scenario
+
+import (
+	"fmt"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	pb "lichenpick/proto/settings"
+)
+
+// A checker that cannot fail proves nothing: each planted fault must violate its invariant, and no other.
+func TestPlantedFaultsAreDetected(t *testing.T) {
+	const deploy = `troubles { at: "1s" lasts: "3s" deploy { servers: 2 drain: "9s" } }`
+	for name, test := range map[string]struct {
+		fields string
+		hooks  Hooks
+		want   string // violated invariant; empty: none
+	}{
+		"nothing planted": {fields: deploy},
+		"tables without a weight": {
+			fields: `bare_within: "1500ms"`,
+			hooks:  Hooks{Decider: editDecisions(zeroAllWeights)},
+			want:   "bare",
+		},
+		"retries of requests that are not idempotent": {
+			fields: `troubles { at: "1s" lasts: "4s" failing { servers: 4 resets: 0.5 } }`,
+			hooks:  Hooks{Proxy: retryAllInProxy, Planner: retryAllInPlanner},
+			want:   "twice",
+		},
+		"a host that drops ejections": {
+			fields: deploy,
+			hooks:  Hooks{Decider: editDecisions(dropEjections)},
+			want:   "drain",
+		},
+		"too much load on a cold server": {
+			fields: `length: "9s" traffic { rate: "250/s" } servers { work: "40ms" waiting: 400 } limits { warm_up: "20s" fall_window: "1s" drain_grace: "2s" }
+				troubles { at: "1s" lasts: "1s" crash { servers: 1 listed: true } }`,
+			hooks: Hooks{Decider: editDecisions(overweighColdServers)},
+			want:  "push-over",
+		},
+		"a flood of entries": {
+			hooks: Hooks{Planner: liftChannelLimits, Decider: editDecisions(floodEntries)},
+			want:  "queue",
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			day := play(t, test.fields, test.hooks)
+			if !violatesOnly(day, test.want) {
+				t.Errorf("violated %v, want %q; %v", day.ViolationCounts, test.want, day.Violations)
+			}
+		})
+	}
+}
+
+// violatesOnly reports whether a run violated one invariant and no other, or none where the name is empty.
+func violatesOnly(day *Day, name string) bool {
+	if name == "" {
+		return len(day.ViolationCounts) == 0
+	}
+	return len(day.ViolationCounts) == 1 && day.ViolationCounts[name] > 0
+}
+
+func zeroAllWeights(d *editingDecider) {
+	d.editWeight = func(d *editingDecider, table int, server string, _ float64) {
+		d.host.SetWeight(table, server, 0)
+	}
+}
+
+func dropEjections(d *editingDecider) {
+	d.editEjection = func(*editingDecider, string, bool) {}
+	d.editWeight = func(d *editingDecider, table int, server string, weight float64) {
+		if weight > 0 {
+			d.host.SetWeight(table, server, weight)
+		}
+	}
+}
+
+func overweighColdServers(d *editingDecider) {
+	d.editWeight = func(d *editingDecider, table int, server string, weight float64) {
+		if d.cold[server] && weight > 0 {
+			weight = 50
+		}
+		d.host.SetWeight(table, server, weight)
+	}
+}
+
+func floodEntries(d *editingDecider) {
+	d.beforeRound = func(d *editingDecider) {
+		for n := range 3 {
+			d.host.SetWeight(0, fmt.Sprintf("127.9.9.9:%d", 9000+n), 1e-6)
+		}
+	}
+}
+
+func retryAllInProxy(set *pb.Proxy) {
+	set.DefaultRetry = pb.Retry_ONCE
+	declareIdempotent(set.Groups)
+}
+
+// retryAllInPlanner deceives the policy as well, or it would forbid the retries.
+func retryAllInPlanner(set *pb.Planner) {
+	set.DefaultRetry = pb.Retry_ONCE
+	declareIdempotent(set.Groups)
+}
+
+func declareIdempotent(classes []*pb.Group) {
+	for _, class := range classes {
+		class.Repeat = pb.Repeat_RETRIABLE
+	}
+}
+
+// liftChannelLimits lifts the planner's own limits, by which it would end the streams; the checker's stay.
+func liftChannelLimits(set *pb.Planner) {
+	set.Channel = proto.CloneOf(set.Channel)
+	set.Channel.MostMessages = proto.Uint32(100_000)
+	set.Channel.MostWaiting = proto.Uint32(1_000_000)
+}
--- /dev/null
+++ b/internal/scenario/proxies.go
@@ -0,0 +1,151 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"net"
+
+	"google.golang.org/protobuf/proto"
+
+	"lichenpick/internal/proxy"
+	"lichenpick/internal/settings"
+	"lichenpick/proto/order"
+	"lichenpick/proto/script"
+	pb "lichenpick/proto/settings"
+)
+
+const (
+	// minZoneServers is the number of servers in a zone from which its proxies know only these at their start.
+	minZoneServers = 3
+	// minUsualRate is the least rate that a proxy says is usual, in requests a second.
+	minUsualRate = 0.001
+)
+
+// startProxies starts the proxies of the script.
+func (f *fleet) startProxies(ctx context.Context) error {
+	endpoints := f.registry.Endpoints()
+	for zone, place := range f.script.Places {
+		known := knownServers(endpoints, place.Name)
+		for number := range place.GetProxies() {
+			set, err := f.newProxySettings(zone, int(number), known)
+			if err != nil {
+				return err
+			}
+			if err := f.startProxy(ctx, set); err != nil {
+				return fmt.Errorf("starting proxy %s: %w", set.Name, err)
+			}
+		}
+	}
+	return nil
+}
+
+// knownServers returns the servers from which the proxies of a zone draw their standing tables: those of the zone, or all
+// where the zone has few.
+func knownServers(endpoints []*order.Listing_Entry, zoneName string) []string {
+	var inZone, inFleet []string
+	for _, endpoint := range endpoints {
+		inFleet = append(inFleet, endpoint.Server)
+		if endpoint.Zone == zoneName {
+			inZone = append(inZone, endpoint.Server)
+		}
+	}
+	if len(inZone) < minZoneServers {
+		return inFleet
+	}
+	return inZone
+}
+
+// newProxySettings returns the checked settings of a proxy, its number in its zone given.
+func (f *fleet) newProxySettings(zone, number int, known []string) (*pb.Proxy, error) {
+	zoneName := f.script.Places[zone].Name
+	usualRate := settings.PerSecond(f.script.Traffic.Rate) / float64(max(proxyCount(f.script), 1))
+	seed, standing := f.drawProxy(known)
+	set := &pb.Proxy{
+		Name:           fmt.Sprintf("edge-%s-%d", zoneName, number),
+		Listen:         listenAddress(zone) + anyPort,
+		Zone:           zoneName,
+		From:           dialAddress(zone),
+		Planners:       f.plannerAddresses(len(f.proxyAddresses)),
+		Sharing:        f.shared(),
+		Groups:         cloneClasses(f.script.Groups),
+		Pick:           f.script.Pick,
+		ReportEvery:    f.script.Reports.Every,
+		ConnectionIdle: f.script.Limits.ConnectionIdle,
+		Seed:           proto.Uint64(seed),
+		Usual:          fmt.Sprintf("%g/s", max(usualRate, minUsualRate)),
+		Standing:       standing,
+	}
+	if f.hooks.Proxy != nil {
+		f.hooks.Proxy(set)
+	}
+	full := &pb.Proxy{}
+	err := settings.Parse("proxy of the scenario", []byte(settings.Format(set)), full)
+	return full, err
+}
+
+// drawProxy draws the seed and the standing servers of a proxy.
+func (f *fleet) drawProxy(known []string) (seed uint64, standing []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	seed = uint64(f.chance.Int63())
+	count := min(int(f.script.GetStanding()), len(known))
+	for _, n := range f.chance.Perm(len(known))[:count] {
+		standing = append(standing, known[n])
+	}
+	return seed, standing
+}
+
+// plannerAddresses returns the addresses of all planners, beginning with another for each proxy: the first is the one that
+// commands it where planners share nothing.
+func (f *fleet) plannerAddresses(proxyNumber int) []string {
+	addresses := make([]string, 0, len(f.planners))
+	for n := range f.planners {
+		instance := f.planners[(proxyNumber+n)%len(f.planners)]
+		addresses = append(addresses, instance.relay.Address())
+	}
+	return addresses
+}
+
+// startProxy runs a proxy, and returns when it listens or has failed.
+func (f *fleet) startProxy(ctx context.Context, set *pb.Proxy) error {
+	ready := make(chan net.Addr, 1)
+	failed := make(chan error, 1)
+	started := proxy.New(proxy.Options{
+		Settings:       set,
+		Clock:          f.clock,
+		Network:        f.network,
+		Log:            f.log,
+		DisableFencing: f.hooks.DisableFencing,
+		Ready:          func(address net.Addr) { ready <- address },
+	})
+	f.group.Go(func() error {
+		err := started.Run(ctx)
+		failed <- err
+		return err
+	})
+	select {
+	case address := <-ready:
+		f.proxyAddresses = append(f.proxyAddresses, address.String())
+		return nil
+	case err := <-failed:
+		return err
+	}
+}
+
+// cloneClasses returns copies of traffic classes, which hooks may change.
+func cloneClasses(classes []*pb.Group) []*pb.Group {
+	clones := make([]*pb.Group, 0, len(classes))
+	for _, class := range classes {
+		clones = append(clones, proto.CloneOf(class))
+	}
+	return clones
+}
+
+// proxyCount returns the number of proxies of a script.
+func proxyCount(scenario *script.Script) int {
+	count := 0
+	for _, place := range scenario.Places {
+		count += int(place.GetProxies())
+	}
+	return count
+}
--- /dev/null
+++ b/internal/scenario/requestobserver.go
@@ -0,0 +1,61 @@
+package scenario
+
+import (
+	"net/textproto"
+	"strconv"
+	"strings"
+
+	"lichenpick/internal/fake"
+	"lichenpick/internal/invariant"
+	"lichenpick/internal/proxy"
+)
+
+// requestObserver parses the requests of a connection from a proxy to a server.
+type requestObserver struct {
+	recorder  *recorder
+	server    string
+	classes   map[string]int // numbers of traffic classes by name
+	requests  headParser
+	responses headParser
+	current   invariant.Attempt // the latest on this connection; HTTP/1.1 without pipelining has one at a time
+}
+
+var _ fake.Observer = (*requestObserver)(nil)
+
+// ToTarget parses bytes on their way to the server.
+func (o *requestObserver) ToTarget(atMs float64, data []byte) {
+	o.recorder.mu.Lock()
+	defer o.recorder.mu.Unlock()
+	o.requests.feed(data, func(_ string, header textproto.MIMEHeader) {
+		number, _ := strconv.Atoi(header.Get(proxy.AttemptHeader)) // only shown as evidence
+		o.current = invariant.Attempt{
+			ID:     header.Get(proxy.RequestHeader),
+			Class:  o.classes[header.Get(proxy.ClassHeader)],
+			Number: number,
+			Proxy:  header.Get(proxy.ProxyHeader),
+		}
+		o.recorder.checker.RecordAttempt(o.server, atMs, o.current)
+	})
+	if o.requests.corrupt {
+		o.recorder.countUnparsed(unparsedRequest)
+	}
+}
+
+// FromTarget parses bytes that came from the server.
+func (o *requestObserver) FromTarget(_ float64, data []byte) {
+	o.recorder.mu.Lock()
+	defer o.recorder.mu.Unlock()
+	o.responses.feed(data, func(statusLine string, header textproto.MIMEHeader) {
+		unprocessed := strings.Contains(statusLine, " 503 ") && header.Get(proxy.ProcessedHeader) == "no"
+		o.recorder.checker.RecordAnswer(o.server, o.current, unprocessed)
+	})
+	if o.responses.corrupt {
+		o.recorder.countUnparsed(unparsedResponse)
+	}
+}
+
+// Delivered does nothing: requests and responses count from their passing on.
+func (o *requestObserver) Delivered(float64, int) {}
+
+// Closed does nothing: connections of proxies to servers may end at any time.
+func (o *requestObserver) Closed(float64) {}
--- /dev/null
+++ b/internal/scenario/serverfaults.go
@@ -0,0 +1,162 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"lichenpick/internal/fake"
+	"lichenpick/internal/settings"
+	"lichenpick/proto/order"
+	"lichenpick/proto/script"
+)
+
+const (
+	// slowSteps is the number of steps in which a gradual slowdown grows.
+	slowSteps = 10
+	// firstUnknownPort is the port of the first endpoint that a wrong list names and that does not exist.
+	firstUnknownPort = 9000
+)
+
+// playBurst multiplies the rate of requests.
+func (f *fleet) playBurst(ctx context.Context, burst *script.Burst, lasts time.Duration) error {
+	f.loadGenerator.SetRateFactor(burst.GetFactor())
+	f.waitFor(ctx, lasts)
+	f.loadGenerator.SetRateFactor(1)
+	return nil
+}
+
+// playHang has servers receive requests and answer none, all the time or for every other period.
+func (f *fleet) playHang(ctx context.Context, hang *script.Hang, lasts time.Duration) error {
+	servers := f.reserveServers(int(hang.GetServers()), nil)
+	defer f.releaseServers(servers)
+	period := settings.Duration(hang.Period)
+	if period == 0 {
+		changeFaults(servers, func(fault *fake.Fault) { fault.Hang = true })
+		f.waitFor(ctx, lasts)
+		return nil
+	}
+	startMs := f.clock.Monotonic()
+	for f.clock.Monotonic()-startMs < milliseconds(lasts) && ctx.Err() == nil {
+		changeFaults(servers, func(fault *fake.Fault) { fault.Hang = !fault.Hang })
+		f.waitFor(ctx, period)
+	}
+	return nil
+}
+
+// playSlow slows servers down, at once or step by step.
+func (f *fleet) playSlow(ctx context.Context, slow *script.Slow, lasts time.Duration) error {
+	servers := f.reserveServers(int(slow.GetServers()), nil)
+	defer f.releaseServers(servers)
+	for step := 1; step <= slowSteps && ctx.Err() == nil; step++ {
+		factor := slow.GetFactor()
+		if slow.Gradual {
+			factor = 1 + (factor-1)*float64(step)/slowSteps
+		}
+		changeFaults(servers, func(fault *fake.Fault) { fault.Slow = factor })
+		f.waitFor(ctx, lasts/slowSteps)
+	}
+	return nil
+}
+
+// playFailing has servers answer with errors, reset connections or refuse requests.
+func (f *fleet) playFailing(ctx context.Context, failing *script.Failing, lasts time.Duration) error {
+	servers := f.reserveServers(int(failing.GetServers()), nil)
+	defer f.releaseServers(servers)
+	changeFaults(servers, func(fault *fake.Fault) {
+		fault.Errors = failing.GetErrors()
+		fault.Reset = failing.GetResets()
+		fault.Refuse = failing.Refuse
+	})
+	f.waitFor(ctx, lasts)
+	return nil
+}
+
+// playCrash ends servers, and starts them again cold.
+func (f *fleet) playCrash(ctx context.Context, crash *script.Crash, lasts time.Duration) error {
+	servers := f.reserveServers(int(crash.GetServers()), nil)
+	return f.crashServers(ctx, servers, crash.Listed, lasts)
+}
+
+// playZoneLoss ends all servers of a zone, and starts them again cold.
+func (f *fleet) playZoneLoss(ctx context.Context, loss *script.ZoneLoss, lasts time.Duration) error {
+	zone := f.zoneNamed(loss.Zone)
+	inZone := func(candidate *serverInstance) bool { return candidate.zone == zone }
+	servers := f.reserveServers(len(f.servers), inZone)
+	return f.crashServers(ctx, servers, true, lasts)
+}
+
+// crashServers ends reserved servers for a time, and starts them again cold at their addresses. If listed, the endpoint list
+// shows that they are gone.
+func (f *fleet) crashServers(ctx context.Context, servers []*serverInstance, listed bool, lasts time.Duration) error {
+	for _, crashed := range servers {
+		crashed.stop()
+		if listed {
+			f.setState(crashed, serverRemoved)
+		}
+	}
+	f.waitFor(ctx, lasts)
+	for _, crashed := range servers {
+		if ctx.Err() != nil {
+			return nil
+		}
+		if err := crashed.restart(ctx); err != nil {
+			return err
+		}
+		f.setState(crashed, serverReady)
+	}
+	f.releaseServers(servers)
+	return nil
+}
+
+// playDeploy replaces servers in turn over a time: each drains and is removed, and a cold one is started in its place.
+func (f *fleet) playDeploy(ctx context.Context, deploy *script.Deploy, lasts time.Duration) error {
+	replaced := f.reserveServers(int(deploy.GetServers()), nil)
+	var started []*serverInstance
+	defer func() { f.releaseServers(started) }()
+	for _, old := range replaced {
+		f.setState(old, serverDraining)
+		next, err := f.addServer(ctx, old.zone, true)
+		if err != nil {
+			return err
+		}
+		f.mu.Lock()
+		next.reserved = true // until the deploy is over
+		f.mu.Unlock()
+		started = append(started, next)
+		f.group.Go(func() error {
+			f.removeDrained(ctx, old, settings.Duration(deploy.Drain))
+			return nil
+		})
+		f.waitFor(ctx, lasts/time.Duration(len(replaced)))
+	}
+	return nil
+}
+
+// removeDrained ends a draining server after its drain.
+func (f *fleet) removeDrained(ctx context.Context, old *serverInstance, drain time.Duration) {
+	f.waitFor(ctx, drain)
+	old.stop()
+	if ctx.Err() == nil {
+		f.setState(old, serverRemoved)
+	}
+}
+
+// playWrongList has the endpoint list lack some servers, and name some that do not exist.
+func (f *fleet) playWrongList(ctx context.Context, wrong *script.WrongList, lasts time.Duration) error {
+	f.registry.Override(func(endpoints []*order.Listing_Entry) []*order.Listing_Entry {
+		missing := int(float64(len(endpoints)) * wrong.GetMissing())
+		listed := append([]*order.Listing_Entry(nil), endpoints[missing:]...)
+		for n := range int(wrong.GetStrangers()) {
+			listed = append(listed, &order.Listing_Entry{
+				Server: fmt.Sprintf("127.9.9.9:%d", firstUnknownPort+n),
+				Zone:   f.script.Places[n%len(f.script.Places)].Name,
+				Size:   1,
+			})
+		}
+		return listed
+	})
+	f.waitFor(ctx, lasts)
+	f.registry.Override(nil)
+	return nil
+}
