--- a/cmd/lichenpick/load.go
+++ b/cmd/lichenpick/load.go
@@ -1,10 +1,11 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"io"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -13,67 +14,137 @@
 	"lichenpick/internal/settings"
 )
 
+// errNoRateHolds tells that not even the first rate of a ramp met the objective.
+var errNoRateHolds = errors.New("not even the first rate holds")
+
+// loadFlags are the flags of the sub-command load, before they are checked.
+type loadFlags struct {
+	targets   string
+	rate      float64 // requests a second
+	ramp      string  // empty: only rate
+	length    string
+	class     string
+	deadline  string
+	objective string
+
+	minSuccessRatio float64
+	maxInFlight     int
+	seed            int64
+}
+
 func loadCommand() *cobra.Command {
-	o := load.Options{}
-	var to, length, ramp, expiry, budget string
-	var rate float64
-	c := &cobra.Command{
-		Use: "load --to ADDRESS[,ADDRESS]", Short: "Send open-loop traffic to proxies, and find the rate up to which they hold", Args: exactly(0),
-		Long: "Sends flows at times drawn ahead, at a set rate, and measures each from the time it was due: what is late shows, whoever is late.\n" +
-			"With --ramp FROM:TO:BY each rate lasts --length, and the first that does not keep the budget ends the run.",
-		RunE: func(c *cobra.Command, _ []string) (err error) {
-			o.Clock, o.Rates = clock.NewReal(), []float64{rate}
-			if to != "" {
-				o.Targets = strings.Split(to, ",")
-			}
-			if ramp != "" {
-				var a, b, by float64
-				if _, err := fmt.Sscanf(ramp, "%f:%f:%f", &a, &b, &by); err != nil {
-					return usage{fmt.Errorf("no ramp %q; FROM:TO:BY, such as 100:1000:100", ramp)}
-				}
-				if o.Rates, err = load.Ramp(a, b, by); err != nil {
-					return usage{err}
-				}
-			}
-			o.StepMs, o.DeadlineMs, o.LatencyObjectiveMs = settings.Milliseconds(length), settings.Milliseconds(expiry), settings.Milliseconds(budget)
-			if err := o.Check(); err != nil {
-				return usage{err}
-			}
-			o.Progress = func(s load.Step) {
-				fmt.Fprintf(c.ErrOrStderr(), "%g/s: %d due, %d delivered, p50 %.1f ms, p99 %.1f ms\n", s.Rate, s.Due, s.Succeeded, s.P50, s.P99)
-			}
-			steps, err := load.Run(c.Context(), o)
-			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(t, "rate/s\tdue\tdelivered\tblocked\tdropped\tunsent\tp50 ms\tp90\tp99\tp99.9\tmax\ttool late ms\tholds")
-			knee := 0.0
-			for _, s := range steps {
-				fmt.Fprintf(t, "%g\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%t\n", s.Rate, s.Due, s.Succeeded, s.Rejected, s.Failed, s.Unsent,
-					s.P50, s.P90, s.P99, s.P999, s.Max, s.LateMs, o.MeetsObjective(s))
-				if o.MeetsObjective(s) {
-					knee = s.Rate
-				}
-			}
-			if t.Flush(); err != nil {
+	flags := &loadFlags{}
+	command := &cobra.Command{
+		Use:   "load --to ADDRESS[,ADDRESS]",
+		Short: "Send open-loop traffic to proxies, and find the rate up to which they hold",
+		Args:  exactly(0),
+		Long: "Sends requests at times drawn ahead, at a set rate, and measures each from the time it was due: what is late shows,\n" +
+			"whoever is late. With --ramp FROM:TO:BY each rate lasts --length, and the first that misses the objective ends the run.",
+		RunE: func(command *cobra.Command, _ []string) error {
+			options, err := flags.plan()
+			if err != nil {
 				return err
 			}
-			if ramp != "" && knee == 0 {
-				return errors.New("not even the first rate holds")
-			}
-			if ramp != "" {
-				fmt.Fprintf(c.OutOrStdout(), "holds up to %g/s\n", knee)
-			}
-			return nil
+			return runLoad(command.Context(), options, flags.ramp != "", command.OutOrStdout(), command.ErrOrStderr())
 		},
 	}
-	c.Flags().StringVar(&to, "to", "", "addresses of proxies, separated by commas")
-	c.Flags().Float64Var(&rate, "rate", 100, "flows a second")
-	c.Flags().StringVar(&length, "length", "10s", "how long, or how long each step of a ramp")
-	c.Flags().StringVar(&ramp, "ramp", "", "FROM:TO:BY flows a second")
-	c.Flags().StringVar(&o.Class, "group", "", "traffic group; none: the proxies' first")
-	c.Flags().StringVar(&expiry, "expiry", "5s", "time after which a flow counts as dropped")
-	c.Flags().StringVar(&budget, "budget", "500ms", "p99 that a rate must keep to hold")
-	c.Flags().Float64Var(&o.MinSuccessRatio, "least", 0.99, "part that must be delivered for a rate to hold")
-	c.Flags().IntVar(&o.MaxInFlight, "most", 10000, "flows in hand; more are not sent, and counted")
-	c.Flags().Int64Var(&o.Seed, "seed", 1, "seed of chance")
-	return c
+	flags.register(command)
+	return command
+}
+
+// register adds the flags to a command.
+func (f *loadFlags) register(command *cobra.Command) {
+	flags := command.Flags()
+	flags.StringVar(&f.targets, "to", "", "addresses of proxies, separated by commas")
+	flags.Float64Var(&f.rate, "rate", 100, "requests a second")
+	flags.StringVar(&f.length, "length", "10s", "how long, or how long each step of a ramp")
+	flags.StringVar(&f.ramp, "ramp", "", "FROM:TO:BY requests a second")
+	flags.StringVar(&f.class, "group", "", "traffic class; none: the proxies' first")
+	flags.StringVar(&f.deadline, "expiry", "5s", "deadline of a request, after which it counts as failed")
+	flags.StringVar(&f.objective, "budget", "500ms", "p99 that a rate must keep to hold")
+	flags.Float64Var(&f.minSuccessRatio, "least", 0.99, "part that must succeed for a rate to hold")
+	flags.IntVar(&f.maxInFlight, "most", 10000, "requests in flight; more are not sent, and counted")
+	flags.Int64Var(&f.seed, "seed", 1, "seed of chance")
+}
+
+// plan returns the checked options of the run. All errors are errors of the call.
+func (f *loadFlags) plan() (load.Options, error) {
+	options := load.Options{
+		Clock:              clock.NewReal(),
+		Class:              f.class,
+		Rates:              []float64{f.rate},
+		StepMs:             settings.Milliseconds(f.length),
+		DeadlineMs:         settings.Milliseconds(f.deadline),
+		LatencyObjectiveMs: settings.Milliseconds(f.objective),
+		MinSuccessRatio:    f.minSuccessRatio,
+		MaxInFlight:        f.maxInFlight,
+		Seed:               f.seed,
+	}
+	if f.targets != "" {
+		options.Targets = strings.Split(f.targets, ",")
+	}
+	if f.ramp != "" {
+		rates, err := parseRamp(f.ramp)
+		if err != nil {
+			return options, usage{err}
+		}
+		options.Rates = rates
+	}
+	if err := options.Check(); err != nil {
+		return options, usage{err}
+	}
+	return options, nil
+}
+
+// parseRamp parses FROM:TO:BY and returns the rates of the ramp.
+func parseRamp(text string) ([]float64, error) {
+	var from, to, by float64
+	if _, err := fmt.Sscanf(text, "%f:%f:%f", &from, &to, &by); err != nil {
+		return nil, fmt.Errorf("no ramp %q; FROM:TO:BY, such as 100:1000:100", text)
+	}
+	return load.Ramp(from, to, by)
+}
+
+// runLoad sends the traffic, with progress on one writer and the result on the other.
+func runLoad(ctx context.Context, options load.Options, ramp bool, out, progress io.Writer) error {
+	options.Progress = func(step load.Step) {
+		// Progress is for whoever watches; the run does not depend on it.
+		_, _ = fmt.Fprintf(progress, "%g/s: %d due, %d succeeded, p50 %.1f ms, p99 %.1f ms\n", step.Rate, step.Due, step.Succeeded, step.P50, step.P99)
+	}
+	steps, err := load.Run(ctx, options)
+	if printErr := printSteps(out, options, steps); err == nil {
+		err = printErr
+	}
+	if err != nil || !ramp {
+		return err
+	}
+	rate, found := highestHoldingRate(options, steps)
+	if !found {
+		return errNoRateHolds
+	}
+	_, err = fmt.Fprintf(out, "holds up to %g/s\n", rate)
+	return err
+}
+
+// printSteps prints a line for each rate.
+func printSteps(out io.Writer, options load.Options, steps []load.Step) error {
+	var table strings.Builder
+	table.WriteString("rate/s\tdue\tsucceeded\trejected\tfailed\tunsent\tp50 ms\tp90\tp99\tp99.9\tmax\ttool late ms\tholds\n")
+	for _, step := range steps {
+		fmt.Fprintf(&table, "%g\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%t\n",
+			step.Rate, step.Due, step.Succeeded, step.Rejected, step.Failed, step.Unsent,
+			step.P50, step.P90, step.P99, step.P999, step.Max, step.LateMs, options.MeetsObjective(step))
+	}
+	return writeTable(out, table.String())
+}
+
+// highestHoldingRate returns the last rate that met the objective, and whether there was one.
+func highestHoldingRate(options load.Options, steps []load.Step) (rate float64, found bool) {
+	for _, step := range steps {
+		if options.MeetsObjective(step) {
+			rate = step.Rate
+			found = true
+		}
+	}
+	return rate, found
 }
--- a/cmd/lichenpick/main.go
+++ b/cmd/lichenpick/main.go
@@ -1,4 +1,7 @@
-// Lichenpick is the program: planner, proxy, stand-ins and rehearsals in one binary.
+// Lichenpick directs the traffic of a fleet of proxies. The program is planner, proxy and the tools to try them in one binary,
+// with a sub-command for each.
+//
+// It exits with 0 when it ended as asked, 1 when a run failed or violated an invariant, and 2 when the call or a file is bad.
 package main
 
 import (
@@ -14,48 +17,67 @@
 	"lichenpick/internal/settings"
 )
 
-// Exit codes: a run that failed or broke a rule, and input that cannot be used.
+// Exit codes other than 0.
 const (
-	failed   = 1
-	badInput = 2
+	failed   = 1 // a run failed or violated an invariant
+	badInput = 2 // the call or a file cannot be used
 )
 
-// usage marks an error of the call itself.
+// usage is an error of the call itself, such as a bad flag.
 type usage struct{ error }
 
+// Unwrap returns what is wrong with the call.
+func (u usage) Unwrap() error { return u.error }
+
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	err := root().ExecuteContext(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "lichenpick:", err)
-		os.Exit(code(err))
+		os.Exit(exitCode(err))
 	}
 }
 
-func code(err error) int {
-	var bad *settings.Error
-	var call usage
-	if errors.As(err, &bad) || errors.As(err, &call) {
+// exitCode returns the exit code for an error.
+func exitCode(err error) int {
+	var badFile *settings.Error
+	var badCall usage
+	if errors.As(err, &badFile) || errors.As(err, &badCall) {
 		return badInput
 	}
 	return failed
 }
 
+// root returns the command of the program, with all sub-commands.
 func root() *cobra.Command {
-	c := &cobra.Command{
-		Use: "lichenpick", Short: "A traffic director for fleets of proxies",
-		SilenceErrors: true, SilenceUsage: true,
+	command := &cobra.Command{
+		Use:           "lichenpick",
+		Short:         "A traffic director for fleets of proxies",
+		SilenceErrors: true,
+		SilenceUsage:  true,
 	}
-	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
-	c.AddCommand(plannerCommand(), serveCommand(), proxyCommand(), serverCommand(), scenarioCommand(), stressCommand(), loadCommand(), simulateCommand(), storeCommand(), settingsCommand(), versionCommand())
-	return c
+	command.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
+	command.AddCommand(
+		plannerCommand(),
+		serveCommand(),
+		proxyCommand(),
+		serverCommand(),
+		scenarioCommand(),
+		stressCommand(),
+		loadCommand(),
+		simulateCommand(),
+		storeCommand(),
+		settingsCommand(),
+		versionCommand(),
+	)
+	return command
 }
 
-// exactly wraps cobra's check of the number of arguments, so that a wrong call ends with 2.
-func exactly(n int) cobra.PositionalArgs {
-	return func(c *cobra.Command, args []string) error {
-		if err := cobra.ExactArgs(n)(c, args); err != nil {
+// exactly returns cobra's check of the number of arguments with an error of type usage.
+func exactly(count int) cobra.PositionalArgs {
+	return func(command *cobra.Command, args []string) error {
+		if err := cobra.ExactArgs(count)(command, args); err != nil {
 			return usage{err}
 		}
 		return nil
--- /dev/null
+++ b/cmd/lichenpick/plannergroup.go
@@ -0,0 +1,178 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"lichenpick/internal/clock"
+	pb "lichenpick/proto/settings"
+)
+
+const (
+	plannerStartTimeout = 5 * time.Second
+	plannerStartPollMs  = 20.0
+	plannerPollMs       = 100.0
+	// finalPollMarginMs is how long before the end planners are polled last, so that they are not seen as proxies leave.
+	finalPollMarginMs = 300.0
+	// rebalancedTenths is the part of its quota, in tenths, with which a restarted planner counts as rebalanced.
+	rebalancedTenths = 9
+	// killedMember is the number of the planner that is killed.
+	killedMember = 1
+)
+
+// errNoStatusAddress tells that planners cannot be started as their status could not be read.
+var errNoStatusAddress = errors.New("--spawn needs a planner file with a 'status' address")
+
+// killSchedule says when the second planner is killed and started again, in ms from the start of a run.
+type killSchedule struct {
+	atMs           float64 // 0: never
+	restartAfterMs float64 // from the kill
+}
+
+// plannerGroup is some planners as processes, made from one file.
+type plannerGroup struct {
+	list         string // endpoint list, which all read
+	proxies      int    // of the fleet
+	members      []*plannerMember
+	restartedMs  float64 // when the killed one was started again; 0: not
+	rebalancedMs float64 // from then until it held nine tenths of its quota of leases; 0: not yet
+}
+
+// newPlannerGroup writes the settings of planners on the next ports, and their stores where they share a fleet.
+func newPlannerGroup(template *pb.Planner, proxies, count int, directory string) (*plannerGroup, error) {
+	if template.Status == "" {
+		return nil, usage{errNoStatusAddress}
+	}
+	group := &plannerGroup{list: filepath.Join(directory, "list.txtpb"), proxies: proxies}
+	for number := range count {
+		set := proto.CloneOf(template)
+		set.Name = fmt.Sprintf("planner-%d", number+1)
+		set.Proxies = proto.Uint32(uint32(proxies))
+		set.Planners = proto.Uint32(uint32(count))
+		set.List.GetFile().Path = group.list
+		set.List.Keep = ""
+		member, err := newPlannerMember(set, number, directory)
+		if err != nil {
+			return nil, fmt.Errorf("preparing %s: %w", set.Name, err)
+		}
+		group.members = append(group.members, member)
+	}
+	return group, nil
+}
+
+// addresses returns the addresses of all planners, for proxies.
+func (g *plannerGroup) addresses() []string {
+	var addresses []string
+	for _, member := range g.members {
+		addresses = append(addresses, member.address)
+	}
+	return addresses
+}
+
+// start starts all planners, and returns when their status answers.
+func (g *plannerGroup) start(ctx context.Context) error {
+	for _, member := range g.members {
+		if err := member.start(); err != nil {
+			return err
+		}
+	}
+	ctx, cancel := context.WithTimeout(ctx, plannerStartTimeout)
+	defer cancel()
+	realClock := clock.NewReal()
+	for _, member := range g.members {
+		for member.poll() != nil {
+			if err := clock.Sleep(ctx, realClock, plannerStartPollMs); err != nil {
+				return fmt.Errorf("waiting for the planner of %s to start: %w", member.file, err)
+			}
+		}
+	}
+	return nil
+}
+
+// watch polls the planners until the context ends, and kills and restarts one by the schedule. The run lasts lengthMs.
+func (g *plannerGroup) watch(ctx context.Context, c clock.Clock, kill killSchedule, lengthMs float64) error {
+	startMs := c.Monotonic()
+	pending := kill.atMs > 0 && len(g.members) > killedMember
+	for clock.Sleep(ctx, c, plannerPollMs) == nil {
+		nowMs := c.Monotonic() - startMs
+		if pending && nowMs >= kill.atMs {
+			pending = false
+			g.members[killedMember].stop(os.Kill)
+		}
+		if g.restartDue(kill, nowMs) {
+			g.restartedMs = nowMs
+			if err := g.members[killedMember].start(); err != nil {
+				return err
+			}
+		}
+		g.checkRebalanced(nowMs)
+		if nowMs < lengthMs-finalPollMarginMs {
+			g.pollAll()
+		}
+	}
+	return nil
+}
+
+// restartDue reports whether the planner that was killed is to be started again.
+func (g *plannerGroup) restartDue(kill killSchedule, nowMs float64) bool {
+	scheduled := kill.atMs > 0 && len(g.members) > killedMember
+	return scheduled && g.restartedMs == 0 && nowMs >= kill.atMs+kill.restartAfterMs
+}
+
+// checkRebalanced notes when the planner that was started again holds nearly its quota of leases.
+func (g *plannerGroup) checkRebalanced(nowMs float64) {
+	if g.restartedMs == 0 || g.rebalancedMs > 0 {
+		return
+	}
+	member := g.members[killedMember]
+	if member.command == nil || member.poll() != nil {
+		return
+	}
+	// In integers, as quotas need not be whole.
+	if 10*len(g.members)*member.status.LeasesHeld >= rebalancedTenths*g.proxies {
+		g.rebalancedMs = nowMs - g.restartedMs
+	}
+}
+
+// pollAll polls the planners that run. One that does not answer keeps its last status.
+func (g *plannerGroup) pollAll() {
+	for _, member := range g.members {
+		if member.command != nil {
+			_ = member.poll()
+		}
+	}
+}
+
+// stop ends all planners gracefully, and waits until they have ended.
+func (g *plannerGroup) stop() {
+	for _, member := range g.members {
+		member.stop(syscall.SIGTERM)
+	}
+}
+
+// print prints what each planner used and counted.
+func (g *plannerGroup) print(out io.Writer) error {
+	var table strings.Builder
+	table.WriteString("planner\tCPU s\tmax memory MB\tleases\ttakeovers\ttransferred\texpired\tepoch reservations\tmessages\t" +
+		"max backlog\tload reports\tshed\treports merged\tlag ms\n")
+	for _, member := range g.members {
+		status := &member.status
+		fmt.Fprintf(&table, "%s\t%.2f\t%.0f\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%d\t%d\t%d\t%.1f\n",
+			status.Planner, member.cpu.Seconds(), float64(member.maxRSSBytes)/1e6, status.LeasesHeld,
+			status.Takeovers, status.Transferred, status.Expired, status.EpochReservations, status.Messages,
+			status.MaxBacklog, status.LoadReports, status.Shed, status.Merged, status.LagMs)
+	}
+	if g.rebalancedMs > 0 {
+		fmt.Fprintf(&table, "the killed planner held nine tenths of its quota %.1f s after it was started again\n", g.rebalancedMs/1000)
+	}
+	return writeTable(out, table.String())
+}
--- /dev/null
+++ b/cmd/lichenpick/plannermember.go
@@ -0,0 +1,109 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"syscall"
+	"time"
+
+	"lichenpick/internal/planner"
+	"lichenpick/internal/settings"
+	"lichenpick/internal/store"
+	pb "lichenpick/proto/settings"
+)
+
+// plannerStatusTimeout is how long a planner may take to answer for its status.
+const plannerStatusTimeout = time.Second
+
+// plannerMember is one planner of a group, over its restarts.
+type plannerMember struct {
+	file          string // of its settings
+	address       string // for proxies
+	statusAddress string
+	command       *exec.Cmd // nil: it does not run
+	cpu           time.Duration
+	maxRSSBytes   int64
+	status        planner.Status // as it answered last
+}
+
+// newPlannerMember writes what one planner needs; its ports are those of the settings, plus its number.
+func newPlannerMember(set *pb.Planner, number int, directory string) (*plannerMember, error) {
+	var err error
+	set.Listen, err = shiftPort(set.Listen, number)
+	if err != nil {
+		return nil, err
+	}
+	set.Status, err = shiftPort(set.Status, number)
+	if err != nil {
+		return nil, err
+	}
+	if set.Sharing != nil {
+		set.Sharing.Store = filepath.Join(directory, set.Name+".store")
+		if err := store.Init(set.Sharing.Store, set.Name); err != nil {
+			return nil, err
+		}
+	}
+	file := filepath.Join(directory, set.Name+".txtpb")
+	if err := os.WriteFile(file, []byte(settings.Format(set)), 0o600); err != nil {
+		return nil, fmt.Errorf("writing planner settings: %w", err)
+	}
+	return &plannerMember{file: file, address: set.Listen, statusAddress: set.Status}, nil
+}
+
+// shiftPort returns an address with its port raised by a number.
+func shiftPort(address string, by int) (string, error) {
+	host, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return "", err
+	}
+	number, err := strconv.Atoi(port)
+	if err != nil {
+		return "", fmt.Errorf("port of %s: %w", address, err)
+	}
+	return net.JoinHostPort(host, strconv.Itoa(number+by)), nil
+}
+
+// start starts the planner's process.
+func (m *plannerMember) start() error {
+	command := spawnPlanner(m.file)
+	if err := command.Start(); err != nil {
+		return fmt.Errorf("starting the planner of %s: %w", m.file, err)
+	}
+	m.command = command
+	return nil
+}
+
+// poll reads the planner's status.
+func (m *plannerMember) poll() (err error) {
+	client := &http.Client{Timeout: plannerStatusTimeout}
+	response, err := client.Get("http://" + m.statusAddress + "/status")
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, response.Body.Close()) }()
+	return json.NewDecoder(response.Body).Decode(&m.status)
+}
+
+// stop ends the planner's process by a signal, waits until it has ended, and adds up what it used. It does nothing where
+// the planner does not run.
+func (m *plannerMember) stop(signal os.Signal) {
+	if m.command == nil {
+		return
+	}
+	command := m.command
+	m.command = nil
+	_ = command.Process.Signal(signal) // fails only where it has ended already
+	_ = command.Wait()                 // how it ended does not matter
+	state := command.ProcessState
+	m.cpu += state.UserTime() + state.SystemTime()
+	if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
+		m.maxRSSBytes = max(m.maxRSSBytes, usage.Maxrss*1024)
+	}
+}
--- a/cmd/lichenpick/scenario.go
+++ b/cmd/lichenpick/scenario.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
 	"runtime"
@@ -14,53 +16,68 @@
 	"lichenpick/proto/script"
 )
 
-// spawn runs this program as a planner, which logs what is out of order to this one's standard error.
-func spawn(file string) *exec.Cmd {
-	self, err := os.Executable()
-	if err != nil {
-		self = os.Args[0]
-	}
-	cmd := exec.Command(self, "planner", "-c", file, "--log-level", "error")
-	cmd.Stderr = os.Stderr
-	return cmd
+// errInvariantViolated tells that a scenario was played and violated an invariant.
+var errInvariantViolated = errors.New("the scenario broke a rule")
+
+// scenarioFlags are the flags of the sub-command scenario.
+type scenarioFlags struct {
+	report  string // path; empty: not written
+	logging logFlags
 }
 
 func scenarioCommand() *cobra.Command {
-	var report, level, form string
-	c := &cobra.Command{
-		Use: "scenario SCRIPT", Short: "Play a scripted day on loopback and judge the rules", Args: exactly(1),
-		Long: "Plays a day with a real planner, plain proxies and stand-in servers on loopback, and judges the rules from what\n" +
-			"passed on the sockets. Exit 0: all rules kept; 1: one was broken, or the day failed; 2: the script is bad.",
-		RunE: func(c *cobra.Command, args []string) error {
-			log, err := logger(level, form)
-			if err != nil {
-				return err
-			}
-			s := &script.Script{}
-			if err := settings.Load(args[0], s); err != nil {
-				return err
-			}
-			machine := fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
-			r, err := scenario.Play(c.Context(), s, machine, log, spawn)
-			if err != nil {
-				return err
-			}
-			if err := r.Print(c.OutOrStdout()); err != nil {
-				return err
-			}
-			if report != "" {
-				if err := r.Write(report); err != nil {
-					return err
-				}
-			}
-			if !r.Passed() {
-				return errors.New("the day broke a rule")
-			}
-			return nil
+	flags := &scenarioFlags{}
+	command := &cobra.Command{
+		Use:   "scenario SCRIPT",
+		Short: "Play a scripted scenario on loopback and judge the invariants",
+		Args:  exactly(1),
+		Long: "Plays a scenario with a real planner, plain proxies and fake servers on loopback, and judges the invariants from what\n" +
+			"passed on the sockets. Exit 0: all invariants held; 1: one was violated, or the run failed; 2: the script is bad.",
+		RunE: func(command *cobra.Command, args []string) error {
+			return playScenario(command.Context(), args[0], flags, command.OutOrStdout())
 		},
 	}
-	c.Flags().StringVar(&report, "report", "", "write the result as JSON to this file")
-	c.Flags().StringVar(&level, "log-level", "error", "debug, info, warn or error")
-	c.Flags().StringVar(&form, "log-form", "text", "text or json")
-	return c
+	command.Flags().StringVar(&flags.report, "report", "", "write the result as JSON to this file")
+	flags.logging.register(command, "error")
+	return command
+}
+
+// playScenario plays the script of a file and prints its report.
+func playScenario(ctx context.Context, file string, flags *scenarioFlags, out io.Writer) error {
+	log, err := flags.logging.logger()
+	if err != nil {
+		return err
+	}
+	parsed := &script.Script{}
+	if err := settings.Load(file, parsed); err != nil {
+		return err
+	}
+	machineName := fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
+	report, err := scenario.Play(ctx, parsed, machineName, log, spawnPlanner)
+	if err != nil {
+		return err
+	}
+	if err := report.Print(out); err != nil {
+		return err
+	}
+	if flags.report != "" {
+		if err := report.Write(flags.report); err != nil {
+			return err
+		}
+	}
+	if !report.Passed() {
+		return errInvariantViolated
+	}
+	return nil
+}
+
+// spawnPlanner returns a command that runs this program as a planner, with its errors logged to this one's standard error.
+func spawnPlanner(file string) *exec.Cmd {
+	executable, err := os.Executable()
+	if err != nil {
+		executable = os.Args[0]
+	}
+	command := exec.Command(executable, "planner", "-c", file, "--log-level", "error")
+	command.Stderr = os.Stderr
+	return command
 }
--- a/cmd/lichenpick/simulate.go
+++ b/cmd/lichenpick/simulate.go
@@ -2,8 +2,8 @@
 
 import (
 	"fmt"
+	"io"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -13,48 +13,69 @@
 	"lichenpick/proto/script"
 )
 
+// maxSeeds is the most seeds that one call plays.
+const maxSeeds = 10_000
+
 func simulateCommand() *cobra.Command {
 	var seeds int
-	c := &cobra.Command{
-		Use: "simulate SCRIPT", Short: "Play a rehearsal's day in made-up time, with models for servers, clients and links", Args: exactly(1),
-		Long: "Planner core, module and proxies are the program's own; the rest is modelled. One seed gives one run. Troubles that only\n" +
+	command := &cobra.Command{
+		Use:   "simulate SCRIPT",
+		Short: "Play a scenario in simulated time, with models of servers, clients and links",
+		Args:  exactly(1),
+		Long: "Planner core, policy and proxies are the program's own; the rest is modelled. One seed gives one run. Faults that only\n" +
 			"sockets can have are refused.",
-		RunE: func(c *cobra.Command, args []string) error {
-			s := &script.Script{}
-			if err := settings.Load(args[0], s); err != nil {
-				return err
-			}
-			if seeds < 1 || seeds > 10000 {
-				return usage{fmt.Errorf("--seeds from 1 to 10000, not %d", seeds)}
-			}
-			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			var names []string
-			for _, g := range s.Groups {
-				names = append(names, g.Name)
+		RunE: func(command *cobra.Command, args []string) error {
+			if seeds < 1 || seeds > maxSeeds {
+				return usage{fmt.Errorf("--seeds from 1 to %d, not %d", maxSeeds, seeds)}
 			}
-			fmt.Fprintln(t, "seed\tservice\t"+strings.Join(names, "\t")+"\tlate\tblocked\tdropped\tmessages\tlines\tfell over\tevents\temulated s/s")
-			first, c0 := s.GetSeed(), clock.NewReal()
-			for n := range uint64(seeds) {
-				seed := first + n
-				s.Seed = &seed
-				begun := c0.Monotonic()
-				r, err := simulation.Play(s)
-				if err != nil {
-					return err
-				}
-				var shares []string
-				late, blocked, dropped := 0, 0, 0
-				for _, g := range r.Classes {
-					shares = append(shares, fmt.Sprintf("%.3f", g.Value/max(g.MaxValue, 1e-9)))
-					late, blocked, dropped = late+g.Late, blocked+g.Rejected+g.NoServer, dropped+g.Failed
-				}
-				all := settings.Milliseconds(s.Warm) + settings.Milliseconds(s.Length)
-				fmt.Fprintf(t, "%d\t%.3f\t%s\t%d\t%d\t%d\t%d\t%.0f\t%d\t%d\t%.0f\n", seed, r.Service, strings.Join(shares, "\t"), late, blocked, dropped,
-					r.Messages, r.Entries, r.ColdOverloads, r.Events, all/(c0.Monotonic()-begun))
-			}
-			return t.Flush()
+			return simulate(args[0], seeds, command.OutOrStdout())
 		},
 	}
-	c.Flags().IntVar(&seeds, "seeds", 1, "days to play, with seeds from the script's on")
-	return c
+	command.Flags().IntVar(&seeds, "seeds", 1, "number of runs, with seeds from the script's on")
+	return command
+}
+
+// simulate plays the script of a file under several seeds and prints a line for each.
+func simulate(file string, seeds int, out io.Writer) error {
+	scenario := &script.Script{}
+	if err := settings.Load(file, scenario); err != nil {
+		return err
+	}
+	var table strings.Builder
+	table.WriteString("seed\tservice\t")
+	for _, class := range scenario.Groups {
+		table.WriteString(class.Name + "\t")
+	}
+	table.WriteString("late\trejected\tfailed\tmessages\tentries\tcold overloads\tevents\tsimulated s/s\n")
+	realClock := clock.NewReal()
+	simulatedMs := settings.Milliseconds(scenario.Warm) + settings.Milliseconds(scenario.Length)
+	firstSeed := scenario.GetSeed()
+	for n := range uint64(seeds) {
+		seed := firstSeed + n
+		scenario.Seed = &seed
+		startMs := realClock.Monotonic()
+		result, err := simulation.Play(scenario)
+		if err != nil {
+			return err
+		}
+		speed := simulatedMs / (realClock.Monotonic() - startMs)
+		formatSimulation(&table, seed, result, speed)
+	}
+	return writeTable(out, table.String())
+}
+
+// formatSimulation appends the line of one run, with tabs between its cells. The speed is in simulated seconds a second.
+func formatSimulation(table *strings.Builder, seed uint64, result *simulation.Result, speed float64) {
+	fmt.Fprintf(table, "%d\t%.3f", seed, result.Service)
+	late := 0
+	rejected := 0
+	failures := 0
+	for _, class := range result.Classes {
+		fmt.Fprintf(table, "\t%.3f", class.Value/max(class.MaxValue, 1e-9))
+		late += class.Late
+		rejected += class.Rejected + class.NoServer
+		failures += class.Failed
+	}
+	fmt.Fprintf(table, "\t%d\t%d\t%d\t%d\t%.0f\t%d\t%d\t%.0f\n",
+		late, rejected, failures, result.Messages, result.Entries, result.ColdOverloads, result.Events, speed)
 }
