--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand"
 	"net/http"
-	"strconv"
+	"slices"
 	"sync"
 	"time"
 
@@ -16,175 +17,198 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Tally is what became of one traffic group's flows; a client's repeats belong to its first ask.
-type Tally struct {
-	Requested int     `json:"Asked"`
-	Succeeded int     `json:"Delivered"`
-	Late      int     `json:"Late"`
-	Rejected  int     `json:"Blocked"`
-	NoServer  int     `json:"Bare"`
-	Failed    int     `json:"Dropped"`
-	Value     float64 `json:"Utility"`
-	MaxValue  float64 `json:"Possible"`
-}
+const (
+	// maxInFlight is how many requests a LoadGenerator has in flight; with more it ends its run.
+	maxInFlight = 20_000
+	// minRateFactor stands for a factor of 0, at which the next request would never be due.
+	minRateFactor = 1e-3
+	// retryDeadlinePart is the part of a request's deadline after which its client sends no retry.
+	retryDeadlinePart = 0.8
+	// maxIdleConnections is how many idle connections are kept to each proxy.
+	maxIdleConnections = 256
+)
+
+// Values of [proxy.OutcomeHeader] for requests that were not processed.
+const (
+	outcomeHeaderRejected = "blocked"
+	outcomeHeaderNoServer = "bare"
+)
 
-// LoadGenerator sends flows at times drawn ahead, whether earlier ones were answered or not.
+// ErrTooManyInFlight tells that a run ended as the proxies answered far more slowly than requests were due.
+var ErrTooManyInFlight = errors.New("too many requests in flight")
+
+// LoadGenerator is many clients. It sends requests at times drawn ahead, whether earlier ones were answered or not. Its
+// exported fields must not change during Run; all are required but MaxRetries, BackoffMs and Seed, for which 0 is a value.
 type LoadGenerator struct {
 	Clock             clock.Clock
-	Classes           []*pb.Group
-	Shares            []float64 // of groups; they add up to 1
+	Classes           []*pb.Group // traffic classes
+	Shares            []float64   // of the classes in the requests; they add up to 1
 	RequestsPerSecond float64
-	MaxRetries        int
-	BackoffMs         float64
-	Proxies           []string // addresses
+	MaxRetries        int      // of a request by its client
+	BackoffMs         float64  // before the first retry; doubled for each further one
+	Proxies           []string // addresses, drawn evenly
 	Seed              int64
 
-	mu      sync.Mutex
-	factor  float64
-	tallies []Tally
-	seconds []Tally // by second of asking
-	asks    int
+	mu         sync.Mutex // guards all below
+	rateFactor float64
+	classes    []Tally
+	seconds    []Tally // by second in which a request was due
+	sent       int
 }
 
-const maxInFlight = 20000 // flows in hand at once; beyond it the crowd stops asking and says so
-
-// SetRateFactor multiplies the rate from now on.
-func (c *LoadGenerator) SetRateFactor(f float64) {
-	c.mu.Lock()
-	c.factor = f
-	c.mu.Unlock()
+// SetRateFactor multiplies the rate from now on. Any goroutine may call it, also before Run.
+func (g *LoadGenerator) SetRateFactor(factor float64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.rateFactor = factor
 }
 
-// Run asks until the context ends or the time is over, then waits for the last answers.
-func (c *LoadGenerator) Run(ctx context.Context, ms float64) error {
-	c.mu.Lock()
-	if c.factor == 0 {
-		c.factor = 1
+// Run sends requests for some ms or until the context ends, then waits for the last answers. Its only error is
+// ErrTooManyInFlight. It may be called once.
+func (g *LoadGenerator) Run(ctx context.Context, lengthMs float64) error {
+	g.mu.Lock()
+	if g.rateFactor == 0 {
+		g.rateFactor = 1
 	}
-	c.tallies = make([]Tally, len(c.Classes))
-	c.seconds = make([]Tally, int(ms/1000)+1)
-	c.mu.Unlock()
-	chance := rand.New(rand.NewSource(c.Seed))
-	line := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
-	defer line.CloseIdleConnections()
-	client := &http.Client{Transport: line}
-	inHand := make(chan struct{}, maxInFlight)
-	var all sync.WaitGroup
-	defer all.Wait()
-	start := c.Clock.Monotonic()
-	for n, next := 0, 0.0; ; n++ {
-		c.mu.Lock()
-		factor := c.factor
-		c.mu.Unlock()
-		if factor <= 0 {
-			factor = 1e-3
-		}
-		next += chance.ExpFloat64() / (c.RequestsPerSecond * factor) * 1000
-		if next >= ms {
+	g.classes = make([]Tally, len(g.Classes))
+	g.seconds = make([]Tally, int(lengthMs/1000)+1)
+	g.mu.Unlock()
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}
+	defer transport.CloseIdleConnections()
+	client := &http.Client{Transport: transport}
+	inFlight := make(chan struct{}, maxInFlight)
+	var requests sync.WaitGroup
+	defer requests.Wait()
+	chance := rand.New(rand.NewSource(g.Seed))
+	startMs := g.Clock.Monotonic()
+	dueMs := 0.0
+	for number := 0; ; number++ {
+		dueMs += g.nextInterval(chance)
+		if dueMs >= lengthMs || !g.waitUntil(ctx, startMs+dueMs) {
 			return nil
 		}
-		if wait := start + next - c.Clock.Monotonic(); wait > 0 && clock.Sleep(ctx, c.Clock, wait) != nil {
-			return nil
-		}
-		group, x := 0, chance.Float64()
-		for group < len(c.Shares)-1 && x >= c.Shares[group] {
-			x -= c.Shares[group]
-			group++
-		}
-		to := chance.Intn(len(c.Proxies))
-		seed := chance.Int63()
+		request := g.drawRequest(chance, number, int(dueMs/1000))
 		select {
-		case inHand <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
-			return fmt.Errorf("more than %d flows in hand", maxInFlight)
+			return fmt.Errorf("%w: more than %d", ErrTooManyInFlight, maxInFlight)
 		}
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			defer func() { <-inHand }()
-			c.flow(ctx, client, n, group, to, seed, int(next/1000))
-		}()
+		requests.Go(func() {
+			defer func() { <-inFlight }()
+			g.send(ctx, client, request)
+		})
+	}
+}
+
+// nextInterval draws the time until the next request is due, in ms.
+func (g *LoadGenerator) nextInterval(chance *rand.Rand) float64 {
+	g.mu.Lock()
+	factor := g.rateFactor
+	g.mu.Unlock()
+	if factor <= 0 {
+		factor = minRateFactor
 	}
+	return chance.ExpFloat64() / (g.RequestsPerSecond * factor) * 1000
 }
 
-// flow is one client's: it asks, and asks again another proxy where its flow bears it.
-func (c *LoadGenerator) flow(ctx context.Context, client *http.Client, n, group, to int, seed int64, second int) {
-	g := c.Classes[group]
-	chance := rand.New(rand.NewSource(seed))
-	begun := c.Clock.Monotonic()
-	expiry := settings.Milliseconds(g.Expiry)
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(expiry*float64(time.Millisecond)))
+// waitUntil waits for a time of the clock, and reports whether the context did not end before.
+func (g *LoadGenerator) waitUntil(ctx context.Context, atMs float64) bool {
+	waitMs := atMs - g.Clock.Monotonic()
+	return waitMs <= 0 || clock.Sleep(ctx, g.Clock, waitMs) == nil
+}
+
+// clientRequest is a request of a client, over all its retries.
+type clientRequest struct {
+	number int
+	class  int
+	proxy  int // that the client sends it to first
+	seed   int64
+	second int // in which it was due
+}
+
+// drawRequest draws the next request.
+func (g *LoadGenerator) drawRequest(chance *rand.Rand, number, second int) clientRequest {
+	class := 0
+	drawn := chance.Float64()
+	for class < len(g.Shares)-1 && drawn >= g.Shares[class] {
+		drawn -= g.Shares[class]
+		class++
+	}
+	proxyNumber := chance.Intn(len(g.Proxies))
+	return clientRequest{number: number, class: class, proxy: proxyNumber, seed: chance.Int63(), second: second}
+}
+
+// send sends a request to a proxy, and again to another while it may be retried, and counts how it ended.
+func (g *LoadGenerator) send(ctx context.Context, client *http.Client, request clientRequest) {
+	class := g.Classes[request.class]
+	chance := rand.New(rand.NewSource(request.seed))
+	startMs := g.Clock.Monotonic()
+	deadlineMs := settings.Milliseconds(class.Expiry)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(deadlineMs*float64(time.Millisecond)))
 	defer cancel()
-	outcome, asks := "", 0
-	for pause := c.BackoffMs; ; pause *= 2 {
-		outcome = c.ask(ctx, client, fmt.Sprintf("%d.%d", n, asks), fmt.Sprint(n), g, c.Proxies[to])
-		asks++
-		safe := g.Repeat == pb.Repeat_RETRIABLE || outcome == "blocked" || outcome == "bare"
-		if outcome == "ok" || !safe || asks > c.MaxRetries || c.Clock.Monotonic()-begun+pause > expiry*0.8 {
+	idempotent := class.Repeat == pb.Repeat_RETRIABLE
+	proxyNumber := request.proxy
+	backoffMs := g.BackoffMs
+	attempts := 0
+	outcome := Failed
+	for {
+		outcome = g.attempt(ctx, client, request, attempts, g.Proxies[proxyNumber])
+		attempts++
+		retryable := outcome != Succeeded && (idempotent || outcome.Retryable())
+		elapsedMs := g.Clock.Monotonic() - startMs
+		if !retryable || attempts > g.MaxRetries || elapsedMs+backoffMs > deadlineMs*retryDeadlinePart {
 			break
 		}
-		if clock.Sleep(ctx, c.Clock, pause*(0.5+chance.Float64())) != nil {
+		if clock.Sleep(ctx, g.Clock, backoffMs*(0.5+chance.Float64())) != nil {
 			break
 		}
-		to = chance.Intn(len(c.Proxies))
-	}
-	took := c.Clock.Monotonic() - begun
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.asks += asks
-	c.tallies[group].Record(g, outcome, took)
-	c.seconds[second].Record(g, outcome, took)
-}
-
-// Record adds a flow of a group by its outcome, after some ms.
-func (t *Tally) Record(g *pb.Group, outcome string, took float64) {
-	t.Requested++
-	t.MaxValue += g.GetUtility()
-	switch {
-	case outcome == "ok" && took <= settings.Milliseconds(g.LatencyBudget):
-		t.Succeeded++
-		t.Value += g.GetUtility()
-	case outcome == "ok":
-		t.Late++
-	case outcome == "blocked":
-		t.Rejected++
-	case outcome == "bare":
-		t.NoServer++
-	default:
-		t.Failed++
+		proxyNumber = chance.Intn(len(g.Proxies))
+		backoffMs *= 2
 	}
+	tookMs := g.Clock.Monotonic() - startMs
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.sent += attempts
+	g.classes[request.class].Record(class, outcome, tookMs)
+	g.seconds[request.second].Record(class, outcome, tookMs)
 }
 
-func (c *LoadGenerator) ask(ctx context.Context, client *http.Client, id, key string, g *pb.Group, at string) string {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+"/", http.NoBody)
+// attempt sends a request once, and returns how that ended.
+func (g *LoadGenerator) attempt(ctx context.Context, client *http.Client, request clientRequest, number int, address string) Outcome {
+	class := g.Classes[request.class]
+	message, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/", http.NoBody)
 	if err != nil {
-		return "odd"
+		return Failed
 	}
-	r.Header.Set(proxy.ClassHeader, g.Name)
-	r.Header.Set(proxy.RequestHeader, id)
-	if g.Repeat == pb.Repeat_DEDUPED {
-		r.Header.Set(KeyHeader, key)
+	message.Header.Set(proxy.ClassHeader, class.Name)
+	message.Header.Set(proxy.RequestHeader, fmt.Sprintf("%d.%d", request.number, number))
+	if class.Repeat == pb.Repeat_DEDUPED {
+		message.Header.Set(KeyHeader, fmt.Sprint(request.number))
 	}
-	resp, err := client.Do(r)
+	response, err := client.Do(message)
 	if err != nil {
-		return "dropped"
+		return Failed
+	}
+	_, err = io.Copy(io.Discard, response.Body)
+	if err := errors.Join(err, response.Body.Close()); err != nil {
+		return Failed
+	}
+	if response.StatusCode == http.StatusOK {
+		return Succeeded
 	}
-	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, resp.Body)
-	switch {
-	case err != nil:
-		return "dropped"
-	case resp.StatusCode == http.StatusOK:
-		return "ok"
-	case resp.Header.Get(proxy.OutcomeHeader) != "":
-		return resp.Header.Get(proxy.OutcomeHeader)
+	switch response.Header.Get(proxy.OutcomeHeader) {
+	case outcomeHeaderRejected:
+		return Rejected
+	case outcomeHeaderNoServer:
+		return NoServer
 	}
-	return "status " + strconv.Itoa(resp.StatusCode)
+	return Failed
 }
 
-// Tallies gives what became of the flows, by group and by second, and how often proxies were asked.
-func (c *LoadGenerator) Tallies() (groups, seconds []Tally, asks int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return append([]Tally(nil), c.tallies...), append([]Tally(nil), c.seconds...), c.asks
+// Tallies returns how the requests ended, by traffic class and by second in which they were due, and how many were sent to
+// proxies, retries included. Any goroutine may call it.
+func (g *LoadGenerator) Tallies() (classes, seconds []Tally, sent int) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return slices.Clone(g.classes), slices.Clone(g.seconds), g.sent
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -8,100 +8,165 @@
 	"lichenpick/proto/script"
 )
 
-// trouble plans one. Those that only sockets can have are not emulated.
-func (f *fleet) trouble(t *script.Trouble, from float64) error {
-	at, lasts, late := from+settings.Milliseconds(t.At), settings.Milliseconds(t.Lasts), settings.Milliseconds(f.script.ListedLate)
-	during := func(begin, end func()) {
-		f.after(at, begin)
-		f.after(at+lasts, end)
+// gradualSteps is the number of steps in which a gradual slowdown grows.
+const gradualSteps = 10
+
+// UnsupportedFaultError tells that a script has a fault that the models cannot show. Such a script can be played by package
+// scenario.
+type UnsupportedFaultError struct {
+	At string // when the fault begins, as in the script
+}
+
+// Error says which fault it is, and what to do.
+func (e *UnsupportedFaultError) Error() string {
+	return fmt.Sprintf("the fault at %s needs sockets, which a simulation does not have; use 'scenario'", e.At)
+}
+
+// period is when a fault begins and how long it lasts, in ms.
+type period struct{ startMs, lengthMs float64 }
+
+// scheduleFault schedules what a fault does. It must be called before the run begins.
+func (f *fleet) scheduleFault(fault *script.Trouble, loadStartMs float64) error {
+	when := period{
+		startMs:  loadStartMs + settings.Milliseconds(fault.At),
+		lengthMs: settings.Milliseconds(fault.Lasts),
 	}
-	var hit []*server
-	switch w := t.What.(type) {
+	switch what := fault.What.(type) {
 	case *script.Trouble_Burst:
-		during(func() { f.factor = w.Burst.GetFactor() }, func() { f.factor = 1 })
+		f.scheduleBurst(when, what.Burst)
 	case *script.Trouble_Hang:
-		set := func(on bool) {
-			for _, s := range hit {
-				s.hang = on
-			}
-		}
-		during(func() { hit = f.draw(int(w.Hang.GetServers()), nil); set(true) }, func() { set(false) })
-		for p := settings.Milliseconds(w.Hang.Period); p > 0 && p < lasts; p += settings.Milliseconds(w.Hang.Period) {
-			on := int(p/settings.Milliseconds(w.Hang.Period))%2 == 0
-			f.after(at+p, func() { set(on) })
-		}
+		f.scheduleHang(when, what.Hang)
 	case *script.Trouble_Slow:
-		set := func(x float64) {
-			for _, s := range hit {
-				s.slow = x
-			}
-		}
-		during(func() {
-			if hit = f.draw(int(w.Slow.GetServers()), nil); !w.Slow.Gradual {
-				set(w.Slow.GetFactor())
-			}
-		}, func() { set(1) })
-		for n := 1; n < 10 && w.Slow.Gradual; n++ {
-			f.after(at+lasts*float64(n)/10, func() { set(1 + (w.Slow.GetFactor()-1)*float64(n)/10) })
-		}
+		f.scheduleSlow(when, what.Slow)
 	case *script.Trouble_Crash:
-		during(func() { hit = f.draw(int(w.Crash.GetServers()), nil); f.crash(hit, w.Crash.Listed, late) }, func() { f.back(hit, late) })
+		f.scheduleCrash(when, int(what.Crash.GetServers()), what.Crash.Listed, nil)
 	case *script.Trouble_ZoneLoss:
-		during(func() {
-			hit = f.draw(len(f.servers), func(s *server) bool { return f.script.Places[s.zone].Name == w.ZoneLoss.Zone })
-			f.crash(hit, true, late)
-		}, func() { f.back(hit, late) })
+		inZone := func(candidate *server) bool { return f.script.Places[candidate.zone].Name == what.ZoneLoss.Zone }
+		f.scheduleCrash(when, len(f.servers), true, inZone)
 	case *script.Trouble_Deploy:
-		n, drain := int(w.Deploy.GetServers()), settings.Milliseconds(w.Deploy.Drain)
-		for k := range n {
-			f.after(at+lasts*float64(k)/float64(n), func() { f.replace(drain, late) })
-		}
+		f.scheduleDeploy(when, what.Deploy)
 	default:
-		return fmt.Errorf("the emulator does not play the trouble at %s: it is one of sockets; use 'scenario'", t.At)
+		return &UnsupportedFaultError{At: fault.At}
 	}
 	return nil
 }
 
-// draw takes up to n servers that run and do not drain.
-func (f *fleet) draw(n int, fits func(*server) bool) (drawn []*server) {
-	for _, i := range f.chance.Perm(len(f.servers)) {
-		if s := f.servers[i]; len(drawn) < n && !s.down && !s.drained && (fits == nil || fits(s)) {
-			drawn = append(drawn, s)
+// during schedules the begin and the end of a fault.
+func (f *fleet) during(when period, begin, end func()) {
+	f.after(when.startMs, begin)
+	f.after(when.startMs+when.lengthMs, end)
+}
+
+// scheduleBurst multiplies the rate of requests.
+func (f *fleet) scheduleBurst(when period, burst *script.Burst) {
+	f.during(when, func() { f.rateFactor = burst.GetFactor() }, func() { f.rateFactor = 1 })
+}
+
+// scheduleHang has servers receive requests and answer none, all the time or for every other period.
+func (f *fleet) scheduleHang(when period, hang *script.Hang) {
+	var affected []*server
+	setHanging := func(hanging bool) {
+		for _, server := range affected {
+			server.hanging = hanging
 		}
 	}
-	return drawn
+	f.during(when, func() {
+		affected = f.drawServers(int(hang.GetServers()), nil)
+		setHanging(true)
+	}, func() { setHanging(false) })
+	intervalMs := settings.Milliseconds(hang.Period)
+	for sinceMs := intervalMs; sinceMs > 0 && sinceMs < when.lengthMs; sinceMs += intervalMs {
+		hanging := int(sinceMs/intervalMs)%2 == 0
+		f.after(when.startMs+sinceMs, func() { setHanging(hanging) })
+	}
 }
 
-func (f *fleet) crash(hit []*server, listed bool, late float64) {
-	for _, s := range hit {
-		s.end()
+// scheduleSlow slows servers down, at once or step by step.
+func (f *fleet) scheduleSlow(when period, slow *script.Slow) {
+	var affected []*server
+	setSlowdown := func(factor float64) {
+		for _, server := range affected {
+			server.slowdown = factor
+		}
+	}
+	f.during(when, func() {
+		affected = f.drawServers(int(slow.GetServers()), nil)
+		if !slow.Gradual {
+			setSlowdown(slow.GetFactor())
+		}
+	}, func() { setSlowdown(1) })
+	if !slow.Gradual {
+		return
 	}
-	if listed {
-		f.tellList(late, policy.DeltaUpdate, hit)
+	for step := 1; step < gradualSteps; step++ {
+		factor := 1 + (slow.GetFactor()-1)*float64(step)/gradualSteps
+		f.after(when.startMs+when.lengthMs*float64(step)/gradualSteps, func() { setSlowdown(factor) })
 	}
 }
 
-func (f *fleet) back(hit []*server, late float64) {
-	for _, s := range hit {
-		s.start()
+// scheduleCrash stops up to count servers of those that are eligible, and starts them again cold. If listed, the endpoint
+// list shows that they are gone.
+func (f *fleet) scheduleCrash(when period, count int, listed bool, eligible func(*server) bool) {
+	var affected []*server
+	f.during(when, func() {
+		affected = f.drawServers(count, eligible)
+		for _, server := range affected {
+			server.stop()
+		}
+		if listed {
+			f.listChanges(affected...)
+		}
+	}, func() {
+		for _, server := range affected {
+			server.start()
+		}
+		f.listChanges(affected...)
+	})
+}
+
+// scheduleDeploy replaces servers in turn.
+func (f *fleet) scheduleDeploy(when period, deploy *script.Deploy) {
+	count := int(deploy.GetServers())
+	drainMs := settings.Milliseconds(deploy.Drain)
+	for number := range count {
+		f.after(when.startMs+when.lengthMs*float64(number)/float64(count), func() { f.replaceServer(drainMs) })
 	}
-	f.tellList(late, policy.DeltaUpdate, hit)
 }
 
-// replace drains a server, and starts a cold one in its place.
-func (f *fleet) replace(drain, late float64) {
-	for _, s := range f.draw(1, nil) {
-		next, err := f.add(s.zone)
+// replaceServer drains a server and then stops it, and starts a cold one in its place.
+func (f *fleet) replaceServer(drainMs float64) {
+	for _, old := range f.drawServers(1, nil) {
+		next, err := f.addServer(old.zone)
 		if err != nil {
-			f.failed = err
+			f.err = err
 			return
 		}
 		next.start()
-		s.drained = true
-		f.tellList(late, policy.DeltaUpdate, []*server{s, next})
-		f.after(drain, func() {
-			s.end()
-			f.tellList(late, policy.DeltaUpdate, []*server{s})
+		old.draining = true
+		f.listChanges(old, next)
+		f.after(drainMs, func() {
+			old.stop()
+			f.listChanges(old)
 		})
 	}
 }
+
+// listChanges has the planner learn the state of servers from the endpoint list, as late as the script says.
+func (f *fleet) listChanges(servers ...*server) {
+	f.planner.sendEndpoints(settings.Milliseconds(f.script.ListedLate), policy.DeltaUpdate, servers)
+}
+
+// drawServers draws up to count servers that run and do not drain, of those that are eligible. A nil eligible means all.
+func (f *fleet) drawServers(count int, eligible func(*server) bool) []*server {
+	var drawn []*server
+	for _, n := range f.chance.Perm(len(f.servers)) {
+		candidate := f.servers[n]
+		if len(drawn) == count || candidate.stopped || candidate.draining {
+			continue
+		}
+		if eligible == nil || eligible(candidate) {
+			drawn = append(drawn, candidate)
+		}
+	}
+	return drawn
+}
--- /dev/null
+++ b/internal/simulation/planner.go
@@ -0,0 +1,126 @@
+package simulation
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
+	"lichenpick/internal/planner"
+	"lichenpick/internal/settings"
+	"lichenpick/policy"
+	pb "lichenpick/proto/settings"
+)
+
+const (
+	// frameDelayMs is how long a frame takes between planner and proxy.
+	frameDelayMs = 2.0
+	// epochUnixMs is the wall time at which a run begins, in ms since the Unix epoch.
+	epochUnixMs = 1e12
+	// unusedAddress stands for addresses that settings require but a simulation does not use.
+	unusedAddress = "127.0.0.1:1"
+)
+
+// simulatedPlanner is the product's planner core, with this type as its host.
+type simulatedPlanner struct {
+	fleet   *fleet
+	core    *planner.Core
+	timerMs float64 // when the core wants to be called next; infinite: not
+}
+
+var _ planner.Host = (*simulatedPlanner)(nil)
+
+// newPlanner returns the planner of a fleet, which knows no endpoint and no proxy yet.
+func newPlanner(f *fleet) (*simulatedPlanner, error) {
+	set := &pb.Planner{
+		Name:    "planner-1",
+		Listen:  unusedAddress,
+		Groups:  f.script.Groups,
+		Channel: f.script.Channel,
+		Reports: f.script.Reports,
+		Servers: f.script.Limits,
+		Streams: &pb.Streams{},
+		List:    &pb.ListSource{From: &pb.ListSource_File{File: &pb.FileList{Path: "unused"}}},
+		Proxies: proto.Uint32(uint32(max(proxyCount(f.script), 1))),
+	}
+	for _, place := range f.script.Places {
+		set.Zones = append(set.Zones, &pb.Zone{Name: place.Name})
+	}
+	full := &pb.Planner{}
+	if err := settings.Parse("planner of the simulation", []byte(settings.Format(set)), full); err != nil {
+		return nil, err
+	}
+	core := planner.NewCore(full, planner.NewPolicy(full), 1, 0)
+	return &simulatedPlanner{fleet: f, core: core, timerMs: math.Inf(1)}, nil
+}
+
+// sendEndpoints has the planner learn the state that servers have now, after a delay.
+func (p *simulatedPlanner) sendEndpoints(delayMs float64, kind policy.UpdateKind, servers []*server) {
+	f := p.fleet
+	update := discovery.Update{Kind: kind, AsOfMs: uint64(epochUnixMs + f.nowMs)}
+	for _, server := range servers {
+		update.Endpoints = append(update.Endpoints, f.endpointOf(server))
+	}
+	f.after(delayMs, func() {
+		p.handle(func() { p.core.UpdateEndpoints(update) })
+	})
+}
+
+// endpointOf returns the entry of a server in the endpoint list. Its capacity is that of its cores: how fast they are shows
+// in latencies only.
+func (f *fleet) endpointOf(server *server) discovery.Endpoint {
+	endpoint := discovery.Endpoint{
+		Server:           server.address,
+		Zone:             f.script.Places[server.zone].Name,
+		RelativeCapacity: float64(server.settings.GetCores()),
+	}
+	switch {
+	case server.stopped:
+		endpoint.State = policy.Removed
+	case server.draining:
+		endpoint.State = policy.Draining
+	}
+	if server.startedMs > 0 {
+		endpoint.StartedUnixMs = uint64(epochUnixMs + server.startedMs)
+	}
+	return endpoint
+}
+
+// handle passes an input to the core, and carries out what the core decides then.
+func (p *simulatedPlanner) handle(input func()) {
+	nowMs := p.fleet.nowMs
+	p.core.SetTime(nowMs, time.UnixMilli(int64(epochUnixMs+nowMs)))
+	input()
+	for p.core.Next(p) {
+	}
+}
+
+// SetTimer calls the core at a time, unless it sets another meanwhile.
+func (p *simulatedPlanner) SetTimer(atMs float64) {
+	p.timerMs = atMs
+	p.fleet.after(atMs-p.fleet.nowMs, func() {
+		if p.timerMs == atMs {
+			p.handle(func() {})
+		}
+	})
+}
+
+// Send delivers a message to a proxy.
+func (p *simulatedPlanner) Send(stream *planner.Stream, _ controlstream.FrameKind, message proto.Message) {
+	proxy := stream.Transport.(*simulatedProxy)
+	p.fleet.after(frameDelayMs, func() { proxy.receive(message) })
+}
+
+// Close fails the run: there is no reason here to close a stream.
+func (p *simulatedPlanner) Close(stream *planner.Stream, reason *controlstream.CloseError) {
+	f := p.fleet
+	if f.err == nil {
+		f.err = fmt.Errorf("at %.0f ms the planner closed the stream of %s: %w", f.nowMs, stream.Name(), reason)
+	}
+}
+
+// ReserveEpochs does nothing: one planner shares its fleet with no other.
+func (p *simulatedPlanner) ReserveEpochs(uint64) {}
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -9,107 +9,139 @@
 	pb "lichenpick/proto/settings"
 )
 
-// server is a queue before some cores, cold after a start, that falls over if a cold one is sent too much. Its figures are those of
-// the stand-in, so that the two can be set side by side.
+// Work of a request is its mean times a fixed part, plus an exponentially distributed part of the same mean.
+const (
+	fixedWorkPart  = 0.25
+	randomWorkPart = 0.75
+)
+
+// server is the model of a server: a queue in front of some cores. After a start it warms up, and crashes if it is sent too
+// much meanwhile. Its parameters are those of package fake, so that the two can be compared.
 type server struct {
-	sim     *sim
-	name    string
-	zone    int
-	set     *pb.Server
-	chance  *rand.Rand
-	born    float64 // ms; 0: long past
-	busy    int
-	queue   []*try
-	down    bool
-	hang    bool
-	slow    float64
-	fallen  bool
-	came    []arrival
-	drained bool
-	fell    int
+	queue    *eventQueue
+	address  string
+	zone     int
+	settings *pb.Server
+	chance   *rand.Rand // of its own, for work
+
+	startedMs float64 // last start; 0: long ago, so that it is warm
+	busyCores int
+	waiting   []*attempt
+	arrivals  []arrival // within the window
+	overloads int       // times that it crashed while it warmed up
+
+	draining   bool
+	stopped    bool
+	hanging    bool
+	slowdown   float64 // factor of the time that work takes; 1: none
+	overloaded bool    // it crashed while it warmed up, and answers nothing until it is started again
 }
 
-type arrival struct{ at, work float64 }
+// arrival is work that a server was sent.
+type arrival struct{ atMs, workMs float64 }
 
-// try is one on its way to a server and back.
-type try struct {
-	work float64
-	done func(o outcome)
+// attempt is one attempt of a request at a server.
+type attempt struct {
+	workMs float64
+	finish func(how serverReply) // called at most once
 }
 
-type outcome int
+// serverReply is how an attempt ends at the server.
+type serverReply int
 
+// The replies.
 const (
-	delivered outcome = iota
-	refused           // it never ran
-	silent            // nothing comes back
+	replySucceeded   serverReply = iota
+	replyUnprocessed             // with proof that it was not processed
+	replyNone                    // nothing comes back
 )
 
-// take is a try that arrives.
-func (s *server) take(t *try) {
-	now := s.sim.now
-	t.work = settings.Milliseconds(s.set.Work) * (0.25 + 0.75*s.chance.ExpFloat64())
+// newServer returns a server that is warm.
+func newServer(queue *eventQueue, set *pb.Server, zone int, chance *rand.Rand) *server {
+	return &server{queue: queue, address: set.Listen, zone: zone, settings: set, chance: chance, slowdown: 1}
+}
+
+// receive takes an attempt that arrives.
+func (s *server) receive(arrived *attempt) {
+	arrived.workMs = settings.Milliseconds(s.settings.Work) * (fixedWorkPart + randomWorkPart*s.chance.ExpFloat64())
+	cores := int(s.settings.GetCores())
 	switch {
-	case s.down:
-		t.done(refused)
-	case s.hang || s.falls(now, t.work):
-		t.done(silent)
-	case s.busy+len(s.queue) >= int(s.set.GetWaiting())+int(s.set.GetCores()):
-		t.done(refused)
-	case s.busy < int(s.set.GetCores()):
-		s.begin(t)
+	case s.stopped:
+		arrived.finish(replyUnprocessed)
+	case s.hanging || s.recordArrival(arrived.workMs):
+		arrived.finish(replyNone)
+	case s.busyCores+len(s.waiting) >= int(s.settings.GetWaiting())+cores:
+		arrived.finish(replyUnprocessed)
+	case s.busyCores < cores:
+		s.process(arrived)
 	default:
-		s.queue = append(s.queue, t)
+		s.waiting = append(s.waiting, arrived)
 	}
 }
 
-func (s *server) begin(t *try) {
-	s.busy++
-	pace := fake.Capacity(s.set, s.sim.now-s.born, s.born > 0) / float64(s.set.GetCores()) / math.Max(s.slow, 1)
-	born := s.born
-	s.sim.after(t.work/pace, func() {
-		if s.down || s.born != born { // it was ended meanwhile
+// process occupies a core with an attempt, and then with the next that waits.
+func (s *server) process(current *attempt) {
+	s.busyCores++
+	capacity := fake.Capacity(s.settings, s.queue.nowMs-s.startedMs, s.startedMs > 0)
+	speed := capacity / float64(s.settings.GetCores()) / math.Max(s.slowdown, 1)
+	startedMs := s.startedMs
+	s.queue.after(current.workMs/speed, func() {
+		if s.stopped || s.startedMs != startedMs { // it was stopped meanwhile
 			return
 		}
-		s.busy--
-		if len(s.queue) > 0 {
-			next := s.queue[0]
-			s.queue = s.queue[1:]
-			s.begin(next)
+		s.busyCores--
+		if len(s.waiting) > 0 {
+			next := s.waiting[0]
+			s.waiting = s.waiting[1:]
+			s.process(next)
 		}
-		if s.hang {
-			t.done(silent)
+		if s.hanging {
+			current.finish(replyNone)
 		} else {
-			t.done(delivered)
+			current.finish(replySucceeded)
 		}
 	})
 }
 
-func (s *server) falls(now, work float64) bool {
-	window := settings.Milliseconds(s.set.FallWindow)
-	s.came = append(s.came, arrival{now, work})
-	for s.came[0].at <= now-window {
-		s.came = s.came[1:]
+// recordArrival records work that was sent, and reports whether the server has crashed by overload: it does if, while it
+// warms up, the work of a window exceeds a multiple of what it can do.
+func (s *server) recordArrival(workMs float64) bool {
+	nowMs := s.queue.nowMs
+	windowMs := settings.Milliseconds(s.settings.FallWindow)
+	s.arrivals = append(s.arrivals, arrival{nowMs, workMs})
+	for s.arrivals[0].atMs <= nowMs-windowMs {
+		s.arrivals = s.arrivals[1:]
 	}
-	if s.fallen || s.born == 0 || now-s.born >= settings.Milliseconds(s.set.WarmUp) {
-		return s.fallen
+	ageMs := nowMs - s.startedMs
+	if s.overloaded || s.startedMs == 0 || ageMs >= settings.Milliseconds(s.settings.WarmUp) {
+		return s.overloaded
 	}
-	sum := 0.0
-	for _, a := range s.came {
-		sum += a.work
+	sentMs := 0.0
+	for _, earlier := range s.arrivals {
+		sentMs += earlier.workMs
 	}
-	if sum > s.set.GetFallMultiple()*fake.Capacity(s.set, now-s.born, true)*window {
-		s.fallen = true
-		s.fell++
+	if sentMs > s.settings.GetFallMultiple()*fake.Capacity(s.settings, ageMs, true)*windowMs {
+		s.overloaded = true
+		s.overloads++
 	}
-	return s.fallen
+	return s.overloaded
 }
 
-// end stops it with all that it has in hand.
-func (s *server) end() { s.down, s.busy, s.queue = true, 0, nil }
+// stop ends the server at once; its attempts get no answer.
+func (s *server) stop() {
+	s.stopped = true
+	s.busyCores = 0
+	s.waiting = nil
+}
 
-// start makes it run, cold.
+// start starts the server cold, without any fault.
 func (s *server) start() {
-	s.down, s.hang, s.slow, s.fallen, s.came, s.busy, s.queue = false, false, 1, false, nil, 0, nil
-	s.born = math.Max(s.sim.now, 1)
+	s.stopped = false
+	s.hanging = false
+	s.slowdown = 1
+	s.overloaded = false
+	s.arrivals = nil
+	s.busyCores = 0
+	s.waiting = nil
+	s.startedMs = math.Max(s.queue.nowMs, 1) // 0 would be long ago
 }
