--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
+	"slices"
 	"sync"
 
 	"google.golang.org/protobuf/proto"
@@ -12,161 +14,210 @@
 	"lichenpick/proto/order"
 )
 
-// EndpointRegistry is a list service: whoever dials gets the whole list, then changes, each late by a stated time.
+const (
+	// maxQueuedListings is how many lists may be on their way to one subscriber; one that is slower is disconnected.
+	maxQueuedListings   = 4096
+	heartbeatIntervalMs = 1000.0
+)
+
+// EndpointState is the state of a server in the endpoint list, as on the list's wire.
+type EndpointState uint32
+
+// The states.
+const (
+	EndpointReady EndpointState = iota
+	EndpointDraining
+	EndpointRemoved
+)
+
+// EndpointRegistry serves an endpoint list: each subscriber that dials receives the whole list and then its changes, all with
+// a delay. Clock is required, and neither exported field may change after Start. Any goroutine may call the methods.
 type EndpointRegistry struct {
 	Clock   clock.Clock
-	DelayMs float64
+	DelayMs float64 // of each list; 0: none
 
-	mu      sync.Mutex
-	entries []*order.Listing_Entry
-	version uint64
-	lie     func([]*order.Listing_Entry) []*order.Listing_Entry
-	subs    map[*subscriber]bool
+	mu          sync.Mutex // guards all below
+	entries     []*order.Listing_Entry
+	version     uint64
+	override    func([]*order.Listing_Entry) []*order.Listing_Entry // nil: the list is shown as it is
+	subscribers map[*subscriber]bool
 }
 
+// subscriber is a connection to whoever reads the list.
 type subscriber struct {
-	conn  net.Conn
-	queue chan dated
+	connection net.Conn
+	queue      chan queuedListing // closed when the subscriber is too slow
+	sequence   uint64             // of the last frame
 }
 
-type dated struct {
-	due float64
-	m   *order.Listing
+// queuedListing is a list on its way to a subscriber.
+type queuedListing struct {
+	dueMs   float64
+	listing *order.Listing
 }
 
-const (
-	registryQueue = 4096 // lists under way to one subscriber; a slower one is cut off
-	beatMs        = 1000.0
-)
-
-// Start listens until the context ends, and gives the address.
-func (r *EndpointRegistry) Start(ctx context.Context, n clock.Network) (string, error) {
-	l, err := n.Listen(ctx, "127.0.0.1:0")
+// Start listens on a loopback port until the context ends, and returns the address.
+func (r *EndpointRegistry) Start(ctx context.Context, network clock.Network) (string, error) {
+	listener, err := network.Listen(ctx, "127.0.0.1:0")
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("starting the endpoint registry: %w", err)
 	}
-	r.subs = map[*subscriber]bool{}
-	context.AfterFunc(ctx, func() { l.Close() })
-	go func() {
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				return
-			}
-			s := &subscriber{conn: conn, queue: make(chan dated, registryQueue)}
-			r.mu.Lock()
-			r.subs[s] = true
-			s.queue <- dated{r.Clock.Monotonic() + r.DelayMs, r.whole()}
-			r.mu.Unlock()
-			go r.serve(ctx, s)
-		}
-	}()
-	return l.Addr().String(), nil
+	r.mu.Lock()
+	r.subscribers = map[*subscriber]bool{}
+	r.mu.Unlock()
+	context.AfterFunc(ctx, func() { _ = listener.Close() })
+	go r.accept(ctx, listener)
+	return listener.Addr().String(), nil
 }
 
-func (r *EndpointRegistry) now() uint64 { return uint64(r.Clock.WallTime().UnixMilli()) }
-
-func (r *EndpointRegistry) whole() *order.Listing {
-	m := &order.Listing{Form: order.Listing_WHOLE, AsOfUnixMs: r.now(), Version: r.version}
-	list := r.entries
-	if r.lie != nil {
-		list = r.lie(list)
-	}
-	for _, e := range list {
-		if e.State != 2 {
-			m.Entries = append(m.Entries, proto.Clone(e).(*order.Listing_Entry))
+// accept serves whoever dials, until the listener is closed.
+func (r *EndpointRegistry) accept(ctx context.Context, listener net.Listener) {
+	for {
+		connection, err := listener.Accept()
+		if err != nil {
+			return
 		}
+		go r.serve(ctx, r.subscribe(connection))
 	}
-	return m
 }
 
-func (r *EndpointRegistry) serve(ctx context.Context, s *subscriber) {
-	defer context.AfterFunc(ctx, func() { s.conn.Close() })()
+// subscribe adds a subscriber, with the whole list as its first.
+func (r *EndpointRegistry) subscribe(connection net.Conn) *subscriber {
+	added := &subscriber{connection: connection, queue: make(chan queuedListing, maxQueuedListings)}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.subscribers[added] = true
+	added.queue <- r.queued(r.fullListing())
+	return added
+}
+
+// serve sends lists and heartbeats to a subscriber, until its connection breaks, it is too slow or the context ends.
+func (r *EndpointRegistry) serve(ctx context.Context, to *subscriber) {
+	stopWatch := context.AfterFunc(ctx, func() { _ = to.connection.Close() })
+	defer stopWatch()
 	defer func() {
 		r.mu.Lock()
-		delete(r.subs, s)
+		delete(r.subscribers, to)
 		r.mu.Unlock()
-		s.conn.Close()
+		_ = to.connection.Close() // it may be broken already
 	}()
-	sequence := uint64(0)
-	put := func(kind controlstream.FrameKind, m proto.Message) bool {
-		sequence++
-		frame, err := controlstream.AppendFrame(nil, kind, sequence, m)
-		if err == nil {
-			_, err = s.conn.Write(frame)
-		}
-		return err == nil
-	}
 	for {
-		fired, stop := r.Clock.NewTimer(beatMs)
-		select {
-		case d, open := <-s.queue:
-			stop()
-			if !open || clock.Sleep(ctx, r.Clock, d.due-r.Clock.Monotonic()) != nil || !put(controlstream.FrameEndpoints, d.m) {
-				return
-			}
-		case <-fired:
-			if !put(controlstream.FrameHeartbeat, nil) {
-				return
-			}
-		case <-ctx.Done():
-			stop()
+		if err := r.sendNext(ctx, to); err != nil {
 			return
 		}
 	}
 }
 
-// push sends a list to all; the lock is held.
-func (r *EndpointRegistry) push(m *order.Listing) {
-	for s := range r.subs {
+// sendNext sends the next list when it is due, or a heartbeat where there is none for a while. The error tells only that the
+// subscriber is gone.
+func (r *EndpointRegistry) sendNext(ctx context.Context, to *subscriber) error {
+	heartbeatDue, stopTimer := r.Clock.NewTimer(heartbeatIntervalMs)
+	defer stopTimer()
+	select {
+	case next, open := <-to.queue:
+		if !open {
+			return net.ErrClosed
+		}
+		if err := clock.Sleep(ctx, r.Clock, next.dueMs-r.Clock.Monotonic()); err != nil {
+			return err
+		}
+		return to.send(controlstream.FrameEndpoints, next.listing)
+	case <-heartbeatDue:
+		return to.send(controlstream.FrameHeartbeat, nil)
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// send writes a frame; a nil message gives an empty one.
+func (s *subscriber) send(kind controlstream.FrameKind, message proto.Message) error {
+	s.sequence++
+	frame, err := controlstream.AppendFrame(nil, kind, s.sequence, message)
+	if err != nil {
+		return err
+	}
+	_, err = s.connection.Write(frame)
+	return err
+}
+
+// queued returns a list with the time at which it is due. The caller holds the lock.
+func (r *EndpointRegistry) queued(listing *order.Listing) queuedListing {
+	return queuedListing{dueMs: r.Clock.Monotonic() + r.DelayMs, listing: listing}
+}
+
+// publish queues a list for all subscribers. The caller holds the lock.
+func (r *EndpointRegistry) publish(listing *order.Listing) {
+	for to := range r.subscribers {
 		select {
-		case s.queue <- dated{r.Clock.Monotonic() + r.DelayMs, m}:
+		case to.queue <- r.queued(listing):
 		default:
-			close(s.queue)
-			delete(r.subs, s)
+			close(to.queue)
+			delete(r.subscribers, to)
 		}
 	}
 }
 
-// SetEndpoint adds or changes a server: state 0 ready, 1 draining, 2 gone.
-func (r *EndpointRegistry) SetEndpoint(server, zone string, state uint32, size float64, bornUnixMs uint64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	e := &order.Listing_Entry{Server: server, Zone: zone, State: state, Size: size, BornUnixMs: bornUnixMs}
-	found := false
-	for n, old := range r.entries {
-		if old.Server == server {
-			r.entries[n], found = e, true
+// newListing returns a list without entries. The caller holds the lock.
+func (r *EndpointRegistry) newListing(form order.Listing_Form) *order.Listing {
+	return &order.Listing{Form: form, AsOfUnixMs: uint64(r.Clock.WallTime().UnixMilli()), Version: r.version}
+}
+
+// fullListing returns the whole list as it is shown. The caller holds the lock.
+func (r *EndpointRegistry) fullListing() *order.Listing {
+	shown := r.entries
+	if r.override != nil {
+		shown = r.override(shown)
+	}
+	listing := r.newListing(order.Listing_WHOLE)
+	listing.Entries = present(shown)
+	return listing
+}
+
+// present returns copies of the entries that are not removed.
+func present(entries []*order.Listing_Entry) []*order.Listing_Entry {
+	var copies []*order.Listing_Entry
+	for _, entry := range entries {
+		if EndpointState(entry.State) != EndpointRemoved {
+			copies = append(copies, proto.CloneOf(entry))
 		}
 	}
-	if !found {
-		r.entries = append(r.entries, e)
+	return copies
+}
+
+// SetEndpoint adds or changes a server, and publishes this. A startedUnixMs of 0 tells that it was started long ago.
+func (r *EndpointRegistry) SetEndpoint(server, zone string, state EndpointState, capacity float64, startedUnixMs uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	entry := &order.Listing_Entry{Server: server, Zone: zone, State: uint32(state), Size: capacity, BornUnixMs: startedUnixMs}
+	known := slices.IndexFunc(r.entries, func(earlier *order.Listing_Entry) bool { return earlier.Server == server })
+	if known >= 0 {
+		r.entries[known] = entry
+	} else {
+		r.entries = append(r.entries, entry)
 	}
 	r.version++
-	if r.lie != nil {
-		r.push(r.whole())
+	if r.override != nil {
+		r.publish(r.fullListing())
 		return
 	}
-	r.push(&order.Listing{Form: order.Listing_CHANGE, AsOfUnixMs: r.now(), Version: r.version, Entries: []*order.Listing_Entry{proto.Clone(e).(*order.Listing_Entry)}})
+	change := r.newListing(order.Listing_CHANGE)
+	change.Entries = []*order.Listing_Entry{proto.CloneOf(entry)}
+	r.publish(change)
 }
 
-// Override shows another list than the true one, until it is called with nil; each time the whole list is sent.
-func (r *EndpointRegistry) Override(lie func([]*order.Listing_Entry) []*order.Listing_Entry) {
+// Override shows another list than the true one until it is called with nil, and publishes the whole list each time. The
+// function must not change the entries that it is given, and must not call the registry.
+func (r *EndpointRegistry) Override(override func([]*order.Listing_Entry) []*order.Listing_Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lie = lie
+	r.override = override
 	r.version++
-	r.push(r.whole())
+	r.publish(r.fullListing())
 }
 
-// Endpoints gives the true list, without those gone.
-func (r *EndpointRegistry) Endpoints() (list []*order.Listing_Entry) {
+// Endpoints returns copies of the entries of the true list, without removed servers.
+func (r *EndpointRegistry) Endpoints() []*order.Listing_Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range r.entries {
-		if e.State != 2 {
-			list = append(list, proto.Clone(e).(*order.Listing_Entry))
-		}
-	}
-	return list
+	return present(r.entries)
 }
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"net/netip"
 	"sync"
@@ -9,262 +10,220 @@
 	"lichenpick/internal/clock"
 )
 
-// LinkFault is what is wrong between two parties; the zero value is nothing.
+// LinkFault is what is wrong with the connections from one source to a relay's target; the zero value is nothing.
 type LinkFault struct {
-	DelayMs   float64 // each way, in order
-	ConnectMs float64 // before a connection is passed on
+	DelayMs   float64 // of what passes, each way, in order
+	ConnectMs float64 // before a new connection is passed on
 	Cut       bool    // connections break and none opens
-	Stall     bool    // nothing passes towards the source; it is held back and the sender sees a full window
-	After     int     // with Cut: bytes that still pass towards the source, so that a frame may break in its middle
+	Stall     bool    // nothing passes towards the source: it is held back until the sender's window is full
+	After     int     // with Cut: bytes of each connection that still pass towards the source, so that a frame may break
 }
 
-// Observer is told what passes on one connection. Bytes are told when they come in, and delivered when they went out.
+// Observer is told what passes on one connection. Its methods may be called by several goroutines, and should return soon.
+// Times are in ms of the relay's clock. The data must not be kept or changed.
 type Observer interface {
-	ToTarget(at float64, p []byte)
-	FromTarget(at float64, p []byte)
-	Delivered(at float64, n int) // bytes that reached the source
-	Closed(at float64)           // once, when the first of both sides ended it; what was under way may still be delivered
+	// ToTarget is told data that the source sent.
+	ToTarget(atMs float64, data []byte)
+	// FromTarget is told data that the target sent.
+	FromTarget(atMs float64, data []byte)
+	// Delivered is told how many more bytes were written to the source.
+	Delivered(atMs float64, count int)
+	// Closed is told once that one side ended the connection. What was on its way may still be delivered.
+	Closed(atMs float64)
 }
 
-// Relay passes connections on to a target, from the source's own address, and watches them.
+// Relay passes connections on to a target, from the source's own address, and has them observed. Clock and Network are
+// required; no exported field may change after Start. Any goroutine may call the other methods after Start.
 type Relay struct {
 	Clock   clock.Clock
 	Network clock.Network
-	Observe func(from netip.Addr) Observer // for each connection; may be nil
+	Observe func(from netip.Addr) Observer // called for each connection; nil: none is observed
 
-	mu     sync.Mutex
-	ctx    context.Context
-	listen net.Listener // nil while shut
-	at0    string
-	target string
-	link   func(from netip.Addr) LinkFault
-	moved  chan struct{} // closed and made anew when the link changes
-	conns  map[net.Conn]netip.Addr
-}
+	ctx     context.Context // of Start: Reopen goes on under it
+	address string
 
-const (
-	relayBytes  = 16 << 10
-	relayPieces = 64 // pieces of a direction that are under way with a delay
-)
+	mu          sync.Mutex // guards all below
+	listener    net.Listener
+	target      string
+	faults      func(from netip.Addr) LinkFault // nil: none
+	faultsReset chan struct{}                   // closed and made anew when faults change
+	connections map[net.Conn]netip.Addr         // both ends of each connection, with its source
+}
 
-// Start listens on an address until the context ends, and gives the address.
-func (r *Relay) Start(ctx context.Context, listen, target string) (string, error) {
-	l, err := r.Network.Listen(ctx, listen)
+// Start listens at an address until the context ends, and returns the address with its port. Connections go to the target,
+// which may be empty until SetTarget is called.
+func (r *Relay) Start(ctx context.Context, address, target string) (string, error) {
+	listener, err := r.Network.Listen(ctx, address)
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("starting a relay at %s: %w", address, err)
 	}
-	r.ctx, r.listen, r.at0 = ctx, l, l.Addr().String()
-	r.target, r.moved, r.conns = target, make(chan struct{}), map[net.Conn]netip.Addr{}
+	r.ctx = ctx
+	r.address = listener.Addr().String()
+	r.listener = listener
+	r.target = target
+	r.faultsReset = make(chan struct{})
+	r.connections = map[net.Conn]netip.Addr{}
 	context.AfterFunc(ctx, r.Close)
-	go r.accept(l)
-	return r.at0, nil
+	go r.accept(listener)
+	return r.address, nil
 }
 
-func (r *Relay) accept(l net.Listener) {
-	for {
-		conn, err := l.Accept()
-		if err != nil {
-			return
-		}
-		go r.pass(r.ctx, conn)
-	}
-}
+// Address returns the address at which the relay listens, or listened last.
+func (r *Relay) Address() string { return r.address }
 
-// Close stops listening and breaks all connections: dials are refused, as by a machine whose process is gone.
+// Close stops listening and breaks all connections. Dials are refused then, as by a machine whose process is gone.
 func (r *Relay) Close() {
 	r.mu.Lock()
-	if r.listen != nil {
-		r.listen.Close()
-		r.listen = nil
+	if r.listener != nil {
+		_ = r.listener.Close() // nothing listens in either case
+		r.listener = nil
 	}
 	r.mu.Unlock()
-	r.breakAll(func(netip.Addr) bool { return true })
+	r.Disconnect(func(netip.Addr) bool { return true })
 }
 
-// Reopen listens again at the same address.
+// Reopen listens again, at the same address. It does nothing where the relay listens.
 func (r *Relay) Reopen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.listen != nil || r.ctx.Err() != nil {
+	if r.listener != nil || r.ctx.Err() != nil {
 		return r.ctx.Err()
 	}
-	l, err := r.Network.Listen(r.ctx, r.at0)
+	listener, err := r.Network.Listen(r.ctx, r.address)
 	if err != nil {
-		return err
+		return fmt.Errorf("reopening the relay at %s: %w", r.address, err)
 	}
-	r.listen = l
-	go r.accept(l)
+	r.listener = listener
+	go r.accept(listener)
 	return nil
 }
 
-// SetTarget sends new connections elsewhere.
-func (r *Relay) SetTarget(to string) {
+// SetTarget sends new connections to another target.
+func (r *Relay) SetTarget(target string) {
 	r.mu.Lock()
-	r.target = to
-	r.mu.Unlock()
+	defer r.mu.Unlock()
+	r.target = target
 }
 
-// SetFaults changes what is wrong with the links, by the address they come from. Cut ones break at once.
-func (r *Relay) SetFaults(link func(from netip.Addr) LinkFault) {
+// SetFaults changes what is wrong with connections, by the address that they come from; nil ends all faults. Connections that
+// are cut break at once, unless bytes may still pass.
+func (r *Relay) SetFaults(faults func(from netip.Addr) LinkFault) {
 	r.mu.Lock()
-	r.link = link
-	close(r.moved)
-	r.moved = make(chan struct{})
+	r.faults = faults
+	close(r.faultsReset)
+	r.faultsReset = make(chan struct{})
 	r.mu.Unlock()
-	if link != nil {
-		r.breakAll(func(from netip.Addr) bool { l := link(from); return l.Cut && l.After == 0 })
+	if faults == nil {
+		return
 	}
+	r.Disconnect(func(from netip.Addr) bool {
+		fault := faults(from)
+		return fault.Cut && fault.After == 0
+	})
 }
 
-// Disconnect ends the connections of some sources.
-func (r *Relay) Disconnect(which func(from netip.Addr) bool) { r.breakAll(which) }
-
-func (r *Relay) breakAll(which func(netip.Addr) bool) {
+// Disconnect breaks the connections of the sources that are selected.
+func (r *Relay) Disconnect(selected func(from netip.Addr) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for c, from := range r.conns {
-		if which(from) {
-			c.Close()
+	for connection, from := range r.connections {
+		if selected(from) {
+			_ = connection.Close() // its other end may have closed it
 		}
 	}
 }
 
-func (r *Relay) at(from netip.Addr) (LinkFault, chan struct{}) {
+// faultOf returns what is wrong with connections from a source now, and a channel that is closed when that may change.
+func (r *Relay) faultOf(from netip.Addr) (LinkFault, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.link == nil {
-		return LinkFault{}, r.moved
+	if r.faults == nil {
+		return LinkFault{}, r.faultsReset
 	}
-	return r.link(from), r.moved
+	return r.faults(from), r.faultsReset
 }
 
-func (r *Relay) pass(ctx context.Context, source net.Conn) {
-	from := netip.Addr{}
-	if a, ok := source.RemoteAddr().(*net.TCPAddr); ok {
-		from = a.AddrPort().Addr().Unmap()
-	}
-	defer source.Close()
-	link, _ := r.at(from)
-	if link.ConnectMs > 0 && clock.Sleep(ctx, r.Clock, link.ConnectMs) != nil || link.Cut {
-		if t, ok := source.(*net.TCPConn); ok {
-			t.SetLinger(0)
+// accept passes on whatever connects, until the listener is closed.
+func (r *Relay) accept(listener net.Listener) {
+	for {
+		connection, err := listener.Accept()
+		if err != nil {
+			return
 		}
-		return
+		go r.pass(r.ctx, connection)
 	}
-	r.mu.Lock()
-	to := r.target
-	r.mu.Unlock()
-	target, err := r.Network.Dial(ctx, from, to)
-	if err != nil { // the source sees a reset, as close as a relay comes to a refusal
-		if t, ok := source.(*net.TCPConn); ok {
-			t.SetLinger(0)
-		}
+}
+
+// pass passes a connection on to the target, until one side ends it or it is broken.
+func (r *Relay) pass(ctx context.Context, source net.Conn) {
+	defer closeConnection(source)
+	from := sourceAddress(source)
+	target, err := r.dialTarget(ctx, from)
+	if err != nil {
+		resetConnection(source) // as close as a relay comes to a refusal
 		return
 	}
-	defer target.Close()
-	r.mu.Lock()
-	r.conns[source], r.conns[target] = from, from
-	r.mu.Unlock()
-	var watch Observer
+	defer closeConnection(target)
+	r.track(source, target, from)
+	defer r.untrack(source, target)
+	link := &relayedLink{relay: r, from: from, observer: noObserver{}}
 	if r.Observe != nil {
-		watch = r.Observe(from)
+		link.observer = r.Observe(from)
 	}
-	var once sync.Once
-	closed := func() {
-		if watch != nil {
-			once.Do(func() { watch.Closed(r.Clock.Monotonic()) })
+	var directions sync.WaitGroup
+	directions.Go(func() { link.newDirection(source, target, true).run(ctx) })
+	directions.Go(func() { link.newDirection(target, source, false).run(ctx) })
+	directions.Wait()
+}
+
+// dialTarget connects to the target as from the source, as far as its faults allow.
+func (r *Relay) dialTarget(ctx context.Context, from netip.Addr) (net.Conn, error) {
+	fault, _ := r.faultOf(from)
+	if fault.ConnectMs > 0 {
+		if err := clock.Sleep(ctx, r.Clock, fault.ConnectMs); err != nil {
+			return nil, err
 		}
 	}
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() {
-		defer both.Done()
-		r.pump(ctx, from, source, target, watch, true, closed)
-	}()
-	go func() {
-		defer both.Done()
-		r.pump(ctx, from, target, source, watch, false, closed)
-	}()
-	both.Wait()
+	if fault.Cut {
+		return nil, net.ErrClosed
+	}
 	r.mu.Lock()
-	delete(r.conns, source)
-	delete(r.conns, target)
+	target := r.target
 	r.mu.Unlock()
+	return r.Network.Dial(ctx, from, target)
 }
 
-type piece struct {
-	due float64
-	p   []byte
+// track has both ends of a connection broken by Disconnect.
+func (r *Relay) track(source, target net.Conn, from netip.Addr) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.connections[source] = from
+	r.connections[target] = from
 }
 
-// pump passes one direction.
-func (r *Relay) pump(ctx context.Context, from netip.Addr, in, out net.Conn, watch Observer, toTarget bool, closed func()) {
-	pieces := make(chan piece, relayPieces)
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		defer out.Close()
-		left := -1
-		for p := range pieces {
-			if wait := p.due - r.Clock.Monotonic(); wait > 0 && clock.Sleep(ctx, r.Clock, wait) != nil {
-				return
-			}
-			link, moved := r.at(from)
-			for link.Stall && !toTarget {
-				select {
-				case <-moved:
-				case <-ctx.Done():
-					return
-				}
-				link, moved = r.at(from)
-			}
-			if link.Cut && !toTarget {
-				if left < 0 {
-					left = link.After
-				}
-				p.p = p.p[:min(len(p.p), left)]
-				left -= len(p.p)
-			}
-			if len(p.p) > 0 {
-				if _, err := out.Write(p.p); err != nil {
-					return
-				}
-				if watch != nil && !toTarget {
-					watch.Delivered(r.Clock.Monotonic(), len(p.p))
-				}
-			}
-			if left == 0 {
-				return
-			}
-		}
-	}()
-	defer func() {
-		close(pieces)
-		<-done
-	}()
-	for {
-		buf := make([]byte, relayBytes)
-		n, err := in.Read(buf)
-		if n > 0 {
-			now := r.Clock.Monotonic()
-			if watch != nil && toTarget {
-				watch.ToTarget(now, buf[:n])
-			} else if watch != nil {
-				watch.FromTarget(now, buf[:n])
-			}
-			link, _ := r.at(from)
-			select {
-			case pieces <- piece{now + link.DelayMs, buf[:n]}:
-			case <-done:
-				return
-			}
-		}
-		if err != nil {
-			closed()
-			return
-		}
+// untrack ends what track began.
+func (r *Relay) untrack(source, target net.Conn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.connections, source)
+	delete(r.connections, target)
+}
+
+// sourceAddress returns the address from which a connection was dialled, and the zero address for one that is not TCP.
+func sourceAddress(connection net.Conn) netip.Addr {
+	address, ok := connection.RemoteAddr().(*net.TCPAddr)
+	if !ok {
+		return netip.Addr{}
+	}
+	return address.AddrPort().Addr().Unmap()
+}
+
+// resetConnection has the end of a connection show as a reset to its peer.
+func resetConnection(connection net.Conn) {
+	if tcp, ok := connection.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // the peer may have closed it
 	}
 }
 
-// Address is where it listens, or listened last.
-func (r *Relay) Address() string { return r.at0 }
+// closeConnection closes a connection that may be closed or broken already.
+func closeConnection(connection net.Conn) { _ = connection.Close() }
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -1,290 +1,169 @@
-// Package fake holds what stands in for the outside: servers with cores, queues, cold starts and faults, a relay
-// that delays, cuts and records, clients with open-loop arrivals, and a list service. All are models, on loopback.
+// Package fake has models of what surrounds the product, for tests, scenarios and measurements: servers with cores, queues,
+// slow starts and faults; a relay that delays, cuts and observes connections; clients that send open-loop load; an endpoint
+// registry; and proxies that only speak the control stream. All run on real sockets and a [clock.Clock] that is handed in.
+//
+// What has a Start method runs until the context of Start ends. Goroutines end with that context too, at the latest when
+// their connections are closed.
 package fake
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"math"
 	"math/rand"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
 	"lichenpick/internal/clock"
-	"lichenpick/internal/proxy"
-	"lichenpick/internal/settings"
 	pb "lichenpick/proto/settings"
 )
 
+// shutdownTimeout is how long requests in flight may take after the end of RunServer.
+const shutdownTimeout = time.Second
+
 // Fault is what is wrong with a server; the zero value is nothing.
 type Fault struct {
-	Hang   bool    // takes flows and answers none
-	Refuse bool    // says at once that it does not run the flow
-	Slow   float64 // times slower; 0: not
-	Errors float64 // share of flows that run and are answered with an error
-	Reset  float64 // share of flows that run and whose connection then breaks
-}
-
-// Deduplicator is what the servers of one scope share: a deduped flow that runs twice within the window has one effect.
-type Deduplicator struct {
-	mu   sync.Mutex
-	seen map[string]float64
+	Hang   bool    // it receives requests and answers none
+	Refuse bool    // it says at once that it does not process requests
+	Slow   float64 // factor of the time that work takes; 0: none
+	Errors float64 // share of requests that are processed and answered with an error
+	Reset  float64 // share of requests that are processed and whose connection is then reset
 }
 
-// first says whether a key is new within the window, and remembers it.
-func (d *Deduplicator) first(key string, now, windowMs float64) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.seen == nil {
-		d.seen = map[string]float64{}
-	}
-	at, known := d.seen[key]
-	if len(d.seen) > 1<<14 {
-		for k, t := range d.seen {
-			if now-t > windowMs {
-				delete(d.seen, k)
-			}
-		}
-	}
-	d.seen[key] = now
-	return !known || now-at > windowMs
+// Counts are how requests ended at a server, over all its starts.
+type Counts struct {
+	Received      int
+	Succeeded     int
+	Rejected      int // with proof that they were not processed
+	Failed        int // processed, and then answered with an error or a reset
+	Deduplicated  int // of those that succeeded: a second time within the window, without an effect
+	ColdOverloads int // crashes while the server warmed up
 }
 
-// Counts are what a server met.
-type Counts struct{ Received, Succeeded, Rejected, Failed, Deduplicated, ColdOverloads int }
-
-// Server is a stand-in server, which can be started, crashed and replaced.
+// Server is an HTTP server that works on requests as its settings say. It can be started, crashed and started again. Any
+// goroutine may call its methods, but calls of Start and Crash must not overlap.
 type Server struct {
-	set   *pb.Server
-	clock clock.Clock
-	net   clock.Network
-	log   *slog.Logger
-	dedup *Deduplicator
-
-	mu      sync.Mutex
-	chance  *rand.Rand
-	fault   Fault
-	born    float64 // ms of the clock; 0: long past
-	fallen  bool
-	waiting int
-	came    []arrival // of a cold server's window
-	counts  Counts
-	cores   chan struct{}
-	running *http.Server
-	address string
-	conns   map[net.Conn]bool
-}
-
-type arrival struct{ at, work float64 }
-
-// NewServer makes one that does not listen yet.
-func NewServer(set *pb.Server, c clock.Clock, n clock.Network, log *slog.Logger, dedup *Deduplicator) *Server {
-	s := &Server{
-		set: set, clock: c, net: n, log: log, dedup: dedup, chance: rand.New(rand.NewSource(int64(set.GetSeed()))),
-		cores: make(chan struct{}, set.GetCores()), address: set.Listen, conns: map[net.Conn]bool{},
-	}
-	return s
-}
-
-// Start listens; cold as after a restart, or long warm. It gives the address, which a later Start keeps.
+	settings     *pb.Server
+	clock        clock.Clock
+	network      clock.Network
+	log          *slog.Logger
+	deduplicator *Deduplicator
+	cores        chan struct{} // one element for each busy core
+
+	mu          sync.Mutex // guards all below
+	chance      *rand.Rand
+	fault       Fault
+	warmUp      *WarmUp
+	inFlight    int // requests that wait or are processed
+	counts      Counts
+	running     *http.Server // nil: it does not run
+	address     string
+	connections map[net.Conn]bool
+}
+
+// NewServer returns a server that does not run yet. The settings must have passed the check of package settings, and must
+// not change afterwards.
+func NewServer(set *pb.Server, c clock.Clock, network clock.Network, log *slog.Logger, deduplicator *Deduplicator) *Server {
+	return &Server{
+		settings:     set,
+		clock:        c,
+		network:      network,
+		log:          log,
+		deduplicator: deduplicator,
+		cores:        make(chan struct{}, set.GetCores()),
+		chance:       rand.New(rand.NewSource(int64(set.GetSeed()))),
+		warmUp:       NewWarmUp(set),
+		address:      set.Listen,
+		connections:  map[net.Conn]bool{},
+	}
+}
+
+// Start listens, cold as after a restart or warm, without a fault. It returns the address, at which later starts listen
+// again. The server runs until Crash.
 func (s *Server) Start(ctx context.Context, cold bool) (string, error) {
-	l, err := s.net.Listen(ctx, s.address)
+	listener, err := s.network.Listen(ctx, s.address)
 	if err != nil {
-		return "", fmt.Errorf("server %s: %w", s.set.Name, err)
+		return "", fmt.Errorf("starting server %s: %w", s.settings.Name, err)
 	}
-	server := &http.Server{Handler: http.HandlerFunc(s.serve), ConnState: s.connection, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug)}
-	s.mu.Lock()
-	s.running, s.address, s.fallen, s.came, s.fault = server, l.Addr().String(), false, nil, Fault{}
-	if s.born = 0; cold {
-		s.born = math.Max(s.clock.Monotonic(), 1)
+	server := &http.Server{
+		Handler:   http.HandlerFunc(s.handle),
+		ConnState: s.trackConnection,
+		ErrorLog:  slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 	}
+	s.mu.Lock()
+	s.running = server
+	s.address = listener.Addr().String()
+	s.fault = Fault{}
+	s.warmUp.Start(s.clock.Monotonic(), cold)
 	s.mu.Unlock()
-	go server.Serve(l)
-	return s.address, nil
+	go func() {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			s.log.Error("fake server failed", "server", s.settings.Name, "error", err)
+		}
+	}()
+	return listener.Addr().String(), nil
 }
 
-// Crash ends it at once, with all flows in hand.
+// Crash ends the server at once, with all requests in flight. It does nothing where the server does not run.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	running := s.running
 	s.running = nil
 	s.mu.Unlock()
 	if running != nil {
-		running.Close()
+		_ = running.Close() // the listener may be closed already
 	}
 }
 
-// SetFault changes what is wrong with it.
-func (s *Server) SetFault(f Fault) {
+// shutdown ends the server gracefully, as far as the timeout allows.
+func (s *Server) shutdown(ctx context.Context) error {
 	s.mu.Lock()
-	s.fault = f
+	running := s.running
 	s.mu.Unlock()
-}
-
-// Counts gives what it met so far.
-func (s *Server) Counts() Counts {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.counts
-}
-
-// StartedMs is when it was last started cold, in ms of the clock; 0: long past.
-func (s *Server) StartedMs() float64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.born
-}
-
-// Capacity is the work that it can do now, in ms of one core at speed 1 per ms. A cold server's rises evenly.
-func Capacity(set *pb.Server, age float64, cold bool) float64 {
-	full := float64(set.GetCores()) * set.GetSpeed()
-	warm := settings.Milliseconds(set.WarmUp)
-	if !cold || age >= warm {
-		return full
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
+	defer cancel()
+	err := running.Shutdown(ctx)
+	if err != nil && !errors.Is(err, context.DeadlineExceeded) {
+		return fmt.Errorf("stopping server %s: %w", s.settings.Name, err)
 	}
-	return full * (set.GetColdShare() + (1-set.GetColdShare())*math.Max(age, 0)/warm)
+	s.Crash()
+	return nil
 }
 
-func (s *Server) capacity(now float64) float64 { return Capacity(s.set, now-s.born, s.born > 0) }
-
-// connection caps connections, and books the work of a handshake.
-func (s *Server) connection(c net.Conn, state http.ConnState) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	switch state {
-	case http.StateNew:
-		if len(s.conns) >= int(s.set.GetConnections()) || s.fallen {
-			c.Close()
-			return
-		}
-		s.conns[c] = true
-		s.came = append(s.came, arrival{s.clock.Monotonic(), settings.Milliseconds(s.set.Handshake)})
-		go s.work(context.Background(), settings.Milliseconds(s.set.Handshake))
-	case http.StateClosed, http.StateHijacked:
-		delete(s.conns, c)
+// RunServer runs a server until the context ends.
+func RunServer(ctx context.Context, set *pb.Server, c clock.Clock, network clock.Network, log *slog.Logger) error {
+	server := NewServer(set, c, network, log, &Deduplicator{})
+	address, err := server.Start(ctx, set.Cold)
+	if err != nil {
+		return err
 	}
+	log.Info("fake server listens", "server", set.Name, "address", address)
+	<-ctx.Done()
+	return server.shutdown(context.WithoutCancel(ctx))
 }
 
-// work occupies a core for some ms of work.
-func (s *Server) work(ctx context.Context, ms float64) bool {
-	select {
-	case s.cores <- struct{}{}:
-	case <-ctx.Done():
-		return false
-	}
-	defer func() { <-s.cores }()
+// SetFault changes what is wrong with the server, until its next start.
+func (s *Server) SetFault(fault Fault) {
 	s.mu.Lock()
-	pace := s.capacity(s.clock.Monotonic()) / float64(s.set.GetCores())
-	if s.fault.Slow > 0 {
-		pace /= s.fault.Slow
-	}
-	s.mu.Unlock()
-	return clock.Sleep(context.WithoutCancel(ctx), s.clock, ms/pace) == nil // what was begun goes on, also when given up
-}
-
-// fall notes what came to a cold server and says whether it was too much for it: all of a window's work against a
-// multiple of what it can do.
-func (s *Server) fall(now, work float64) bool {
-	window := settings.Milliseconds(s.set.FallWindow)
-	s.came = append(s.came, arrival{now, work})
-	for len(s.came) > 0 && s.came[0].at <= now-window {
-		s.came = s.came[1:]
-	}
-	if s.born == 0 || now-s.born >= settings.Milliseconds(s.set.WarmUp) || s.fallen {
-		return s.fallen
-	}
-	sum := 0.0
-	for _, a := range s.came {
-		sum += a.work
-	}
-	if sum > s.set.GetFallMultiple()*s.capacity(now)*window {
-		s.fallen = true
-		s.counts.ColdOverloads++
-	}
-	return s.fallen
+	defer s.mu.Unlock()
+	s.fault = fault
 }
 
-func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20))
-	now := s.clock.Monotonic()
-	s.mu.Lock()
-	s.counts.Received++
-	f := s.fault
-	work := settings.Milliseconds(s.set.Work) * (0.25 + 0.75*s.chance.ExpFloat64()) // a part of each flow is the same
-	hang := f.Hang || s.fall(now, work)
-	full := s.waiting >= int(s.set.GetWaiting())+int(s.set.GetCores())
-	roll, again := s.chance.Float64(), false
-	if !hang && !full && !f.Refuse {
-		s.waiting++
-	} else if !hang {
-		s.counts.Rejected++
-	}
-	s.mu.Unlock()
-	switch {
-	case hang:
-		<-r.Context().Done()
-		return
-	case full || f.Refuse:
-		w.Header().Set(proxy.ProcessedHeader, "no")
-		w.Header().Set("Retry-After", "1")
-		http.Error(w, "full", http.StatusServiceUnavailable)
-		return
-	}
-	if key := r.Header.Get(KeyHeader); key != "" && s.dedup != nil {
-		again = !s.dedup.first(key, now, settings.Milliseconds(s.set.DedupWindow))
-	}
-	ok := s.work(r.Context(), work)
+// Counts returns how requests ended so far.
+func (s *Server) Counts() Counts {
 	s.mu.Lock()
-	s.waiting--
-	switch {
-	case !ok:
-	case roll < f.Errors+f.Reset:
-		s.counts.Failed++
-	default:
-		if s.counts.Succeeded++; again {
-			s.counts.Deduplicated++
-		}
-	}
-	s.mu.Unlock()
-	switch {
-	case !ok:
-		return
-	case roll < f.Reset:
-		panic(http.ErrAbortHandler)
-	case roll < f.Errors+f.Reset:
-		http.Error(w, "failed", http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Content-Length", strconv.Itoa(3))
-	io.WriteString(w, "ok\n")
+	defer s.mu.Unlock()
+	counts := s.counts
+	counts.ColdOverloads = s.warmUp.Overloads()
+	return counts
 }
 
-// KeyHeader carries the key of a deduped flow.
-const KeyHeader = "Idempotency-Key"
-
-// RunServer serves one stand-in until the context ends: the sub-command.
-func RunServer(ctx context.Context, set *pb.Server, c clock.Clock, n clock.Network, log *slog.Logger) error {
-	s := NewServer(set, c, n, log, &Deduplicator{})
-	at, err := s.Start(ctx, set.Cold)
-	if err != nil {
-		return err
-	}
-	log.Info("server listens", "server", set.Name, "address", at)
-	<-ctx.Done()
+// StartedMs returns the time of the last cold start, in ms of the clock, and 0 where the server was started warm.
+func (s *Server) StartedMs() float64 {
 	s.mu.Lock()
-	running := s.running
-	s.mu.Unlock()
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
-	defer cancel()
-	if err := running.Shutdown(last); err != nil && !errors.Is(err, context.DeadlineExceeded) {
-		return err
-	}
-	running.Close()
-	return nil
+	defer s.mu.Unlock()
+	return s.warmUp.StartedMs()
 }
--- a/internal/fake/stress.go
+++ b/internal/fake/stress.go
@@ -3,11 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"math/rand"
-	"net"
-	"net/netip"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -18,221 +14,157 @@
 
 	"lichenpick/internal/clock"
 	"lichenpick/internal/discovery"
-	"lichenpick/internal/proxy"
-	"lichenpick/proto/order"
 	pb "lichenpick/proto/settings"
 )
 
-// StressTest is many proxies that only speak the order stream: they obey tables, make up flows by the weights that they hold,
-// report and answer, by the product's own follower. It loads a planner at sizes at which real flows would need more than one machine.
+const (
+	// maxRecordedUs and histogramDigits are the range, in µs, and the precision of histograms.
+	maxRecordedUs   = 600_000_000
+	histogramDigits = 3
+	// noServer stands for none of the servers.
+	noServer = -1
+)
+
+// StressTest is many proxies that only speak the control stream: they apply orders, make up requests by the weights that they
+// hold, report and acknowledge, all by the product's own control-stream client. It loads planners at sizes at which real
+// requests would need more than one machine. Its exported fields must not change during Run.
 type StressTest struct {
 	Clock             clock.Clock
 	Network           clock.Network
 	Planners          []string // addresses
-	SharedFleet       bool
+	SharedFleet       bool     // the planners share the fleet; else each proxy begins with another of them
 	Zones             []string // proxy n is in zone n modulo their number
 	Classes           []*pb.Group
 	Proxies           int
-	Servers           int     // written to the list file
-	List              string  // path; empty: not written
-	RequestsPerSecond float64 // flows a proxy and second
-	ReportIntervalMs  float64 // reports
-	DrainIntervalMs   float64 // a server drains, or is ready again, this often; 0: never
+	Servers           int     // in the endpoint list
+	List              string  // file that the endpoint list is written to; empty: it is not
+	RequestsPerSecond float64 // of each proxy
+	ReportIntervalMs  float64 // of load reports
+	DrainIntervalMs   float64 // between changes of the list, in which a server drains or is ready again; 0: none
+	JoinSpreadMs      float64 // time over which the proxies join
 	Seed              int64
-	JoinSpreadMs      float64 // ms over which the joins are spread
 
-	mu      sync.Mutex
-	applied *hdrhistogram.Histogram // us from the decision to the obeying
-	bare    *hdrhistogram.Histogram // us from the last word of a commander to the grant of the next
-	result  StressResult
+	bytesUp, bytesDown, dials atomic.Int64
 
-	up, down, dials atomic.Int64
+	mu              sync.Mutex // guards all below
+	appliedUs       *hdrhistogram.Histogram
+	withoutLeaderUs *hdrhistogram.Histogram
+	result          StressResult
 }
 
-// StressResult is what a swarm saw.
+// StressResult is what the proxies of a StressTest observed.
 type StressResult struct {
-	Dials, Assigned, Takeovers         int
-	Messages, Orders                   int
-	AllAssignedMs                      float64 // from the first dial until every proxy was bound
-	P50Ms, P99Ms                       float64
-	P999Ms, MaxMs                      float64
-	MaxMessages                        int     // to one proxy within 10 s
-	BytesUp, BytesDown                 int     // bytes to planners and from them
-	WithoutLeaderP50, WithoutLeaderP99 float64 // ms that a proxy was without a commander, where it went to another
-	WithoutLeaderMax                   float64
+	Dials         int
+	Assigned      int // proxies that were assigned tables
+	Takeovers     int // leases that went from one planner to another
+	Messages      int
+	Orders        int     // in them
+	AllAssignedMs float64 // from the first dial until all proxies were assigned tables; 0: never
+	MaxMessages   int     // to one proxy within 10 s
+	BytesUp       int     // on control streams, to planners
+	BytesDown     int     // and from them
+
+	// Times from the decision of orders until they were applied, in ms.
+	P50Ms, P99Ms, P999Ms, MaxMs float64
+	// Times from the last frame of a leader until the lease of the next, in ms.
+	WithoutLeaderP50, WithoutLeaderP99, WithoutLeaderMax float64
 }
 
-// Prepare writes the list, so that planners can be started before the swarm.
-func (s *StressTest) Prepare() error {
-	if s.List == "" {
-		return nil
-	}
-	return s.write(-1)
-}
+// Prepare writes the endpoint list, so that planners can be started before Run.
+func (s *StressTest) Prepare() error { return s.writeList(noServer) }
 
-// Run lets the swarm live for some ms.
-func (s *StressTest) Run(ctx context.Context, ms float64) (StressResult, error) {
-	s.applied, s.bare = hdrhistogram.New(1, 600e6, 3), hdrhistogram.New(1, 600e6, 3)
+// Run joins the proxies, lets them live for some ms and returns what they observed. It may be called once.
+func (s *StressTest) Run(ctx context.Context, lengthMs float64) (StressResult, error) {
+	s.appliedUs = hdrhistogram.New(1, maxRecordedUs, histogramDigits)
+	s.withoutLeaderUs = hdrhistogram.New(1, maxRecordedUs, histogramDigits)
 	if err := s.Prepare(); err != nil {
 		return s.result, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(ms*float64(time.Millisecond)))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(lengthMs*float64(time.Millisecond)))
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
-	start := s.Clock.Monotonic()
-	for n := range s.Proxies {
-		group.Go(func() error {
-			if clock.Sleep(ctx, s.Clock, s.JoinSpreadMs*float64(n)/float64(s.Proxies)) != nil {
-				return nil
-			}
-			m := s.join(n, start)
-			group.Go(func() error {
-				m.flows(ctx, rand.New(rand.NewSource(s.Seed+int64(n))))
-				return nil
-			})
-			return m.f.Connect(ctx)
-		})
+	startMs := s.Clock.Monotonic()
+	for number := range s.Proxies {
+		group.Go(func() error { return s.runProxy(ctx, group, number, startMs) })
 	}
 	if s.DrainIntervalMs > 0 && s.List != "" {
-		group.Go(func() error {
-			for n := 0; clock.Sleep(ctx, s.Clock, s.DrainIntervalMs) == nil; n++ {
-				drained := -1
-				if n%2 == 0 {
-					drained = n / 2 % s.Servers
-				}
-				if err := s.write(drained); err != nil {
-					return err
-				}
-			}
-			return nil
-		})
+		group.Go(func() error { return s.changeList(ctx) })
 	}
 	err := group.Wait()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	at := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	r := &s.result
-	r.P50Ms, r.P99Ms, r.P999Ms, r.MaxMs = at(s.applied, 50), at(s.applied, 99), at(s.applied, 99.9), at(s.applied, 100)
-	r.WithoutLeaderP50, r.WithoutLeaderP99, r.WithoutLeaderMax = at(s.bare, 50), at(s.bare, 99), at(s.bare, 100)
-	r.Dials, r.BytesUp, r.BytesDown = int(s.dials.Load()), int(s.up.Load()), int(s.down.Load())
-	return s.result, err
+	return s.summarize(), err
 }
 
-func server(n int) string { return fmt.Sprintf("127.9.%d.%d:8000", n/250, n%250+1) }
-
-func (s *StressTest) write(drained int) error {
-	l := &pb.List{}
-	for n := range s.Servers {
-		e := &pb.List_Entry{Server: server(n), Zone: s.Zones[n%len(s.Zones)], Size: proto.Float64(1)}
-		if n == drained {
-			e.State = pb.List_DRAINING
-		}
-		l.Servers = append(l.Servers, e)
+// runProxy runs a proxy until the context ends; the group owns its goroutines.
+func (s *StressTest) runProxy(ctx context.Context, group *errgroup.Group, number int, startMs float64) error {
+	if clock.Sleep(ctx, s.Clock, s.JoinSpreadMs*float64(number)/float64(s.Proxies)) != nil {
+		return nil
 	}
-	return discovery.Save(s.List, l)
-}
-
-// member is one proxy of a swarm: the product's own part towards planners, with made-up flows.
-type member struct {
-	s      *StressTest
-	f      *proxy.ControlClient
-	bound  bool
-	recent []float64
+	proxy := s.newProxy(number, startMs)
+	group.Go(func() error {
+		proxy.makeRequests(ctx, rand.New(rand.NewSource(s.Seed+int64(number))))
+		return nil
+	})
+	return proxy.client.Connect(ctx)
 }
 
-func (s *StressTest) join(n int, start float64) *member {
-	set := &pb.Proxy{}
-	set.Name, set.Zone, set.Groups, set.Planners = fmt.Sprintf("swarm-%d", n), s.Zones[n%len(s.Zones)], s.Classes, s.Planners
-	if !s.SharedFleet { // each begins with another
-		k := n % len(s.Planners)
-		set.Planners = append(slices.Clone(s.Planners[k:]), s.Planners[:k]...)
-	}
-	set.Sharing, set.Seed = s.SharedFleet, proto.Uint64(uint64(s.Seed)+uint64(n))
-	set.Usual, set.ReportEvery = fmt.Sprintf("%g/s", s.RequestsPerSecond), fmt.Sprintf("%gms", s.ReportIntervalMs)
-	set.Redial, set.SilentAfter, set.FrameBytes = "300ms", "60s", proto.Uint32(16<<20)
-	m := &member{s: s, f: proxy.NewControlClient(proxy.Options{Settings: set, Clock: s.Clock, Network: counted{s.Network, s}, Log: slog.New(slog.DiscardHandler)})}
-	m.f.OnOrders = func(o *order.Orders) { m.obeyed(o, start) }
-	m.f.OnTakeover = func(bareMs float64) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.result.Takeovers++
-		s.bare.RecordValue(max(int64(bareMs*1000), 1))
+// changeList has one server after the other drain and be ready again, until the context ends.
+func (s *StressTest) changeList(ctx context.Context) error {
+	for change := 0; clock.Sleep(ctx, s.Clock, s.DrainIntervalMs) == nil; change++ {
+		draining := noServer
+		if change%2 == 0 {
+			draining = change / 2 % s.Servers
+		}
+		if err := s.writeList(draining); err != nil {
+			return err
+		}
 	}
-	return m
+	return nil
 }
 
-func (m *member) obeyed(o *order.Orders, start float64) {
-	s, now := m.s, m.s.Clock.Monotonic()
-	late := s.Clock.WallTime().UnixMicro() - int64(o.DecidedUnixUs)
-	m.recent = append(m.recent, now)
-	for len(m.recent) > 0 && m.recent[0] <= now-10000 {
-		m.recent = m.recent[1:]
+// writeList writes the endpoint list, where there is one, with all servers ready but one.
+func (s *StressTest) writeList(draining int) error {
+	if s.List == "" {
+		return nil
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.applied.RecordValue(max(late, 1))
-	s.result.Messages++
-	s.result.Orders += len(o.Orders)
-	s.result.MaxMessages = max(s.result.MaxMessages, len(m.recent))
-	for _, x := range o.Orders {
-		if x.GetBind() != nil && !m.bound {
-			m.bound = true
-			if s.result.Assigned++; s.result.Assigned == s.Proxies {
-				s.result.AllAssignedMs = now - start
-			}
+	list := &pb.List{}
+	for number := range s.Servers {
+		entry := &pb.List_Entry{
+			Server: fmt.Sprintf("127.9.%d.%d:8000", number/250, number%250+1),
+			Zone:   s.Zones[number%len(s.Zones)],
+			Size:   proto.Float64(1),
 		}
+		if number == draining {
+			entry.State = pb.List_DRAINING
+		}
+		list.Servers = append(list.Servers, entry)
 	}
+	return discovery.Save(s.List, list)
 }
 
-// flows makes some up each period until the context ends. All are delivered after some tens of ms.
-func (m *member) flows(ctx context.Context, chance *rand.Rand) {
-	every := m.s.ReportIntervalMs / 4
-	for clock.Sleep(ctx, m.s.Clock, every) == nil {
-		m.f.WithCore(func(c *proxy.Core) {
-			now := m.s.Clock.Monotonic()
-			for range int(m.s.RequestsPerSecond*every/1000 + chance.Float64()) {
-				f, ok := c.Admit(now, chance.Intn(len(m.s.Classes)))
-				if !ok {
-					continue
-				}
-				if to, _, ok := c.Pick(now, f); ok {
-					c.FinishAttempt(now, f, to, proxy.Succeeded, 20+20*chance.ExpFloat64())
-				} else {
-					c.RecordNoServer(f)
-				}
-			}
-		})
-	}
-}
-
-// counted counts what passes on a swarm's streams.
-type counted struct {
-	clock.Network
-	s *StressTest
-}
-
-type countedConn struct {
-	net.Conn
-	s *StressTest
-}
-
-func (c counted) Dial(ctx context.Context, from netip.Addr, to string) (net.Conn, error) {
-	conn, err := c.Network.Dial(ctx, from, to)
-	if err != nil {
-		return nil, err
-	}
-	c.s.dials.Add(1)
-	return countedConn{conn, c.s}, nil
+// summarize returns what the proxies observed.
+func (s *StressTest) summarize() StressResult {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	result := s.result
+	result.P50Ms = quantileMs(s.appliedUs, 50)
+	result.P99Ms = quantileMs(s.appliedUs, 99)
+	result.P999Ms = quantileMs(s.appliedUs, 99.9)
+	result.MaxMs = quantileMs(s.appliedUs, 100)
+	result.WithoutLeaderP50 = quantileMs(s.withoutLeaderUs, 50)
+	result.WithoutLeaderP99 = quantileMs(s.withoutLeaderUs, 99)
+	result.WithoutLeaderMax = quantileMs(s.withoutLeaderUs, 100)
+	result.Dials = int(s.dials.Load())
+	result.BytesUp = int(s.bytesUp.Load())
+	result.BytesDown = int(s.bytesDown.Load())
+	return result
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
-	n, err := c.Conn.Read(p)
-	c.s.down.Add(int64(n))
-	return n, err
+// quantileMs returns a quantile, in percent, of a histogram of µs.
+func quantileMs(histogram *hdrhistogram.Histogram, percent float64) float64 {
+	return float64(histogram.ValueAtQuantile(percent)) / 1000
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
-	c.s.up.Add(int64(n))
-	return n, err
+// recordUs records a time in a histogram. One below 1 µs, as by clocks that differ, counts as 1 µs.
+func recordUs(histogram *hdrhistogram.Histogram, us int64) {
+	_ = histogram.RecordValue(max(us, 1)) // fails only for more than the longest test takes
 }
--- /dev/null
+++ b/internal/fake/stressproxy.go
@@ -0,0 +1,178 @@
+package fake
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math/rand"
+	"net"
+	"net/netip"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"lichenpick/internal/clock"
+	"lichenpick/internal/proxy"
+	"lichenpick/proto/order"
+	pb "lichenpick/proto/settings"
+)
+
+const (
+	messageWindowMs     = 10_000.0 // of StressResult.MaxMessages
+	requestBatches      = 4        // in which the requests of a report interval are made up
+	minLatencyMs        = 20.0     // of a request
+	meanExtraLatencyMs  = 20.0     // exponentially distributed, on top
+	reconnectDelay      = "300ms"
+	silentAfter         = "60s"
+	maxStreamFrameBytes = 16 << 20
+)
+
+// stressProxy is one proxy of a StressTest: the product's control-stream client, with requests that are made up.
+type stressProxy struct {
+	test    *StressTest
+	startMs float64 // of the test
+	client  *proxy.ControlClient
+
+	assigned  bool      // it was assigned tables; used by the client's callbacks only, as is the next
+	recentsMs []float64 // times of messages within the window
+}
+
+// newProxy returns a proxy that is not connected.
+func (s *StressTest) newProxy(number int, startMs float64) *stressProxy {
+	created := &stressProxy{test: s, startMs: startMs}
+	created.client = proxy.NewControlClient(proxy.Options{
+		Settings: s.proxySettings(number),
+		Clock:    s.Clock,
+		Network:  countingNetwork{Network: s.Network, test: s},
+		Log:      slog.New(slog.DiscardHandler),
+	})
+	created.client.OnOrders = created.recordOrders
+	created.client.OnTakeover = s.recordTakeover
+	return created
+}
+
+// proxySettings returns the settings of a proxy.
+func (s *StressTest) proxySettings(number int) *pb.Proxy {
+	planners := s.Planners
+	if !s.SharedFleet { // each begins with another
+		first := number % len(planners)
+		planners = slices.Concat(planners[first:], planners[:first])
+	}
+	return &pb.Proxy{
+		Name:        fmt.Sprintf("stress-%d", number),
+		Zone:        s.Zones[number%len(s.Zones)],
+		Groups:      s.Classes,
+		Planners:    planners,
+		Sharing:     s.SharedFleet,
+		Seed:        proto.Uint64(uint64(s.Seed) + uint64(number)),
+		Usual:       fmt.Sprintf("%g/s", s.RequestsPerSecond),
+		ReportEvery: fmt.Sprintf("%gms", s.ReportIntervalMs),
+		Redial:      reconnectDelay,
+		SilentAfter: silentAfter,
+		FrameBytes:  proto.Uint32(maxStreamFrameBytes),
+	}
+}
+
+// recordTakeover records that the lease of a proxy went to another planner.
+func (s *StressTest) recordTakeover(withoutLeaderMs float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.result.Takeovers++
+	recordUs(s.withoutLeaderUs, int64(withoutLeaderMs*1000))
+}
+
+// recordOrders records a message that the proxy applied.
+func (p *stressProxy) recordOrders(orders *order.Orders) {
+	s := p.test
+	nowMs := s.Clock.Monotonic()
+	appliedUs := s.Clock.WallTime().UnixMicro() - int64(orders.DecidedUnixUs)
+	p.recentsMs = append(p.recentsMs, nowMs)
+	for p.recentsMs[0] <= nowMs-messageWindowMs {
+		p.recentsMs = p.recentsMs[1:]
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	recordUs(s.appliedUs, appliedUs)
+	s.result.Messages++
+	s.result.Orders += len(orders.Orders)
+	s.result.MaxMessages = max(s.result.MaxMessages, len(p.recentsMs))
+	if p.assigned || !assignsTable(orders) {
+		return
+	}
+	p.assigned = true
+	s.result.Assigned++
+	if s.result.Assigned == s.Proxies {
+		s.result.AllAssignedMs = nowMs - p.startMs
+	}
+}
+
+// assignsTable reports whether a message assigns a whole table.
+func assignsTable(orders *order.Orders) bool {
+	return slices.ContainsFunc(orders.Orders, func(single *order.Order) bool { return single.GetBind() != nil })
+}
+
+// makeRequests makes up requests until the context ends. Those that are admitted and find a server succeed.
+func (p *stressProxy) makeRequests(ctx context.Context, chance *rand.Rand) {
+	s := p.test
+	intervalMs := s.ReportIntervalMs / requestBatches
+	for clock.Sleep(ctx, s.Clock, intervalMs) == nil {
+		p.client.WithCore(func(core *proxy.Core) {
+			nowMs := s.Clock.Monotonic()
+			for range int(s.RequestsPerSecond*intervalMs/1000 + chance.Float64()) {
+				p.makeRequest(core, nowMs, chance)
+			}
+		})
+	}
+}
+
+// makeRequest makes up one request.
+func (p *stressProxy) makeRequest(core *proxy.Core, nowMs float64, chance *rand.Rand) {
+	class := chance.Intn(len(p.test.Classes))
+	request, admitted := core.Admit(nowMs, class)
+	if !admitted {
+		return
+	}
+	server, _, found := core.Pick(nowMs, request)
+	if !found {
+		core.RecordNoServer(request)
+		return
+	}
+	latencyMs := minLatencyMs + meanExtraLatencyMs*chance.ExpFloat64()
+	core.FinishAttempt(nowMs, request, server, proxy.Succeeded, latencyMs)
+}
+
+// countingNetwork counts the connections of a StressTest, and what passes on them.
+type countingNetwork struct {
+	clock.Network
+	test *StressTest
+}
+
+// Dial dials by the network and counts the connection.
+func (n countingNetwork) Dial(ctx context.Context, from netip.Addr, to string) (net.Conn, error) {
+	connection, err := n.Network.Dial(ctx, from, to)
+	if err != nil {
+		return nil, err
+	}
+	n.test.dials.Add(1)
+	return countingConnection{Conn: connection, test: n.test}, nil
+}
+
+// countingConnection counts the bytes of a connection.
+type countingConnection struct {
+	net.Conn
+	test *StressTest
+}
+
+// Read reads from the connection and counts the bytes.
+func (c countingConnection) Read(buffer []byte) (int, error) {
+	count, err := c.Conn.Read(buffer)
+	c.test.bytesDown.Add(int64(count))
+	return count, err
+}
+
+// Write writes to the connection and counts the bytes.
+func (c countingConnection) Write(data []byte) (int, error) {
+	count, err := c.Conn.Write(data)
+	c.test.bytesUp.Add(int64(count))
+	return count, err
+}
--- a/internal/scenario/serverfaults.go
+++ b/internal/scenario/serverfaults.go
@@ -92,7 +92,7 @@
 	for _, crashed := range servers {
 		crashed.stop()
 		if listed {
-			f.setState(crashed, serverRemoved)
+			f.setState(crashed, fake.EndpointRemoved)
 		}
 	}
 	f.waitFor(ctx, lasts)
@@ -103,7 +103,7 @@
 		if err := crashed.restart(ctx); err != nil {
 			return err
 		}
-		f.setState(crashed, serverReady)
+		f.setState(crashed, fake.EndpointReady)
 	}
 	f.releaseServers(servers)
 	return nil
@@ -115,7 +115,7 @@
 	var started []*serverInstance
 	defer func() { f.releaseServers(started) }()
 	for _, old := range replaced {
-		f.setState(old, serverDraining)
+		f.setState(old, fake.EndpointDraining)
 		next, err := f.addServer(ctx, old.zone, true)
 		if err != nil {
 			return err
@@ -138,7 +138,7 @@
 	f.waitFor(ctx, drain)
 	old.stop()
 	if ctx.Err() == nil {
-		f.setState(old, serverRemoved)
+		f.setState(old, fake.EndpointRemoved)
 	}
 }
 
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -12,15 +12,6 @@
 	pb "lichenpick/proto/settings"
 )
 
-// serverState is the state of a server in the endpoint list, as on the list's wire.
-type serverState uint32
-
-const (
-	serverReady serverState = iota
-	serverDraining
-	serverRemoved
-)
-
 // serverInstance is a fake server with its relay.
 type serverInstance struct {
 	*fake.Server
@@ -74,7 +65,7 @@
 	f.servers = append(f.servers, added)
 	f.mu.Unlock()
 	f.updateLinks()
-	f.setState(added, serverReady)
+	f.setState(added, fake.EndpointReady)
 	return added, nil
 }
 
@@ -108,13 +99,13 @@
 }
 
 // setState sets a server's state in the endpoint list.
-func (f *fleet) setState(server *serverInstance, state serverState) {
+func (f *fleet) setState(server *serverInstance, state fake.EndpointState) {
 	startedUnixMs := uint64(0)
 	if startedMs := server.StartedMs(); startedMs > 0 {
 		startedUnixMs = uint64(float64(f.clock.WallTime().UnixMilli()) - (f.clock.Monotonic() - startedMs))
 	}
 	zoneName := f.script.Places[server.zone].Name
-	f.registry.SetEndpoint(server.address, zoneName, uint32(state), server.capacity, startedUnixMs)
+	f.registry.SetEndpoint(server.address, zoneName, state, server.capacity, startedUnixMs)
 }
 
 // warmingCapacity returns the capacity of a server that is warming up, in ms of work a ms, and 0 for any other.
--- a/internal/simulation/planner.go
+++ b/internal/simulation/planner.go
@@ -83,8 +83,8 @@
 	case server.draining:
 		endpoint.State = policy.Draining
 	}
-	if server.startedMs > 0 {
-		endpoint.StartedUnixMs = uint64(epochUnixMs + server.startedMs)
+	if startedMs := server.warmUp.StartedMs(); startedMs > 0 {
+		endpoint.StartedUnixMs = uint64(epochUnixMs + startedMs)
 	}
 	return endpoint
 }
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -94,7 +94,7 @@
 	}
 	f.result.Service = earned / math.Max(available, 1e-9)
 	for _, server := range f.servers {
-		f.result.ColdOverloads += server.overloads
+		f.result.ColdOverloads += server.warmUp.Overloads()
 	}
 	f.result.Events = f.processed
 }
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -5,16 +5,9 @@
 	"math/rand"
 
 	"lichenpick/internal/fake"
-	"lichenpick/internal/settings"
 	pb "lichenpick/proto/settings"
 )
 
-// Work of a request is its mean times a fixed part, plus an exponentially distributed part of the same mean.
-const (
-	fixedWorkPart  = 0.25
-	randomWorkPart = 0.75
-)
-
 // server is the model of a server: a queue in front of some cores. After a start it warms up, and crashes if it is sent too
 // much meanwhile. Its parameters are those of package fake, so that the two can be compared.
 type server struct {
@@ -24,22 +17,16 @@
 	settings *pb.Server
 	chance   *rand.Rand // of its own, for work
 
-	startedMs float64 // last start; 0: long ago, so that it is warm
+	warmUp    *fake.WarmUp
 	busyCores int
 	waiting   []*attempt
-	arrivals  []arrival // within the window
-	overloads int       // times that it crashed while it warmed up
 
-	draining   bool
-	stopped    bool
-	hanging    bool
-	slowdown   float64 // factor of the time that work takes; 1: none
-	overloaded bool    // it crashed while it warmed up, and answers nothing until it is started again
+	draining bool
+	stopped  bool
+	hanging  bool
+	slowdown float64 // factor of the time that work takes; 1: none
 }
 
-// arrival is work that a server was sent.
-type arrival struct{ atMs, workMs float64 }
-
 // attempt is one attempt of a request at a server.
 type attempt struct {
 	workMs float64
@@ -58,17 +45,25 @@
 
 // newServer returns a server that is warm.
 func newServer(queue *eventQueue, set *pb.Server, zone int, chance *rand.Rand) *server {
-	return &server{queue: queue, address: set.Listen, zone: zone, settings: set, chance: chance, slowdown: 1}
+	return &server{
+		queue:    queue,
+		address:  set.Listen,
+		zone:     zone,
+		settings: set,
+		chance:   chance,
+		warmUp:   fake.NewWarmUp(set),
+		slowdown: 1,
+	}
 }
 
 // receive takes an attempt that arrives.
 func (s *server) receive(arrived *attempt) {
-	arrived.workMs = settings.Milliseconds(s.settings.Work) * (fixedWorkPart + randomWorkPart*s.chance.ExpFloat64())
+	arrived.workMs = fake.DrawWork(s.settings, s.chance)
 	cores := int(s.settings.GetCores())
 	switch {
 	case s.stopped:
 		arrived.finish(replyUnprocessed)
-	case s.hanging || s.recordArrival(arrived.workMs):
+	case s.hanging || s.warmUp.Receive(s.queue.nowMs, arrived.workMs):
 		arrived.finish(replyNone)
 	case s.busyCores+len(s.waiting) >= int(s.settings.GetWaiting())+cores:
 		arrived.finish(replyUnprocessed)
@@ -82,11 +77,10 @@
 // process occupies a core with an attempt, and then with the next that waits.
 func (s *server) process(current *attempt) {
 	s.busyCores++
-	capacity := fake.Capacity(s.settings, s.queue.nowMs-s.startedMs, s.startedMs > 0)
-	speed := capacity / float64(s.settings.GetCores()) / math.Max(s.slowdown, 1)
-	startedMs := s.startedMs
+	speed := s.warmUp.Capacity(s.queue.nowMs) / float64(s.settings.GetCores()) / math.Max(s.slowdown, 1)
+	startedMs := s.warmUp.StartedMs()
 	s.queue.after(current.workMs/speed, func() {
-		if s.stopped || s.startedMs != startedMs { // it was stopped meanwhile
+		if s.stopped || s.warmUp.StartedMs() != startedMs { // it was stopped meanwhile
 			return
 		}
 		s.busyCores--
@@ -103,30 +97,6 @@
 	})
 }
 
-// recordArrival records work that was sent, and reports whether the server has crashed by overload: it does if, while it
-// warms up, the work of a window exceeds a multiple of what it can do.
-func (s *server) recordArrival(workMs float64) bool {
-	nowMs := s.queue.nowMs
-	windowMs := settings.Milliseconds(s.settings.FallWindow)
-	s.arrivals = append(s.arrivals, arrival{nowMs, workMs})
-	for s.arrivals[0].atMs <= nowMs-windowMs {
-		s.arrivals = s.arrivals[1:]
-	}
-	ageMs := nowMs - s.startedMs
-	if s.overloaded || s.startedMs == 0 || ageMs >= settings.Milliseconds(s.settings.WarmUp) {
-		return s.overloaded
-	}
-	sentMs := 0.0
-	for _, earlier := range s.arrivals {
-		sentMs += earlier.workMs
-	}
-	if sentMs > s.settings.GetFallMultiple()*fake.Capacity(s.settings, ageMs, true)*windowMs {
-		s.overloaded = true
-		s.overloads++
-	}
-	return s.overloaded
-}
-
 // stop ends the server at once; its attempts get no answer.
 func (s *server) stop() {
 	s.stopped = true
@@ -139,9 +109,7 @@
 	s.stopped = false
 	s.hanging = false
 	s.slowdown = 1
-	s.overloaded = false
-	s.arrivals = nil
 	s.busyCores = 0
 	s.waiting = nil
-	s.startedMs = math.Max(s.queue.nowMs, 1) // 0 would be long ago
+	s.warmUp.Start(s.queue.nowMs, true)
 }
