--- a/internal/golden/digest.go
+++ b/internal/golden/digest.go
@@ -29,9 +29,9 @@
 func (d *Digest) Add(atMs float64, format string, args ...any) {
 	d.closeIntervals(atMs)
 	d.events++
-	fmt.Fprintf(d.hash, "%g ", atMs)
-	fmt.Fprintf(d.hash, format, args...)
-	d.hash.Write([]byte{'\n'})
+	line := fmt.Appendf(nil, "%g ", atMs)
+	line = fmt.Appendf(line, format, args...)
+	d.hash.Write(append(line, '\n'))
 }
 
 // Finish ends the digest at a time, in ms, and gives its lines.
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -1,6 +1,7 @@
 package load
 
 import (
+	"errors"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -12,74 +13,99 @@
 	"lichenpick/internal/proxy"
 )
 
-func options(at *httptest.Server) Options {
+// startServer starts a server until the end of the test, and returns options that send to it.
+func startServer(t *testing.T, handler http.HandlerFunc) Options {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
 	return Options{
-		Clock: clock.NewReal(), Targets: []string{strings.TrimPrefix(at.URL, "http://")}, Rates: []float64{200}, StepMs: 1500,
-		DeadlineMs: 5000, LatencyObjectiveMs: 300, MinSuccessRatio: 0.99, MaxInFlight: 1000, Seed: 1,
+		Clock:              clock.NewReal(),
+		Targets:            []string{strings.TrimPrefix(server.URL, "http://")},
+		Rates:              []float64{200},
+		StepMs:             1500,
+		DeadlineMs:         5000,
+		LatencyObjectiveMs: 300,
+		MinSuccessRatio:    0.99,
+		MaxInFlight:        1000,
+		Seed:               1,
 	}
 }
 
-func TestLoad(t *testing.T) {
-	// A closed loop would send one flow into the stall and measure one long time. All that were due in it must show.
-	t.Run("a stall shows in all flows that were due in it", func(t *testing.T) {
-		c := clock.NewReal()
-		s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-			if at := c.Monotonic(); at > 500 && at < 1000 {
-				clock.Sleep(t.Context(), c, 1000-at)
+func TestRun(t *testing.T) {
+	// A closed loop would send one request into the stall and measure one long time. All that were due in it must show.
+	t.Run("a stall shows in all requests that were due in it", func(t *testing.T) {
+		serverClock := clock.NewReal()
+		options := startServer(t, func(http.ResponseWriter, *http.Request) {
+			if nowMs := serverClock.Monotonic(); nowMs > 500 && nowMs < 1000 {
+				_ = clock.Sleep(t.Context(), serverClock, 1000-nowMs) // an early end shows in the latencies
 			}
-		}))
-		defer s.Close()
-		got, err := Run(t.Context(), options(s))
-		if err != nil || len(got) != 1 || got[0].Due < 200 || got[0].Succeeded != got[0].Due || got[0].P90 < 200 {
-			t.Errorf("%+v, %v", got, err)
+		})
+		steps, err := Run(t.Context(), options)
+		if err != nil || len(steps) != 1 {
+			t.Fatalf("%+v, %v", steps, err)
 		}
-	})
-	t.Run("what is blocked, dropped and not sent is told apart, and none is missing", func(t *testing.T) {
-		var n atomic.Int64
-		hold := make(chan struct{})
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			switch k := n.Add(1); {
-			case k <= 50:
-				w.Header().Set(proxy.OutcomeHeader, "blocked")
-				w.WriteHeader(http.StatusServiceUnavailable)
-			case k <= 80:
-				w.WriteHeader(http.StatusBadGateway)
-			case k > 120:
-				<-hold
-			}
-		}))
-		defer s.Close()
-		o := options(s)
-		o.MaxInFlight = 40
-		time.AfterFunc(1800*time.Millisecond, func() { close(hold) })
-		got, err := Run(t.Context(), o)
-		if err != nil {
-			t.Fatal(err)
-		}
-		x := got[0]
-		if x.Rejected != 50 || x.Failed != 30 || x.Succeeded != 80 || x.Unsent == 0 || x.Due != x.Rejected+x.Failed+x.Succeeded+x.Unsent {
-			t.Errorf("%+v", x)
+		if step := steps[0]; step.Due < 200 || step.Succeeded != step.Due || step.P90 < 200 {
+			t.Errorf("%+v", step)
 		}
 	})
-	t.Run("a ramp ends after the first step that does not hold", func(t *testing.T) {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }))
-		defer s.Close()
-		o := options(s)
-		o.Rates, o.StepMs = []float64{50, 100}, 200
-		got, err := Run(t.Context(), o)
-		if err != nil || len(got) != 1 || o.MeetsObjective(got[0]) {
-			t.Errorf("%+v, %v", got, err)
+	t.Run("rejected, failed and unsent requests are told apart, and none is missing", testOutcomes)
+	t.Run("a ramp ends after the first step that misses the objective", func(t *testing.T) {
+		options := startServer(t, func(response http.ResponseWriter, _ *http.Request) {
+			response.WriteHeader(http.StatusBadGateway)
+		})
+		options.Rates = []float64{50, 100}
+		options.StepMs = 200
+		steps, err := Run(t.Context(), options)
+		if err != nil || len(steps) != 1 || options.MeetsObjective(steps[0]) {
+			t.Errorf("%+v, %v", steps, err)
 		}
 	})
-	t.Run("odd ramps and options are refused", func(t *testing.T) {
-		if r, err := Ramp(100, 300, 100); err != nil || len(r) != 3 {
-			t.Errorf("%v %v", r, err)
-		}
-		if _, err := Ramp(100, 50, 10); err == nil {
-			t.Error("a ramp that falls")
-		}
-		if (Options{Targets: []string{"x"}, Rates: []float64{-1}, StepMs: 1, DeadlineMs: 1, MaxInFlight: 1}).Check() == nil || (Options{}).Check() == nil {
-			t.Error("odd options pass")
+	t.Run("ramps and options that cannot be run are refused", testRefusedOptions)
+}
+
+func testOutcomes(t *testing.T) {
+	var received atomic.Int64
+	hold := make(chan struct{})
+	options := startServer(t, func(response http.ResponseWriter, _ *http.Request) {
+		number := received.Add(1)
+		switch {
+		case number <= 50:
+			response.Header().Set(proxy.OutcomeHeader, "blocked")
+			response.WriteHeader(http.StatusServiceUnavailable)
+		case number <= 80:
+			response.WriteHeader(http.StatusBadGateway)
+		case number > 120:
+			<-hold
 		}
 	})
+	options.MaxInFlight = 40
+	time.AfterFunc(1800*time.Millisecond, func() { close(hold) })
+	steps, err := Run(t.Context(), options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	step := steps[0]
+	if step.Rejected != 50 || step.Failed != 30 || step.Succeeded != 80 || step.Unsent == 0 {
+		t.Errorf("%+v", step)
+	}
+	if step.Due != step.Rejected+step.Failed+step.Succeeded+step.Unsent {
+		t.Errorf("requests are missing: %+v", step)
+	}
+}
+
+func testRefusedOptions(t *testing.T) {
+	rates, err := Ramp(100, 300, 100)
+	if err != nil || len(rates) != 3 {
+		t.Errorf("%v %v", rates, err)
+	}
+	if _, err := Ramp(100, 50, 10); !errors.Is(err, ErrBadRamp) {
+		t.Errorf("a ramp that falls: %v", err)
+	}
+	negativeRate := Options{Targets: []string{"x"}, Rates: []float64{-1}, StepMs: 1, DeadlineMs: 1, MaxInFlight: 1}
+	if err := negativeRate.Check(); !errors.Is(err, ErrRateOutOfRange) {
+		t.Errorf("a negative rate: %v", err)
+	}
+	if err := (Options{}).Check(); !errors.Is(err, ErrNoTarget) {
+		t.Errorf("no target: %v", err)
+	}
 }
