--- a/internal/invariant/backlog.go
+++ b/internal/invariant/backlog.go
@@ -87,10 +87,10 @@
 	slices.SortStableFunc(changes, func(a, b height) int {
 		return cmp.Or(cmp.Compare(a.atMs, b.atMs), cmp.Compare(a.entries, b.entries))
 	})
-	waiting := 0.0
+	current := 0.0
 	for n := range changes {
-		waiting += changes[n].entries
-		changes[n].entries = waiting
+		current += changes[n].entries
+		changes[n].entries = current
 	}
 	return changes
 }
@@ -107,7 +107,7 @@
 	return highest
 }
 
-// evaluateBacklog judges the part of [BacklogExceeded] that limits the entries waiting at a planner.
+// evaluateBacklog judges the part of [BacklogExceeded] that limits the entries queued at a planner.
 func (c *Checker) evaluateBacklog(name string, planner *plannerState) {
 	peak := planner.backlog.peak()
 	if peak.entries > c.limits.MaxBacklog {
--- a/internal/invariant/lease.go
+++ b/internal/invariant/lease.go
@@ -2,7 +2,7 @@
 
 import "lichenpick/proto/order"
 
-// leaseState is what a proxy of a shared fleet said about who commands it.
+// leaseState is what a proxy of a shared fleet said about its leader.
 type leaseState struct {
 	shared       bool   // the proxy grants leases; else all below is unused
 	holder       string // planner that holds the lease; empty: none
--- a/internal/invariant/proxy.go
+++ b/internal/invariant/proxy.go
@@ -34,7 +34,7 @@
 func (c *Checker) RecordJoin(name, plannerName string, atMs float64, join *order.Join) {
 	known := c.proxies[name]
 	if join.Lease != nil && known != nil && known.lease.shared {
-		return // a further stream of the same proxy; its leases tell who commands it
+		return // a further stream of the same proxy; its leases name its leader
 	}
 	proxy := &proxyState{
 		planner:    plannerName,
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -96,7 +96,7 @@
 }
 
 // plannerAddresses returns the addresses of all planners, beginning with another for each proxy: the first is the one that
-// commands it where planners share nothing.
+// leads it where planners share nothing.
 func (f *fleet) plannerAddresses(proxyNumber int) []string {
 	addresses := make([]string, 0, len(f.planners))
 	for n := range f.planners {
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -11,7 +11,7 @@
 // server is the model of a server: a queue in front of some cores. After a start it warms up, and crashes if it is sent too
 // much meanwhile. Its parameters are those of package fake, so that the two can be compared.
 type server struct {
-	queue    *eventQueue
+	events   *eventQueue
 	address  string
 	zone     int
 	settings *pb.Server
@@ -19,7 +19,7 @@
 
 	warmUp    *fake.WarmUp
 	busyCores int
-	waiting   []*attempt
+	queue     []*attempt // that have no core yet
 
 	draining bool
 	stopped  bool
@@ -44,9 +44,9 @@
 )
 
 // newServer returns a server that is warm.
-func newServer(queue *eventQueue, set *pb.Server, zone int, chance *rand.Rand) *server {
+func newServer(events *eventQueue, set *pb.Server, zone int, chance *rand.Rand) *server {
 	return &server{
-		queue:    queue,
+		events:   events,
 		address:  set.Listen,
 		zone:     zone,
 		settings: set,
@@ -63,30 +63,30 @@
 	switch {
 	case s.stopped:
 		arrived.finish(replyUnprocessed)
-	case s.hanging || s.warmUp.Receive(s.queue.nowMs, arrived.workMs):
+	case s.hanging || s.warmUp.Receive(s.events.nowMs, arrived.workMs):
 		arrived.finish(replyNone)
-	case s.busyCores+len(s.waiting) >= int(s.settings.GetWaiting())+cores:
+	case s.busyCores+len(s.queue) >= int(s.settings.GetWaiting())+cores:
 		arrived.finish(replyUnprocessed)
 	case s.busyCores < cores:
 		s.process(arrived)
 	default:
-		s.waiting = append(s.waiting, arrived)
+		s.queue = append(s.queue, arrived)
 	}
 }
 
-// process occupies a core with an attempt, and then with the next that waits.
+// process occupies a core with an attempt, and then with the next in the queue.
 func (s *server) process(current *attempt) {
 	s.busyCores++
-	speed := s.warmUp.Capacity(s.queue.nowMs) / float64(s.settings.GetCores()) / math.Max(s.slowdown, 1)
+	speed := s.warmUp.Capacity(s.events.nowMs) / float64(s.settings.GetCores()) / math.Max(s.slowdown, 1)
 	startedMs := s.warmUp.StartedMs()
-	s.queue.after(current.workMs/speed, func() {
+	s.events.after(current.workMs/speed, func() {
 		if s.stopped || s.warmUp.StartedMs() != startedMs { // it was stopped meanwhile
 			return
 		}
 		s.busyCores--
-		if len(s.waiting) > 0 {
-			next := s.waiting[0]
-			s.waiting = s.waiting[1:]
+		if len(s.queue) > 0 {
+			next := s.queue[0]
+			s.queue = s.queue[1:]
 			s.process(next)
 		}
 		if s.hanging {
@@ -101,7 +101,7 @@
 func (s *server) stop() {
 	s.stopped = true
 	s.busyCores = 0
-	s.waiting = nil
+	s.queue = nil
 }
 
 // start starts the server cold, without any fault.
@@ -110,6 +110,6 @@
 	s.hanging = false
 	s.slowdown = 1
 	s.busyCores = 0
-	s.waiting = nil
-	s.warmUp.Start(s.queue.nowMs, true)
+	s.queue = nil
+	s.warmUp.Start(s.events.nowMs, true)
 }
