--- /dev/null
+++ b/internal/fake/warmup_test.go
@@ -0,0 +1,81 @@
+package fake
+
+import (
+	"math"
+	"testing"
+
+	"lichenpick/internal/settings"
+	pb "lichenpick/proto/settings"
+)
+
+// newServerSettings returns checked settings of a server with two cores that warms up in 10 s.
+func newServerSettings(t *testing.T) *pb.Server {
+	t.Helper()
+	const text = `name: "s" listen: "127.0.0.1:0" cores: 2 speed: 1 work: "10ms" waiting: 2
+		cold_share: 0.1 warm_up: "10s" fall_window: "1s" fall_multiple: 2`
+	set := &pb.Server{}
+	if err := settings.Parse("test", []byte(text), set); err != nil {
+		t.Fatal(err)
+	}
+	return set
+}
+
+func TestCapacityRisesEvenlyWhileCold(t *testing.T) {
+	set := newServerSettings(t)
+	for _, test := range []struct {
+		ageMs float64
+		cold  bool
+		want  float64
+	}{
+		{ageMs: 0, cold: true, want: 0.2},
+		{ageMs: 5000, cold: true, want: 1.1},
+		{ageMs: 10_000, cold: true, want: 2},
+		{ageMs: 0, cold: false, want: 2},
+	} {
+		if got := Capacity(set, test.ageMs, test.cold); math.Abs(got-test.want) > 1e-9 {
+			t.Errorf("at %g ms, cold %t: %g, want %g", test.ageMs, test.cold, got, test.want)
+		}
+	}
+}
+
+func TestWarmUp(t *testing.T) {
+	t.Run("a cold server crashes when a window's work exceeds the multiple", func(t *testing.T) {
+		model := NewWarmUp(newServerSettings(t))
+		model.Start(1000, true)
+		// At its start it can do 200 ms of work in the window of 1 s, so 400 ms are allowed.
+		if model.Receive(1000, 390) {
+			t.Error("it crashed below the limit")
+		}
+		if !model.Receive(1001, 390) || !model.Overloaded() || model.Overloads() != 1 {
+			t.Errorf("overloaded %t, %d times", model.Overloaded(), model.Overloads())
+		}
+		model.Start(2000, true)
+		if model.Overloaded() || model.Overloads() != 1 {
+			t.Errorf("started again: overloaded %t, %d times", model.Overloaded(), model.Overloads())
+		}
+	})
+	t.Run("work before the window does not count", func(t *testing.T) {
+		model := NewWarmUp(newServerSettings(t))
+		model.Start(1000, true)
+		if model.Receive(1000, 390) || model.Receive(2000, 390) {
+			t.Error("it crashed")
+		}
+	})
+	t.Run("a warm server does not crash", func(t *testing.T) {
+		model := NewWarmUp(newServerSettings(t))
+		model.Start(1000, false)
+		if model.Receive(1000, 1e6) || model.StartedMs() != 0 {
+			t.Error("it crashed, or counts as cold")
+		}
+	})
+}
+
+func TestDeduplicatorForgetsAfterTheWindow(t *testing.T) {
+	var deduplicator Deduplicator
+	if !deduplicator.isNew("a", 0, 100) || deduplicator.isNew("a", 100, 100) || !deduplicator.isNew("b", 100, 100) {
+		t.Error("within the window")
+	}
+	if !deduplicator.isNew("a", 201, 100) {
+		t.Error("after the window")
+	}
+}
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -40,15 +40,16 @@
 	group     *errgroup.Group // owns the goroutines of the run
 	running   context.Context // of the whole run, for planners that a fault starts again
 
-	registry      *fake.EndpointRegistry
-	loadGenerator *fake.LoadGenerator
+	// Made by start, and not changed afterwards.
+	registry       *fake.EndpointRegistry
+	loadGenerator  *fake.LoadGenerator
+	planners       []*plannerInstance
+	proxyAddresses []string // for clients
 
 	mu              sync.Mutex // guards all below
 	chance          *rand.Rand
-	planners        []*plannerInstance
 	servers         []*serverInstance
-	lastServer      int      // number of the server that was started last
-	proxyAddresses  []string // for clients
+	lastServer      int // number of the server that was started last
 	linkFaults      map[int]linkFault
 	nextLinkFault   int
 	plannerStatuses []*planner.Status // as planners ended
--- a/internal/scenario/planners.go
+++ b/internal/scenario/planners.go
@@ -64,9 +64,7 @@
 		if err != nil {
 			return err
 		}
-		f.mu.Lock()
 		f.planners = append(f.planners, instance)
-		f.mu.Unlock()
 	}
 	for _, instance := range f.planners {
 		if err := instance.start(ctx); err != nil {
--- a/internal/scenario/serverfaults.go
+++ b/internal/scenario/serverfaults.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"math"
 	"time"
 
 	"lichenpick/internal/fake"
@@ -82,7 +83,7 @@
 func (f *fleet) playZoneLoss(ctx context.Context, loss *script.ZoneLoss, lasts time.Duration) error {
 	zone := f.zoneNamed(loss.Zone)
 	inZone := func(candidate *serverInstance) bool { return candidate.zone == zone }
-	servers := f.reserveServers(len(f.servers), inZone)
+	servers := f.reserveServers(math.MaxInt, inZone)
 	return f.crashServers(ctx, servers, true, lasts)
 }
 
