--- a/internal/invariant/requests.go
+++ b/internal/invariant/requests.go
@@ -65,7 +65,8 @@
 	for _, earlier := range c.attempts.byRequest[key] {
 		if !earlier.unprocessed {
 			c.recordViolation(DuplicateEffect, atMs,
-				"proxy %s sent request %s of traffic class %d to %s (attempt %d) at %.0f ms, after %s received it at %.0f ms without proof that it was not processed",
+				"proxy %s sent request %s of traffic class %d to %s (attempt %d) at %.0f ms, "+
+					"after %s received it at %.0f ms without proof that it was not processed",
 				sent.Proxy, sent.ID, sent.Class, server, sent.Number, atMs, earlier.server, earlier.atMs)
 		}
 	}
--- a/internal/scenario/shared_fleet_test.go
+++ b/internal/scenario/shared_fleet_test.go
@@ -91,7 +91,8 @@
 			t.Parallel()
 			day := play(t, `sharing: true `+test.fields, Hooks{Spawn: plannerCommand})
 			if len(day.ViolationCounts) > 0 || day.Service < 0.6 || day.leaseCount() != day.Proxies {
-				t.Errorf("service %.3f, leases of %d proxies at the end: %v, violated %v: %v", day.Service, day.Proxies, day.LeasesByController, day.ViolationCounts, day.Violations)
+				t.Errorf("service %.3f, leases of %d proxies at the end: %v, violated %v: %v",
+					day.Service, day.Proxies, day.LeasesByController, day.ViolationCounts, day.Violations)
 			}
 			if test.leaseless != "" && day.LeasesByController[test.leaseless] > 0 {
 				t.Errorf("%s holds leases at the end: %v", test.leaseless, day.LeasesByController)
