--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -722,7 +722,7 @@
 	o.c.order(p, float64(1+len(b.Lines)+len(b.Withdrawn)+len(b.Levels)), &order.Order{What: &order.Order_Bind{Bind: b}})
 }
 
-func (o policyHost) SetEjected(server string, out bool) {
+func (o policyHost) SetEjected(server string, out, _ bool) {
 	o.c.registry.SetEjected(server, out)
 	for _, p := range o.c.peers {
 		if p != nil && p.commanded && (out && o.c.holding(p, server) || !out && p.ejected[server] && p.inherited[server] == 0) {
@@ -731,6 +731,9 @@
 	}
 }
 
+// EndInheritedEjections does nothing: a proxy states which servers it has ejected when it joins, and AddProxy's caller aligns them.
+func (o policyHost) EndInheritedEjections(int, []string) {}
+
 func (o policyHost) SetAdmission(number, group int, share float64, retry int) {
 	if number != policy.AllTables {
 		panic("the module set the level of one table, which the stream cannot say")
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -60,6 +60,7 @@
 // NewCore makes a planner at a time in Unix ms. All chance comes from the seed.
 func NewCore(settings simulator.Settings, seed int64, nowMs float64) *Core {
 	settings.Policy.ReadmitByWeight = true // as policyHost does in SetWeight
+	settings.Policy.OmitsEjected = true    // as policyHost does in AssignTable
 	core := &Core{
 		settings:        settings,
 		policy:          policy.New(settings.Policy, seed),
@@ -72,6 +73,7 @@
 		hostTimerMs:     math.Inf(1),
 		MaxPartialBytes: math.MaxInt,
 	}
+	core.publisher.endpoints = &core.endpoints
 	core.SetTime(nowMs)
 	return core
 }
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -13,6 +13,9 @@
 	// Proxies that this planner has notified of the server's ejection, and those that another planner, or an earlier
 	// incarnation of this one, may have notified.
 	notified, possiblyNotified proxySet
+	// Proxies whose assigned tables were sent without this server, as it was ejected then. Saves the channel during a
+	// release: with a third of a table ejected, those entries and their ejections were two fifths of an assignment.
+	omitted proxySet
 	// Reports since the last WriteState.
 	requests, failed, latencySumMs float64 // the sum is of the requests that succeeded
 }
@@ -44,6 +47,7 @@
 				sinceMs:          nowMs,
 				notified:         newProxySet(t.proxies),
 				possiblyNotified: newProxySet(t.proxies),
+				omitted:          newProxySet(t.proxies),
 			}
 			t.byName[entry.Server] = e
 		}
@@ -68,6 +72,7 @@
 	for _, e := range t.byName {
 		e.notified.set(proxyID, false)
 		e.possiblyNotified.set(proxyID, inherits)
+		e.omitted.set(proxyID, false)
 	}
 }
 
--- a/internal/platform/policyhost.go
+++ b/internal/platform/policyhost.go
@@ -18,17 +18,25 @@
 	publisher := &h.core.publisher
 	table := publisher.registry.Table(tableNumber)
 	table.Set(server, weight)
+	e := h.core.endpoints.byName[server]
 	for _, p := range table.Proxies {
+		if e != nil && e.omitted.contains(p.id) {
+			if weight > 0 && publisher.registry.Ejected[server] {
+				continue // the entry is sent when the ejection ends
+			}
+			e.omitted.set(p.id, false)
+		}
 		update := publisher.update(p)
 		update.changed = append(update.changed, changedEntry{table, server})
 		if weight > 0 {
-			publisher.alignEjection(p, h.core.endpoints.byName[server])
+			publisher.alignEjection(p, e)
 		}
 	}
 }
 
 // AssignTable has a proxy go by a table for some traffic classes. The table is sent complete, by which the proxy forgets
-// the admission rates of before, so that these are sent again.
+// the admission rates of before, so that these are sent again. Ejected servers are omitted until they are readmitted.
+// Ejections that the proxy may hold from another planner are left to EndInheritedEjections.
 func (h policyHost) AssignTable(proxyID, tableNumber int, classes []int) {
 	publisher := &h.core.publisher
 	p := h.core.proxies.byID[proxyID]
@@ -42,15 +50,39 @@
 	for _, class := range classes {
 		update.admission[class] = publisher.registry.Admission[class].Set
 	}
+	complete := publisher.allEjected(table) // a table is never sent empty
 	for _, entry := range table.Entries {
-		publisher.alignEjection(p, h.core.endpoints.byName[entry.Server])
+		e := h.core.endpoints.byName[entry.Server]
+		if e == nil {
+			continue
+		}
+		ejected := publisher.registry.Ejected[entry.Server]
+		notified := e.notified.contains(proxyID)
+		omitted := ejected && !notified && !complete
+		e.omitted.set(proxyID, omitted)
+		if !omitted && (ejected || notified) {
+			publisher.alignEjection(p, e)
+		}
+	}
+}
+
+// EndInheritedEjections has a proxy readmit servers that another planner may have ejected there, unless they are ejected
+// by this planner too.
+func (h policyHost) EndInheritedEjections(proxyID int, servers []string) {
+	p := h.core.proxies.byID[proxyID]
+	if p == nil { // it left after the policy's last evaluation
+		return
+	}
+	for _, server := range servers {
+		h.core.publisher.alignEjection(p, h.core.endpoints.byName[server])
 	}
 }
 
-// SetEjected ejects a server, or ends that. It concerns the proxies whose tables hold the server, and those that go by
-// tables of another planner. A proxy that was notified and holds the server no more is notified of the end with the
-// entry that brings the server back.
-func (h policyHost) SetEjected(server string, ejected bool) {
+// SetEjected ejects a server, or ends that. It concerns the proxies whose tables hold the server and, with
+// includeUnassigned, those that may go by tables of another planner. A proxy whose table omits the server is sent the
+// entry when the ejection ends. One that was notified and holds the server no more is notified of the end with the entry
+// that restores the server.
+func (h policyHost) SetEjected(server string, ejected, includeUnassigned bool) {
 	publisher := &h.core.publisher
 	publisher.registry.SetEjected(server, ejected)
 	e := h.core.endpoints.byName[server]
@@ -58,17 +90,26 @@
 		return
 	}
 	for _, p := range h.core.proxies.joined {
-		concerned := !p.inactive && p.mayHold(server)
-		if concerned && (ejected || e.notified.contains(p.id)) {
+		omitted := e.omitted.contains(p.id)
+		if omitted && !ejected {
+			publisher.sendOmitted(p, e)
+		}
+		if p.inactive || !p.mayHold(server, includeUnassigned) {
+			continue
+		}
+		if (ejected && !omitted) || (!ejected && e.notified.contains(p.id)) {
 			publisher.setEjected(p, e, ejected)
 		}
 	}
 }
 
-// mayHold says whether a table of a proxy holds a server, or is not known.
-func (p *proxy) mayHold(server string) bool {
+// mayHold says whether a table of a proxy holds a server or, with includeUnassigned, is not known.
+func (p *proxy) mayHold(server string, includeUnassigned bool) bool {
 	return slices.ContainsFunc(p.tables, func(table *weighttable.Table[*proxy]) bool {
-		return table == nil || table.Index(server) >= 0
+		if table == nil {
+			return includeUnassigned
+		}
+		return table.Index(server) >= 0
 	})
 }
 
--- a/internal/platform/publisher.go
+++ b/internal/platform/publisher.go
@@ -24,10 +24,11 @@
 
 // publisher holds the tables, and what each proxy has yet to be sent of them. It is part of the core, and under its lock.
 type publisher struct {
-	classes  []string // names of the traffic classes
-	registry *weighttable.Registry[*proxy]
-	pending  []*proxy // with a pending update
-	channel  channelEstimate
+	classes   []string       // names of the traffic classes
+	endpoints *endpointTable // of the core: which proxies were notified, and what was omitted
+	registry  *weighttable.Registry[*proxy]
+	pending   []*proxy // with a pending update
+	channel   channelEstimate
 }
 
 func newPublisher(classes []string, entriesPerSecond float64) publisher {
@@ -112,7 +113,7 @@
 		}
 		part := updatePart{replace: slices.Contains(update.assigned, table)}
 		if part.replace {
-			part.entries = table.Entries
+			part.entries = b.entriesFor(p, table)
 		} else {
 			part.entries = update.changedEntries(table)
 		}
@@ -124,6 +125,38 @@
 	return parts
 }
 
+// entriesFor are the entries of a table that a proxy is sent with its assignment.
+func (b *publisher) entriesFor(p *proxy, table *weighttable.Table[*proxy]) []weighttable.Entry {
+	var entries []weighttable.Entry
+	for _, entry := range table.Entries {
+		e := b.endpoints.byName[entry.Server]
+		if e == nil || !e.omitted.contains(p.id) {
+			entries = append(entries, entry)
+		}
+	}
+	return entries
+}
+
+// allEjected says whether a table holds no server that is not ejected.
+func (b *publisher) allEjected(table *weighttable.Table[*proxy]) bool {
+	return !slices.ContainsFunc(table.Entries, func(entry weighttable.Entry) bool {
+		return !b.registry.Ejected[entry.Server]
+	})
+}
+
+// sendOmitted has a proxy sent the entries of a server that was omitted from its tables, as its ejection has ended.
+func (b *publisher) sendOmitted(p *proxy, e *endpoint) {
+	e.omitted.set(p.id, false)
+	for class, table := range p.tables {
+		if table == nil || slices.Contains(p.tables[:class], table) || table.Index(e.name) < 0 {
+			continue
+		}
+		update := b.update(p)
+		update.changed = append(update.changed, changedEntry{table, e.name})
+		b.alignEjection(p, e)
+	}
+}
+
 // changedEntries are the present entries of a table's servers that have changed, each once.
 func (u *pendingUpdate) changedEntries(table *weighttable.Table[*proxy]) []weighttable.Entry {
 	var entries []weighttable.Entry
--- a/internal/scenario/baseline.go
+++ b/internal/scenario/baseline.go
@@ -109,7 +109,7 @@
 			return false
 		}
 		b.ejected[server] = true
-		host.SetEjected(server, true)
+		host.SetEjected(server, true, true)
 		return true
 	}
 	weight := 1.0
@@ -123,7 +123,7 @@
 	}
 	if b.ejected[server] {
 		delete(b.ejected, server)
-		host.SetEjected(server, false)
+		host.SetEjected(server, false, true)
 		return true
 	}
 	return false
--- a/internal/scenario/decider_test.go
+++ b/internal/scenario/decider_test.go
@@ -56,12 +56,16 @@
 	d.host.SetWeight(table, server, weight)
 }
 
-func (d *editingDecider) SetEjected(server string, ejected bool) {
+func (d *editingDecider) EndInheritedEjections(proxyID int, servers []string) {
+	d.host.EndInheritedEjections(proxyID, servers)
+}
+
+func (d *editingDecider) SetEjected(server string, ejected, includeUnassigned bool) {
 	if d.editEjection != nil {
 		d.editEjection(d, server, ejected)
 		return
 	}
-	d.host.SetEjected(server, ejected)
+	d.host.SetEjected(server, ejected, includeUnassigned)
 }
 
 func (d *editingDecider) SetAdmission(table, class int, share float64, retry int) {
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -43,10 +43,13 @@
 }
 
 // SetEjected writes that no proxy may use a server, or may again.
-func (i *instance) SetEjected(server string, ejected bool) {
+func (i *instance) SetEjected(server string, ejected, _ bool) {
 	i.actions.setEjected(i.name, server, ejected)
 }
 
+// EndInheritedEjections writes nothing: the policy is never told here that a proxy holds ejections of another planner.
+func (i *instance) EndInheritedEjections(int, []string) {}
+
 // SetAdmission writes which fraction of a class's requests is admitted, and its retry mode.
 func (i *instance) SetAdmission(table, class int, fraction float64, retry int) {
 	i.actions.setAdmission(i.name, table, class, fraction, retry)
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -296,7 +296,7 @@
 	s.observed.binds++
 }
 
-func (s *simulation) SetEjected(name string, out bool) {
+func (s *simulation) SetEjected(name string, out, includeUnassigned bool) {
 	s.record("withdraw %s %t", name, out)
 	s.withdrawn[name] = out
 	server := s.find(name)
@@ -339,6 +339,11 @@
 	}
 }
 
+// Restore is recorded only: the simulated proxies hold nothing of other planners.
+func (s *simulation) EndInheritedEjections(proxy int, servers []string) {
+	s.record("restore %d %v", proxy, servers)
+}
+
 func (s *simulation) WatchEndpoints() {
 	s.record("follow")
 	s.observed.followed++
--- a/policy/host.go
+++ b/policy/host.go
@@ -53,6 +53,7 @@
 	Planners             int
 	MinServerConnections float64 // connections that the smallest server accepts
 	IdleTimeoutMs        float64 // time after which a proxy closes an unused connection
+	OmitsEjected         bool    // the host leaves withdrawn servers out of a table that it binds, until they are let back
 	ReadmitByWeight      bool    // the host ends a withdrawal, where no table holds the server, with the line that brings it back
 }
 
@@ -88,7 +89,8 @@
 type Host interface {
 	SetWeight(table int, server string, weight float64)
 	AssignTable(proxy, table int, groups []int)
-	SetEjected(server string, out bool)
+	SetEjected(server string, out, includeUnassigned bool) // also at proxies not bound yet, which may go by tables of others
+	EndInheritedEjections(proxy int, servers []string)     // ends, where nothing here withdraws them, withdrawals that another planner may have ordered
 	SetAdmission(table, group int, share float64, retry int)
 	RequestAcknowledgement(number int)
 	WatchEndpoints()
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-func (f *fake) SetEjected(server string, out bool) {
+func (f *fake) SetEjected(server string, out, includeUnassigned bool) {
 	f.log("withdraw %s %v", server, out)
 	f.out[server] = out
 }
@@ -165,5 +165,10 @@
 	}
 	f.asked = nil
 }
+
+func (f *fake) EndInheritedEjections(proxy int, servers []string) {
+	f.log("restore %d %v", proxy, servers)
+}
+
 func (f *fake) WatchEndpoints()       { f.follows = append(f.follows, f.now) }
 func (f *fake) SetTimer(inMs float64) { f.log("wake %g", inMs) }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -74,7 +74,8 @@
 
 // Urgency of an order: tidy work leaves room for what cannot wait, and both for what the rules ask for.
 const (
-	deferrable = iota
+	paid = iota - 1 // with an order before
+	deferrable
 	urgent
 	required
 	drainEjection // withdrawals of what drains or is gone: nothing else may use up their messages
@@ -86,111 +87,6 @@
 	unset        = math.Inf(-1)
 )
 
-type sample struct {
-	zone                              int
-	at, good, failed, latency, covers float64
-}
-
-type server struct {
-	Endpoint
-	samples                []sample // the last ones, oldest first
-	entries                []*entry // its lines in our tables
-	ejected, unhealthy     bool     // withdrawn at the proxies; judged unfit
-	proven, discoveredLate bool     // has delivered; not in the list that the planner started with
-	since, unhealthyUntil  float64  // last verdict, return or start: evidence before it is void; end of a verdict
-	notified, readmittedAt float64  // when its state in the list changed; when it was let back after a verdict
-	addedAt                float64  // when a table that did not hold it was sent it
-	ejections              int
-	reports                []sample // as of this look: its sums since the last verdict, by report period
-	windowed, last         sample   // of these, in the window and in the last round
-	baseline               float64  // its latency when not jammed, 0 when unheard
-}
-
-type proxy struct {
-	id, zone, cohort      int
-	expectedRate, joined  float64          // flows per second by its own word; when its stream came up
-	demand                [][]sample       // by traffic group
-	bound                 []*table         // by part
-	sent                  []float64        // times of the last messages
-	ordered, acknowledged float64          // lines ordered to it, and known to have reached it
-	acknowledgements      map[int]float64  // lines ordered up to each receipt asked for
-	ejected               map[*server]bool // told by us to shut it out
-	inheritedEjections    bool             // withdrawals of others; a table then names each server twice
-}
-
-// client is the paper's i: the proxies of one zone, for the traffic groups that may go to the same servers.
-type client struct {
-	zone   int
-	groups []int
-	cells  map[*server]cell
-	demand float64 // the paper's D, flows per second let in, at the last solve
-	tables []*table
-}
-
-type cell struct{ alpha, beta, lambda float64 }
-
-// weightEntry is a server's share of a client's flows, and its rows in the copies that hold it.
-type weightEntry struct {
-	server *server
-	share  float64
-	rows   []*entry
-	rank   int // in the order in which a copy takes lines
-}
-
-// table is one copy of a client's table. In a fleet larger than a table, copies hold different servers.
-type table struct {
-	number         int
-	entries        []*entry
-	proxies        []*proxy // bound to it
-	rate, urgentAt float64  // flows per second of its proxies; when lines that could not wait were last sent
-	due            bool     // wants may be sent now
-}
-
-// entry is a server's line in a table: its weight as decided, and as sent.
-type entry struct {
-	server       *server
-	table        *table
-	target, sent float64
-}
-
-// admission is the admission of one traffic group, the flows per second that come, and when they are repeated.
-type admission struct {
-	target, sent, came float64
-	retry              int
-}
-
-// Policy decides for the proxies joined to it. It shares nothing with other planners.
-type Policy struct {
-	set              Settings
-	random           *rand.Rand
-	now              float64
-	servers          []*server
-	byName           map[string]*server
-	proxies          []*proxy // joined, in order of joining
-	byID             map[int]*proxy
-	parts            int       // clients of a zone
-	clients          []*client // by zone
-	tables           []*table
-	admission        []admission
-	order            []int             // of traffic groups: those that earn least for their work first
-	pendingDecisions []func(Host) bool // decisions of this look that are left
-
-	solvedAt, admissionAt, evaluatedAt, reportedAt float64
-	solves                                         int
-	ramps, unsolved                                bool // the last solve had servers on their ramp; usable servers changed
-	emptyTable, dirty, anySuccess                  bool // a proxy joins an unused table; news; some server has delivered
-
-	// As of this look: ms that sums come apart and are looked back for; the middle server; flows per second.
-	round, window, latency, failureShare, baselineLatency, overloadRatio, latencyObjective, admittedRate, succeededRate, capacityRate float64
-	backlog, countedAt, pollAt, pollBackoff, wakeAt                                                                                   float64
-	departedBacklog                                                                                                                   float64 // lines to who left
-
-	covers, clear                            []float64 // of the last sums; latencies at hand
-	acknowledgedSolve, acknowledgementNumber int       // solve that a receipt was last asked for; its number
-	watching, queueSlow                      bool      // the list; the last receipt was late
-	lagging                                  bool      // what is heard is late
-}
-
 func New(set Settings, seed int64) *Policy {
 	p := &Policy{
 		set: set, random: rand.New(rand.NewSource(seed)), byName: map[string]*server{},
@@ -292,8 +188,7 @@
 	p.byID[id], p.proxies, p.dirty = q, append(p.proxies, q), true
 }
 
-// ExpectInheritedEjections tells that a joined proxy may hold others' withdrawals, which its front ends in binding it. Counted,
-// as a rush of such proxies would otherwise fill the channel beyond its limit.
+// ExpectInheritedEjections tells that a joined proxy may hold tables and withdrawals of another planner. Restore ends these.
 func (p *Policy) ExpectInheritedEjections(id int) {
 	if q := p.byID[id]; q != nil {
 		q.inheritedEjections = true
@@ -309,25 +204,6 @@
 	p.proxies = filter(p.proxies, func(q *proxy) bool { return q != gone })
 }
 
-func filter[T any](list []T, fits func(T) bool) []T {
-	return slices.DeleteFunc(slices.Clone(list), func(x T) bool { return !fits(x) })
-}
-
-func sumBy[T any](list []T, of func(T) float64) (sum float64) {
-	for _, x := range list {
-		sum += of(x)
-	}
-	return sum
-}
-
-// appendBounded appends to the last ones, in place, as there are many.
-func appendBounded[T any](list []T, last T, most int) []T {
-	if drop := len(list) - most + 1; drop > 0 {
-		list = slices.Delete(list, 0, drop)
-	}
-	return append(list, last)
-}
-
 func (p *Policy) RecordReport(name string, zone, count, failed int, latency, covers float64) {
 	s := p.byName[name]
 	if s == nil || count <= 0 || zone < 0 || zone >= p.set.Zones {
@@ -522,18 +398,6 @@
 	return part
 }
 
-func quantile[T any](list []T, part int, of func(T) float64) float64 {
-	if len(list) == 0 {
-		return 0
-	}
-	figures := make([]float64, len(list))
-	for n, x := range list {
-		figures[n] = of(x)
-	}
-	slices.Sort(figures)
-	return figures[len(list)/part]
-}
-
 // solveIfDue solves every few seconds, and soon after servers came or went.
 func (p *Policy) solveIfDue() {
 	js := filter(p.servers, (*server).usable)
@@ -896,16 +760,23 @@
 		p.changes(t, &lines)
 	}
 	p.pendingDecisions = append(p.pendingDecisions, lines[required]...)
+	rush := p.rush()
+	drains, fit := p.drains(rush)
+	if fit {
+		for _, s := range drains {
+			p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool { return p.mask(h, s, true, rush) })
+		}
+	}
 	for _, q := range p.proxies {
 		for k := range p.parts {
-			if q.bound[k] == nil && q.cohort >= 0 {
+			if q.bound[k] == nil && q.cohort >= 0 && fit {
 				p.bind(q, k)
 			}
 		}
 	}
 	for _, s := range p.servers { // after first tables: many cold servers rest at once when planners restart
-		if out := !s.usable() && !p.expired(s); out != s.ejected && (out || !p.unsolved) {
-			p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool { return p.mask(h, s, out) })
+		if out := !s.usable() && !p.expired(s); out != s.ejected && (out || !p.unsolved) && (fit || s.State == Ready) {
+			p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool { return out != s.ejected && p.mask(h, s, out, rush) })
 		}
 	}
 	p.pendingDecisions = append(p.pendingDecisions, lines[urgent]...)
@@ -920,6 +791,11 @@
 			return true
 		})
 	}
+	for _, q := range p.proxies {
+		if q.inheritedEjections {
+			p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool { return p.restore(h, q, len(q.doubted), deferrable) })
+		}
+	}
 	if !p.lagging {
 		p.pendingDecisions = append(p.pendingDecisions, lines[deferrable]...)
 	}
@@ -972,30 +848,32 @@
 
 // mask shuts out a server that drains, is gone or was judged bad, or lets one back once no table holds more
 // of it than its ramp allows. It concerns proxies whose tables hold it or are not ours; else its line tells.
-func (p *Policy) mask(h Host, s *server, out bool) bool {
-	if out && p.solves > 0 && !slices.ContainsFunc(s.entries, (*entry).inUse) {
+func (p *Policy) mask(h Host, s *server, out, rush bool) bool {
+	if out && p.solves > 0 && !slices.ContainsFunc(s.entries, (*entry).inUse) &&
+		(rush || !slices.ContainsFunc(p.proxies, (*proxy).foreign)) {
 		return false // as below, but there may be many
 	}
-	to := filter(p.proxies, func(q *proxy) bool {
-		return (out || q.ejected[s]) && slices.ContainsFunc(q.bound, func(t *table) bool {
-			return t == nil || slices.ContainsFunc(s.entries, func(r *entry) bool { return r.table == t && r.inUse() })
-		})
-	})
+	to := p.holders(s, out, rush)
 	if out && (len(to) == 0 || s.State == Ready && !slices.ContainsFunc(s.entries, (*entry).inUse)) ||
 		!out && slices.ContainsFunc(s.entries, (*entry).overTarget) {
 		return false
 	}
 	// A drain waits to share its message only while messages are short, and not too long.
-	must := out && (s.State != Ready || p.cold(s)) && p.now >= s.notified+p.set.DrainGraceMs/2-p.set.MaxPropagationMs
+	must := out && (s.State != Ready || p.cold(s)) &&
+		(rush || p.now >= s.notified+p.set.DrainGraceMs/2-p.set.MaxPropagationMs)
 	last := required + min(int(s.State), 1) // drained, unless it is ready
-	if !p.spendBudget(1, to, urgent) && !(must && p.spendBudget(1, to, last)) {
+	lines := 1.0
+	if !out && p.set.OmitsEjected {
+		lines++ // the line that was left out, and the end of another planner's withdrawal
+	}
+	if !p.spendBudget(lines, to, urgent) && !(must && p.spendBudget(lines, to, last)) {
 		return false
 	}
 	s.ejected = out
 	for _, q := range to {
 		q.ejected[s] = out
 	}
-	h.SetEjected(s.Server, out)
+	h.SetEjected(s.Server, out, !rush)
 	return true
 }
 
@@ -1036,8 +914,11 @@
 
 func (p *Policy) send(h Host, r *entry, urgency int) bool {
 	t, lines := r.table, 1.0
-	if r.sent == 0 && len(t.proxies) > 0 { // where it is withdrawn still, or another planner may have done so
-		told := filter(t.proxies, func(q *proxy) bool { return q.inheritedEjections || q.ejected[r.server] && p.set.ReadmitByWeight })
+	if len(t.proxies) > 0 { // where it is withdrawn still, or another planner may have done so
+		told := filter(t.proxies, func(q *proxy) bool {
+			return r.sent == 0 && (q.inheritedEjections || q.ejected[r.server] && p.set.ReadmitByWeight) ||
+				r.target > 0 && slices.Contains(q.doubted, r.server)
+		})
 		lines += float64(len(told)) / float64(len(t.proxies))
 	}
 	if r.target == r.sent || len(t.proxies) > 0 && !p.spendBudget(lines, t.proxies, urgency) {
@@ -1060,13 +941,73 @@
 
 func (r *entry) overTarget() bool { return r.sent > 1.5*r.target+weightTolerance }
 
+// foreign is a proxy that may go by tables of another planner, as it is not bound to all of ours yet.
+func (q *proxy) foreign() bool { return q.inheritedEjections && slices.Contains(q.bound, nil) }
+
+// holders are the proxies that a withdrawal or its end concerns.
+func (p *Policy) holders(s *server, out, rush bool) []*proxy {
+	return filter(p.proxies, func(q *proxy) bool {
+		return (out || q.ejected[s]) && slices.ContainsFunc(q.bound, func(t *table) bool {
+			return t == nil && !rush ||
+				t != nil && slices.ContainsFunc(s.entries, func(r *entry) bool { return r.table == t && r.inUse() })
+		})
+	})
+}
+
+// drains are the withdrawals of a rush. All go off together, as few proxies hold each server, and one by one each
+// would cost messages: tables wait until the channel has room for all, or little waits in it.
+func (p *Policy) drains(rush bool) (drains []*server, fit bool) {
+	if !rush {
+		return nil, true
+	}
+	cost, to := 0.0, map[*proxy]bool{}
+	for _, s := range filter(p.servers, func(s *server) bool { return s.State != Ready && !s.ejected }) {
+		holders := p.holders(s, true, rush)
+		for _, q := range holders {
+			to[q] = true
+		}
+		drains, cost = append(drains, s), cost+float64(len(holders))
+	}
+	cost += p.set.MessageOverhead * float64(len(to))
+	room := p.set.MaxBacklog*queueShare[drainEjection] - max(p.queue(), p.unsure())
+	return drains, cost <= room || p.unsure() < p.set.MaxBacklog*queueShare[required]/2
+}
+
+// rush says that proxies with tables of other planners wait for ours while servers drain. Guards against telling
+// each such proxy of each drain: that filled the channel, their tables waited, and the next drains cost as much.
+func (p *Policy) rush() bool {
+	foreign := filter(p.proxies, (*proxy).foreign)
+	drains := func(s *server) bool { return s.State != Ready && p.now < s.notified+p.set.DrainGraceMs }
+	if len(foreign) == 0 || !slices.ContainsFunc(p.servers, drains) {
+		return false
+	}
+	for _, q := range foreign {
+		for _, c := range p.clients[q.zone*p.parts : (q.zone+1)*p.parts] {
+			if q.cohort < 0 || !slices.ContainsFunc(c.tables[q.cohort].entries, (*entry).inUse) {
+				return false // there is no table to wait for
+			}
+		}
+	}
+	return true
+}
+
+// bind gives a proxy its first table. It takes the place of what another planner gave it, with all that drains:
+// after many joins that costs less than a withdrawal of each server, and must not wait behind those.
 func (p *Policy) bind(q *proxy, k int) {
 	c := p.clients[q.zone*p.parts+k]
 	t := c.tables[q.cohort]
 	p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool {
 		out := filter(t.entries, func(r *entry) bool { return r.server.ejected })
-		back := filter(t.entries, func(r *entry) bool { return !r.server.ejected && (q.inheritedEjections || q.ejected[r.server]) })
-		cost := float64(1 + len(p.admission) + len(t.entries) + len(out) + len(back))
+		back := filter(t.entries, func(r *entry) bool { return !r.server.ejected && q.ejected[r.server] })
+		doubted := filter(t.entries, func(r *entry) bool {
+			return q.inheritedEjections && r.inUse() && !r.server.ejected && !q.ejected[r.server]
+		})
+		slices.SortStableFunc(doubted, func(a, b *entry) int { return cmp.Compare(b.sent, a.sent) })
+		cost := float64(1 + len(p.admission) + len(t.entries) + len(out) + len(back) + min(len(doubted), minEntries))
+		if p.set.OmitsEjected {
+			left := filter(out, func(r *entry) bool { return r.inUse() && !q.ejected[r.server] })
+			cost -= 2 * float64(len(left))
+		}
 		if !slices.ContainsFunc(t.entries, (*entry).inUse) || !p.spendBudget(cost, []*proxy{q}, required) {
 			return false
 		}
@@ -1074,9 +1015,27 @@
 		for _, r := range t.entries {
 			q.ejected[r.server] = r.server.ejected
 		}
+		for _, r := range doubted {
+			q.doubted = append(q.doubted, r.server)
+		}
 		h.AssignTable(q.id, t.number, c.groups)
 		return true
-	})
+	}, func(h Host) bool { return p.restore(h, q, min(len(q.doubted), minEntries), paid) })
+}
+
+// restore ends withdrawals that others may have ordered of servers in a proxy's tables: of a few with its
+// binding, so that there is one to pick for certain, of the rest when the channel has room.
+func (p *Policy) restore(h Host, q *proxy, most, urgency int) bool {
+	if most == 0 || urgency != paid && !p.spendBudget(float64(most), []*proxy{q}, urgency) {
+		return false
+	}
+	var servers []string
+	for _, s := range q.doubted[:most] {
+		servers = append(servers, s.Server)
+	}
+	q.doubted = q.doubted[most:]
+	h.EndInheritedEjections(q.id, servers)
+	return true
 }
 
 // receipt asks how long the messages of this tick take: once a solve, and more often while much may wait.
