--- /dev/null
+++ b/policy/inputs.go
@@ -0,0 +1,234 @@
+package policy
+
+import (
+	"maps"
+	"math"
+	"math/rand"
+	"slices"
+)
+
+// The inputs record what is known; what follows from it is decided by Next.
+
+// New starts a planner that knows nothing yet. The seed is for the spread of polls alone. The planner keeps set.Classes;
+// its caller must not change them.
+func New(set Settings, seed int64) *Policy {
+	p := &Policy{
+		set:         set,
+		random:      rand.New(rand.NewSource(seed)),
+		byName:      map[string]*server{},
+		byID:        map[int]*proxy{},
+		pollBackoff: pollBackoffMs,
+		unsolved:    true,
+		solvedAt:    unset,
+		admissionAt: unset,
+		evaluatedAt: unset,
+		wakeAt:      unset,
+		reportedAt:  unset,
+	}
+	for _, class := range set.Classes {
+		p.admission = append(p.admission, newAdmission(class, set.DefaultRetry))
+	}
+	p.order = sheddingOrder(set.Classes)
+	parts := classesByDestination(set.Classes)
+	p.parts = len(parts)
+	for zone := range set.Zones {
+		for _, classes := range parts {
+			p.clients = append(p.clients, &client{zone: zone, groups: classes})
+		}
+	}
+	return p
+}
+
+// classesByDestination groups traffic classes that may go to the same servers: they share their tables.
+func classesByDestination(classes []TrafficClass) [][]int {
+	var anyZone, sameZone []int
+	for index, class := range classes {
+		if class.SameZoneOnly {
+			sameZone = append(sameZone, index)
+		} else {
+			anyZone = append(anyZone, index)
+		}
+	}
+	return filter([][]int{anyZone, sameZone}, func(group []int) bool { return len(group) > 0 })
+}
+
+// SetTime sets the time in ms, from any start; it never goes back. Orders until the next SetTime share one message
+// for each proxy.
+func (p *Policy) SetTime(now float64) { p.now = now }
+
+// UpdateEndpoints records what discovery says of the endpoint list, or that a poll of it failed. The planner keeps no
+// part of the list. Endpoints of zones that the settings do not have are ignored.
+func (p *Policy) UpdateEndpoints(kind UpdateKind, list []Endpoint) {
+	if kind == FailedUpdate {
+		p.backOffPolling()
+		return
+	}
+	if kind != RestoredUpdate {
+		p.pollBackoff = pollBackoffMs
+		p.watching = true
+	}
+	p.unsolved = true
+	p.dirty = true
+	seen := map[*server]bool{}
+	for _, endpoint := range list {
+		if endpoint.Zone >= 0 && endpoint.Zone < p.set.Zones {
+			seen[p.updateEndpoint(kind, endpoint)] = true
+		}
+	}
+	for _, server := range p.servers {
+		if kind != DeltaUpdate && !seen[server] {
+			p.setState(server, Removed)
+		}
+	}
+	p.forgetRemoved()
+}
+
+func (p *Policy) updateEndpoint(kind UpdateKind, endpoint Endpoint) *server {
+	known := p.byName[endpoint.Server]
+	if known == nil {
+		known = &server{
+			discoveredLate: kind != RestoredUpdate && p.solves > 0,
+			since:          p.now,
+			readmittedAt:   unset,
+			addedAt:        unset,
+		}
+		p.byName[endpoint.Server] = known
+		p.servers = append(p.servers, known)
+	} else if endpoint.StartedMs > known.StartedMs {
+		p.restartServer(known, endpoint.StartedMs)
+	}
+	p.setState(known, endpoint.State)
+	known.Endpoint = endpoint
+	known.RelativeCapacity = math.Max(endpoint.RelativeCapacity, minRelativeCapacity)
+	return known
+}
+
+// setState records a change of a server's state in the list. One ejected while ready may have come into tables that
+// were not notified since, so its ejection does not hold for a drain.
+func (p *Policy) setState(server *server, state State) {
+	if state == server.State {
+		return
+	}
+	server.ejected = server.ejected && server.State != Ready
+	server.State = state
+	server.notified = p.now
+}
+
+// forgetRemoved drops the servers of which nothing is left to decide, once their ejections have ended.
+func (p *Policy) forgetRemoved() {
+	p.servers = filter(p.servers, func(server *server) bool {
+		if server.ejected || !p.expired(server) {
+			return true
+		}
+		delete(p.byName, server.Server)
+		for _, proxy := range p.proxies {
+			delete(proxy.ejected, server)
+		}
+		return false
+	})
+}
+
+// AddProxy records that a proxy joined, or joined anew: its id, its zone, the requests per second that it says it usually
+// gets, and the times in ms of messages that another planner sent it, oldest first. These count in its message span.
+// A proxy of a zone that the settings do not have is ignored.
+func (p *Policy) AddProxy(id, zone int, usual float64, sent ...float64) {
+	p.RemoveProxy(id)
+	if zone < 0 || zone >= p.set.Zones {
+		return
+	}
+	joined := &proxy{
+		id:               id,
+		zone:             zone,
+		cohort:           -1,
+		expectedRate:     usual,
+		joined:           p.now,
+		sent:             slices.Clone(sent),
+		acknowledgements: map[int]float64{},
+		ejected:          map[*server]bool{},
+		demand:           make([][]sample, len(p.admission)),
+		bound:            make([]*table, p.parts),
+	}
+	if p.anySuccess && len(sent) > 0 { // taken over: another had its reports since then, and we have those of others
+		joined.joined = math.Min(joined.joined, sent[0])
+	}
+	p.byID[id] = joined
+	p.proxies = append(p.proxies, joined)
+	p.dirty = true
+}
+
+// ExpectInheritedEjections records that a joined proxy may hold tables and ejections of another planner.
+// Host.EndInheritedEjections ends these.
+func (p *Policy) ExpectInheritedEjections(id int) {
+	if proxy := p.byID[id]; proxy != nil {
+		proxy.inheritedEjections = true
+	}
+}
+
+// RemoveProxy records that a proxy left. What was ordered to it stays in the channel until that has drained.
+func (p *Policy) RemoveProxy(id int) {
+	leaving := p.byID[id]
+	if leaving == nil {
+		return
+	}
+	delete(p.byID, id)
+	p.queue()
+	p.departedBacklog += leaving.ordered - leaving.acknowledged
+	p.proxies = filter(p.proxies, func(proxy *proxy) bool { return proxy != leaving })
+}
+
+// RecordReport records a server's load report: of the attempts that came from a zone within coversMs, how many failed,
+// and the mean latency in ms of those that succeeded. One of an unknown server or zone, or of no attempt, is ignored.
+func (p *Policy) RecordReport(name string, zone, count, failed int, latencyMs, coversMs float64) {
+	server := p.byName[name]
+	if server == nil || count <= 0 || zone < 0 || zone >= p.set.Zones {
+		return
+	}
+	p.reportedAt = p.now
+	server.proven = server.proven || failed < count
+	p.anySuccess = p.anySuccess || server.proven
+	p.covers = appendBounded(p.covers, coversMs, maxSamples)
+	report := sample{
+		zone:      zone,
+		atMs:      p.now,
+		succeeded: float64(count - failed),
+		failed:    float64(failed),
+		latencyMs: latencyMs,
+		coversMs:  coversMs,
+	}
+	server.samples = appendBounded(server.samples, report, maxSamples*min(p.set.Zones, 2))
+}
+
+// RecordDemand records a proxy's demand report: the requests of a traffic class that came to it within coversMs, and how
+// many of them failed. One of an unknown proxy or class is ignored.
+func (p *Policy) RecordDemand(id, class, count, failed int, coversMs float64) {
+	proxy := p.byID[id]
+	if proxy == nil || class < 0 || class >= len(proxy.demand) {
+		return
+	}
+	report := sample{
+		zone:      proxy.zone,
+		atMs:      p.now,
+		succeeded: float64(count - failed),
+		failed:    float64(failed),
+		coversMs:  coversMs,
+	}
+	proxy.demand[class] = appendBounded(proxy.demand[class], report, maxSamples)
+}
+
+// Acknowledge records that a proxy answered Host.RequestAcknowledgement, tookMs after the request. What was ordered to it
+// before has arrived; the same holds of earlier requests whose answers were lost.
+func (p *Policy) Acknowledge(id, number int, tookMs float64) {
+	p.observeChannel(tookMs)
+	proxy := p.byID[id]
+	if proxy == nil {
+		return
+	}
+	proxy.acknowledged = math.Max(proxy.acknowledged, proxy.acknowledgements[number])
+	maps.DeleteFunc(proxy.acknowledgements, func(_ int, entries float64) bool {
+		return entries <= proxy.acknowledged
+	})
+}
+
+// SetLagging records whether load reports reach the planner late. Deferrable entries and acknowledgements that are not
+// needed rest meanwhile.
+func (p *Policy) SetLagging(on bool) { p.lagging = on }
--- /dev/null
+++ b/policy/pacing.go
@@ -0,0 +1,89 @@
+package policy
+
+import "math"
+
+// Pacing: what the control channel and each proxy's message quota have room for.
+
+// observeChannel takes the channel for slow when an acknowledgement took twice the longest way.
+func (p *Policy) observeChannel(tookMs float64) { p.queueSlow = tookMs > 2*p.set.MaxPropagationMs }
+
+// queue gives the backlog as of now: entries, and messages as entries, that wait in the channel. It drains at the
+// channel's rate, and is never more than what has not arrived for all that is known.
+func (p *Policy) queue() float64 {
+	drained := (p.now - p.countedAt) * p.set.EntriesPerSecond / 1000
+	if p.queueSlow {
+		drained /= maxQueueSlowdown
+	}
+	p.departedBacklog = math.Max(0, p.departedBacklog-drained)
+	p.backlog = math.Min(math.Max(0, p.backlog-drained), p.unsure())
+	p.countedAt = p.now
+	return p.backlog
+}
+
+// unsure are the entries that no acknowledgement shows to have arrived: at the most, these wait, however slow the
+// channel is. Those to proxies that left count until the channel could have sent them.
+func (p *Policy) unsure() float64 {
+	return p.departedBacklog + sumBy(p.proxies, func(proxy *proxy) float64 {
+		return proxy.ordered - proxy.acknowledged
+	})
+}
+
+// spendBudget counts an order of so many entries to each of some proxies, if there is room for it at its urgency.
+func (p *Policy) spendBudget(entries float64, recipients []*proxy, urgency int) bool {
+	first := filter(recipients, func(proxy *proxy) bool { return !proxy.reached(p.now) })
+	if !p.hasMessages(first, urgency) {
+		return false
+	}
+	cost := entries*float64(len(recipients)) + p.set.MessageOverhead*float64(len(first))
+	full := p.queue()+cost > p.set.MaxBacklog*queueShare[urgency] ||
+		p.unsure()+cost > p.set.MaxBacklog*max(queueShare[required], queueShare[urgency])
+	// An empty channel takes what is required, however large: guards against waiting for ever.
+	if full && (p.unsure() > 0 || urgency < required) {
+		return false
+	}
+	p.backlog += cost
+	for _, proxy := range recipients {
+		proxy.ordered += entries
+	}
+	for _, proxy := range first {
+		proxy.sent = appendBounded(proxy.sent, p.now, p.set.MaxMessages+1)
+		proxy.ordered += p.set.MessageOverhead
+	}
+	return true
+}
+
+// hasMessages says whether each of some proxies may get another message within its span.
+func (p *Policy) hasMessages(recipients []*proxy, urgency int) bool {
+	most := float64(p.set.MaxMessages) * messageShare[urgency]
+	if most <= 0 {
+		return true
+	}
+	for _, proxy := range recipients {
+		recent := filter(proxy.sent, func(at float64) bool { return at > p.now-p.set.MessageWindowMs })
+		if float64(len(recent)+1) > most {
+			return false
+		}
+	}
+	return true
+}
+
+// receipt requests acknowledgements of this evaluation's messages: once a solve, and more often while much may wait.
+func (p *Policy) receipt(host Host) bool {
+	needless := p.acknowledgedSolve == p.solves || p.lagging
+	if needless && p.unsure() < p.set.MaxBacklog*queueShare[urgent]/2 {
+		return false
+	}
+	recipients := filter(p.proxies, func(proxy *proxy) bool { return proxy.reached(p.now) })
+	if len(recipients) == 0 {
+		return false
+	}
+	p.acknowledgedSolve = p.solves
+	p.acknowledgementNumber = (p.acknowledgementNumber + 1) % acknowledgementNumbers
+	for _, proxy := range recipients { // not held back: without an answer a full channel would stay full
+		p.backlog++
+		proxy.ordered++
+		proxy.acknowledgements[p.acknowledgementNumber] = proxy.ordered
+	}
+	host.RequestAcknowledgement(p.acknowledgementNumber)
+	return true
+}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -7,233 +7,15 @@
 
 import (
 	"cmp"
-	"maps"
 	"math"
-	"math/rand"
 	"slices"
 )
 
-const (
-	solveEveryMs     = 2500.0 // ms; half the design's 5 s: two copies then give each proxy news every 5 s
-	iterations       = 20     // the paper's ADMM-20
-	capacityHeadroom = 1.01   // sum of caps over demand; more idles the dearest servers of a linear cost
-	recoveryHeadroom = 0.4    // more of it while latencies are low; flows then stay in their zone
-	step             = 0.3    // cost of an average line in units of an average share, so that rho 1 converges
-	maxLambda        = 4.0    // in the same unit; a price beyond it outlives the jam that made it
-	minDemand        = 0.02   // share of a client's fair part; an idle client still needs a sound table
-	shift            = 0.3    // part of all demand that moved; old prices and shares are forgotten then
-
-	cohorts                  = 2      // staged copies of a client's table, at least; half the proxies try a split first
-	refreshMs                = 1000.0 // ms of the channel that all lines of all proxies may take; a rush of joins fits then
-	connectionQuota          = 0.4    // part of the connections that the smallest server accepts; full ones work slower
-	minRequestsPerConnection = 5.0    // flows on a line before its connection idles out; fewer open it ever anew
-	minTableEntries          = 8      // lines; a table keeps most of its servers when a fifth fails
-	minEntries               = 3      // lines of a client that are kept; two may be lost at once before a table is bare
-	minWeightChange          = 0.25   // part of a line's weight that it moves by, or of an average line; less is noise
-	urgentIntervalMs         = 1500.0 // ms between lines of a table that cannot wait; messages are few where tables run bare
-	maxMissingWeight         = 0.4    // part of a table's weight that is missing when it cannot wait for its turn
-	weightTolerance          = 0.005  // share of a table that a cold server's line may exceed its cap by; rounding
-
-	maxSamples          = 24     // sums kept of each server and proxy; a floor is sought in all of them
-	windowMs            = 3500.0 // ms; three sums or more; longer ones show a trouble too late
-	reportRounds        = 1.5    // rounds of sums looked back for at least; each server is in one of them
-	minCapacity         = 0.08   // part of a nominal cap; less would leave one unheard: slow, or new and maybe not ours
-	minBaselineSamples  = 3      // sums after which a floor counts half; fewer are chance
-	overloadSlack       = 1.5    // times the fleet's ratio of latency to floor that is no jam; sums are noisy
-	slowStartDoublingMs = 5000.0 // ms; the design's doubling time of a new server's cap
-	slowStartMargin     = 0.8    // part of the cold share that a start begins with; the pick of two may double it
-
-	ejectionThreshold       = 6.0     // nats; a dozen drops with nothing delivered, a false alarm in some 400 sums
-	maxSampleEvidence       = 4.0     // nats that a single sum may add; one odd report is never enough
-	deadFailureShare        = 0.99    // share of drops of a dead server; one that delivers at all is full or slow, not dead
-	minOverloadFailureShare = 0.6     // least share of drops that a full server may have; its cap shrinks, it is not put out
-	maxOverloadFailureShare = 0.95    // and the most, where the middle server drops half; an overload condemns nobody
-	maxEjected              = 0.3     // part of the fleet out at once, or of flows dropped; beyond it the evidence is doubted
-	ejectionMs              = 5000.0  // ms; first stay out, doubled with each verdict, and time until one new can be judged
-	maxEjectionMs           = 20000.0 // ms; the longest, as the longest hangs
-	maxEjectedForRest       = 0.8     // part of the fleet that may be out when cold ones rest; the others are mostly warm
-	recoveryShare           = 0.2     // part of its cap that a server is let back with; a second verdict costs little
-	recoveryRampMs          = 1500.0  // ms in which that part doubles; full again in some three report periods
-
-	admissionIntervalMs  = 2000.0 // ms; a level shows in the sums after about this time
-	overloadThreshold    = 0.5    // latency over latency budget above which a tenth or so is late
-	recoveryThreshold    = 0.35   // and below which drops are no jam; of the wait above floors, when levels may rise
-	overloadFailureShare = 0.12   // share of flows dropped that means overload rather than chance
-	admissionDecrease    = 0.6    // most that one step may cut the flows let in to; sums may be late
-	admissionRounds      = 1.2    // rounds of sums that levels go by; older ones are from before the last step
-	minCapacityKept      = 0.8    // part of what was once delivered that is believed in a jam; servers may be fewer
-	recoveryAdmission    = 0.85   // part of the delivered rate let in during a jam, so that it drains
-	admissionIncrease    = 0.3    // part more let in at each step while latency is nil, less the nearer it is to calm
-	admissionStep        = 0.1    // least level of a traffic group; some of it shows whether the jam is over
-
-	forgetRemovedMs      = 600000.0 // ms that a server gone, and in no table, is remembered; its name may come back
-	maxQueueSlowdown     = 6.0      // times slower that the channel may be at the worst, until a receipt shows otherwise
-	pollBackoffMs        = 1200.0   // ms; first wait after a failed call for the list, doubled each time
-	evaluationIntervalMs = 200.0    // ms between looks when nothing comes in; well under every grace
-)
-
-// Urgency of an order: tidy work leaves room for what cannot wait, and both for what the rules ask for.
-const (
-	paid = iota - 1 // with an order before
-	deferrable
-	urgent
-	required
-	drainEjection // withdrawals of what drains or is gone: nothing else may use up their messages
-)
-
-var (
-	queueShare   = [...]float64{deferrable: 0.15, urgent: 0.6, required: 0.65, drainEjection: 0.9} // part of the longest queue
-	messageShare = [...]float64{deferrable: 0.34, urgent: 0.5, required: 0.7, drainEjection: 0.92} // of the messages in a span
-	unset        = math.Inf(-1)
-)
-
-func New(set Settings, seed int64) *Policy {
-	p := &Policy{
-		set: set, random: rand.New(rand.NewSource(seed)), byName: map[string]*server{},
-		byID: map[int]*proxy{}, pollBackoff: pollBackoffMs, unsolved: true,
-		solvedAt: unset, admissionAt: unset, evaluatedAt: unset, wakeAt: unset, reportedAt: unset,
-	}
-	var parts [2][]int // traffic groups that may go to the same servers
-	for g, row := range set.Classes {
-		l := admission{target: 1, sent: 1, retry: set.DefaultRetry}
-		if row.Idempotency != Idempotent && l.retry > RetryUnprocessed {
-			l.sent, l.retry = -1, RetryUnprocessed // proxies must be told that they may not repeat
-		}
-		p.admission = append(p.admission, l)
-		k := map[bool]int{true: 1}[row.SameZoneOnly]
-		parts[k], p.order = append(parts[k], g), append(p.order, g)
-	}
-	slices.SortStableFunc(p.order, func(a, b int) int {
-		g, h := set.Classes[a], set.Classes[b]
-		return cmp.Compare(g.PriorityWeight*h.LatencyObjectiveMs, h.PriorityWeight*g.LatencyObjectiveMs)
-	})
-	for z := range set.Zones {
-		for _, groups := range filter(parts[:], func(groups []int) bool { return len(groups) > 0 }) {
-			p.clients = append(p.clients, &client{zone: z, groups: groups})
-		}
-	}
-	p.parts = len(p.clients) / max(set.Zones, 1)
-	return p
-}
-
-// SetTime tells the time. All that follows until the next SetTime leaves in one message a proxy.
-func (p *Policy) SetTime(now float64) { p.now = now }
-
-func (p *Policy) UpdateEndpoints(form UpdateKind, list []Endpoint) {
-	if form == FailedUpdate {
-		p.watching, p.pollAt = false, p.now+p.pollBackoff*(0.5+p.random.Float64())
-		p.pollBackoff = math.Min(2*p.pollBackoff, p.set.AssumeNotifiedMs/2)
-		return
-	}
-	if form != RestoredUpdate {
-		p.pollBackoff, p.watching = pollBackoffMs, true
-	}
-	p.unsolved, p.dirty = true, true
-	seen := map[*server]bool{}
-	for _, e := range list {
-		if e.Zone < 0 || e.Zone >= p.set.Zones {
-			continue
-		}
-		s := p.byName[e.Server]
-		if e.RelativeCapacity = math.Max(e.RelativeCapacity, 1e-6); s == nil {
-			s = &server{discoveredLate: form != RestoredUpdate && p.solves > 0, since: p.now, readmittedAt: unset, addedAt: unset}
-			p.byName[e.Server], p.servers = s, append(p.servers, s)
-		} else if e.StartedMs > s.StartedMs {
-			// Back cold under its old name: what was heard is void, and what old tables sent it counts
-			// against its budget, so that it rests until that is out of the window.
-			s.samples, s.since, s.readmittedAt, s.ejections = nil, p.now, unset, 0
-			s.unhealthy, s.unhealthyUntil = e.StartedMs > p.now-p.set.SlowStartMs, p.now+p.set.ColdOverloadWindowMs+p.set.MaxPropagationMs
-		}
-		if e.State != s.State { // withdrawn while ready, it may have come into tables that were not told
-			s.notified, s.ejected = p.now, s.ejected && s.State != Ready
-		}
-		s.Endpoint, seen[s] = e, true
-	}
-	for _, s := range p.servers {
-		if form != DeltaUpdate && !seen[s] && s.State != Removed {
-			s.State, s.notified, s.ejected = Removed, p.now, s.ejected && s.State != Ready
-		}
-	}
-	p.servers = filter(p.servers, func(s *server) bool {
-		keep := s.ejected || !p.expired(s)
-		if !keep {
-			delete(p.byName, s.Server)
-			for _, q := range p.proxies {
-				delete(q.ejected, s)
-			}
-		}
-		return keep
-	})
-}
-
 // expired is a server that nothing is left to decide of: its withdrawal ends, and then it is forgotten.
 func (p *Policy) expired(s *server) bool {
 	return s.State == Removed && p.now-s.notified > forgetRemovedMs && !slices.ContainsFunc(s.entries, (*entry).inUse)
 }
 
-// AddProxy takes in a proxy, with the times of messages that another planner sent it: they count in its span.
-func (p *Policy) AddProxy(id, zone int, usual float64, sent ...float64) {
-	p.RemoveProxy(id)
-	if zone < 0 || zone >= p.set.Zones {
-		return
-	}
-	q := &proxy{
-		id: id, zone: zone, cohort: -1, expectedRate: usual, joined: p.now, sent: slices.Clone(sent),
-		acknowledgements: map[int]float64{}, ejected: map[*server]bool{},
-		demand: make([][]sample, len(p.admission)), bound: make([]*table, p.parts),
-	}
-	if p.anySuccess && len(sent) > 0 { // taken over: another heard it since then, and we hear others meanwhile
-		q.joined = math.Min(q.joined, sent[0])
-	}
-	p.byID[id], p.proxies, p.dirty = q, append(p.proxies, q), true
-}
-
-// ExpectInheritedEjections tells that a joined proxy may hold tables and withdrawals of another planner. Restore ends these.
-func (p *Policy) ExpectInheritedEjections(id int) {
-	if q := p.byID[id]; q != nil {
-		q.inheritedEjections = true
-	}
-}
-
-func (p *Policy) RemoveProxy(id int) {
-	gone := p.byID[id]
-	if delete(p.byID, id); gone != nil { // what waits for it stays in the channel until that has drained
-		p.queue()
-		p.departedBacklog += gone.ordered - gone.acknowledged
-	}
-	p.proxies = filter(p.proxies, func(q *proxy) bool { return q != gone })
-}
-
-func (p *Policy) RecordReport(name string, zone, count, failed int, latency, covers float64) {
-	s := p.byName[name]
-	if s == nil || count <= 0 || zone < 0 || zone >= p.set.Zones {
-		return
-	}
-	p.reportedAt, s.proven = p.now, s.proven || failed < count
-	p.anySuccess, p.covers = p.anySuccess || s.proven, appendBounded(p.covers, covers, maxSamples)
-	a := sample{zone, p.now, float64(count - failed), float64(failed), latency, covers}
-	s.samples = appendBounded(s.samples, a, maxSamples*min(p.set.Zones, 2))
-}
-
-func (p *Policy) RecordDemand(id, group, count, failed int, covers float64) {
-	if q := p.byID[id]; q != nil && group >= 0 && group < len(q.demand) {
-		a := sample{q.zone, p.now, float64(count - failed), float64(failed), 0, covers}
-		q.demand[group] = appendBounded(q.demand[group], a, maxSamples)
-	}
-}
-
-// Acknowledge answers a RequestAcknowledgement: what was ordered before it waits no more; late, it shows a slow channel.
-func (p *Policy) Acknowledge(id, number int, took float64) {
-	p.queueSlow = took > 2*p.set.MaxPropagationMs
-	if q := p.byID[id]; q != nil {
-		q.acknowledged = math.Max(q.acknowledged, q.acknowledgements[number])
-		maps.DeleteFunc(q.acknowledgements, func(_ int, lines float64) bool { return lines <= q.acknowledged }) // also of answers lost
-	}
-}
-
-// SetLagging tells that the planner hears late, or no longer: tidy lines and needless receipts rest meanwhile.
-func (p *Policy) SetLagging(on bool) { p.lagging = on }
-
 // Next makes at most one decision and says whether it did. The orders of a look share a message a proxy.
 func (p *Policy) Next(h Host) bool {
 	if p.now-p.evaluatedAt >= evaluationIntervalMs || p.dirty {
@@ -268,14 +50,14 @@
 	for _, s := range p.servers {
 		s.entries = filter(s.entries, live)
 		p.aggregateReports(s)
-		p.succeededRate += s.windowed.good / p.window * 1000
+		p.succeededRate += s.windowed.succeeded / p.window * 1000
 	}
 	used := filter(p.servers, func(s *server) bool { return s.usable() && !p.unverified(s) && s.windowed.attempts() > 0 })
 	p.failureShare = quantile(used, 2, func(s *server) float64 { return s.windowed.failed / s.windowed.attempts() })
-	used = filter(used, func(s *server) bool { return s.baseline > 0 && s.windowed.latency > 0 })
-	p.latency = quantile(used, 2, func(s *server) float64 { return s.windowed.latency })
+	used = filter(used, func(s *server) bool { return s.baseline > 0 && s.windowed.latencyMs > 0 })
+	p.latency = quantile(used, 2, func(s *server) float64 { return s.windowed.latencyMs })
 	p.baselineLatency = quantile(used, 2, func(s *server) float64 { return s.baseline })
-	p.overloadRatio = quantile(used, 2, func(s *server) float64 { return s.windowed.latency / s.baseline })
+	p.overloadRatio = quantile(used, 2, func(s *server) float64 { return s.windowed.latencyMs / s.baseline })
 	for _, t := range p.tables {
 		t.entries, t.proxies, t.rate = filter(t.entries, live), nil, 0
 	}
@@ -295,22 +77,22 @@
 func (p *Policy) aggregateReports(s *server) {
 	s.reports = s.reports[:0]
 	for _, a := range s.samples {
-		if a.at <= s.since {
+		if a.atMs <= s.since {
 			continue
 		}
 		n := len(s.reports) - 1
-		if n < 0 || a.at-s.reports[n].at > p.set.ReportIntervalMs/2 {
+		if n < 0 || a.atMs-s.reports[n].atMs > p.set.ReportIntervalMs/2 {
 			s.reports = append(s.reports, a)
 			continue
 		}
 		b := &s.reports[n]
-		b.latency = (b.latency*b.good + a.latency*a.good) / math.Max(b.good+a.good, 1)
-		b.good, b.failed = a.good+b.good, a.failed+b.failed
+		b.latencyMs = (b.latencyMs*b.succeeded + a.latencyMs*a.succeeded) / math.Max(b.succeeded+a.succeeded, 1)
+		b.succeeded, b.failed = a.succeeded+b.succeeded, a.failed+b.failed
 	}
 	p.clear = p.clear[:0]
 	for _, a := range s.reports {
-		if a.good >= 2 {
-			p.clear = append(p.clear, a.latency)
+		if a.succeeded >= 2 {
+			p.clear = append(p.clear, a.latencyMs)
 		}
 	}
 	if s.baseline = 0; len(p.clear) > 0 { // the lower quartile of noisy means
@@ -322,16 +104,14 @@
 
 func (s *server) recent(since float64) (a sample) {
 	for _, b := range s.reports {
-		if b.at > since {
-			a.good, a.failed, a.latency = a.good+b.good, a.failed+b.failed, a.latency+b.latency*b.good
+		if b.atMs > since {
+			a.succeeded, a.failed, a.latencyMs = a.succeeded+b.succeeded, a.failed+b.failed, a.latencyMs+b.latencyMs*b.succeeded
 		}
 	}
-	a.latency /= math.Max(a.good, 1)
+	a.latencyMs /= math.Max(a.succeeded, 1)
 	return a
 }
 
-func (a sample) attempts() float64 { return a.good + a.failed }
-
 // assign gives a proxy not bound yet the copy of its zone that has the least to do, and counts what it brings.
 func (p *Policy) assign(q *proxy) {
 	for k := range p.parts {
@@ -339,8 +119,8 @@
 		for _, g := range c.groups {
 			came, span, tries := q.expectedRate/float64(len(p.admission)), 0.0, 0.0 // by its own word until it is heard
 			for _, a := range q.demand[g] {                                         // a loop, as there are many proxies
-				if a.at > p.now-p.window {
-					span, tries = span+a.covers, tries+a.attempts()
+				if a.atMs > p.now-p.window {
+					span, tries = span+a.coversMs, tries+a.attempts()
 				}
 			}
 			if span > 0 {
@@ -364,6 +144,46 @@
 	}
 }
 
+// backOffPolling waits twice as long after each failed poll, spread so that planners do not poll together.
+func (p *Policy) backOffPolling() {
+	p.watching = false
+	p.pollAt = p.now + p.pollBackoff*(0.5+p.random.Float64())
+	p.pollBackoff = math.Min(2*p.pollBackoff, p.set.AssumeNotifiedMs/2)
+}
+
+// restartServer is about a server that came back cold under its old name: its reports are void. What old tables sent
+// it counts as overload of a cold server, so it rests until that is out of the window.
+func (p *Policy) restartServer(server *server, startedMs float64) {
+	server.samples = nil
+	server.since = p.now
+	server.readmittedAt = unset
+	server.ejections = 0
+	server.unhealthy = startedMs > p.now-p.set.SlowStartMs
+	server.unhealthyUntil = p.now + p.set.ColdOverloadWindowMs + p.set.MaxPropagationMs
+}
+
+// newAdmission admits all of a class, with the default retry mode unless a rule forbids that. Proxies must then be
+// notified that they may not repeat; a rate that was never sent brings the order about.
+func newAdmission(class TrafficClass, defaultRetry int) admission {
+	if class.Idempotency != Idempotent && defaultRetry > RetryUnprocessed {
+		return admission{target: 1, sent: -1, retry: RetryUnprocessed}
+	}
+	return admission{target: 1, sent: 1, retry: defaultRetry}
+}
+
+// sheddingOrder gives the traffic classes by what they earn for the work they cause, the least first.
+func sheddingOrder(classes []TrafficClass) []int {
+	var order []int
+	for index := range classes {
+		order = append(order, index)
+	}
+	slices.SortStableFunc(order, func(a, b int) int {
+		x, y := classes[a], classes[b]
+		return cmp.Compare(x.PriorityWeight*y.LatencyObjectiveMs, y.PriorityWeight*x.LatencyObjectiveMs)
+	})
+	return order
+}
+
 func (p *Policy) pollEndpoints(h Host) bool {
 	if !p.set.WatchRequired || p.watching || p.now < p.pollAt {
 		return false
@@ -388,7 +208,7 @@
 
 // ramp is the part of its cap that a server may be given: a cold one starts low and doubles.
 func (p *Policy) ramp(s *server) float64 {
-	part := math.Min(1, recoveryShare*math.Exp2((p.now-s.readmittedAt)/recoveryRampMs))
+	part := math.Min(1, recoveryShare*math.Exp2((p.now-s.readmittedAt)/recoveryDoublingMs))
 	if p.cold(s) {
 		part = math.Min(part, slowStartMargin*p.set.ColdCapacity*math.Exp2(math.Max(p.now-s.StartedMs, 0)/slowStartDoublingMs))
 	}
@@ -402,12 +222,12 @@
 func (p *Policy) solveIfDue() {
 	js := filter(p.servers, (*server).usable)
 	since := p.now - p.solvedAt
-	if len(js) == 0 || p.set.Sharded || since < 2*evaluationIntervalMs || since < solveEveryMs && !p.unsolved && !p.emptyTable {
+	if len(js) == 0 || p.set.Sharded || since < 2*evaluationIntervalMs || since < solveIntervalMs && !p.unsolved && !p.emptyTable {
 		return // with no server to use, tables keep what they hold
 	}
 	// Two copies of a table, or as many as give each server two lines in short ones.
 	each := float64(p.set.Proxies) / math.Max(float64(p.set.Zones*p.set.Planners), 1) // proxies of a client
-	n := max(cohorts, int(math.Min(cohorts*float64(len(js))/float64(p.maxShare(js)), each/cohorts)))
+	n := max(minCohorts, int(math.Min(minCohorts*float64(len(js))/float64(p.maxShare(js)), each/minCohorts)))
 	for _, c := range p.clients {
 		for p.solves == 0 && len(c.tables) < n {
 			t := &table{number: len(p.tables), due: true, urgentAt: unset}
@@ -418,7 +238,7 @@
 	p.split(js, p.unsolved)
 	p.solvedAt, p.unsolved, p.emptyTable, p.solves = p.now, false, false, p.solves+1
 	for _, t := range p.tables {
-		t.due = t.due || t.number%cohorts == p.solves%cohorts
+		t.due = t.due || t.number%minCohorts == p.solves%minCohorts
 	}
 }
 
@@ -451,9 +271,9 @@
 		clients = append(clients, &client{zone: z, demand: n * ours / math.Max(float64(len(p.proxies)), 1)})
 	}
 	I, most := len(clients), p.maxShare(js)
-	// Old prices and shares are forgotten after a shift of demand or servers, and while caps ramp up.
+	// Old prices and shares are forgotten after a maxDemandShift of demand or servers, and while caps ramp up.
 	ramps := slices.ContainsFunc(js, func(s *server) bool { return p.ramp(s) < 1 })
-	changed = changed || ramps || p.ramps || moved > shift*ours
+	changed = changed || ramps || p.ramps || moved > maxDemandShift*ours
 	p.ramps = ramps
 	C := p.caps(js, ours)
 	// L is taken per zone: within one, lows show the speed of servers, which their caps have already.
@@ -478,7 +298,7 @@
 			if s.Zone != c.zone && local {
 				L = math.Inf(1)
 			}
-			cost[i][j] = L / typical / J * step
+			cost[i][j] = L / typical / J * costScale
 			if old, known := c.cells[s]; known && !changed {
 				x[i][j] = old
 			} else if !math.IsInf(L, 1) {
@@ -492,7 +312,7 @@
 			load[j] += x[i][j].alpha * D[i]
 		}
 	}
-	// What is heard late is leaned on less: when a shift between zones shows, the servers of one have filled.
+	// What is heard late is leaned on less: when a maxDemandShift between zones shows, the servers of one have filled.
 	late := math.Max(0, 1-windowMs/p.round)
 	for i, c := range p.clients {
 		c.cells = map[*server]cell{}
@@ -500,7 +320,7 @@
 		for j, s := range js {
 			c.cells[s] = x[i][j]
 			share := x[i][j].alpha + late*(C[j]/all-x[i][j].alpha)
-			// Guards a cold server's budget: a split cut off after 20 iterations may exceed its cap.
+			// Guards a cold server's budget: a split cut off after 20 admmIterations may exceed its cap.
 			if p.ramp(s) < 1 && load[j] > C[j] {
 				share *= C[j] / load[j]
 			}
@@ -525,8 +345,8 @@
 		f, n := 1.0, float64(len(s.reports))
 		if s.baseline > 0 && p.baselineLatency > 0 {
 			f = math.Pow(p.baselineLatency/s.baseline, n/(n+minBaselineSamples))
-			if s.windowed.attempts() >= 4 && s.windowed.latency > 0 {
-				f *= math.Min(1, overloadSlack*p.overloadRatio*s.baseline/s.windowed.latency) * s.windowed.good / s.windowed.attempts()
+			if s.windowed.attempts() >= 4 && s.windowed.latencyMs > 0 {
+				f *= math.Min(1, overloadSlack*p.overloadRatio*s.baseline/s.windowed.latencyMs) * s.windowed.succeeded / s.windowed.attempts()
 			}
 		}
 		C[j] = s.RelativeCapacity / size * math.Max(f, minCapacity) * p.ramp(s)
@@ -606,12 +426,12 @@
 		}
 	}
 	each(func(l *weightEntry, r *entry) { r.target = l.share })
-	for it := range iterations + 1 {
+	for it := range admmIterations + 1 {
 		sums := map[*table]float64{}
 		for _, l := range lines {
 			got := sumBy(l.rows, func(r *entry) float64 { return r.target * brings(r.table) }) / rate
 			f := l.share / all / got
-			if it == iterations && (f > 1 || p.ramp(l.server) >= 1) {
+			if it == admmIterations && (f > 1 || p.ramp(l.server) >= 1) {
 				f = 1
 			}
 			for _, r := range l.rows {
@@ -624,50 +444,6 @@
 	each(func(l *weightEntry, r *entry) { r.target = math.Max(math.Round(r.target*1e4), 1) / 1e4 })
 }
 
-// solve runs ADMM with rho 1. The cells are warm and updated in place; D averages 1; a cost may be infinite.
-func solve(D, C []float64, cost [][]float64, x [][]cell, most float64) {
-	v, d := make([]float64, len(C)+len(D)), make([]float64, len(C)+len(D))
-	for range iterations {
-		for i := range D { // Lemma 3
-			for j, c := range x[i] {
-				v[j], d[j] = c.beta-D[i]*cost[i][j]-c.lambda, 1
-			}
-			mu := waterline(v[:len(C)], d[:len(C)], 1)
-			for j := range C {
-				x[i][j].alpha = math.Max(v[j]-mu, 0)
-			}
-		}
-		for j := range C { // Lemma 1 with prices zero, and the dual step
-			for i := range D {
-				v[i], d[i] = math.Max(x[i][j].lambda+x[i][j].alpha, 0), D[i]
-			}
-			nu := math.Max(waterline(v[:len(D)], d[:len(D)], C[j]), 0)
-			for i := range D {
-				c := &x[i][j]
-				c.beta = math.Max(v[i]-D[i]*nu, 0)
-				c.lambda = math.Min(math.Max(c.lambda+c.alpha-c.beta, -most), most)
-			}
-		}
-	}
-}
-
-// waterline finds nu with the sum of d*max(v-d*nu, 0) equal to C; leaving out those under it only raises it.
-// Where it does not, by rounding, one at the line would come back in for ever.
-func waterline(v, d []float64, C float64) float64 {
-	for nu, n := -math.MaxFloat64, math.MaxInt; ; {
-		sumDV, sumDD, in := 0.0, 0.0, 0
-		for i := range v {
-			if v[i] > d[i]*nu {
-				sumDV, sumDD, in = sumDV+d[i]*v[i], sumDD+d[i]*d[i], in+1
-			}
-		}
-		if in >= n || in == 0 {
-			return nu
-		}
-		nu, n = (sumDV-C)/sumDD, in
-	}
-}
-
 // judge runs the sequential test on each server's sums and calls off verdicts that are served.
 func (p *Policy) judge() {
 	fleet := filter(p.servers, func(s *server) bool { return s.State == Ready && !p.unverified(s) })
@@ -679,7 +455,7 @@
 		case s.State != Ready || s.unhealthy && p.now < s.unhealthyUntil:
 		case s.unhealthy:
 			s.unhealthy, s.since, s.readmittedAt, p.unsolved = false, p.now, p.now, true
-		case p.cold(s) && rough && out <= maxEjectedForRest*n:
+		case p.cold(s) && rough && out <= maxEjectedForColdRest*n:
 			// Proxies keep away from servers that drop and try others: a cold one would get it all.
 			s.unhealthy, s.unhealthyUntil, p.unsolved, out = true, p.now+p.set.ColdOverloadWindowMs, true, out+1
 		case p.evidence(s) >= ejectionThreshold && out <= maxEjected*n:
@@ -697,12 +473,12 @@
 	way := p.set.MaxPropagationMs + p.set.ReportIntervalMs
 	last := math.Max(s.since, s.addedAt) + math.Max(way, ejectionMs-reportRounds*p.round)
 	for _, a := range s.reports {
-		if a.at <= s.since+way {
+		if a.atMs <= s.since+way {
 			continue
 		}
-		add := a.failed*math.Log(deadFailureShare/good) + a.good*math.Log((1-deadFailureShare)/(1-good))
+		add := a.failed*math.Log(deadFailureShare/good) + a.succeeded*math.Log((1-deadFailureShare)/(1-good))
 		score = math.Max(0, score+math.Max(-maxSampleEvidence, math.Min(add, maxSampleEvidence)))
-		last = math.Max(a.at, s.addedAt+way)
+		last = math.Max(a.atMs, s.addedAt+way)
 	}
 	if quiet := p.reportedAt - last - reportRounds*p.round; quiet > 0 && !s.ejected {
 		sent := sumBy(s.entries, func(r *entry) float64 { return r.sent * r.table.rate }) / 1000
@@ -724,14 +500,14 @@
 	if all == 0 || p.latency == 0 {
 		return
 	}
-	// Only the last sums count, as older ones are from before the last step. Drops without a wait are servers
+	// Only the last sums count, as older ones are from before the last costScale. Drops without a wait are servers
 	// that refuse us, not a fleet that is full.
 	used := filter(p.servers, func(s *server) bool { return s.usable() && !p.unverified(s) && s.last.attempts() > 0 })
 	drops := quantile(used, 2, func(s *server) float64 { return s.last.failed / s.last.attempts() })
-	used = filter(used, func(s *server) bool { return s.last.latency > 0 })
-	latency := quantile(used, 2, func(s *server) float64 { return s.last.latency })
+	used = filter(used, func(s *server) bool { return s.last.latencyMs > 0 })
+	latency := quantile(used, 2, func(s *server) float64 { return s.last.latencyMs })
 	tries := sumBy(p.servers, func(s *server) float64 { return s.last.attempts() })
-	delivered := p.admittedRate * sumBy(p.servers, func(s *server) float64 { return s.last.good }) / math.Max(tries, 1)
+	delivered := p.admittedRate * sumBy(p.servers, func(s *server) float64 { return s.last.succeeded }) / math.Max(tries, 1)
 	share, late := p.admittedRate/all, latency/p.latencyObjective
 	wait := math.Max(latency-p.baselineLatency, 0) / math.Max(p.latencyObjective-p.baselineLatency, p.baselineLatency)
 	switch {
@@ -746,7 +522,7 @@
 	}
 	cut := math.Max(1-share, 0) * all
 	for _, g := range p.order {
-		here := math.Min(cut, p.admission[g].came*(1-admissionStep))
+		here := math.Min(cut, p.admission[g].came*(1-minAdmission))
 		p.admission[g].target = math.Round((1-here/math.Max(p.admission[g].came, 1e-9))*20) / 20
 		cut -= here
 	}
@@ -802,50 +578,6 @@
 	p.pendingDecisions = append(p.pendingDecisions, p.receipt)
 }
 
-// queue works out the lines that wait, with heads, as the channel drains them; no more than have not arrived.
-func (p *Policy) queue() float64 {
-	drained := (p.now - p.countedAt) * p.set.EntriesPerSecond / 1000
-	if p.queueSlow {
-		drained /= maxQueueSlowdown
-	}
-	p.departedBacklog = math.Max(0, p.departedBacklog-drained)
-	p.backlog = math.Min(math.Max(0, p.backlog-drained), p.unsure())
-	p.countedAt = p.now
-	return p.backlog
-}
-
-// unsure are lines not known to have arrived: at the most, these wait, however slow the channel is.
-func (p *Policy) unsure() float64 {
-	return p.departedBacklog + sumBy(p.proxies, func(q *proxy) float64 { return q.ordered - q.acknowledged })
-}
-
-// spendBudget counts an order of so many lines to each of some proxies, if there is room for it.
-func (p *Policy) spendBudget(lines float64, to []*proxy, urgency int) bool {
-	fresh := filter(to, func(q *proxy) bool { return !q.reached(p.now) })
-	cost := lines*float64(len(to)) + p.set.MessageOverhead*float64(len(fresh))
-	for _, q := range fresh {
-		recent := filter(q.sent, func(at float64) bool { return at > p.now-p.set.MessageWindowMs })
-		if most := float64(p.set.MaxMessages) * messageShare[urgency]; most > 0 && float64(len(recent)+1) > most {
-			return false
-		}
-	}
-	full := p.queue()+cost > p.set.MaxBacklog*queueShare[urgency] ||
-		p.unsure()+cost > p.set.MaxBacklog*max(queueShare[required], queueShare[urgency])
-	if full && (p.unsure() > 0 || urgency < required) {
-		return false
-	}
-	p.backlog += cost
-	for _, q := range to {
-		q.ordered += lines
-	}
-	for _, q := range fresh {
-		q.sent, q.ordered = appendBounded(q.sent, p.now, p.set.MaxMessages+1), q.ordered+p.set.MessageOverhead
-	}
-	return true
-}
-
-func (q *proxy) reached(now float64) bool { return len(q.sent) > 0 && q.sent[len(q.sent)-1] == now }
-
 // mask shuts out a server that drains, is gone or was judged bad, or lets one back once no table holds more
 // of it than its ramp allows. It concerns proxies whose tables hold it or are not ours; else its line tells.
 func (p *Policy) mask(h Host, s *server, out, rush bool) bool {
@@ -1037,21 +769,3 @@
 	h.EndInheritedEjections(q.id, servers)
 	return true
 }
-
-// receipt asks how long the messages of this tick take: once a solve, and more often while much may wait.
-func (p *Policy) receipt(h Host) bool {
-	if (p.acknowledgedSolve == p.solves || p.lagging) && p.unsure() < p.set.MaxBacklog*queueShare[urgent]/2 {
-		return false
-	}
-	to := filter(p.proxies, func(q *proxy) bool { return q.reached(p.now) })
-	if len(to) == 0 {
-		return false
-	}
-	p.acknowledgedSolve, p.acknowledgementNumber = p.solves, (p.acknowledgementNumber+1)%65536
-	for _, q := range to { // not held back: without an answer a full queue would stay full
-		p.backlog, q.ordered = p.backlog+1, q.ordered+1
-		q.acknowledgements[p.acknowledgementNumber] = q.ordered
-	}
-	h.RequestAcknowledgement(p.acknowledgementNumber)
-	return true
-}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -71,7 +71,7 @@
 				D[i], cost[i] = []float64{0.2, 1.8}[i%2], make([]float64, n)
 				for j := range C {
 					C[j] = 6 * capacityHeadroom / float64(n)
-					cost[i][j] = (1 + 0.3*float64((i+j)%3)) / float64(n) * step
+					cost[i][j] = (1 + 0.3*float64((i+j)%3)) / float64(n) * costScale
 				}
 			}
 			x := split(D, C, cost, 3)
--- a/policy/state.go
+++ b/policy/state.go
@@ -4,11 +4,18 @@
 
 // What a planner knows and has ordered: types alone, their decisions stand in brain.go.
 
+// sample is a load report of a server or a demand report of a proxy, or several added up.
 type sample struct {
-	zone                              int
-	at, good, failed, latency, covers float64
+	zone      int     // that the requests came from
+	atMs      float64 // when it was recorded
+	succeeded float64 // attempts; of a demand report, requests
+	failed    float64
+	latencyMs float64 // mean of what succeeded; 0 in a demand report
+	coversMs  float64 // time that it covers
 }
 
+func (s sample) attempts() float64 { return s.succeeded + s.failed }
+
 type server struct {
 	Endpoint
 	samples                []sample // the last ones, oldest first
@@ -46,7 +53,12 @@
 	tables []*table
 }
 
-type cell struct{ alpha, beta, lambda float64 }
+// cell is the solver's state for one client i and server j, as shares of the client's requests.
+type cell struct {
+	alpha  float64 // what the client sends to the server: Lemma 3
+	beta   float64 // what the server accepts of it, alpha's copy in ADMM: Lemma 1
+	lambda float64 // the price that makes the two equal: the dual step of ADMM-20
+}
 
 // weightEntry is a server's share of a client's flows, and its rows in the copies that hold it.
 type weightEntry struct {
@@ -109,3 +121,6 @@
 	watching, queueSlow                      bool      // the list; the last receipt was late
 	lagging                                  bool      // what is heard is late
 }
+
+// reached says whether a proxy gets a message at this time already, which further orders share.
+func (q *proxy) reached(now float64) bool { return len(q.sent) > 0 && q.sent[len(q.sent)-1] == now }
--- a/policy/view.go
+++ b/policy/view.go
@@ -21,6 +21,6 @@
 			want, sent = want+r.target*r.table.rate, sent+r.sent*r.table.rate
 		}
 		fmt.Fprintf(w, "server %s zone=%d state=%d bad=%t out=%t cold=%t ramp=%.2f size=%.2f own=%.0f latency=%.0f tries=%.0f failed=%.0f evidence=%.1f want=%.1f sent=%.1f lines=%d\n",
-			s.Server, s.Zone, s.State, s.unhealthy, s.ejected, p.cold(s), p.ramp(s), s.RelativeCapacity, s.baseline, s.windowed.latency, s.windowed.attempts(), s.windowed.failed, p.evidence(s), want, sent, len(s.entries))
+			s.Server, s.Zone, s.State, s.unhealthy, s.ejected, p.cold(s), p.ramp(s), s.RelativeCapacity, s.baseline, s.windowed.latencyMs, s.windowed.attempts(), s.windowed.failed, p.evidence(s), want, sent, len(s.entries))
 	}
 }
