--- /dev/null
+++ b/policy/admission.go
@@ -0,0 +1,107 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// Admission: which part of each traffic class proxies admit while the fleet is overloaded.
+
+// newAdmission admits all of a class, with the default retry mode unless a rule forbids that. Proxies must then be
+// notified that they may not repeat; a rate that was never sent brings the order about.
+func newAdmission(class TrafficClass, defaultRetry int) admission {
+	if class.Idempotency != Idempotent && defaultRetry > RetryUnprocessed {
+		return admission{target: 1, sent: -1, retry: RetryUnprocessed}
+	}
+	return admission{target: 1, sent: 1, retry: defaultRetry}
+}
+
+// sheddingOrder gives the traffic classes by what they earn for the work they cause, the least first.
+func sheddingOrder(classes []TrafficClass) []int {
+	var order []int
+	for index := range classes {
+		order = append(order, index)
+	}
+	slices.SortStableFunc(order, func(a, b int) int {
+		x, y := classes[a], classes[b]
+		return cmp.Compare(x.PriorityWeight*y.LatencyObjectiveMs, y.PriorityWeight*x.LatencyObjectiveMs)
+	})
+	return order
+}
+
+// fleetLoad is what the last round of load reports says of the fleet. Older ones are from before the last step.
+type fleetLoad struct {
+	latency       float64 // of the middle server, over the latency objective
+	wait          float64 // latency above the baseline, over what the objective leaves for it
+	failureShare  float64 // of the middle server
+	succeededRate float64 // requests per second
+}
+
+func (p *Policy) fleetLoad() fleetLoad {
+	used := filter(p.servers, func(server *server) bool {
+		return server.usable() && !p.unverified(server) && server.last.attempts() > 0
+	})
+	failureShare := quantile(used, 2, func(server *server) float64 {
+		return server.last.failed / server.last.attempts()
+	})
+	used = filter(used, func(server *server) bool { return server.last.latencyMs > 0 })
+	latencyMs := quantile(used, 2, func(server *server) float64 { return server.last.latencyMs })
+	attempts := sumBy(p.servers, func(server *server) float64 { return server.last.attempts() })
+	succeeded := sumBy(p.servers, func(server *server) float64 { return server.last.succeeded })
+	allowedWait := math.Max(p.latencyObjective-p.baselineLatency, p.baselineLatency)
+	return fleetLoad{
+		latency:       latencyMs / p.latencyObjective,
+		wait:          math.Max(latencyMs-p.baselineLatency, 0) / allowedWait,
+		failureShare:  failureShare,
+		succeededRate: p.admittedRate * succeeded / math.Max(attempts, 1),
+	}
+}
+
+// overloaded says whether requests wait. Failures without a wait are servers that reject us, not a full fleet.
+func (l fleetLoad) overloaded() bool {
+	return l.latency > overloadThreshold || l.latency > recoveryThreshold && l.failureShare > overloadFailureShare
+}
+
+func (l fleetLoad) recovered() bool {
+	return l.wait < recoveryThreshold && l.failureShare < overloadFailureShare
+}
+
+// updateAdmissionIfDue moves the part of all requests that is admitted, down in an overload and up after it.
+func (p *Policy) updateAdmissionIfDue() {
+	if !p.set.PartialAdmission || p.now-p.admissionAt < admissionIntervalMs {
+		return
+	}
+	p.admissionAt = p.now
+	demand := sumBy(p.admission, func(class admission) float64 { return class.demand })
+	if demand == 0 || p.latency == 0 {
+		return
+	}
+	load := p.fleetLoad()
+	share := p.admittedRate / demand
+	switch {
+	case load.overloaded():
+		// What succeeded is what the fleet can do; admitting less drains the overload. Half the interval more, as a second
+		// cut before this one shows would be too deep.
+		p.capacityRate = math.Max(load.succeededRate, minCapacityKept*p.capacityRate)
+		p.admissionAt = p.now + admissionIntervalMs/2
+		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*recoveryAdmission/demand))
+	case load.recovered():
+		// What succeeded before is admitted again at once.
+		p.capacityRate = math.Max(p.capacityRate, load.succeededRate)
+		increased := share * (1 + admissionIncrease*(1-load.wait/recoveryThreshold))
+		share = math.Max(increased, math.Min(p.capacityRate*recoveryAdmission/demand, 1))
+	}
+	p.shed(math.Max(1-share, 0) * demand)
+}
+
+// shed sets the admission rates so that so many requests per second are rejected, of the classes that earn least first.
+func (p *Policy) shed(excess float64) {
+	for _, index := range p.order {
+		class := &p.admission[index]
+		rejected := math.Min(excess, class.demand*(1-minAdmission))
+		rate := 1 - rejected/math.Max(class.demand, 1e-9) // guards a class without demand
+		class.target = math.Round(rate*admissionSteps) / admissionSteps
+		excess -= rejected
+	}
+}
--- /dev/null
+++ b/policy/capacity.go
@@ -0,0 +1,96 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+// Capacity: what each server may be given, by its listed capacity, its latency and its slow start.
+
+// cold says whether a server is in slow start.
+func (p *Policy) cold(server *server) bool {
+	return server.StartedMs > 0 && p.now-server.StartedMs < p.set.SlowStartMs
+}
+
+// ramp is the part of its capacity that a server may be given. A cold one, and one that was ejected, starts low and
+// doubles; an unverified one stays low.
+func (p *Policy) ramp(server *server) float64 {
+	part := math.Min(1, recoveryShare*math.Exp2((p.now-server.readmittedAt)/recoveryDoublingMs))
+	if p.cold(server) {
+		doublings := math.Max(p.now-server.StartedMs, 0) / slowStartDoublingMs
+		part = math.Min(part, slowStartMargin*p.set.ColdCapacity*math.Exp2(doublings))
+	}
+	if p.unverified(server) {
+		part = math.Min(part, minCapacity)
+	}
+	return part
+}
+
+// capacities are the paper's C of usable servers in parts of all demand, which is in requests per second. They are scaled
+// to demand with some headroom; those on a ramp are not scaled up.
+func (p *Policy) capacities(servers []*server, demand float64) []float64 {
+	C := make([]float64, len(servers))
+	warm, warming := 0.0, 0.0
+	verified := filter(servers, func(server *server) bool { return !p.unverified(server) })
+	listed := sumBy(verified, func(server *server) float64 { return server.RelativeCapacity })
+	listed = math.Max(listed, minRelativeCapacity)
+	// A ramp is of what the fleet succeeds in, not of demand: in an overload all requests run to the least busy.
+	served := math.Max(p.succeededRate, minDemand*demand) / math.Max(demand, minDemand)
+	served = math.Min(1, served)
+	for j, server := range servers {
+		C[j] = server.RelativeCapacity / listed * math.Max(p.relativeSpeed(server), minCapacity) * p.ramp(server)
+		if p.ramp(server) < 1 {
+			C[j] *= served
+			warming += C[j]
+		} else {
+			warm += C[j]
+		}
+	}
+	lowLatency := math.Max(0, 1-p.latency/p.latencyObjective/recoveryThreshold)
+	headroom := capacityHeadroom + recoveryHeadroom*lowLatency
+	for j, server := range servers {
+		if p.ramp(server) >= 1 {
+			C[j] *= math.Max(headroom-warming, minReadyCapacity) / warm
+		}
+	}
+	return C
+}
+
+// relativeSpeed is the speed of a server by its baseline latency, 1 for the middle one, less at once while it is more
+// overloaded than the fleet.
+func (p *Policy) relativeSpeed(server *server) float64 {
+	if server.baseline <= 0 || p.baselineLatency <= 0 {
+		return 1
+	}
+	reports := float64(len(server.reports))
+	speed := math.Pow(p.baselineLatency/server.baseline, reports/(reports+minBaselineSamples))
+	recent := server.windowed
+	if recent.attempts() >= minSpeedAttempts && recent.latencyMs > 0 {
+		expectedMs := overloadSlack * p.overloadRatio * server.baseline
+		speed *= math.Min(1, expectedMs/recent.latencyMs) * recent.succeeded / recent.attempts()
+	}
+	return speed
+}
+
+// aggregateReports works out what a server's load reports since its last change say, by period and in all.
+func (p *Policy) aggregateReports(server *server) {
+	server.mergeReports(p.set.ReportIntervalMs / 2)
+	server.baseline = p.baselineOf(server.reports)
+	server.windowed = server.recent(p.now - p.window)
+	server.last = server.recent(p.now - admissionRounds*p.round)
+}
+
+// baselineOf is the lower quartile of latencies in ms, 0 where no report has enough successes.
+func (p *Policy) baselineOf(reports []sample) float64 {
+	p.clear = p.clear[:0]
+	for _, report := range reports {
+		if report.succeeded >= minBaselineRequests {
+			p.clear = append(p.clear, report.latencyMs)
+		}
+	}
+	if len(p.clear) == 0 {
+		return 0
+	}
+	slices.Sort(p.clear)
+	return p.clear[len(p.clear)/baselineQuantile]
+}
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -88,8 +88,9 @@
 
 // The control channel and timers.
 const (
-	maxQueueSlowdown = 6.0    // times slower that the channel may be, until an acknowledgement shows otherwise
-	pollBackoffMs    = 1200.0 // first wait after a failed poll of the endpoint list, doubled each time
+	maxQueueSlowdown   = 6.0    // times slower that the channel may be, until an acknowledgement shows otherwise
+	pollsUntilNotified = 3      // polls at least while an update that was not requested would arrive
+	pollBackoffMs      = 1200.0 // first wait after a failed poll of the endpoint list, doubled each time
 	// acknowledgementNumbers is how many numbers the platform has; more requests are never unanswered at once.
 	acknowledgementNumbers = 65536
 	evaluationIntervalMs   = 200.0 // between evaluations without input; well under every grace
--- /dev/null
+++ b/policy/outliers.go
@@ -0,0 +1,123 @@
+package policy
+
+import "math"
+
+// Outliers: which ready servers are ejected by the evidence of load reports, and when they return.
+
+// usable says whether a server may get requests.
+func (s *server) usable() bool { return s.State == Ready && !s.unhealthy }
+
+// unverified says whether a server is new to the list and never succeeded, though it is said to run since long ago:
+// a wrong list may name some that are not ours. One that says when it started is new, and has slow start.
+// Harm: a wrong list with start times would be believed until the evidence is in.
+func (p *Policy) unverified(server *server) bool {
+	return p.anySuccess && !server.proven && server.discoveredLate && server.StartedMs == 0
+}
+
+// restartServer is about a server that came back cold under its old name: its reports are void. What old tables sent
+// it counts as overload of a cold server, so it rests until that is out of the window.
+func (p *Policy) restartServer(server *server, startedMs float64) {
+	server.samples = nil
+	server.since = p.now
+	server.readmittedAt = unset
+	server.ejections = 0
+	server.unhealthy = startedMs > p.now-p.set.SlowStartMs
+	server.unhealthyUntil = p.now + p.set.ColdOverloadWindowMs + p.set.MaxPropagationMs
+}
+
+// expired says whether nothing is left to decide of a server: its ejection ends, and then it is forgotten.
+func (p *Policy) expired(server *server) bool {
+	return server.State == Removed && p.now-server.notified > forgetRemovedMs && !server.inAnyTable()
+}
+
+// updateEjections runs the sequential test on each ready server and ends ejections whose time has come. Many outliers at
+// once are more likely a fault of reports, so only some of the fleet may be out.
+func (p *Policy) updateEjections() {
+	fleet := filter(p.servers, func(server *server) bool { return server.State == Ready && !p.unverified(server) })
+	size := float64(len(fleet))
+	ejected := float64(1 + len(fleet) - len(filter(fleet, (*server).usable))) // if one more is
+	uncertain := p.demandUncertain()
+	for _, server := range p.servers {
+		switch {
+		case server.State != Ready || server.unhealthy && p.now < server.unhealthyUntil:
+		case server.unhealthy:
+			p.readmit(server)
+		case p.cold(server) && uncertain && ejected <= maxEjectedForColdRest*size:
+			// Proxies keep away from servers that fail and try others: a cold one would get it all.
+			server.unhealthy = true
+			server.unhealthyUntil = p.now + p.set.ColdOverloadWindowMs
+			p.unsolved = true
+			ejected++
+		case p.evidence(server) >= ejectionThreshold && ejected <= maxEjected*size:
+			p.eject(server)
+			ejected++
+		}
+	}
+}
+
+// demandUncertain says whether most of the fleet fails, or may fail before reports show it as many proxies are new.
+func (p *Policy) demandUncertain() bool {
+	added := filter(p.proxies, func(proxy *proxy) bool { return p.now-proxy.joined < ejectionMs })
+	return p.failureShare > maxEjected || len(added) > len(p.proxies)/maxNewProxies
+}
+
+// eject takes a server out for a time that doubles with each ejection.
+func (p *Policy) eject(server *server) {
+	lastsMs := math.Min(ejectionMs*math.Exp2(float64(server.ejections)), maxEjectionMs)
+	server.unhealthy = true
+	server.unhealthyUntil = p.now + lastsMs
+	server.since = p.now
+	server.ejections++
+	p.unsolved = true
+}
+
+// readmit takes a server back, by the recovery ramp and judged by new reports alone.
+func (p *Policy) readmit(server *server) {
+	server.unhealthy = false
+	server.since = p.now
+	server.readmittedAt = p.now
+	p.unsolved = true
+}
+
+// evidence is a CUSUM of log likelihood ratios in nats that a server is dead rather than sound, by failures and by
+// silence where requests were sent.
+func (p *Policy) evidence(server *server) float64 {
+	score, lastMs := p.failureEvidence(server)
+	score += p.silenceEvidence(server, lastMs)
+	if p.unverified(server) {
+		score *= unverifiedEvidence
+	}
+	return score
+}
+
+// failureEvidence adds up load reports on requests sent after the server's last change. It also gives the time in ms
+// from which on the server is silent. A sound server may be full, and the more so the more the middle one fails.
+func (p *Policy) failureEvidence(server *server) (score, lastMs float64) {
+	soundShare := math.Max(minOverloadFailureShare, overloadFailureFactor*p.failureShare)
+	soundShare = math.Min(soundShare, maxOverloadFailureShare)
+	failure := math.Log(deadFailureShare / soundShare)
+	success := math.Log((1 - deadFailureShare) / (1 - soundShare))
+	delayMs := p.set.MaxPropagationMs + p.set.ReportIntervalMs
+	lastMs = math.Max(server.since, server.addedAt) + math.Max(delayMs, ejectionMs-reportRounds*p.round)
+	for _, report := range server.reports {
+		if report.atMs <= server.since+delayMs {
+			continue
+		}
+		nats := report.failed*failure + report.succeeded*success
+		score += math.Max(-maxSampleEvidence, math.Min(nats, maxSampleEvidence))
+		score = math.Max(0, score)
+		lastMs = math.Max(report.atMs, server.addedAt+delayMs)
+	}
+	return score, lastMs
+}
+
+// silenceEvidence is about reports that are missing since a time. A round of reports is longer the more there are; so
+// only what is missing from a round counts as silence.
+func (p *Policy) silenceEvidence(server *server, lastMs float64) float64 {
+	silentMs := p.reportedAt - lastMs - reportRounds*p.round
+	if silentMs <= 0 || server.ejected {
+		return 0
+	}
+	sent := sumBy(server.entries, func(entry *entry) float64 { return entry.sent * entry.table.rate }) / 1000
+	return silentMs * math.Min(sent, maxSampleEvidence/p.set.ReportIntervalMs)
+}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -89,7 +89,7 @@
 	t.Run("caps below demand are scaled to it, cold ones are not", func(t *testing.T) {
 		f := fleet(settings(), 4)
 		f.p.servers[0].StartedMs = f.now
-		C := f.p.caps(f.p.servers, 20)
+		C := f.p.capacities(f.p.servers, 20)
 		near(t, "sum", C[0]+C[1]+C[2]+C[3], capacityHeadroom, 0.5)
 		if C[0] > 0.25*0.2 {
 			t.Errorf("a cold server's cap is %.3f of all demand", C[0])
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,6 +1,9 @@
 package policy
 
-import "math/rand"
+import (
+	"math"
+	"math/rand"
+)
 
 // What a planner knows and has ordered: types alone, their decisions stand in brain.go.
 
@@ -60,14 +63,6 @@
 	lambda float64 // the price that makes the two equal: the dual step of ADMM-20
 }
 
-// weightEntry is a server's share of a client's flows, and its rows in the copies that hold it.
-type weightEntry struct {
-	server *server
-	share  float64
-	rows   []*entry
-	rank   int // in the order in which a copy takes lines
-}
-
 // table is one copy of a client's table. In a fleet larger than a table, copies hold different servers.
 type table struct {
 	number         int
@@ -86,8 +81,10 @@
 
 // admission is the admission of one traffic group, the flows per second that come, and when they are repeated.
 type admission struct {
-	target, sent, came float64
-	retry              int
+	target float64 // part admitted, as decided
+	sent   float64 // as last sent; -1 before the first order that is due
+	demand float64 // requests per second, as of this evaluation
+	retry  int     // mode, see RetryNever
 }
 
 // Policy decides for the proxies joined to it. It shares nothing with other planners.
@@ -124,3 +121,38 @@
 
 // reached says whether a proxy gets a message at this time already, which further orders share.
 func (q *proxy) reached(now float64) bool { return len(q.sent) > 0 && q.sent[len(q.sent)-1] == now }
+
+// mergeReports puts the load reports since the server's last change together by period, with those of all zones: one
+// alone is noisy. Reports further apart than a gap in ms are of different periods.
+func (s *server) mergeReports(gapMs float64) {
+	s.reports = s.reports[:0]
+	for _, report := range s.samples {
+		if report.atMs <= s.since {
+			continue
+		}
+		last := len(s.reports) - 1
+		if last < 0 || report.atMs-s.reports[last].atMs > gapMs {
+			s.reports = append(s.reports, report)
+			continue
+		}
+		merged := &s.reports[last]
+		weighted := merged.latencyMs*merged.succeeded + report.latencyMs*report.succeeded
+		merged.latencyMs = weighted / math.Max(merged.succeeded+report.succeeded, 1)
+		merged.succeeded += report.succeeded
+		merged.failed += report.failed
+	}
+}
+
+// recent adds up the server's reports since a time.
+func (s *server) recent(since float64) sample {
+	var total sample
+	for _, report := range s.reports {
+		if report.atMs > since {
+			total.succeeded += report.succeeded
+			total.failed += report.failed
+			total.latencyMs += report.latencyMs * report.succeeded
+		}
+	}
+	total.latencyMs /= math.Max(total.succeeded, 1)
+	return total
+}
--- /dev/null
+++ b/policy/tables.go
@@ -0,0 +1,272 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// Tables: when the split is solved for, what the solver is given, and the weights that tables should hold.
+
+// solveIfDue solves every few seconds, and soon after servers came or left or a proxy joined an unused cohort. With no
+// server to use, tables keep what they hold.
+func (p *Policy) solveIfDue() {
+	servers := filter(p.servers, (*server).usable)
+	sinceMs := p.now - p.solvedAt
+	hasNews := p.unsolved || p.emptyTable
+	if len(servers) == 0 || p.set.Sharded || sinceMs < 2*evaluationIntervalMs || sinceMs < solveIntervalMs && !hasNews {
+		return
+	}
+	if p.solves == 0 {
+		p.createTables(p.cohortCount(servers))
+	}
+	p.evaluate() // anew, as ejections void load reports and admission rates change demand
+	p.split(servers, p.unsolved)
+	p.solvedAt = p.now
+	p.unsolved = false
+	p.emptyTable = false
+	p.solves++
+	for _, table := range p.tables {
+		table.due = table.due || table.number%minCohorts == p.solves%minCohorts
+	}
+}
+
+// cohortCount is the number of cohorts of a client: two, or in a large fleet as many as give each server two entries,
+// but each cohort has two proxies.
+func (p *Policy) cohortCount(servers []*server) int {
+	proxies := float64(p.set.Proxies) / math.Max(float64(p.set.Zones*p.set.Planners), 1)
+	wanted := minCohorts * float64(len(servers)) / float64(p.maxTableSize(servers))
+	return max(minCohorts, int(math.Min(wanted, proxies/minCohorts)))
+}
+
+// maxTableSize is the number of entries that a table should hold: so few that the channel can send all in a second, that
+// servers accept the connections, and that these are used before they idle out.
+func (p *Policy) maxTableSize(servers []*server) int {
+	proxies := math.Max(float64(p.set.Proxies), 1)
+	joined := float64(len(p.proxies))
+	ours := math.Max(proxies/math.Max(float64(p.set.Planners), 1), joined)
+	sendable := p.set.EntriesPerSecond * refreshMs / 1000 / ours
+	connectable := p.set.MinServerConnections * connectionQuota * float64(len(servers)) / proxies
+	size := math.Min(sendable, connectable)
+	if joined > 0 {
+		rate := sumBy(p.proxies, func(proxy *proxy) float64 { return proxy.expectedRate }) / joined
+		size = math.Min(size, rate*p.set.IdleTimeoutMs/1000/minRequestsPerConnection)
+	}
+	return max(int(size), minTableEntries)
+}
+
+// split solves for all clients and sets what their tables should hold.
+func (p *Policy) split(servers []*server, serversChanged bool) {
+	demand, moved := p.updateDemand()
+	clients := append(slices.Clone(p.clients), p.unobservedClients(demand)...)
+	startOver := p.startsOver(servers, serversChanged || moved > maxDemandShift*demand)
+	problem := p.newProblem(servers, clients, demand)
+	problem.startCells(startOver)
+	solve(problem.D, problem.C, problem.cost, problem.cells, maxLambda/float64(len(servers)))
+	p.applySplit(problem)
+}
+
+// updateDemand takes over the demand of each client. It gives that of all, and what moved from one to another.
+func (p *Policy) updateDemand() (all, moved float64) {
+	for _, client := range p.clients {
+		demand := sumBy(client.tables, func(table *table) float64 { return table.rate })
+		all += demand
+		moved += math.Abs(demand-client.demand) / 2
+		client.demand = demand
+	}
+	return all, moved
+}
+
+// unobservedClients are proxies that do not report to us: other planners', or cut off. They are taken to be spread evenly
+// and to have as much demand as ours. Guards against a planner with the proxies of one zone that spreads these over all
+// servers, as if nobody else used the rest.
+func (p *Policy) unobservedClients(demand float64) []*client {
+	var clients []*client
+	for zone := range p.set.Zones {
+		joined := filter(p.proxies, func(proxy *proxy) bool { return proxy.zone == zone })
+		missing := math.Max(0, float64(p.set.Proxies)/float64(p.set.Zones)-float64(len(joined)))
+		share := missing * demand / math.Max(float64(len(p.proxies)), 1)
+		clients = append(clients, &client{zone: zone, demand: share})
+	}
+	return clients
+}
+
+// startsOver says whether old prices and shares are forgotten: after a shift of demand or servers, and while a server is
+// on its ramp, or was at the last solve.
+func (p *Policy) startsOver(servers []*server, shifted bool) bool {
+	ramps := slices.ContainsFunc(servers, func(server *server) bool { return p.ramp(server) < 1 })
+	startOver := shifted || ramps || p.ramps
+	p.ramps = ramps
+	return startOver
+}
+
+// newProblem gives the solver its demand, capacities and costs. D averages 1, and costs are divided by the middle
+// latency and the number of servers, as ADMM-20 converges by then with rho 1.
+func (p *Policy) newProblem(servers []*server, clients []*client, demand float64) *splitProblem {
+	problem := &splitProblem{
+		servers: servers,
+		clients: clients,
+		C:       p.capacities(servers, demand),
+		D:       make([]float64, len(clients)),
+		cost:    make([][]float64, len(clients)),
+		cells:   make([][]cell, len(clients)),
+	}
+	count := float64(len(clients))
+	problem.capacity = sumBy(problem.C, func(C float64) float64 { return C }) * count
+	for j := range servers {
+		problem.C[j] *= count
+	}
+	total := sumBy(clients, func(client *client) float64 { return client.demand })
+	mean := math.Max(total, minDemand) / count
+	latencies := p.zoneLatencies(servers)
+	for i, client := range clients {
+		problem.D[i] = math.Max(client.demand/mean, minDemand)
+		problem.cost[i] = p.costs(client, servers, latencies)
+	}
+	return problem
+}
+
+// zoneLatencies are the lowest baseline latencies of each zone in ms. Within a zone, lows show the speed of servers, which
+// their capacities have already.
+func (p *Policy) zoneLatencies(servers []*server) []float64 {
+	lowest := slices.Repeat([]float64{p.typicalLatency()}, p.set.Zones)
+	for _, server := range servers {
+		if server.baseline > 0 {
+			lowest[server.Zone] = math.Min(lowest[server.Zone], server.baseline)
+		}
+	}
+	return lowest
+}
+
+func (p *Policy) typicalLatency() float64 { return math.Max(p.baselineLatency, 1) }
+
+// costs are what a request of a client costs at each server: the paper's L, with a price for leaving the zone.
+func (p *Policy) costs(client *client, servers []*server, zoneLatencies []float64) []float64 {
+	costs := make([]float64, len(servers))
+	sameZoneOnly := len(client.groups) > 0 && p.set.Classes[client.groups[0]].SameZoneOnly
+	for j, server := range servers {
+		L := zoneLatencies[server.Zone]
+		if server.Zone != client.zone {
+			L += p.set.CrossZoneCost * p.latencyObjective
+		}
+		if server.Zone != client.zone && sameZoneOnly {
+			L = math.Inf(1)
+		}
+		costs[j] = L / p.typicalLatency() / float64(len(servers)) * costScale
+	}
+	return costs
+}
+
+// applySplit turns each client's alphas into what its tables should hold.
+func (p *Policy) applySplit(problem *splitProblem) {
+	load := problem.load()
+	// Late reports are relied on less: when a shift between zones shows, the servers of one have filled already.
+	late := math.Max(0, 1-windowMs/p.round)
+	smallest := minWeightChange / float64(len(problem.servers))
+	for i, client := range p.clients {
+		client.cells = map[*server]cell{}
+		var wanted []*serverShare
+		for j, server := range problem.servers {
+			client.cells[server] = problem.cells[i][j]
+			alpha := problem.cells[i][j].alpha
+			share := alpha + late*(problem.C[j]/problem.capacity-alpha)
+			// Guards a cold server: ADMM that is cut off after 20 iterations may exceed its capacity.
+			if p.ramp(server) < 1 && load[j] > problem.C[j] {
+				share *= problem.C[j] / load[j]
+			}
+			if !math.IsInf(problem.cost[i][j], 1) {
+				wanted = append(wanted, &serverShare{server: server, share: share})
+			}
+		}
+		p.fillTables(client, wanted, p.maxTableSize(problem.servers), smallest)
+	}
+}
+
+// fillTables shares a client's servers out over its tables, all to each in a small fleet, and sets the weights.
+func (p *Policy) fillTables(client *client, wanted []*serverShare, maxSize int, smallest float64) {
+	shares, total := p.dropSmallShares(wanted, smallest)
+	tables := filter(client.tables, func(table *table) bool { return table.rate > 0 || client.demand == 0 })
+	for _, table := range tables {
+		for _, entry := range table.entries {
+			entry.target = 0
+		}
+	}
+	for _, table := range tables {
+		table.takeServers(shares, len(tables), min(len(shares), maxSize))
+	}
+	for index, share := range shares {
+		if len(share.entries) == 0 { // no server is left out
+			share.entries = append(share.entries, tables[index%len(tables)].entryOf(share.server))
+		}
+	}
+	p.balanceWeights(tables, shares, total)
+}
+
+// dropSmallShares leaves out shares that are not worth their connections, but keeps a few of each client, and those of
+// warming servers, which are small for a time only. It gives the rest, largest first, and their sum.
+func (p *Policy) dropSmallShares(wanted []*serverShare, smallest float64) (kept []*serverShare, total float64) {
+	slices.SortStableFunc(wanted, func(a, b *serverShare) int { return cmp.Compare(b.share, a.share) })
+	for _, share := range wanted {
+		warming := p.ramp(share.server) < 1 && share.share > smallest/minWarmingShare
+		if share.share >= smallest || len(kept) < minEntries || warming {
+			share.share = math.Max(share.share, smallest/minWarmingShare)
+			kept = append(kept, share)
+			total += share.share
+		}
+	}
+	return kept, total
+}
+
+// takeServers chooses the servers of one table out of those of its client: first, as changes cost entries, those that it
+// holds, then those that the fewest tables hold.
+func (t *table) takeServers(shares []*serverShare, tables, count int) {
+	for _, share := range shares {
+		share.rank = len(share.entries)
+		if !t.uses(share.server) {
+			share.rank += tables
+		}
+	}
+	byRank := slices.Clone(shares)
+	slices.SortStableFunc(byRank, func(a, b *serverShare) int { return a.rank - b.rank })
+	for _, share := range byRank[:count] {
+		share.entries = append(share.entries, t.entryOf(share.server))
+	}
+}
+
+// balanceWeights sets weights with which a client's tables, by the demand of each, together give each server its share.
+// Servers and tables are scaled in turn; the last time only servers on a ramp are, and down, so that none gets more.
+func (p *Policy) balanceWeights(tables []*table, shares []*serverShare, total float64) {
+	demand := sumBy(tables, (*table).demand)
+	for _, share := range shares {
+		for _, entry := range share.entries {
+			entry.target = share.share
+		}
+	}
+	for round := range admmIterations + 1 {
+		sums := map[*table]float64{}
+		for _, share := range shares {
+			got := sumBy(share.entries, func(entry *entry) float64 { return entry.target * entry.table.demand() }) / demand
+			factor := share.share / total / got
+			if round == admmIterations && (factor > 1 || p.ramp(share.server) >= 1) {
+				factor = 1
+			}
+			for _, entry := range share.entries {
+				entry.target *= factor
+				sums[entry.table] += entry.target
+			}
+		}
+		for _, share := range shares {
+			for _, entry := range share.entries {
+				entry.target /= sums[entry.table]
+			}
+		}
+	}
+	for _, share := range shares {
+		for _, entry := range share.entries {
+			entry.target = math.Max(math.Round(entry.target*weightSteps), 1) / weightSteps
+		}
+	}
+}
+
+// demand is a table's part in the balance; one without proxies needs sound weights, too.
+func (t *table) demand() float64 { return math.Max(t.rate, minDemand) }
--- a/policy/view.go
+++ b/policy/view.go
@@ -12,7 +12,7 @@
 	fmt.Fprintf(w, "fleet proxies=%d servers=%d solves=%d round=%.0f latency=%.0f floor=%.0f budget=%.0f drops=%.2f let=%.0f able=%.0f unsure=%.0f waiting=%.0f todo=%d levels=",
 		len(p.proxies), len(p.servers), p.solves, p.round, p.latency, p.baselineLatency, p.latencyObjective, p.failureShare, p.admittedRate, p.capacityRate, p.unsure(), p.backlog, len(p.pendingDecisions))
 	for _, l := range p.admission {
-		fmt.Fprintf(w, "%.2f/%d(%.0f) ", l.target, l.retry, l.came)
+		fmt.Fprintf(w, "%.2f/%d(%.0f) ", l.target, l.retry, l.demand)
 	}
 	fmt.Fprintln(w)
 	for _, s := range p.servers {
