--- a/policy/admission.go
+++ b/policy/admission.go
@@ -30,34 +30,6 @@
 	return order
 }
 
-// fleetLoad is what the last round of load reports says of the fleet. Older ones are from before the last step.
-type fleetLoad struct {
-	latency       float64 // of the middle server, over the latency objective
-	wait          float64 // latency above the baseline, over what the objective leaves for it
-	failureShare  float64 // of the middle server
-	succeededRate float64 // requests per second
-}
-
-func (p *Policy) fleetLoad() fleetLoad {
-	used := filter(p.servers, func(server *server) bool {
-		return server.usable() && !p.unverified(server) && server.last.attempts() > 0
-	})
-	failureShare := quantile(used, 2, func(server *server) float64 {
-		return server.last.failed / server.last.attempts()
-	})
-	used = filter(used, func(server *server) bool { return server.last.latencyMs > 0 })
-	latencyMs := quantile(used, 2, func(server *server) float64 { return server.last.latencyMs })
-	attempts := sumBy(p.servers, func(server *server) float64 { return server.last.attempts() })
-	succeeded := sumBy(p.servers, func(server *server) float64 { return server.last.succeeded })
-	allowedWait := math.Max(p.latencyObjective-p.baselineLatency, p.baselineLatency)
-	return fleetLoad{
-		latency:       latencyMs / p.latencyObjective,
-		wait:          math.Max(latencyMs-p.baselineLatency, 0) / allowedWait,
-		failureShare:  failureShare,
-		succeededRate: p.admittedRate * succeeded / math.Max(attempts, 1),
-	}
-}
-
 // overloaded says whether requests wait. Failures without a wait are servers that reject us, not a full fleet.
 func (l fleetLoad) overloaded() bool {
 	return l.latency > overloadThreshold || l.latency > recoveryThreshold && l.failureShare > overloadFailureShare
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -72,14 +72,6 @@
 	return speed
 }
 
-// aggregateReports works out what a server's load reports since its last change say, by period and in all.
-func (p *Policy) aggregateReports(server *server) {
-	server.mergeReports(p.set.ReportIntervalMs / 2)
-	server.baseline = p.baselineOf(server.reports)
-	server.windowed = server.recent(p.now - p.window)
-	server.last = server.recent(p.now - admissionRounds*p.round)
-}
-
 // baselineOf is the lower quartile of latencies in ms, 0 where no report has enough successes.
 func (p *Policy) baselineOf(reports []sample) float64 {
 	p.clear = p.clear[:0]
--- /dev/null
+++ b/policy/measurements.go
@@ -0,0 +1,160 @@
+package policy
+
+import "math"
+
+// Measurements are what decisions go by: demand, and figures of servers and of the fleet. They decide nothing.
+
+// evaluateServers works out each server's figures and those of the middle one of the fleet.
+func (p *Policy) evaluateServers() {
+	p.succeededRate = 0
+	for _, server := range p.servers {
+		server.entries = filter(server.entries, (*entry).live)
+		p.aggregateReports(server)
+		p.succeededRate += server.windowed.succeeded / p.window * 1000
+	}
+	used := filter(p.servers, func(server *server) bool {
+		return server.usable() && !p.unverified(server) && server.windowed.attempts() > 0
+	})
+	p.failureShare = quantile(used, 2, func(server *server) float64 {
+		return server.windowed.failed / server.windowed.attempts()
+	})
+	used = filter(used, func(server *server) bool { return server.baseline > 0 && server.windowed.latencyMs > 0 })
+	p.latency = quantile(used, 2, func(server *server) float64 { return server.windowed.latencyMs })
+	p.baselineLatency = quantile(used, 2, func(server *server) float64 { return server.baseline })
+	p.overloadRatio = quantile(used, 2, func(server *server) float64 {
+		return server.windowed.latencyMs / server.baseline
+	})
+}
+
+// countDemand adds a proxy's demand to its tables and to the traffic classes.
+func (p *Policy) countDemand(proxy *proxy) {
+	for part := range p.parts {
+		client := p.clients[proxy.zone*p.parts+part]
+		admitted := 0.0
+		for _, index := range client.groups {
+			class := &p.admission[index]
+			demand := p.demandOf(proxy, index)
+			admitted += demand * class.target
+			class.demand += demand
+		}
+		if len(client.tables) == 0 {
+			continue
+		}
+		table := client.tables[proxy.cohort]
+		if proxy.bound[part] == table {
+			table.proxies = append(table.proxies, proxy)
+		}
+		p.emptyTable = p.emptyTable || proxy.bound[part] == nil && table.rate == 0
+		table.rate += admitted
+	}
+}
+
+// demandOf gives a proxy's requests per second of a traffic class: by its own statement until it reports.
+func (p *Policy) demandOf(proxy *proxy, class int) float64 {
+	coversMs, requests := 0.0, 0.0
+	for index := range proxy.demand[class] { // by index, as there are many proxies
+		report := &proxy.demand[class][index]
+		if report.atMs > p.now-p.window {
+			coversMs += report.coversMs
+			requests += report.attempts()
+		}
+	}
+	if coversMs > 0 {
+		return requests / coversMs * 1000
+	}
+	return proxy.expectedRate / float64(len(p.admission))
+}
+
+// averageObjective works out the admitted rate and, weighted by it, the mean latency objective in ms.
+func (p *Policy) averageObjective() {
+	p.admittedRate = 0
+	p.latencyObjective = 0
+	for index, class := range p.admission {
+		admitted := class.demand * class.target
+		p.admittedRate += admitted
+		p.latencyObjective += (admitted + idleClassRate) * p.set.Classes[index].LatencyObjectiveMs
+	}
+	p.latencyObjective /= p.admittedRate + idleClassRate*float64(len(p.admission))
+}
+
+// fleetLoad is what the last round of load reports says of the fleet. Older ones are from before the last step.
+type fleetLoad struct {
+	latency       float64 // of the middle server, over the latency objective
+	wait          float64 // latency above the baseline, over what the objective leaves for it
+	failureShare  float64 // of the middle server
+	succeededRate float64 // requests per second
+}
+
+func (p *Policy) fleetLoad() fleetLoad {
+	used := filter(p.servers, func(server *server) bool {
+		return server.usable() && !p.unverified(server) && server.last.attempts() > 0
+	})
+	failureShare := quantile(used, 2, func(server *server) float64 {
+		return server.last.failed / server.last.attempts()
+	})
+	used = filter(used, func(server *server) bool { return server.last.latencyMs > 0 })
+	latencyMs := quantile(used, 2, func(server *server) float64 { return server.last.latencyMs })
+	attempts := sumBy(p.servers, func(server *server) float64 { return server.last.attempts() })
+	succeeded := sumBy(p.servers, func(server *server) float64 { return server.last.succeeded })
+	allowedWait := math.Max(p.latencyObjective-p.baselineLatency, p.baselineLatency)
+	return fleetLoad{
+		latency:       latencyMs / p.latencyObjective,
+		wait:          math.Max(latencyMs-p.baselineLatency, 0) / allowedWait,
+		failureShare:  failureShare,
+		succeededRate: p.admittedRate * succeeded / math.Max(attempts, 1),
+	}
+}
+
+// aggregateReports works out what a server's load reports since its last change say, by period and in all.
+func (p *Policy) aggregateReports(server *server) {
+	server.mergeReports(p.set.ReportIntervalMs / 2)
+	server.baseline = p.baselineOf(server.reports)
+	server.windowed = server.recent(p.now - p.window)
+	server.last = server.recent(p.now - admissionRounds*p.round)
+}
+
+// updateDemand takes over the demand of each client. It gives that of all, and what moved from one to another.
+func (p *Policy) updateDemand() (all, moved float64) {
+	for _, client := range p.clients {
+		demand := sumBy(client.tables, func(table *table) float64 { return table.rate })
+		all += demand
+		moved += math.Abs(demand-client.demand) / 2
+		client.demand = demand
+	}
+	return all, moved
+}
+
+// mergeReports puts the load reports since the server's last change together by period, with those of all zones: one
+// alone is noisy. Reports further apart than a gap in ms are of different periods.
+func (s *server) mergeReports(gapMs float64) {
+	s.reports = s.reports[:0]
+	for _, report := range s.samples {
+		if report.atMs <= s.since {
+			continue
+		}
+		last := len(s.reports) - 1
+		if last < 0 || report.atMs-s.reports[last].atMs > gapMs {
+			s.reports = append(s.reports, report)
+			continue
+		}
+		merged := &s.reports[last]
+		weighted := merged.latencyMs*merged.succeeded + report.latencyMs*report.succeeded
+		merged.latencyMs = weighted / math.Max(merged.succeeded+report.succeeded, 1)
+		merged.succeeded += report.succeeded
+		merged.failed += report.failed
+	}
+}
+
+// recent adds up the server's reports since a time.
+func (s *server) recent(since float64) sample {
+	var total sample
+	for _, report := range s.reports {
+		if report.atMs > since {
+			total.succeeded += report.succeeded
+			total.failed += report.failed
+			total.latencyMs += report.latencyMs * report.succeeded
+		}
+	}
+	total.latencyMs /= math.Max(total.succeeded, 1)
+	return total
+}
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -41,14 +41,7 @@
 	if full && (p.unsure() > 0 || urgency < required) {
 		return false
 	}
-	p.backlog += cost
-	for _, proxy := range recipients {
-		proxy.ordered += entries
-	}
-	for _, proxy := range first {
-		proxy.sent = appendBounded(proxy.sent, p.now, p.set.MaxMessages+1)
-		proxy.ordered += p.set.MessageOverhead
-	}
+	p.countOrder(entries, cost, recipients, first)
 	return true
 }
 
@@ -77,13 +70,8 @@
 	if len(recipients) == 0 {
 		return false
 	}
-	p.acknowledgedSolve = p.solves
 	p.acknowledgementNumber = (p.acknowledgementNumber + 1) % acknowledgementNumbers
-	for _, proxy := range recipients { // not held back: without an answer a full channel would stay full
-		p.backlog++
-		proxy.ordered++
-		proxy.acknowledgements[p.acknowledgementNumber] = proxy.ordered
-	}
+	p.countRequests(recipients)
 	host.RequestAcknowledgement(p.acknowledgementNumber)
 	return true
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,6 +11,77 @@
 	"slices"
 )
 
+// Next makes at most one decision, by one call on the host, and says whether it did. Its caller calls it until it says
+// false. An evaluation takes place when the last is some time ago or endpoints or proxies came or left.
+func (p *Policy) Next(host Host) bool {
+	if p.now-p.evaluatedAt >= evaluationIntervalMs || p.dirty {
+		p.evaluatedAt = p.now
+		p.dirty = false
+		p.evaluate()
+		p.updateEjections()
+		p.updateAdmissionIfDue()
+		p.solveIfDue()
+		p.plan()
+	}
+	for len(p.pendingDecisions) > 0 {
+		decide := p.pendingDecisions[0]
+		p.pendingDecisions = p.pendingDecisions[1:]
+		if decide(host) {
+			return true
+		}
+	}
+	if p.now < p.wakeAt {
+		return false
+	}
+	p.wakeAt = p.now + evaluationIntervalMs
+	host.SetTimer(evaluationIntervalMs)
+	return true
+}
+
+// evaluate works out the figures that decisions need of servers, proxies and tables.
+func (p *Policy) evaluate() {
+	p.measureRound()
+	p.evaluateServers()
+	for _, table := range p.tables {
+		table.entries = filter(table.entries, (*entry).live)
+		table.proxies = nil
+		table.rate = 0
+	}
+	for index := range p.admission {
+		p.admission[index].demand = 0
+	}
+	for _, proxy := range p.proxies {
+		p.assignCohort(proxy)
+		p.countDemand(proxy)
+	}
+	p.averageObjective()
+}
+
+// measureRound sets how far reports are looked back for. A round of them, in which each server reports once, takes longer
+// where there are more than the intake lets through.
+func (p *Policy) measureRound() {
+	middle := quantile(p.covers, 2, func(coversMs float64) float64 { return coversMs })
+	p.round = math.Max(p.set.ReportIntervalMs, middle)
+	p.window = math.Max(windowMs, reportRounds*p.round)
+}
+
+// pollEndpoints asks for the endpoint list where it comes only on request, until an update shows that it comes.
+func (p *Policy) pollEndpoints(host Host) bool {
+	if !p.set.WatchRequired || p.watching || p.now < p.pollAt {
+		return false
+	}
+	p.pollAt = p.now + math.Max(p.pollBackoff, p.set.AssumeNotifiedMs/pollsUntilNotified)
+	host.WatchEndpoints()
+	return true
+}
+
+// backOffPolling waits twice as long after each failed poll, spread so that planners do not poll together.
+func (p *Policy) backOffPolling() {
+	p.watching = false
+	p.pollAt = p.now + p.pollBackoff*(0.5+p.random.Float64())
+	p.pollBackoff = math.Min(2*p.pollBackoff, p.set.AssumeNotifiedMs/2)
+}
+
 // plan lists what is to do, what cannot wait first. Each entry is one decision, made if the channel has room.
 func (p *Policy) plan() {
 	p.pendingDecisions = append(p.pendingDecisions[:0:0], p.pollEndpoints)
--- a/policy/problem.go
+++ b/policy/problem.go
@@ -16,6 +16,32 @@
 	cells    [][]cell
 }
 
+// newProblem gives the solver its demand, capacities and costs. D averages 1, and costs are divided by the middle
+// latency and the number of servers, as ADMM-20 converges by then with rho 1.
+func (p *Policy) newProblem(servers []*server, clients []*client, demand float64) *splitProblem {
+	problem := &splitProblem{
+		servers: servers,
+		clients: clients,
+		C:       p.capacities(servers, demand),
+		D:       make([]float64, len(clients)),
+		cost:    make([][]float64, len(clients)),
+		cells:   make([][]cell, len(clients)),
+	}
+	count := float64(len(clients))
+	problem.capacity = sumBy(problem.C, func(C float64) float64 { return C }) * count
+	for j := range servers {
+		problem.C[j] *= count
+	}
+	total := sumBy(clients, func(client *client) float64 { return client.demand })
+	mean := math.Max(total, minDemand) / count
+	latencies := p.zoneLatencies(servers)
+	for i, client := range clients {
+		problem.D[i] = math.Max(client.demand/mean, minDemand)
+		problem.cost[i] = p.costs(client, servers, latencies)
+	}
+	return problem
+}
+
 // startCells begins with what the last solve left, or anew with shares by capacity and no prices.
 func (s *splitProblem) startCells(anew bool) {
 	for i, client := range s.clients {
@@ -84,3 +110,18 @@
 func (e *entry) live() bool { return e.target > 0 || e.sent > 0 }
 
 func (s *server) inAnyTable() bool { return slices.ContainsFunc(s.entries, (*entry).inUse) }
+
+func (t *table) clearTargets() {
+	for _, entry := range t.entries {
+		entry.target = 0
+	}
+}
+
+// eachEntry visits the entries of all shares, in their order.
+func eachEntry(shares []*serverShare, visit func(share *serverShare, entry *entry)) {
+	for _, share := range shares {
+		for _, entry := range share.entries {
+			visit(share, entry)
+		}
+	}
+}
--- a/policy/state.go
+++ b/policy/state.go
@@ -1,7 +1,6 @@
 package policy
 
 import (
-	"math"
 	"math/rand"
 )
 
@@ -122,37 +121,24 @@
 // reached says whether a proxy gets a message at this time already, which further orders share.
 func (q *proxy) reached(now float64) bool { return len(q.sent) > 0 && q.sent[len(q.sent)-1] == now }
 
-// mergeReports puts the load reports since the server's last change together by period, with those of all zones: one
-// alone is noisy. Reports further apart than a gap in ms are of different periods.
-func (s *server) mergeReports(gapMs float64) {
-	s.reports = s.reports[:0]
-	for _, report := range s.samples {
-		if report.atMs <= s.since {
-			continue
-		}
-		last := len(s.reports) - 1
-		if last < 0 || report.atMs-s.reports[last].atMs > gapMs {
-			s.reports = append(s.reports, report)
-			continue
-		}
-		merged := &s.reports[last]
-		weighted := merged.latencyMs*merged.succeeded + report.latencyMs*report.succeeded
-		merged.latencyMs = weighted / math.Max(merged.succeeded+report.succeeded, 1)
-		merged.succeeded += report.succeeded
-		merged.failed += report.failed
+// countOrder adds an order to the backlog and to what each recipient was sent; first are those that had no message yet.
+func (p *Policy) countOrder(entries, cost float64, recipients, first []*proxy) {
+	p.backlog += cost
+	for _, proxy := range recipients {
+		proxy.ordered += entries
+	}
+	for _, proxy := range first {
+		proxy.sent = appendBounded(proxy.sent, p.now, p.set.MaxMessages+1)
+		proxy.ordered += p.set.MessageOverhead
 	}
 }
 
-// recent adds up the server's reports since a time.
-func (s *server) recent(since float64) sample {
-	var total sample
-	for _, report := range s.reports {
-		if report.atMs > since {
-			total.succeeded += report.succeeded
-			total.failed += report.failed
-			total.latencyMs += report.latencyMs * report.succeeded
-		}
+// countRequests adds requests for acknowledgements to the backlog, and what each will show to have arrived.
+func (p *Policy) countRequests(recipients []*proxy) {
+	p.acknowledgedSolve = p.solves
+	for _, proxy := range recipients {
+		p.backlog++
+		proxy.ordered++
+		proxy.acknowledgements[p.acknowledgementNumber] = proxy.ordered
 	}
-	total.latencyMs /= math.Max(total.succeeded, 1)
-	return total
 }
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -66,17 +66,6 @@
 	p.applySplit(problem)
 }
 
-// updateDemand takes over the demand of each client. It gives that of all, and what moved from one to another.
-func (p *Policy) updateDemand() (all, moved float64) {
-	for _, client := range p.clients {
-		demand := sumBy(client.tables, func(table *table) float64 { return table.rate })
-		all += demand
-		moved += math.Abs(demand-client.demand) / 2
-		client.demand = demand
-	}
-	return all, moved
-}
-
 // unobservedClients are proxies that do not report to us: other planners', or cut off. They are taken to be spread evenly
 // and to have as much demand as ours. Guards against a planner with the proxies of one zone that spreads these over all
 // servers, as if nobody else used the rest.
@@ -100,32 +89,6 @@
 	return startOver
 }
 
-// newProblem gives the solver its demand, capacities and costs. D averages 1, and costs are divided by the middle
-// latency and the number of servers, as ADMM-20 converges by then with rho 1.
-func (p *Policy) newProblem(servers []*server, clients []*client, demand float64) *splitProblem {
-	problem := &splitProblem{
-		servers: servers,
-		clients: clients,
-		C:       p.capacities(servers, demand),
-		D:       make([]float64, len(clients)),
-		cost:    make([][]float64, len(clients)),
-		cells:   make([][]cell, len(clients)),
-	}
-	count := float64(len(clients))
-	problem.capacity = sumBy(problem.C, func(C float64) float64 { return C }) * count
-	for j := range servers {
-		problem.C[j] *= count
-	}
-	total := sumBy(clients, func(client *client) float64 { return client.demand })
-	mean := math.Max(total, minDemand) / count
-	latencies := p.zoneLatencies(servers)
-	for i, client := range clients {
-		problem.D[i] = math.Max(client.demand/mean, minDemand)
-		problem.cost[i] = p.costs(client, servers, latencies)
-	}
-	return problem
-}
-
 // zoneLatencies are the lowest baseline latencies of each zone in ms. Within a zone, lows show the speed of servers, which
 // their capacities have already.
 func (p *Policy) zoneLatencies(servers []*server) []float64 {
@@ -187,9 +150,7 @@
 	shares, total := p.dropSmallShares(wanted, smallest)
 	tables := filter(client.tables, func(table *table) bool { return table.rate > 0 || client.demand == 0 })
 	for _, table := range tables {
-		for _, entry := range table.entries {
-			entry.target = 0
-		}
+		table.clearTargets()
 	}
 	for _, table := range tables {
 		table.takeServers(shares, len(tables), min(len(shares), maxSize))
@@ -237,11 +198,7 @@
 // Servers and tables are scaled in turn; the last time only servers on a ramp are, and down, so that none gets more.
 func (p *Policy) balanceWeights(tables []*table, shares []*serverShare, total float64) {
 	demand := sumBy(tables, (*table).demand)
-	for _, share := range shares {
-		for _, entry := range share.entries {
-			entry.target = share.share
-		}
-	}
+	eachEntry(shares, func(share *serverShare, entry *entry) { entry.target = share.share })
 	for round := range admmIterations + 1 {
 		sums := map[*table]float64{}
 		for _, share := range shares {
@@ -255,18 +212,24 @@
 				sums[entry.table] += entry.target
 			}
 		}
-		for _, share := range shares {
-			for _, entry := range share.entries {
-				entry.target /= sums[entry.table]
-			}
-		}
-	}
-	for _, share := range shares {
-		for _, entry := range share.entries {
-			entry.target = math.Max(math.Round(entry.target*weightSteps), 1) / weightSteps
-		}
+		eachEntry(shares, func(_ *serverShare, entry *entry) { entry.target /= sums[entry.table] })
 	}
+	eachEntry(shares, func(_ *serverShare, entry *entry) {
+		entry.target = math.Max(math.Round(entry.target*weightSteps), 1) / weightSteps
+	})
 }
 
 // demand is a table's part in the balance; one without proxies needs sound weights, too.
 func (t *table) demand() float64 { return math.Max(t.rate, minDemand) }
+
+// assignCohort gives a proxy that follows no table yet the cohort of its zone that has the least demand.
+func (p *Policy) assignCohort(proxy *proxy) {
+	if p.parts == 0 || proxy.cohort >= 0 && proxy.bound[0] != nil {
+		return
+	}
+	for number, table := range p.clients[proxy.zone*p.parts].tables {
+		if proxy.cohort < 0 || table.rate < p.clients[proxy.zone*p.parts].tables[proxy.cohort].rate {
+			proxy.cohort = number
+		}
+	}
+}
