--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -3,172 +3,251 @@
 import (
 	"fmt"
 	"math"
+	"slices"
+	"strings"
+	"testing"
 )
 
-// fake is a host that keeps what it is told, as proxies would.
-type fake struct {
-	p       *Policy
-	now     float64
-	lines   map[int]map[string]float64
-	bound   map[string]int // "proxy/group" to table
-	out     map[string]bool
-	levels  map[int]float64
-	retries map[int]int
-	follows []float64
-	orders  []string
-	asked   []int // receipts not answered yet
-	most    int   // decisions in one tick
-}
-
-func settings() Settings {
+// Orders as a fakeHost notes them begin with these.
+const (
+	weightOrder      = "weight"
+	acknowledgeOrder = "acknowledge"
+)
+
+// fakeHost carries out decisions as proxies would, and notes them.
+type fakeHost struct {
+	planner    *Policy
+	nowMs      float64
+	weights    map[int]map[string]float64 // by table and server
+	assigned   map[string]int             // "proxy/class" to table
+	ejected    map[string]bool
+	admission  map[int]float64 // by traffic class
+	retries    map[int]int     // the same
+	polls      []float64       // times at which the list was asked for
+	orders     []string
+	unanswered []int // requests for acknowledgements
+}
+
+// serverReports gives what each server reports for a second: attempts, failures and latency in ms.
+type serverReports func(server string) (count, failed int, latencyMs float64)
+
+func testSettings() Settings {
 	return Settings{
-		Zones: 2, DefaultRetry: RetryUnprocessed, PartialAdmission: true, AssumeNotifiedMs: 10000,
+		Zones:            2,
+		DefaultRetry:     RetryUnprocessed,
+		PartialAdmission: true,
+		AssumeNotifiedMs: 10000,
 		Classes: []TrafficClass{
 			{LatencyObjectiveMs: 600, PriorityWeight: 1, Idempotency: Idempotent},
 			{LatencyObjectiveMs: 1000, PriorityWeight: 5, Idempotency: NonIdempotent},
 		},
-		EntriesPerSecond: 2500, MessageOverhead: 4, MaxBacklog: 3500, MaxMessages: 20, MessageWindowMs: 10000,
-		MaxPropagationMs: 1000, ReportIntervalMs: 1000, ColdCapacity: 0.2, SlowStartMs: 16000, ColdOverloadWindowMs: 3000, DrainGraceMs: 3000,
-		Proxies: 4, Planners: 1, MinServerConnections: 300, IdleTimeoutMs: 15000,
+		EntriesPerSecond:     2500,
+		MessageOverhead:      4,
+		MaxBacklog:           3500,
+		MaxMessages:          20,
+		MessageWindowMs:      10000,
+		MaxPropagationMs:     1000,
+		ReportIntervalMs:     1000,
+		ColdCapacity:         0.2,
+		SlowStartMs:          16000,
+		ColdOverloadWindowMs: 3000,
+		DrainGraceMs:         3000,
+		Proxies:              4,
+		Planners:             1,
+		MinServerConnections: 300,
+		IdleTimeoutMs:        15000,
 	}
 }
 
-func start(set Settings) *fake {
-	f := &fake{
-		now: 1e6, lines: map[int]map[string]float64{}, bound: map[string]int{}, out: map[string]bool{},
-		levels: map[int]float64{}, retries: map[int]int{}, p: New(set, 1),
+func startPlanner(settings Settings) *fakeHost {
+	f := &fakeHost{
+		planner:   New(settings, 1),
+		nowMs:     1e6,
+		weights:   map[int]map[string]float64{},
+		assigned:  map[string]int{},
+		ejected:   map[string]bool{},
+		admission: map[int]float64{},
+		retries:   map[int]int{},
 	}
-	f.p.SetTime(f.now)
+	f.planner.SetTime(f.nowMs)
 	return f
 }
 
-// ready makes n entries over two zones.
-func ready(n int) (list []Endpoint) {
-	for i := 0; i < n; i++ {
-		list = append(list, Endpoint{Server: fmt.Sprint("s", i), Zone: i % 2, RelativeCapacity: 1})
+// readyServers lists s0, s1 and so on, over two zones in turn.
+func readyServers(count int) []Endpoint {
+	var list []Endpoint
+	for index := range count {
+		list = append(list, Endpoint{Server: fmt.Sprint("s", index), Zone: index % 2, RelativeCapacity: 1})
 	}
 	return list
 }
 
-// fleet starts a planner with n servers and four proxies, all bound.
-func fleet(set Settings, n int) *fake {
-	f := start(set)
-	f.p.UpdateEndpoints(RestoredUpdate, ready(n))
-	for i := 0; i < 4; i++ {
-		f.p.AddProxy(i, i%2, 10)
+// startFleet starts a planner with so many servers and four proxies, all with their tables.
+func startFleet(settings Settings, servers int) *fakeHost {
+	f := startPlanner(settings)
+	f.planner.UpdateEndpoints(RestoredUpdate, readyServers(servers))
+	for id := range 4 {
+		f.planner.AddProxy(id, id%2, 10)
 	}
-	f.pull()
+	f.decide()
 	return f
 }
 
-func (f *fake) pull() {
-	n := 0
-	for f.p.Next(f) {
-		n++
-		if n > 100000 {
+// update tells the planner of a change of some endpoints.
+func (f *fakeHost) update(changed ...Endpoint) { f.planner.UpdateEndpoints(DeltaUpdate, changed) }
+
+// advance lets time go by.
+func (f *fakeHost) advance(byMs float64) {
+	f.nowMs += byMs
+	f.planner.SetTime(f.nowMs)
+}
+
+// decide has the planner make all its decisions of this time.
+func (f *fakeHost) decide() {
+	const limit = 100_000
+	for decisions := 0; f.planner.Next(f); decisions++ {
+		if decisions > limit {
 			panic("decisions without end")
 		}
 	}
-	f.most = max(f.most, n)
 }
 
-// run lets seconds pass; hear is called for each server and second and gives tries, drops and latency.
-func (f *fake) run(seconds int, hear func(s string) (count, failed int, latency float64)) {
-	for i := 0; i < seconds*5; i++ {
-		f.now += 200
-		f.p.SetTime(f.now)
+// run lets seconds pass, in which servers report as given, if they are, and proxies have some demand.
+func (f *fakeHost) run(seconds int, reports serverReports) {
+	for step := range seconds * 5 {
+		f.advance(200)
 		f.answer()
-		for _, s := range f.p.servers {
-			if i%5 == 0 && hear != nil {
-				if n, bad, ms := hear(s.Server); n > 0 {
-					f.p.RecordReport(s.Server, s.Zone, n, bad, ms, 1000)
-				}
-			}
+		if step%5 == 0 {
+			f.report(reports)
+			f.reportDemand()
 		}
-		for q := 0; q < 4 && i%5 == 0; q++ {
-			f.p.RecordDemand(q, 0, 5, 0, 1000)
-			f.p.RecordDemand(q, 1, 5, 0, 1000)
+		f.decide()
+	}
+}
+
+func (f *fakeHost) report(reports serverReports) {
+	if reports == nil {
+		return
+	}
+	for _, server := range f.planner.servers {
+		count, failed, latencyMs := reports(server.Server)
+		if count > 0 {
+			f.planner.RecordReport(server.Server, server.Zone, count, failed, latencyMs, 1000)
 		}
-		f.pull()
 	}
 }
 
-// fine is what a sound server is heard of.
-func fine(string) (int, int, float64) { return 5, 0, 100 }
+func (f *fakeHost) reportDemand() {
+	for proxy := range 4 {
+		f.planner.RecordDemand(proxy, 0, 5, 0, 1000)
+		f.planner.RecordDemand(proxy, 1, 5, 0, 1000)
+	}
+}
+
+// sound is what a sound server reports.
+func sound(string) (count, failed int, latencyMs float64) { return 5, 0, 100 }
 
-// but is a fleet of sound servers with one that is heard of differently.
-func but(name string, count, failed int, latency float64) func(string) (int, int, float64) {
-	return func(s string) (int, int, float64) {
-		if s == name {
-			return count, failed, latency
+// overloaded is what a server of an overloaded fleet reports.
+func overloaded(string) (count, failed int, latencyMs float64) { return 10, 5, 900 }
+
+// except is a fleet of sound servers with one that reports otherwise.
+func except(name string, count, failed int, latencyMs float64) serverReports {
+	return func(server string) (int, int, float64) {
+		if server == name {
+			return count, failed, latencyMs
 		}
-		return fine(s)
+		return sound(server)
 	}
 }
 
-// share is the part of a proxy's flows of a group that may go to a server, as it would pick.
-func (f *fake) share(proxy, group int, name string) float64 {
-	t, known := f.bound[fmt.Sprint(proxy, "/", group)]
+// share is the part of a proxy's requests of a class that may go to a server, as it would pick; NaN without a table.
+func (f *fakeHost) share(proxy, class int, name string) float64 {
+	table, known := f.assigned[fmt.Sprint(proxy, "/", class)]
 	if !known {
 		return math.NaN()
 	}
-	sum := 0.0
-	for s, w := range f.lines[t] {
-		if !f.out[s] {
-			sum += w
+	total := 0.0
+	for server, weight := range f.weights[table] {
+		if !f.ejected[server] {
+			total += weight
 		}
 	}
-	if f.out[name] || sum == 0 {
+	if f.ejected[name] || total == 0 {
 		return 0
 	}
-	return f.lines[t][name] / sum
+	return f.weights[table][name] / total
 }
 
-func (f *fake) log(format string, a ...any) { f.orders = append(f.orders, fmt.Sprintf(format, a...)) }
+// shares adds up what a proxy's requests of the first class give to some servers.
+func (f *fakeHost) shares(proxy int, names ...string) float64 {
+	total := 0.0
+	for _, name := range names {
+		total += f.share(proxy, 0, name)
+	}
+	return total
+}
+
+// ordered counts the orders of a kind.
+func (f *fakeHost) ordered(kind string) int {
+	return len(slices.DeleteFunc(slices.Clone(f.orders), func(order string) bool { return !strings.HasPrefix(order, kind) }))
+}
 
-func (f *fake) SetWeight(table int, server string, weight float64) {
-	f.log("line %d %s %g", table, server, weight)
-	if f.lines[table] == nil {
-		f.lines[table] = map[string]float64{}
+func (f *fakeHost) log(format string, args ...any) {
+	f.orders = append(f.orders, fmt.Sprintf(format, args...))
+}
+
+func (f *fakeHost) SetWeight(table int, server string, weight float64) {
+	f.log(weightOrder+" %d %s %g", table, server, weight)
+	if f.weights[table] == nil {
+		f.weights[table] = map[string]float64{}
 	}
-	f.lines[table][server] = weight
+	f.weights[table][server] = weight
 }
 
-func (f *fake) AssignTable(proxy, table int, groups []int) {
-	f.log("bind %d %d %d", proxy, table, groups)
-	for _, g := range groups {
-		f.bound[fmt.Sprint(proxy, "/", g)] = table
+func (f *fakeHost) AssignTable(proxy, table int, classes []int) {
+	f.log("assign %d %d %d", proxy, table, classes)
+	for _, class := range classes {
+		f.assigned[fmt.Sprint(proxy, "/", class)] = table
 	}
 }
 
-func (f *fake) SetEjected(server string, out, includeUnassigned bool) {
-	f.log("withdraw %s %v", server, out)
-	f.out[server] = out
+func (f *fakeHost) SetEjected(server string, ejected, _ bool) {
+	f.log("eject %s %v", server, ejected)
+	f.ejected[server] = ejected
 }
 
-func (f *fake) SetAdmission(table, group int, share float64, retry int) {
-	f.log("admit %d %g %d", group, share, retry)
-	f.levels[group], f.retries[group] = share, retry
+func (f *fakeHost) SetAdmission(_, class int, rate float64, retry int) {
+	f.log("admit %d %g %d", class, rate, retry)
+	f.admission[class] = rate
+	f.retries[class] = retry
 }
 
-func (f *fake) RequestAcknowledgement(number int) {
-	f.log("receipt %d", number)
-	f.asked = append(f.asked, number)
+func (f *fakeHost) RequestAcknowledgement(number int) {
+	f.log(acknowledgeOrder+" %d", number)
+	f.unanswered = append(f.unanswered, number)
 }
 
-// answer is what proxies say to the receipts asked for.
-func (f *fake) answer() {
-	for _, n := range f.asked {
-		for _, q := range f.p.proxies {
-			f.p.Acknowledge(q.id, n, 300)
+// answer has all proxies acknowledge what was requested.
+func (f *fakeHost) answer() {
+	for _, number := range f.unanswered {
+		for _, proxy := range f.planner.proxies {
+			f.planner.Acknowledge(proxy.id, number, 300)
 		}
 	}
-	f.asked = nil
+	f.unanswered = nil
 }
 
-func (f *fake) EndInheritedEjections(proxy int, servers []string) {
-	f.log("restore %d %v", proxy, servers)
+func (f *fakeHost) EndInheritedEjections(proxy int, servers []string) {
+	f.log("end inherited %d %v", proxy, servers)
 }
 
-func (f *fake) WatchEndpoints()       { f.follows = append(f.follows, f.now) }
-func (f *fake) SetTimer(inMs float64) { f.log("wake %g", inMs) }
+func (f *fakeHost) WatchEndpoints() { f.polls = append(f.polls, f.nowMs) }
+
+func (f *fakeHost) SetTimer(inMs float64) { f.log("timer %g", inMs) }
+
+func near(t *testing.T, what string, got, want, by float64) {
+	t.Helper()
+	if math.IsNaN(got) || math.Abs(got-want) > by {
+		t.Errorf("%s: %.4f, worked by hand %.4f", what, got, want)
+	}
+}
--- /dev/null
+++ b/policy/tables_test.go
@@ -0,0 +1,221 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"reflect"
+	"testing"
+)
+
+func TestNewProxyGetsATableOfEveryTrafficClassAtOnce(t *testing.T) {
+	f := startFleet(testSettings(), 6)
+	for proxy := range 4 {
+		for class := range 2 {
+			if share := f.share(proxy, class, "s0") + f.share(proxy, class, "s1"); math.IsNaN(share) {
+				t.Errorf("proxy %d has no table for class %d", proxy, class)
+			}
+		}
+	}
+}
+
+func TestSplitByZone(t *testing.T) {
+	t.Run("spill where a zone is short", func(t *testing.T) {
+		f := startPlanner(testSettings())
+		f.planner.UpdateEndpoints(FullUpdate, []Endpoint{
+			{Server: "s0", Zone: 0, RelativeCapacity: 1},
+			{Server: "s1", Zone: 1, RelativeCapacity: 1},
+			{Server: "s3", Zone: 1, RelativeCapacity: 1},
+			{Server: "s5", Zone: 1, RelativeCapacity: 1},
+		})
+		f.planner.AddProxy(0, 0, 30)
+		f.planner.AddProxy(1, 1, 10)
+		f.decide()
+		if share := f.share(0, 0, "s0"); share > 0.7 {
+			t.Errorf("%.2f of the short zone's requests stay there", share)
+		}
+	})
+	t.Run("a traffic class that may not leave its zone does not", func(t *testing.T) {
+		settings := testSettings()
+		settings.Classes[0].SameZoneOnly = true
+		f := startFleet(settings, 6)
+		if f.share(0, 0, "s1") != 0 || f.share(0, 1, "s0") == 0 {
+			t.Error("the table of a class that must stay holds another zone")
+		}
+	})
+	t.Run("a planner with one zone's proxies leaves the rest to other planners", func(t *testing.T) {
+		settings := testSettings()
+		settings.Proxies = 8
+		settings.Planners = 2
+		settings.CrossZoneCost = 0.05
+		f := startPlanner(settings)
+		f.planner.UpdateEndpoints(RestoredUpdate, readyServers(8))
+		for id := range 4 {
+			f.planner.AddProxy(id, 0, 10)
+		}
+		f.run(6, sound)
+		if away := f.shares(0, "s1", "s3", "s5", "s7"); away > 0.2 {
+			t.Errorf("%.2f of the requests leave their zone", away)
+		}
+	})
+}
+
+// With five planners over 2,400 proxies a round of load reports took ten seconds. Splits kept requests in their zones by
+// what had been ten seconds before, and a shift between zones filled the servers of one: served 0.752, where the plainest
+// policy has 0.898.
+func TestLaterLoadReportsMoveASplitTowardsTheServersCapacities(t *testing.T) {
+	stays := map[float64]float64{}
+	for _, coversMs := range []float64{1000, 14000} {
+		settings := testSettings()
+		settings.CrossZoneCost = 0.1
+		f := startFleet(settings, 6)
+		for range 20 {
+			for _, server := range f.planner.servers {
+				f.planner.RecordReport(server.Server, server.Zone, 5, 0, 100, coversMs)
+			}
+			f.run(1, nil)
+		}
+		stays[coversMs] = f.shares(0, "s0", "s2", "s4")
+	}
+	if stays[1000] < 0.9 || stays[14000] > 0.7 || stays[14000] < 0.5 {
+		t.Errorf("part of a zone's requests that stays in it: %v", stays)
+	}
+}
+
+func TestChangesOfTables(t *testing.T) {
+	t.Run("nothing to send when nothing moves", func(t *testing.T) {
+		f := startFleet(testSettings(), 6)
+		f.run(20, sound)
+		f.orders = nil
+		f.run(10, sound)
+		if sent := f.ordered(weightOrder); sent > 6 {
+			t.Errorf("%d entries sent without a change", sent)
+		}
+	})
+	t.Run("a slow server's share falls, and only one cohort changes at a time", func(t *testing.T) {
+		f := startFleet(testSettings(), 6)
+		f.run(15, sound)
+		before := f.share(0, 0, "s0")
+		f.run(15, except("s0", 5, 0, 900))
+		if after := f.share(0, 0, "s0"); after > 0.6*before {
+			t.Errorf("share %.3f after %.3f", after, before)
+		}
+	})
+	t.Run("a table that drains empty gets other entries at once", func(t *testing.T) {
+		f := startFleet(testSettings(), 8)
+		f.run(6, sound)
+		for index := 0; index < 8; index += 2 {
+			f.update(Endpoint{Server: fmt.Sprint("s", index), Zone: 0, State: Removed, RelativeCapacity: 1})
+		}
+		f.run(1, nil)
+		if f.shares(0, "s1", "s3", "s5", "s7") == 0 {
+			t.Error("the proxy has no server left")
+		}
+	})
+	t.Run("with no server to use, tables keep what they hold", func(t *testing.T) {
+		f := startFleet(testSettings(), 4)
+		f.planner.UpdateEndpoints(FullUpdate, nil)
+		f.orders = nil
+		f.run(5, nil)
+		if sent := f.ordered(weightOrder); sent > 0 {
+			t.Errorf("%d entries sent with no server listed: %q", sent, f.orders)
+		}
+	})
+}
+
+// A planner whose reports come late would send entries by old reports, and the answers to needless requests for
+// acknowledgements make it later still. What drains must go all the same.
+func TestWhileLaggingDeferrableEntriesRestAndEjectionsGo(t *testing.T) {
+	for _, lagging := range []bool{false, true} {
+		t.Run(fmt.Sprint("lagging ", lagging), func(t *testing.T) {
+			f := startFleet(testSettings(), 6)
+			f.run(15, sound)
+			f.planner.SetLagging(lagging)
+			f.orders = nil
+			f.run(10, except("s0", 5, 0, 400))
+			entries := f.ordered(weightOrder)
+			requests := f.ordered(acknowledgeOrder)
+			f.update(Endpoint{Server: "s2", Zone: 0, RelativeCapacity: 1, State: Draining})
+			f.run(1, sound)
+			if (entries > 0) == lagging || (requests > 0) == lagging || !f.ejected["s2"] {
+				t.Errorf("entries %d, requests %d, drained %v", entries, requests, f.ejected["s2"])
+			}
+		})
+	}
+}
+
+func TestLargeFleetIsSharedOutOverShortTablesEvenly(t *testing.T) {
+	settings := testSettings()
+	settings.Proxies = 40
+	settings.Zones = 1
+	settings.EntriesPerSecond = 400
+	f := startPlanner(settings)
+	var list []Endpoint
+	for index := range 60 {
+		list = append(list, Endpoint{Server: fmt.Sprint("s", index), RelativeCapacity: 1})
+	}
+	f.planner.UpdateEndpoints(RestoredUpdate, list)
+	for id := range 40 {
+		f.planner.AddProxy(id, 0, 10)
+	}
+	for range 100 {
+		f.decide()
+		f.answer()
+		f.advance(200)
+	}
+	load := map[string]float64{}
+	for proxy := range 40 {
+		table := f.weights[f.assigned[fmt.Sprint(proxy, "/0")]]
+		if len(table) == 0 || len(table) > 15 {
+			t.Errorf("proxy %d has a table of %d entries", proxy, len(table))
+		}
+		for server := range table {
+			load[server] += f.share(proxy, 0, server)
+		}
+	}
+	for _, endpoint := range list {
+		near(t, "proxies' worth of requests at "+endpoint.Server, load[endpoint.Server], 40.0/60, 0.25)
+	}
+}
+
+func TestSameInputsGiveTheSameOutputs(t *testing.T) {
+	reports := func(server string) (int, int, float64) {
+		return 3, int(server[1]) % 2, 90 + 7*float64(server[1])
+	}
+	first := startFleet(testSettings(), 9)
+	second := startFleet(testSettings(), 9)
+	first.run(12, reports)
+	second.run(12, reports)
+	if !reflect.DeepEqual(first.orders, second.orders) {
+		t.Error("two planners with the same inputs differ")
+	}
+}
+
+// BenchmarkSecond is one second of a planner at full size: evaluations, a round of load reports, and what it orders.
+func BenchmarkSecond(b *testing.B) {
+	settings := testSettings()
+	settings.Zones = 3
+	settings.Proxies = 420
+	settings.Planners = 1
+	settings.MaxMessages = 0
+	f := startPlanner(settings)
+	var list []Endpoint
+	for index := range 550 {
+		list = append(list, Endpoint{Server: fmt.Sprint("s", index), Zone: index % 3, RelativeCapacity: 1})
+	}
+	f.planner.UpdateEndpoints(RestoredUpdate, list)
+	for id := range 420 {
+		f.planner.AddProxy(id, id%3, 5)
+	}
+	for second := 0; b.Loop(); second++ {
+		for range 5 {
+			f.advance(200)
+			f.answer()
+			f.decide()
+		}
+		for index, server := range f.planner.servers {
+			latencyMs := float64(90 + (index+second)%40)
+			f.planner.RecordReport(server.Server, server.Zone, 8, 0, latencyMs, 2000)
+		}
+		f.orders = nil
+	}
+}
--- a/policy/view.go
+++ b/policy/view.go
@@ -3,24 +3,36 @@
 import (
 	"fmt"
 	"io"
+	"strings"
 )
 
-// WriteState writes what the planner believes as of its last look, a line for the fleet and one a server: for traces, which
-// set it beside what was counted off the sockets. It decides nothing and changes nothing. Latencies in ms, flows per
-// second.
+// WriteState writes what the planner believes as of its last evaluation, a line for the fleet and one for each server:
+// for traces, which set it beside what was counted off the sockets. It decides nothing and changes nothing. Latencies are
+// in ms, rates in requests per second. An error of the writer is left to its owner, who sees it at the next write.
 func (p *Policy) WriteState(w io.Writer) {
-	fmt.Fprintf(w, "fleet proxies=%d servers=%d solves=%d round=%.0f latency=%.0f floor=%.0f budget=%.0f drops=%.2f let=%.0f able=%.0f unsure=%.0f waiting=%.0f todo=%d levels=",
-		len(p.proxies), len(p.servers), p.solves, p.round, p.latency, p.baselineLatency, p.latencyObjective, p.failureShare, p.admittedRate, p.capacityRate, p.unsure(), p.backlog, len(p.pendingDecisions))
-	for _, l := range p.admission {
-		fmt.Fprintf(w, "%.2f/%d(%.0f) ", l.target, l.retry, l.demand)
+	var text strings.Builder
+	fmt.Fprintf(&text, "fleet proxies=%d servers=%d solves=%d round=%.0f", len(p.proxies), len(p.servers), p.solves, p.round)
+	fmt.Fprintf(&text, " latency=%.0f baseline=%.0f objective=%.0f failed=%.2f",
+		p.latency, p.baselineLatency, p.latencyObjective, p.failureShare)
+	fmt.Fprintf(&text, " admitted=%.0f capacity=%.0f unacknowledged=%.0f backlog=%.0f pending=%d admission=",
+		p.admittedRate, p.capacityRate, p.unsure(), p.backlog, len(p.pendingDecisions))
+	for _, class := range p.admission {
+		fmt.Fprintf(&text, "%.2f/%d(%.0f) ", class.target, class.retry, class.demand)
 	}
-	fmt.Fprintln(w)
-	for _, s := range p.servers {
-		want, sent := 0.0, 0.0
-		for _, r := range s.entries {
-			want, sent = want+r.target*r.table.rate, sent+r.sent*r.table.rate
-		}
-		fmt.Fprintf(w, "server %s zone=%d state=%d bad=%t out=%t cold=%t ramp=%.2f size=%.2f own=%.0f latency=%.0f tries=%.0f failed=%.0f evidence=%.1f want=%.1f sent=%.1f lines=%d\n",
-			s.Server, s.Zone, s.State, s.unhealthy, s.ejected, p.cold(s), p.ramp(s), s.RelativeCapacity, s.baseline, s.windowed.latencyMs, s.windowed.attempts(), s.windowed.failed, p.evidence(s), want, sent, len(s.entries))
+	text.WriteByte('\n')
+	for _, server := range p.servers {
+		p.writeServer(&text, server)
 	}
+	_, _ = io.WriteString(w, text.String())
+}
+
+func (p *Policy) writeServer(text *strings.Builder, server *server) {
+	target := sumBy(server.entries, func(entry *entry) float64 { return entry.target * entry.table.rate })
+	sent := sumBy(server.entries, func(entry *entry) float64 { return entry.sent * entry.table.rate })
+	fmt.Fprintf(text, "server %s zone=%d state=%d unhealthy=%t ejected=%t cold=%t ramp=%.2f capacity=%.2f",
+		server.Server, server.Zone, server.State, server.unhealthy, server.ejected,
+		p.cold(server), p.ramp(server), server.RelativeCapacity)
+	fmt.Fprintf(text, " baseline=%.0f latency=%.0f attempts=%.0f failed=%.0f evidence=%.1f",
+		server.baseline, server.windowed.latencyMs, server.windowed.attempts(), server.windowed.failed, p.evidence(server))
+	fmt.Fprintf(text, " target=%.1f sent=%.1f entries=%d\n", target, sent, len(server.entries))
 }
