--- a/policy/admission.go
+++ b/policy/admission.go
@@ -41,12 +41,12 @@
 
 // updateAdmissionIfDue moves the part of all requests that is admitted, down in an overload and up after it.
 func (p *Policy) updateAdmissionIfDue() {
-	if !p.set.PartialAdmission || p.now-p.admissionAt < admissionIntervalMs {
+	if !p.set.PartialAdmission || p.now-p.admissionMs < admissionIntervalMs {
 		return
 	}
-	p.admissionAt = p.now
+	p.admissionMs = p.now
 	demand := sumBy(p.admission, func(class admission) float64 { return class.demand })
-	if demand == 0 || p.latency == 0 {
+	if demand == 0 || p.latencyMs == 0 {
 		return
 	}
 	load := p.fleetLoad()
@@ -56,7 +56,7 @@
 		// What succeeded is what the fleet can do; admitting less drains the overload. Half the interval more, as a second
 		// cut before this one shows would be too deep.
 		p.capacityRate = math.Max(load.succeededRate, minCapacityKept*p.capacityRate)
-		p.admissionAt = p.now + admissionIntervalMs/2
+		p.admissionMs = p.now + admissionIntervalMs/2
 		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*recoveryAdmission/demand))
 	case load.recovered():
 		// What succeeded before is admitted again at once.
@@ -69,7 +69,7 @@
 
 // shed sets the admission rates so that so many requests per second are rejected, of the classes that earn least first.
 func (p *Policy) shed(excess float64) {
-	for _, index := range p.order {
+	for _, index := range p.sheddingOrder {
 		class := &p.admission[index]
 		rejected := math.Min(excess, class.demand*(1-minAdmission))
 		rate := 1 - rejected/math.Max(class.demand, 1e-9) // guards a class without demand
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -15,7 +15,7 @@
 // ramp is the part of its capacity that a server may be given. A cold one, and one that was ejected, starts low and
 // doubles; an unverified one stays low.
 func (p *Policy) ramp(server *server) float64 {
-	part := math.Min(1, recoveryShare*math.Exp2((p.now-server.readmittedAt)/recoveryDoublingMs))
+	part := math.Min(1, recoveryShare*math.Exp2((p.now-server.readmittedMs)/recoveryDoublingMs))
 	if p.cold(server) {
 		doublings := math.Max(p.now-server.StartedMs, 0) / slowStartDoublingMs
 		part = math.Min(part, slowStartMargin*p.set.ColdCapacity*math.Exp2(doublings))
@@ -46,7 +46,7 @@
 			warm += C[j]
 		}
 	}
-	lowLatency := math.Max(0, 1-p.latency/p.latencyObjective/recoveryThreshold)
+	lowLatency := math.Max(0, 1-p.latencyMs/p.latencyObjectiveMs/recoveryThreshold)
 	headroom := capacityHeadroom + recoveryHeadroom*lowLatency
 	for j, server := range servers {
 		if p.ramp(server) >= 1 {
@@ -59,14 +59,14 @@
 // relativeSpeed is the speed of a server by its baseline latency, 1 for the middle one, less at once while it is more
 // overloaded than the fleet.
 func (p *Policy) relativeSpeed(server *server) float64 {
-	if server.baseline <= 0 || p.baselineLatency <= 0 {
+	if server.baselineMs <= 0 || p.baselineMs <= 0 {
 		return 1
 	}
 	reports := float64(len(server.reports))
-	speed := math.Pow(p.baselineLatency/server.baseline, reports/(reports+minBaselineSamples))
+	speed := math.Pow(p.baselineMs/server.baselineMs, reports/(reports+minBaselineSamples))
 	recent := server.windowed
 	if recent.attempts() >= minSpeedAttempts && recent.latencyMs > 0 {
-		expectedMs := overloadSlack * p.overloadRatio * server.baseline
+		expectedMs := overloadSlack * p.overloadRatio * server.baselineMs
 		speed *= math.Min(1, expectedMs/recent.latencyMs) * recent.succeeded / recent.attempts()
 	}
 	return speed
@@ -74,15 +74,15 @@
 
 // baselineOf is the lower quartile of latencies in ms, 0 where no report has enough successes.
 func (p *Policy) baselineOf(reports []sample) float64 {
-	p.clear = p.clear[:0]
+	p.latencies = p.latencies[:0]
 	for _, report := range reports {
 		if report.succeeded >= minBaselineRequests {
-			p.clear = append(p.clear, report.latencyMs)
+			p.latencies = append(p.latencies, report.latencyMs)
 		}
 	}
-	if len(p.clear) == 0 {
+	if len(p.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(p.clear)
-	return p.clear[len(p.clear)/baselineQuantile]
+	slices.Sort(p.latencies)
+	return p.latencies[len(p.latencies)/baselineQuantile]
 }
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -45,7 +45,7 @@
 // Load reports and slow start.
 const (
 	maxSamples          = 24     // load reports kept of each server and proxy; a baseline is sought in all
-	windowMs            = 3500.0 // three load reports or more; longer windows show a fault too late
+	minWindowMs         = 3500.0 // three load reports or more; longer windows show a fault too late
 	reportRounds        = 1.5    // rounds of load reports in a window at least; each server is in one of them
 	slowStartDoublingMs = 5000.0 // the design's doubling time of a new server's capacity
 	slowStartMargin     = 0.8    // part of the cold share to begin with; the pick of two may double it
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -13,9 +13,9 @@
 
 const (
 	startMs       = 1e6     // policy time at which a scenario begins
-	stepMs        = 250.0   // between two times that the policy is told
+	stepMs        = 250.0   // between two times that the policy is given
 	quietStepMs   = 2000.0  // the same from quietFromMs to quietUntilMs, in which nothing but time is waited for
-	scenarioMs    = 825e3   // longer than a gone server is remembered, 600 s, after the drain at drainAtMs
+	scenarioMs    = 825e3   // longer than a removed server is remembered, 600 s, after the drain at drainAtMs
 	digestMs      = 30e3    // of a line of the digest
 	reportEveryMs = 1000.0  // between load reports of a server, and of a proxy
 	lateReportMs  = 6000.0  // the same of a scenario with late reports
@@ -45,8 +45,8 @@
 	zoneShiftForMs   = 20e3  //
 	slowChannelAtMs  = 195e3 // acknowledgements take seconds for slowChannelForMs
 	slowChannelForMs = 25e3  //
-	behindAtMs       = 225e3 // the planner hears late for behindForMs
-	behindForMs      = 10e3  //
+	lagAtMs          = 225e3 // load reports are late for lagForMs
+	lagForMs         = 10e3  //
 	drainSomeAtMs    = 200e3 // a third of the servers drain, one each drainNextMs, until drainSomeForMs later
 	drainNextMs      = 750.0 //
 	drainSomeForMs   = 12e3  //
@@ -64,7 +64,7 @@
 	seed         int64
 	serverCount  int
 	proxyCount   int
-	requests     float64 // per second and proxy, in calm
+	requests     float64 // per second and proxy, without a surge
 	earlyRestart bool
 	lateReports  bool // load reports come rarely, and cover lateReportMs
 	settings     policy.Settings
@@ -93,7 +93,7 @@
 	narrow.EntriesPerSecond = 50
 	return []scenario{
 		{name: "two zones", seed: 1, serverCount: 8, proxyCount: 6, requests: 20, settings: small},
-		{name: "three zones, one traffic group stays in its zone", seed: 2, serverCount: 12, proxyCount: 9, requests: 15, settings: wide},
+		{name: "three zones, one traffic class stays in its zone", seed: 2, serverCount: 12, proxyCount: 9, requests: 15, settings: wide},
 		{name: "short tables", seed: 3, serverCount: 22, proxyCount: 12, requests: 12, settings: many},
 		{name: "half the proxies of two planners", seed: 4, serverCount: 14, proxyCount: 8, requests: 18, earlyRestart: true, lateReports: true, settings: shared},
 		{name: "narrow channel and few messages", seed: 5, serverCount: 10, proxyCount: 8, requests: 25, settings: tight},
@@ -144,7 +144,7 @@
 // simProxy is a joined proxy of the model.
 type simProxy struct {
 	id, zone int
-	tables   []map[string]float64 // by traffic group; nil where it holds none
+	tables   []map[string]float64 // by traffic class; nil where it holds none
 	pushes   []float64            // policy times of its last messages
 	joined   bool
 }
@@ -161,8 +161,8 @@
 	admissionCuts, restore int
 	overloads              int // reports of servers that got more than they can serve
 	drains, forgotten      int
-	binds, receipts        int
-	followed               int
+	assignments, requests  int
+	polls                  int
 	busiest                int // decisions at one time
 }
 
@@ -175,8 +175,8 @@
 	servers     []*simServer
 	proxies     []*simProxy
 	tables      map[int]map[string]float64 // of the planner since its last start
-	withdrawn   map[string]bool
-	levels      []float64
+	ejected     map[string]bool
+	admission   []float64
 	answers     []acknowledgement
 	asked       bool // the list was asked for
 	slowChannel bool
@@ -202,7 +202,7 @@
 	return simulated
 }
 
-// newServer makes one of random size. In calm the fleet has some 1.6 times the capacity that its demand needs.
+// newServer makes one of random size. Without a surge the fleet has some 1.6 times the capacity that its demand needs.
 func (s *simulation) newServer(name string, zone int) *simServer {
 	size := 0.6 + 0.8*s.random.Float64()
 	demand := s.requests * float64(s.proxyCount) / float64(s.serverCount)
@@ -219,8 +219,8 @@
 	s.planner = policy.New(s.settings, seed)
 	s.planner.SetTime(s.nowMs)
 	s.tables = map[int]map[string]float64{}
-	s.withdrawn = map[string]bool{}
-	s.levels = slices.Repeat([]float64{1}, len(s.settings.Classes))
+	s.ejected = map[string]bool{}
+	s.admission = slices.Repeat([]float64{1}, len(s.settings.Classes))
 	s.answers = nil
 	s.planner.UpdateEndpoints(policy.RestoredUpdate, s.list())
 }
@@ -287,18 +287,18 @@
 	}
 }
 
-func (s *simulation) AssignTable(proxy, table int, groups []int) {
-	s.record("bind %d %d %d", proxy, table, groups)
-	for _, group := range groups {
-		s.proxies[proxy].tables[group] = s.tables[table]
+func (s *simulation) AssignTable(proxy, table int, classes []int) {
+	s.record("bind %d %d %d", proxy, table, classes)
+	for _, class := range classes {
+		s.proxies[proxy].tables[class] = s.tables[table]
 	}
 	s.proxies[proxy].pushes = append(s.proxies[proxy].pushes, s.nowMs)
-	s.observed.binds++
+	s.observed.assignments++
 }
 
 func (s *simulation) SetEjected(name string, out, includeUnassigned bool) {
 	s.record("withdraw %s %t", name, out)
-	s.withdrawn[name] = out
+	s.ejected[name] = out
 	server := s.find(name)
 	warm := s.nowMs-server.StartedMs > s.settings.SlowStartMs
 	switch {
@@ -313,21 +313,21 @@
 	}
 }
 
-func (s *simulation) SetAdmission(table, group int, share float64, retry int) {
-	s.record("admit %d %d %g %d", table, group, share, retry)
-	if share < s.levels[group] {
+func (s *simulation) SetAdmission(table, class int, share float64, retry int) {
+	s.record("admit %d %d %g %d", table, class, share, retry)
+	if share < s.admission[class] {
 		s.observed.admissionCuts++
 	}
-	if share > s.levels[group] {
+	if share > s.admission[class] {
 		s.observed.restore++
 	}
-	s.levels[group] = share
+	s.admission[class] = share
 }
 
 // RequestAcknowledgement has every joined proxy acknowledge, as the host does not say who got a message. Some answers are lost.
 func (s *simulation) RequestAcknowledgement(number int) {
 	s.record("acknowledge %d", number)
-	s.observed.receipts++
+	s.observed.requests++
 	for _, proxy := range s.proxies {
 		tookMs := 100 + 500*s.random.Float64()
 		if s.slowChannel {
@@ -339,14 +339,14 @@
 	}
 }
 
-// Restore is recorded only: the simulated proxies hold nothing of other planners.
+// EndInheritedEjections is recorded only: the simulated proxies hold nothing of other planners.
 func (s *simulation) EndInheritedEjections(proxy int, servers []string) {
 	s.record("restore %d %v", proxy, servers)
 }
 
 func (s *simulation) WatchEndpoints() {
 	s.record("follow")
-	s.observed.followed++
+	s.observed.polls++
 	s.asked = true
 }
 
@@ -359,16 +359,16 @@
 		load[index] = make([]float64, s.settings.Zones)
 	}
 	for _, proxy := range s.proxies {
-		for group, table := range proxy.tables {
+		for class, table := range proxy.tables {
 			if proxy.joined {
-				s.spread(load, proxy.zone, table, s.demand(proxy)*s.levels[group])
+				s.spread(load, proxy.zone, table, s.demand(proxy)*s.admission[class])
 			}
 		}
 	}
 	return load
 }
 
-// demand is what clients ask of a proxy in each traffic group, in requests per second.
+// demand is what clients ask of a proxy in each traffic class, in requests per second.
 func (s *simulation) demand(proxy *simProxy) float64 {
 	demand := s.requests / float64(len(s.settings.Classes))
 	if within(s.elapsed(), surgeAtMs, surgeForMs) {
@@ -386,12 +386,12 @@
 
 func within(at, from, span float64) bool { return at >= from && at < from+span }
 
-// spread adds the requests of a proxy and traffic group to the load, by the weights of its table.
+// spread adds the requests of a proxy and traffic class to the load, by the weights of its table.
 func (s *simulation) spread(load [][]float64, zone int, table map[string]float64, requests float64) {
 	weights := make([]float64, len(s.servers))
 	total := 0.0
 	for index, server := range s.servers {
-		if weight := table[server.Server]; weight > 0 && !s.withdrawn[server.Server] {
+		if weight := table[server.Server]; weight > 0 && !s.ejected[server.Server] {
 			weights[index] = weight
 			total += weight
 		}
@@ -404,7 +404,7 @@
 	}
 }
 
-// report tells the planner what a server did since its last report, for each zone that sent it anything.
+// report records what a server did since its last report, for each zone that sent it anything.
 func (s *simulation) report(server *simServer, load []float64) {
 	total := 0.0
 	for _, requests := range load {
@@ -429,10 +429,10 @@
 	}
 }
 
-func (s *simulation) reportUsage(proxy *simProxy) {
-	for group := range s.settings.Classes {
+func (s *simulation) reportDemand(proxy *simProxy) {
+	for class := range s.settings.Classes {
 		count := int(s.demand(proxy)*s.periodMs()/1000 + s.random.Float64())
-		s.planner.RecordDemand(proxy.id, group, count, s.random.Intn(2)*count/10, s.periodMs())
+		s.planner.RecordDemand(proxy.id, class, count, s.random.Intn(2)*count/10, s.periodMs())
 	}
 }
 
@@ -450,14 +450,14 @@
 	s.planner.RemoveProxy(proxy.id)
 }
 
-// change tells the planner what became of a server.
+// change records what became of a server.
 func (s *simulation) change(server *simServer) {
 	s.planner.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{server.Endpoint})
 }
 
-func (s *simulation) add(name string, bornMs float64) {
+func (s *simulation) add(name string, startedMs float64) {
 	server := s.newServer(name, s.random.Intn(s.settings.Zones))
-	server.StartedMs = bornMs
+	server.StartedMs = startedMs
 	s.servers = append(s.servers, server)
 	s.change(server)
 }
@@ -484,60 +484,87 @@
 
 // phases starts whatever the scenario has at this time. Each has servers of its own, so that they do not mix.
 func (s *simulation) phases() {
-	reached := func(at float64) bool { return within(s.elapsed(), at, stepMs) }
-	restartAtMs := lateRestartMs
-	if s.earlyRestart {
-		restartAtMs = earlyRestartMs
-	}
+	s.serverPhases()
+	s.listPhases()
+	s.plannerPhases()
+	s.drainSome()
+	s.slowChannel = within(s.elapsed(), slowChannelAtMs, slowChannelForMs)
+}
+
+// reached says whether a phase begins with this step.
+func (s *simulation) reached(atMs float64) bool { return within(s.elapsed(), atMs, stepMs) }
+
+// serverPhases are faults, starts and restarts of servers.
+func (s *simulation) serverPhases() {
 	switch {
-	case reached(listAtMs):
-		s.planner.UpdateEndpoints(policy.FullUpdate, append(s.list(), policy.Endpoint{Server: "elsewhere", Zone: 99, RelativeCapacity: 1}))
-	case reached(failAtMs):
+	case s.reached(failAtMs):
 		s.servers[0].failUntilMs = s.nowMs + failForMs
-	case reached(slowAtMs):
+	case s.reached(slowAtMs):
 		s.servers[1].slowUntilMs = s.nowMs + slowForMs
-	case reached(restartAtMs):
-		s.restartPlanner()
-	case reached(coldAtMs):
+	case s.reached(coldAtMs):
 		s.add("cold", s.nowMs)
-	case reached(unknownAtMs):
+	case s.reached(unknownAtMs):
 		s.add("unknown", 0)
 		s.find("unknown").failUntilMs = s.nowMs + failForMs
-	case reached(drainAtMs):
+	case s.reached(coldRestartsAtMs):
+		for _, server := range s.servers[4:] {
+			s.restartServer(server)
+		}
+	case s.reached(returnAtMs):
+		s.restartServer(s.servers[2])
+	}
+}
+
+// listPhases are what discovery says, and does not.
+func (s *simulation) listPhases() {
+	switch {
+	case s.reached(listAtMs):
+		elsewhere := policy.Endpoint{Server: "elsewhere", Zone: 99, RelativeCapacity: 1}
+		s.planner.UpdateEndpoints(policy.FullUpdate, append(s.list(), elsewhere))
+	case s.reached(drainAtMs):
 		s.servers[2].State = policy.Draining
 		s.change(s.servers[2])
-	case reached(drainAtMs + goneAfterMs):
+	case s.reached(drainAtMs + goneAfterMs):
 		s.servers[2].State = policy.Removed
 		s.change(s.servers[2])
-	case reached(missingAtMs):
+	case s.reached(missingAtMs):
 		s.servers[3].unlisted = true
 		s.servers[3].State = policy.Removed
 		s.planner.UpdateEndpoints(policy.FullUpdate, s.list())
-	case reached(takeOverAtMs), reached(slowChannelAtMs + slowChannelForMs/2):
-		s.takeOver()
-	case reached(behindAtMs), reached(behindAtMs + behindForMs):
-		s.planner.SetLagging(reached(behindAtMs))
-	case reached(failedListsAtMs), reached(failedListsAtMs + 1000), reached(failedListsAtMs + 3000):
+	case s.reached(failedListsAtMs), s.reached(failedListsAtMs + 1000), s.reached(failedListsAtMs + 3000):
 		s.planner.UpdateEndpoints(policy.FailedUpdate, nil)
-	case reached(coldRestartsAtMs):
-		for _, server := range s.servers[4:] {
-			s.restartServer(server)
-		}
-	case reached(returnAtMs):
-		s.restartServer(s.servers[2])
 	}
+}
+
+// plannerPhases are restarts of the planner, takeovers and late load reports.
+func (s *simulation) plannerPhases() {
+	restartAtMs := lateRestartMs
+	if s.earlyRestart {
+		restartAtMs = earlyRestartMs
+	}
+	switch {
+	case s.reached(restartAtMs):
+		s.restartPlanner()
+	case s.reached(takeOverAtMs), s.reached(slowChannelAtMs + slowChannelForMs/2):
+		s.takeOver()
+	case s.reached(lagAtMs), s.reached(lagAtMs + lagForMs):
+		s.planner.SetLagging(s.reached(lagAtMs))
+	}
+}
+
+// drainSome drains a third of the servers one after the other, and has all of them back together.
+func (s *simulation) drainSome() {
 	some := s.servers[4 : 4+len(s.servers)/3]
 	for index, server := range some {
-		if reached(drainSomeAtMs + drainNextMs*float64(index)) {
+		if s.reached(drainSomeAtMs + drainNextMs*float64(index)) {
 			server.State = policy.Draining
 			s.change(server)
 		}
-		if reached(drainSomeAtMs + drainSomeForMs) {
+		if s.reached(drainSomeAtMs + drainSomeForMs) {
 			server.State = policy.Ready
 			s.change(server)
 		}
 	}
-	s.slowChannel = within(s.elapsed(), slowChannelAtMs, slowChannelForMs)
 }
 
 // takeOver has some proxies come over from another planner, with the times of messages that they had from it.
@@ -571,7 +598,7 @@
 	}
 }
 
-// noise is input that must change nothing: of servers, proxies, zones and traffic groups that there are not.
+// noise is input that must change nothing: about servers, proxies, zones and traffic classes that there are not.
 func (s *simulation) noise() {
 	s.planner.RecordReport("nobody", 0, 5, 1, 100, 1000)
 	s.planner.RecordReport(s.servers[0].Server, -1, 5, 1, 100, 1000)
@@ -606,7 +633,7 @@
 	}
 	s.phases()
 	s.churn()
-	if number < len(s.proxies) { // a rush of joins at the start
+	if number < len(s.proxies) { // many joins at the start
 		s.join(s.proxies[number])
 	}
 	s.acknowledge()
@@ -628,7 +655,7 @@
 	}
 	for _, proxy := range s.proxies {
 		if proxy.joined && (all || proxy.id%s.reportPhases() == phase) {
-			s.reportUsage(proxy)
+			s.reportDemand(proxy)
 		}
 	}
 }
@@ -676,18 +703,18 @@
 		{"cuts of admission", o.admissionCuts},
 		{"restored admission", o.restore},
 		{"overloaded servers", o.overloads},
-		{"withdrawals of draining servers", o.drains},
+		{"ejections of draining servers", o.drains},
 		{"forgotten servers", o.forgotten},
-		{"bindings", o.binds},
-		{"requests for acknowledgements", o.receipts},
+		{"assigned tables", o.assignments},
+		{"requests for acknowledgements", o.requests},
 	}
 	for _, occurrence := range occurrences {
 		if occurrence.count == 0 {
 			t.Errorf("%s: there were no %s", s.name, occurrence.what)
 		}
 	}
-	if s.settings.WatchRequired != (o.followed > 0) {
-		t.Errorf("%s: the list was asked for %d times", s.name, o.followed)
+	if s.settings.WatchRequired != (o.polls > 0) {
+		t.Errorf("%s: the list was asked for %d times", s.name, o.polls)
 	}
 	if o.busiest >= mostDecisions {
 		t.Errorf("%s: decisions without end", s.name)
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -19,21 +19,21 @@
 		byID:        map[int]*proxy{},
 		pollBackoff: pollBackoffMs,
 		unsolved:    true,
-		solvedAt:    unset,
-		admissionAt: unset,
-		evaluatedAt: unset,
-		wakeAt:      unset,
-		reportedAt:  unset,
+		solvedMs:    unset,
+		admissionMs: unset,
+		evaluatedMs: unset,
+		timerMs:     unset,
+		reportedMs:  unset,
 	}
 	for _, class := range set.Classes {
 		p.admission = append(p.admission, newAdmission(class, set.DefaultRetry))
 	}
-	p.order = sheddingOrder(set.Classes)
+	p.sheddingOrder = sheddingOrder(set.Classes)
 	parts := classesByDestination(set.Classes)
 	p.parts = len(parts)
 	for zone := range set.Zones {
 		for _, classes := range parts {
-			p.clients = append(p.clients, &client{zone: zone, groups: classes})
+			p.clients = append(p.clients, &client{zone: zone, classes: classes})
 		}
 	}
 	return p
@@ -88,8 +88,8 @@
 	if known == nil {
 		known = &server{
 			discoveredLate: kind != RestoredUpdate && p.solves > 0,
-			since:          p.now,
-			readmittedAt:   unset,
+			sinceMs:        p.now,
+			readmittedMs:   unset,
 			addedAt:        unset,
 		}
 		p.byName[endpoint.Server] = known
@@ -183,7 +183,7 @@
 	if server == nil || count <= 0 || zone < 0 || zone >= p.set.Zones {
 		return
 	}
-	p.reportedAt = p.now
+	p.reportedMs = p.now
 	server.proven = server.proven || failed < count
 	p.anySuccess = p.anySuccess || server.proven
 	p.covers = appendBounded(p.covers, coversMs, maxSamples)
--- a/policy/measurements.go
+++ b/policy/measurements.go
@@ -10,7 +10,7 @@
 	for _, server := range p.servers {
 		server.entries = filter(server.entries, (*entry).live)
 		p.aggregateReports(server)
-		p.succeededRate += server.windowed.succeeded / p.window * 1000
+		p.succeededRate += server.windowed.succeeded / p.windowMs * 1000
 	}
 	used := filter(p.servers, func(server *server) bool {
 		return server.usable() && !p.unverified(server) && server.windowed.attempts() > 0
@@ -18,11 +18,11 @@
 	p.failureShare = quantile(used, 2, func(server *server) float64 {
 		return server.windowed.failed / server.windowed.attempts()
 	})
-	used = filter(used, func(server *server) bool { return server.baseline > 0 && server.windowed.latencyMs > 0 })
-	p.latency = quantile(used, 2, func(server *server) float64 { return server.windowed.latencyMs })
-	p.baselineLatency = quantile(used, 2, func(server *server) float64 { return server.baseline })
+	used = filter(used, func(server *server) bool { return server.baselineMs > 0 && server.windowed.latencyMs > 0 })
+	p.latencyMs = quantile(used, 2, func(server *server) float64 { return server.windowed.latencyMs })
+	p.baselineMs = quantile(used, 2, func(server *server) float64 { return server.baselineMs })
 	p.overloadRatio = quantile(used, 2, func(server *server) float64 {
-		return server.windowed.latencyMs / server.baseline
+		return server.windowed.latencyMs / server.baselineMs
 	})
 }
 
@@ -31,7 +31,7 @@
 	for part := range p.parts {
 		client := p.clients[proxy.zone*p.parts+part]
 		admitted := 0.0
-		for _, index := range client.groups {
+		for _, index := range client.classes {
 			class := &p.admission[index]
 			demand := p.demandOf(proxy, index)
 			admitted += demand * class.target
@@ -54,7 +54,7 @@
 	coversMs, requests := 0.0, 0.0
 	for index := range proxy.demand[class] { // by index, as there are many proxies
 		report := &proxy.demand[class][index]
-		if report.atMs > p.now-p.window {
+		if report.atMs > p.now-p.windowMs {
 			coversMs += report.coversMs
 			requests += report.attempts()
 		}
@@ -68,13 +68,13 @@
 // averageObjective works out the admitted rate and, weighted by it, the mean latency objective in ms.
 func (p *Policy) averageObjective() {
 	p.admittedRate = 0
-	p.latencyObjective = 0
+	p.latencyObjectiveMs = 0
 	for index, class := range p.admission {
 		admitted := class.demand * class.target
 		p.admittedRate += admitted
-		p.latencyObjective += (admitted + idleClassRate) * p.set.Classes[index].LatencyObjectiveMs
+		p.latencyObjectiveMs += (admitted + idleClassRate) * p.set.Classes[index].LatencyObjectiveMs
 	}
-	p.latencyObjective /= p.admittedRate + idleClassRate*float64(len(p.admission))
+	p.latencyObjectiveMs /= p.admittedRate + idleClassRate*float64(len(p.admission))
 }
 
 // fleetLoad is what the last round of load reports says of the fleet. Older ones are from before the last step.
@@ -96,10 +96,10 @@
 	latencyMs := quantile(used, 2, func(server *server) float64 { return server.last.latencyMs })
 	attempts := sumBy(p.servers, func(server *server) float64 { return server.last.attempts() })
 	succeeded := sumBy(p.servers, func(server *server) float64 { return server.last.succeeded })
-	allowedWait := math.Max(p.latencyObjective-p.baselineLatency, p.baselineLatency)
+	allowedWait := math.Max(p.latencyObjectiveMs-p.baselineMs, p.baselineMs)
 	return fleetLoad{
-		latency:       latencyMs / p.latencyObjective,
-		wait:          math.Max(latencyMs-p.baselineLatency, 0) / allowedWait,
+		latency:       latencyMs / p.latencyObjectiveMs,
+		wait:          math.Max(latencyMs-p.baselineMs, 0) / allowedWait,
 		failureShare:  failureShare,
 		succeededRate: p.admittedRate * succeeded / math.Max(attempts, 1),
 	}
@@ -108,9 +108,9 @@
 // aggregateReports works out what a server's load reports since its last change say, by period and in all.
 func (p *Policy) aggregateReports(server *server) {
 	server.mergeReports(p.set.ReportIntervalMs / 2)
-	server.baseline = p.baselineOf(server.reports)
-	server.windowed = server.recent(p.now - p.window)
-	server.last = server.recent(p.now - admissionRounds*p.round)
+	server.baselineMs = p.baselineOf(server.reports)
+	server.windowed = server.recent(p.now - p.windowMs)
+	server.last = server.recent(p.now - admissionRounds*p.roundMs)
 }
 
 // updateDemand takes over the demand of each client. It gives that of all, and what moved from one to another.
@@ -129,7 +129,7 @@
 func (s *server) mergeReports(gapMs float64) {
 	s.reports = s.reports[:0]
 	for _, report := range s.samples {
-		if report.atMs <= s.since {
+		if report.atMs <= s.sinceMs {
 			continue
 		}
 		last := len(s.reports) - 1
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -18,11 +18,11 @@
 // it counts as overload of a cold server, so it rests until that is out of the window.
 func (p *Policy) restartServer(server *server, startedMs float64) {
 	server.samples = nil
-	server.since = p.now
-	server.readmittedAt = unset
+	server.sinceMs = p.now
+	server.readmittedMs = unset
 	server.ejections = 0
 	server.unhealthy = startedMs > p.now-p.set.SlowStartMs
-	server.unhealthyUntil = p.now + p.set.ColdOverloadWindowMs + p.set.MaxPropagationMs
+	server.unhealthyUntilMs = p.now + p.set.ColdOverloadWindowMs + p.set.MaxPropagationMs
 }
 
 // expired says whether nothing is left to decide of a server: its ejection ends, and then it is forgotten.
@@ -39,13 +39,13 @@
 	uncertain := p.demandUncertain()
 	for _, server := range p.servers {
 		switch {
-		case server.State != Ready || server.unhealthy && p.now < server.unhealthyUntil:
+		case server.State != Ready || server.unhealthy && p.now < server.unhealthyUntilMs:
 		case server.unhealthy:
 			p.readmit(server)
 		case p.cold(server) && uncertain && ejected <= maxEjectedForColdRest*size:
 			// Proxies keep away from servers that fail and try others: a cold one would get it all.
 			server.unhealthy = true
-			server.unhealthyUntil = p.now + p.set.ColdOverloadWindowMs
+			server.unhealthyUntilMs = p.now + p.set.ColdOverloadWindowMs
 			p.unsolved = true
 			ejected++
 		case p.evidence(server) >= ejectionThreshold && ejected <= maxEjected*size:
@@ -65,8 +65,8 @@
 func (p *Policy) eject(server *server) {
 	lastsMs := math.Min(ejectionMs*math.Exp2(float64(server.ejections)), maxEjectionMs)
 	server.unhealthy = true
-	server.unhealthyUntil = p.now + lastsMs
-	server.since = p.now
+	server.unhealthyUntilMs = p.now + lastsMs
+	server.sinceMs = p.now
 	server.ejections++
 	p.unsolved = true
 }
@@ -74,8 +74,8 @@
 // readmit takes a server back, by the recovery ramp and judged by new reports alone.
 func (p *Policy) readmit(server *server) {
 	server.unhealthy = false
-	server.since = p.now
-	server.readmittedAt = p.now
+	server.sinceMs = p.now
+	server.readmittedMs = p.now
 	p.unsolved = true
 }
 
@@ -98,9 +98,9 @@
 	failure := math.Log(deadFailureShare / soundShare)
 	success := math.Log((1 - deadFailureShare) / (1 - soundShare))
 	delayMs := p.set.MaxPropagationMs + p.set.ReportIntervalMs
-	lastMs = math.Max(server.since, server.addedAt) + math.Max(delayMs, ejectionMs-reportRounds*p.round)
+	lastMs = math.Max(server.sinceMs, server.addedAt) + math.Max(delayMs, ejectionMs-reportRounds*p.roundMs)
 	for _, report := range server.reports {
-		if report.atMs <= server.since+delayMs {
+		if report.atMs <= server.sinceMs+delayMs {
 			continue
 		}
 		nats := report.failed*failure + report.succeeded*success
@@ -114,7 +114,7 @@
 // silenceEvidence is about reports that are missing since a time. A round of reports is longer the more there are; so
 // only what is missing from a round counts as silence.
 func (p *Policy) silenceEvidence(server *server, lastMs float64) float64 {
-	silentMs := p.reportedAt - lastMs - reportRounds*p.round
+	silentMs := p.reportedMs - lastMs - reportRounds*p.roundMs
 	if silentMs <= 0 || server.ejected {
 		return 0
 	}
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -10,13 +10,13 @@
 // queue gives the backlog as of now: entries, and messages as entries, that wait in the channel. It drains at the
 // channel's rate, and is never more than what has not arrived for all that is known.
 func (p *Policy) queue() float64 {
-	drained := (p.now - p.countedAt) * p.set.EntriesPerSecond / 1000
+	drained := (p.now - p.countedMs) * p.set.EntriesPerSecond / 1000
 	if p.queueSlow {
 		drained /= maxQueueSlowdown
 	}
 	p.departedBacklog = math.Max(0, p.departedBacklog-drained)
 	p.backlog = math.Min(math.Max(0, p.backlog-drained), p.unsure())
-	p.countedAt = p.now
+	p.countedMs = p.now
 	return p.backlog
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -14,8 +14,8 @@
 // Next makes at most one decision, by one call on the host, and says whether it did. Its caller calls it until it says
 // false. An evaluation takes place when the last is some time ago or endpoints or proxies came or left.
 func (p *Policy) Next(host Host) bool {
-	if p.now-p.evaluatedAt >= evaluationIntervalMs || p.dirty {
-		p.evaluatedAt = p.now
+	if p.now-p.evaluatedMs >= evaluationIntervalMs || p.dirty {
+		p.evaluatedMs = p.now
 		p.dirty = false
 		p.evaluate()
 		p.updateEjections()
@@ -30,10 +30,10 @@
 			return true
 		}
 	}
-	if p.now < p.wakeAt {
+	if p.now < p.timerMs {
 		return false
 	}
-	p.wakeAt = p.now + evaluationIntervalMs
+	p.timerMs = p.now + evaluationIntervalMs
 	host.SetTimer(evaluationIntervalMs)
 	return true
 }
@@ -61,16 +61,16 @@
 // where there are more than the intake lets through.
 func (p *Policy) measureRound() {
 	middle := quantile(p.covers, 2, func(coversMs float64) float64 { return coversMs })
-	p.round = math.Max(p.set.ReportIntervalMs, middle)
-	p.window = math.Max(windowMs, reportRounds*p.round)
+	p.roundMs = math.Max(p.set.ReportIntervalMs, middle)
+	p.windowMs = math.Max(minWindowMs, reportRounds*p.roundMs)
 }
 
 // pollEndpoints asks for the endpoint list where it comes only on request, until an update shows that it comes.
 func (p *Policy) pollEndpoints(host Host) bool {
-	if !p.set.WatchRequired || p.watching || p.now < p.pollAt {
+	if !p.set.WatchRequired || p.watching || p.now < p.pollMs {
 		return false
 	}
-	p.pollAt = p.now + math.Max(p.pollBackoff, p.set.AssumeNotifiedMs/pollsUntilNotified)
+	p.pollMs = p.now + math.Max(p.pollBackoff, p.set.AssumeNotifiedMs/pollsUntilNotified)
 	host.WatchEndpoints()
 	return true
 }
@@ -78,7 +78,7 @@
 // backOffPolling waits twice as long after each failed poll, spread so that planners do not poll together.
 func (p *Policy) backOffPolling() {
 	p.watching = false
-	p.pollAt = p.now + p.pollBackoff*(0.5+p.random.Float64())
+	p.pollMs = p.now + p.pollBackoff*(0.5+p.random.Float64())
 	p.pollBackoff = math.Min(2*p.pollBackoff, p.set.AssumeNotifiedMs/2)
 }
 
@@ -304,7 +304,7 @@
 		for _, r := range doubted {
 			q.doubted = append(q.doubted, r.server)
 		}
-		h.AssignTable(q.id, t.number, c.groups)
+		h.AssignTable(q.id, t.number, c.classes)
 		return true
 	}, func(h Host) bool { return p.restore(h, q, min(len(q.doubted), minEntries), paid) })
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -45,7 +45,7 @@
 			}
 			for _, server := range f.planner.servers[:ejected] {
 				server.unhealthy = true
-				server.unhealthyUntil = f.nowMs + 9000
+				server.unhealthyUntilMs = f.nowMs + 9000
 			}
 			f.run(4, func(string) (int, int, float64) { return 10, 6, 300 })
 			if share := f.share(0, 0, "new"); share != 0 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -4,7 +4,7 @@
 	"math/rand"
 )
 
-// What a planner knows and has ordered: types alone, their decisions stand in brain.go.
+// What a planner knows and has ordered: types and their plain bookkeeping, no decisions.
 
 // sample is a load report of a server or a demand report of a proxy, or several added up.
 type sample struct {
@@ -18,19 +18,28 @@
 
 func (s sample) attempts() float64 { return s.succeeded + s.failed }
 
+// server is what is known of a server, and what was ordered about it. It stays known until it is forgotten.
 type server struct {
 	Endpoint
-	samples                []sample // the last ones, oldest first
-	entries                []*entry // its lines in our tables
-	ejected, unhealthy     bool     // withdrawn at the proxies; judged unfit
-	proven, discoveredLate bool     // has delivered; not in the list that the planner started with
-	since, unhealthyUntil  float64  // last verdict, return or start: evidence before it is void; end of a verdict
-	notified, readmittedAt float64  // when its state in the list changed; when it was let back after a verdict
-	addedAt                float64  // when a table that did not hold it was sent it
-	ejections              int
-	reports                []sample // as of this look: its sums since the last verdict, by report period
-	windowed, last         sample   // of these, in the window and in the last round
-	baseline               float64  // its latency when not jammed, 0 when unheard
+	samples []sample // its last load reports, oldest first
+	entries []*entry // in our tables
+	ejected bool     // as last ordered to proxies
+
+	unhealthy        bool    // ejected by evidence, or resting while cold
+	unhealthyUntilMs float64 // when that ends
+	ejections        int     // by evidence, since its last start
+	sinceMs          float64 // last ejection, readmission or start; evidence from before is void
+	readmittedMs     float64 // end of the last ejection: start of the recovery ramp
+	proven           bool    // it has succeeded in some request
+	discoveredLate   bool    // it was not in the list that the planner started with
+	notified         float64 // when its state in the list changed
+	addedAt          float64 // when a table that did not hold it was last sent it
+
+	// As of this evaluation:
+	reports    []sample // its load reports since sinceMs, merged by period
+	windowed   sample   // of these, those in the window
+	last       sample   // and those of the last round
+	baselineMs float64  // its latency without overload, 0 before a load report shows it
 }
 
 type proxy struct {
@@ -46,13 +55,13 @@
 	doubted               []*server        // in its tables, heaviest first; withdrawn there by others for all we know
 }
 
-// client is the paper's i: the proxies of one zone, for the traffic groups that may go to the same servers.
+// client is the paper's i: the proxies of one zone, for the traffic classes that may go to the same servers.
 type client struct {
-	zone   int
-	groups []int
-	cells  map[*server]cell
-	demand float64 // the paper's D, flows per second let in, at the last solve
-	tables []*table
+	zone    int
+	classes []int
+	cells   map[*server]cell // of the last solve
+	demand  float64          // the paper's D: requests per second admitted, at the last solve
+	tables  []*table         // one for each cohort
 }
 
 // cell is the solver's state for one client i and server j, as shares of the client's requests.
@@ -62,20 +71,22 @@
 	lambda float64 // the price that makes the two equal: the dual step of ADMM-20
 }
 
-// table is one copy of a client's table. In a fleet larger than a table, copies hold different servers.
+// table is the weight table of one cohort of a client. In a fleet larger than a table, cohorts hold different servers.
 type table struct {
-	number         int
-	entries        []*entry
-	proxies        []*proxy // bound to it
-	rate, urgentAt float64  // flows per second of its proxies; when lines that could not wait were last sent
-	due            bool     // wants may be sent now
+	number   int // by which the host knows it
+	entries  []*entry
+	proxies  []*proxy // that follow it
+	rate     float64  // requests per second admitted at its proxies, joined or to be assigned
+	urgentAt float64  // when urgent entries were last sent
+	due      bool     // deferrable entries may be sent
 }
 
-// entry is a server's line in a table: its weight as decided, and as sent.
+// entry is a server's weight in a table, as decided and as last sent.
 type entry struct {
-	server       *server
-	table        *table
-	target, sent float64
+	server *server
+	table  *table
+	target float64
+	sent   float64
 }
 
 // admission is the admission of one traffic group, the flows per second that come, and when they are repeated.
@@ -86,36 +97,61 @@
 	retry  int     // mode, see RetryNever
 }
 
-// Policy decides for the proxies joined to it. It shares nothing with other planners.
+// Policy decides for the proxies joined to it. It shares nothing with other planners and has no lock: one goroutine at a
+// time may call it. All times are in ms as given to SetTime.
 type Policy struct {
-	set              Settings
-	random           *rand.Rand
-	now              float64
-	servers          []*server
-	byName           map[string]*server
-	proxies          []*proxy // joined, in order of joining
-	byID             map[int]*proxy
-	parts            int       // clients of a zone
-	clients          []*client // by zone
-	tables           []*table
-	admission        []admission
-	order            []int             // of traffic groups: those that earn least for their work first
-	pendingDecisions []func(Host) bool // decisions of this look that are left
-
-	solvedAt, admissionAt, evaluatedAt, reportedAt float64
-	solves                                         int
-	ramps, unsolved                                bool // the last solve had servers on their ramp; usable servers changed
-	emptyTable, dirty, anySuccess                  bool // a proxy joins an unused table; news; some server has delivered
-
-	// As of this look: ms that sums come apart and are looked back for; the middle server; flows per second.
-	round, window, latency, failureShare, baselineLatency, overloadRatio, latencyObjective, admittedRate, succeededRate, capacityRate float64
-	backlog, countedAt, pollAt, pollBackoff, wakeAt                                                                                   float64
-	departedBacklog                                                                                                                   float64 // lines to who left
-
-	covers, clear                            []float64 // of the last sums; latencies at hand
-	acknowledgedSolve, acknowledgementNumber int       // solve that a receipt was last asked for; its number
-	watching, queueSlow                      bool      // the list; the last receipt was late
-	lagging                                  bool      // what is heard is late
+	set     Settings
+	random  *rand.Rand // for the spread of polls
+	now     float64
+	servers []*server // in order of discovery
+	byName  map[string]*server
+	proxies []*proxy // joined, in order of joining
+	byID    map[int]*proxy
+
+	clients          []*client         // by zone, then part
+	parts            int               // clients of a zone
+	tables           []*table          // by number
+	admission        []admission       // by traffic class
+	sheddingOrder    []int             // traffic classes, those that earn least for their work first
+	pendingDecisions []func(Host) bool // of this evaluation; each says whether it did anything
+
+	solves       int     // so far
+	solvedMs     float64 // time of the last solve
+	admissionMs  float64 // time of the last step of admission
+	evaluatedMs  float64 // time of the last evaluation
+	timerMs      float64 // time that the host's timer is set to
+	reportedMs   float64 // time of the last load report
+	dirty        bool    // endpoints or proxies came or left since the last evaluation
+	unsolved     bool    // usable servers changed since the last solve
+	emptyTable   bool    // a proxy joins a table that nobody used
+	ramps        bool    // at the last solve a server was on its ramp
+	anySuccess   bool    // some server has succeeded
+	lagging      bool    // load reports come late
+	watching     bool    // the endpoint list comes by itself
+	pollMs       float64 // time of the next poll of the list
+	pollBackoff  float64 // ms to wait after the next failed poll
+	capacityRate float64 // requests per second that the fleet has succeeded in
+
+	// As of this evaluation; latencies and failures are those of the middle server:
+	covers             []float64 // ms that the last load reports cover
+	latencies          []float64 // scratch of baselineOf
+	roundMs            float64   // in which each server reports once
+	windowMs           float64   // that load reports are looked back for
+	latencyMs          float64
+	baselineMs         float64
+	overloadRatio      float64 // latency over baseline
+	failureShare       float64 // of attempts
+	latencyObjectiveMs float64 // mean over the admitted requests
+	admittedRate       float64 // requests per second
+	succeededRate      float64 // the same
+
+	// Of the control channel, in entries:
+	backlog               float64 // that wait in it
+	departedBacklog       float64 // that wait for proxies that left
+	countedMs             float64 // time that the backlog is as of
+	queueSlow             bool    // the last acknowledgement was late
+	acknowledgedSolve     int     // number of solves when acknowledgements were last requested
+	acknowledgementNumber int     // of the last request
 }
 
 // reached says whether a proxy gets a message at this time already, which further orders share.
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -12,7 +12,7 @@
 // server to use, tables keep what they hold.
 func (p *Policy) solveIfDue() {
 	servers := filter(p.servers, (*server).usable)
-	sinceMs := p.now - p.solvedAt
+	sinceMs := p.now - p.solvedMs
 	hasNews := p.unsolved || p.emptyTable
 	if len(servers) == 0 || p.set.Sharded || sinceMs < 2*evaluationIntervalMs || sinceMs < solveIntervalMs && !hasNews {
 		return
@@ -22,7 +22,7 @@
 	}
 	p.evaluate() // anew, as ejections void load reports and admission rates change demand
 	p.split(servers, p.unsolved)
-	p.solvedAt = p.now
+	p.solvedMs = p.now
 	p.unsolved = false
 	p.emptyTable = false
 	p.solves++
@@ -94,23 +94,23 @@
 func (p *Policy) zoneLatencies(servers []*server) []float64 {
 	lowest := slices.Repeat([]float64{p.typicalLatency()}, p.set.Zones)
 	for _, server := range servers {
-		if server.baseline > 0 {
-			lowest[server.Zone] = math.Min(lowest[server.Zone], server.baseline)
+		if server.baselineMs > 0 {
+			lowest[server.Zone] = math.Min(lowest[server.Zone], server.baselineMs)
 		}
 	}
 	return lowest
 }
 
-func (p *Policy) typicalLatency() float64 { return math.Max(p.baselineLatency, 1) }
+func (p *Policy) typicalLatency() float64 { return math.Max(p.baselineMs, 1) }
 
 // costs are what a request of a client costs at each server: the paper's L, with a price for leaving the zone.
 func (p *Policy) costs(client *client, servers []*server, zoneLatencies []float64) []float64 {
 	costs := make([]float64, len(servers))
-	sameZoneOnly := len(client.groups) > 0 && p.set.Classes[client.groups[0]].SameZoneOnly
+	sameZoneOnly := len(client.classes) > 0 && p.set.Classes[client.classes[0]].SameZoneOnly
 	for j, server := range servers {
 		L := zoneLatencies[server.Zone]
 		if server.Zone != client.zone {
-			L += p.set.CrossZoneCost * p.latencyObjective
+			L += p.set.CrossZoneCost * p.latencyObjectiveMs
 		}
 		if server.Zone != client.zone && sameZoneOnly {
 			L = math.Inf(1)
@@ -124,7 +124,7 @@
 func (p *Policy) applySplit(problem *splitProblem) {
 	load := problem.load()
 	// Late reports are relied on less: when a shift between zones shows, the servers of one have filled already.
-	late := math.Max(0, 1-windowMs/p.round)
+	late := math.Max(0, 1-minWindowMs/p.roundMs)
 	smallest := minWeightChange / float64(len(problem.servers))
 	for i, client := range p.clients {
 		client.cells = map[*server]cell{}
--- a/policy/view.go
+++ b/policy/view.go
@@ -11,9 +11,9 @@
 // in ms, rates in requests per second. An error of the writer is left to its owner, who sees it at the next write.
 func (p *Policy) WriteState(w io.Writer) {
 	var text strings.Builder
-	fmt.Fprintf(&text, "fleet proxies=%d servers=%d solves=%d round=%.0f", len(p.proxies), len(p.servers), p.solves, p.round)
+	fmt.Fprintf(&text, "fleet proxies=%d servers=%d solves=%d round=%.0f", len(p.proxies), len(p.servers), p.solves, p.roundMs)
 	fmt.Fprintf(&text, " latency=%.0f baseline=%.0f objective=%.0f failed=%.2f",
-		p.latency, p.baselineLatency, p.latencyObjective, p.failureShare)
+		p.latencyMs, p.baselineMs, p.latencyObjectiveMs, p.failureShare)
 	fmt.Fprintf(&text, " admitted=%.0f capacity=%.0f unacknowledged=%.0f backlog=%.0f pending=%d admission=",
 		p.admittedRate, p.capacityRate, p.unsure(), p.backlog, len(p.pendingDecisions))
 	for _, class := range p.admission {
@@ -33,6 +33,6 @@
 		server.Server, server.Zone, server.State, server.unhealthy, server.ejected,
 		p.cold(server), p.ramp(server), server.RelativeCapacity)
 	fmt.Fprintf(text, " baseline=%.0f latency=%.0f attempts=%.0f failed=%.0f evidence=%.1f",
-		server.baseline, server.windowed.latencyMs, server.windowed.attempts(), server.windowed.failed, p.evidence(server))
+		server.baselineMs, server.windowed.latencyMs, server.windowed.attempts(), server.windowed.failed, p.evidence(server))
 	fmt.Fprintf(text, " target=%.1f sent=%.1f entries=%d\n", target, sent, len(server.entries))
 }
