--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,8 +8,8 @@
 
 // Admission: which part of each traffic class proxies admit while the fleet is overloaded.
 
-// newAdmission admits all of a class, with the default retry mode unless a rule forbids that. Proxies must then be
-// notified that they may not repeat; a rate that was never sent brings the order about.
+// newAdmission admits all of a class, with the default retry mode unless a rule forbids that. Proxies must
+// then be notified that they may not repeat; a rate that was never sent causes that order.
 func newAdmission(class TrafficClass, defaultRetry int) admission {
 	if class.Idempotency != Idempotent && defaultRetry > RetryUnprocessed {
 		return admission{target: 1, sent: -1, retry: RetryUnprocessed}
@@ -30,7 +30,8 @@
 	return order
 }
 
-// overloaded says whether requests wait. Failures without a wait are servers that reject us, not a full fleet.
+// overloaded says whether requests wait. Failures without a wait are servers that reject us, not a full
+// fleet.
 func (l fleetLoad) overloaded() bool {
 	return l.latency > overloadThreshold || l.latency > recoveryThreshold && l.failureShare > overloadFailureShare
 }
@@ -53,8 +54,8 @@
 	share := p.admittedRate / demand
 	switch {
 	case load.overloaded():
-		// What succeeded is what the fleet can do; admitting less drains the overload. Half the interval more, as a second
-		// cut before this one shows would be too deep.
+		// What succeeded is what the fleet can do; admitting less drains the overload. Half the interval
+		// more, as a second cut before this one shows would be too deep.
 		p.capacityRate = math.Max(load.succeededRate, minCapacityKept*p.capacityRate)
 		p.admissionMs = p.now + admissionIntervalMs/2
 		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*recoveryAdmission/demand))
@@ -67,7 +68,8 @@
 	p.shed(math.Max(1-share, 0) * demand)
 }
 
-// shed sets the admission rates so that so many requests per second are rejected, of the classes that earn least first.
+// shed sets the admission rates so that so many requests per second are rejected, of the classes that earn
+// least first.
 func (p *Policy) shed(excess float64) {
 	for _, index := range p.sheddingOrder {
 		class := &p.admission[index]
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -12,8 +12,8 @@
 	return server.StartedMs > 0 && p.now-server.StartedMs < p.set.SlowStartMs
 }
 
-// ramp is the part of its capacity that a server may be given. A cold one, and one that was ejected, starts low and
-// doubles; an unverified one stays low.
+// ramp is the part of its capacity that a server may be given. A cold one, and one that was ejected, starts
+// low and doubles; an unverified one stays low.
 func (p *Policy) ramp(server *server) float64 {
 	part := math.Min(1, recoveryShare*math.Exp2((p.now-server.readmittedMs)/recoveryDoublingMs))
 	if p.cold(server) {
@@ -26,15 +26,16 @@
 	return part
 }
 
-// capacities are the paper's C of usable servers in parts of all demand, which is in requests per second. They are scaled
-// to demand with some headroom; those on a ramp are not scaled up.
+// capacities are the paper's C of usable servers in parts of all demand, which is in requests per second.
+// They are scaled to demand with some headroom; those on a ramp are not scaled up.
 func (p *Policy) capacities(servers []*server, demand float64) []float64 {
 	C := make([]float64, len(servers))
 	warm, warming := 0.0, 0.0
 	verified := filter(servers, func(server *server) bool { return !p.unverified(server) })
 	listed := sumBy(verified, func(server *server) float64 { return server.RelativeCapacity })
 	listed = math.Max(listed, minRelativeCapacity)
-	// A ramp is of what the fleet succeeds in, not of demand: in an overload all requests run to the least busy.
+	// A ramp is of what the fleet succeeds in, not of demand: in an overload all requests run to the least
+	// busy.
 	served := math.Max(p.succeededRate, minDemand*demand) / math.Max(demand, minDemand)
 	served = math.Min(1, served)
 	for j, server := range servers {
@@ -56,8 +57,8 @@
 	return C
 }
 
-// relativeSpeed is the speed of a server by its baseline latency, 1 for the middle one, less at once while it is more
-// overloaded than the fleet.
+// relativeSpeed is the speed of a server by its baseline latency, 1 for the middle one, less at once while it
+// is more overloaded than the fleet.
 func (p *Policy) relativeSpeed(server *server) float64 {
 	if server.baselineMs <= 0 || p.baselineMs <= 0 {
 		return 1
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -2,77 +2,73 @@
 
 import "math"
 
-// All tuned values, each with its unit and the reason for it. A part or share has no unit. Measurements are in
-// docs/design.md and docs/results.md.
-
-// The solver and what it is given.
+// All tuned values, each with its unit and reason; parts and shares have no unit. See also docs/design.md.
 const (
+	// The solver and what it is given.
+
 	solveIntervalMs     = 2500.0 // half the design's 5 s: two cohorts then give each proxy updates every 5 s
 	admmIterations      = 20     // the paper's ADMM-20
 	capacityHeadroom    = 1.01   // capacities over demand; more idles the dearest servers of a linear cost
 	recoveryHeadroom    = 0.4    // more of it while latencies are low; requests then stay in their zone
-	costScale           = 0.3    // cost of an average entry in units of an average share; rho 1 converges with it
+	costScale           = 0.3    // cost of an average entry in average shares; rho 1 converges with it
 	maxLambda           = 4.0    // in the same unit; a price beyond it outlives the overload that made it
 	minDemand           = 0.02   // part of a client's fair demand; an idle client still needs a sound table
 	maxDemandShift      = 0.3    // part of all demand that moved; old prices and shares are forgotten then
 	minReadyCapacity    = 0.5    // part of demand that warm servers get however much cold ones are given
 	minSpeedAttempts    = 4      // attempts in the window before its latency and failures count for capacity
-	minCapacity         = 0.08   // part of a nominal capacity; with less an outlier or unverified server is silent
+	minCapacity         = 0.08   // part of a nominal capacity; with less a server is silent
 	minRelativeCapacity = 1e-6   // of a server in the list; guards divisions by the sum of the fleet
 	overloadSlack       = 1.5    // times the fleet's ratio of latency to baseline; load reports are noisy
 	minBaselineSamples  = 3      // load reports after which a baseline counts half; fewer are chance
 	minBaselineRequests = 2      // successes in a load report that may set a baseline
 	baselineQuantile    = 4      // a baseline is the lower quartile of means, as these are noisy
-)
 
-// Sizes of tables and changes to them.
-const (
+	// Sizes of tables and changes to them.
+
 	minCohorts               = 2      // of a client's table; half the proxies try a split first
-	refreshMs                = 1000.0 // channel time for all entries of all proxies; a rush of joins fits then
+	refreshMs                = 1000.0 // channel time for all entries of all proxies; many joins fit then
 	connectionQuota          = 0.4    // part of the smallest server's connections; full ones work slower
-	minRequestsPerConnection = 5.0    // before an entry's connection idles out; with fewer it is opened ever anew
+	minRequestsPerConnection = 5.0    // before an entry's connection idles out; fewer reopen it
 	minTableEntries          = 8      // a table keeps most of its servers when a fifth fails
 	minEntries               = 3      // of a client; two may be lost at once before a table is empty
 	minWeightChange          = 0.25   // part of a weight, or of an average one; less is noise
-	minWarmingShare          = 4      // a server in slow start keeps an entry this many times smaller than others
+	minWarmingShare          = 4      // times smaller that an entry of a warming server may be
+	balanceRounds            = 20     // of scaling weights to shares, as many as of ADMM
 	weightSteps              = 1e4    // steps of a weight, 1 at the most
-	urgentIntervalMs         = 1500.0 // between urgent entries of a table; messages are few where tables run empty
+	urgentIntervalMs         = 1500.0 // between urgent entries of a table; messages may be few
 	maxMissingWeight         = 0.4    // part of a table's weight; with more missing, entries are urgent
 	weightTolerance          = 0.005  // share of a table that an entry may exceed its target by; rounding
-	overTargetFactor         = 1.5    // times its target that an entry may have before it is urgent to lower it
-)
+	overTargetFactor         = 1.5    // times its target that an entry may have; more is urgent
+
+	// Load reports and slow start.
 
-// Load reports and slow start.
-const (
 	maxSamples          = 24     // load reports kept of each server and proxy; a baseline is sought in all
 	minWindowMs         = 3500.0 // three load reports or more; longer windows show a fault too late
 	reportRounds        = 1.5    // rounds of load reports in a window at least; each server is in one of them
 	slowStartDoublingMs = 5000.0 // the design's doubling time of a new server's capacity
 	slowStartMargin     = 0.8    // part of the cold share to begin with; the pick of two may double it
 	idleClassRate       = 0.01   // requests per second; weight of an idle class in the mean latency objective
-)
 
-// Ejection of outliers and their return.
-const (
-	ejectionThreshold       = 6.0     // nats; a dozen failures without success, one false alarm in 400 reports
+	// Ejection of outliers and their return.
+
+	ejectionThreshold       = 6.0     // nats; a dozen failures without success, 1 of 400 false
 	maxSampleEvidence       = 4.0     // nats that one load report may add; one odd report is never enough
-	unverifiedEvidence      = 2.0     // times the evidence against an unverified server; it may be none of ours
+	unverifiedEvidence      = 2.0     // times the evidence on unverified servers; not ours maybe
 	deadFailureShare        = 0.99    // of a dead server; one that succeeds at all is full or slow, not dead
 	minOverloadFailureShare = 0.6     // of a full server, at least; its capacity shrinks, it is not ejected
-	maxOverloadFailureShare = 0.95    // at most, where the middle server fails half; an overload ejects nobody
+	maxOverloadFailureShare = 0.95    // at most, where the middle one fails half or more
 	overloadFailureFactor   = 2       // times the middle server's failures that a full server may have
-	maxEjected              = 0.3     // part of the fleet, or of requests failed; with more, evidence is distrusted
+	maxEjected              = 0.3     // part of the fleet, or of requests; with more, evidence is distrusted
 	ejectionMs              = 5000.0  // first ejection, doubled by each; also the age to be judged at
 	maxEjectionMs           = 20000.0 // longest ejection, as the longest hangs
-	maxEjectedForColdRest   = 0.8     // part of the fleet out while cold ones rest; the others are mostly warm
+	maxEjectedForColdRest   = 0.8     // part of the fleet out while cold ones rest; others are warm
 	maxNewProxies           = 3       // one new proxy in this many makes demand uncertain
-	recoveryShare           = 0.2     // of its capacity that a server returns with; another ejection costs little
+	recoveryShare           = 0.2     // of its capacity that a server returns with, at little risk
 	recoveryDoublingMs      = 1500.0  // of that share; full again in some three report periods
 	forgetRemovedMs         = 600e3   // a removed server in no table is remembered; its name may come back
-)
 
-// Admission.
-const (
+	// Admission.
+
 	admissionIntervalMs  = 2000.0 // a rate shows in the load reports after about this time
 	overloadThreshold    = 0.5    // latency over its objective; above it a tenth or so is late
 	recoveryThreshold    = 0.35   // below it failures are no overload; also of the wait, when rates may rise
@@ -84,16 +80,14 @@
 	admissionIncrease    = 0.3    // more admitted a step while nothing waits, less near recoveryThreshold
 	minAdmission         = 0.1    // of a traffic class; some of it shows whether the overload is over
 	admissionSteps       = 20     // steps of an admission rate; finer ones cost messages
-)
 
-// The control channel and timers.
-const (
-	maxQueueSlowdown   = 6.0    // times slower that the channel may be, until an acknowledgement shows otherwise
-	pollsUntilNotified = 3      // polls at least while an update that was not requested would arrive
-	pollBackoffMs      = 1200.0 // first wait after a failed poll of the endpoint list, doubled each time
-	// acknowledgementNumbers is how many numbers the platform has; more requests are never unanswered at once.
-	acknowledgementNumbers = 65536
-	evaluationIntervalMs   = 200.0 // between evaluations without input; well under every grace
+	// The control channel and timers.
+
+	maxQueueSlowdown       = 6.0    // times slower that the channel is while answers are late
+	pollsUntilNotified     = 3      // polls at least while an update that was not requested would arrive
+	pollBackoffMs          = 1200.0 // first wait after a failed poll of the endpoint list, doubled each time
+	acknowledgementNumbers = 65536  // numbers that the platform has
+	evaluationIntervalMs   = 200.0  // between evaluations without input; well under every grace
 )
 
 // Urgency of an order: deferrable work leaves room for what cannot wait, and both for what the rules ask for.
--- a/policy/host.go
+++ b/policy/host.go
@@ -1,65 +1,67 @@
 package policy
 
-// Idempotency says what happens when a flow of a traffic group runs twice.
+// Idempotency says what happens when a request of a traffic class runs twice.
 type Idempotency int
 
+// What a class's requests are.
 const (
 	NonIdempotent Idempotency = iota // must never run twice
-	Deduplicated                     // servers of one scope drop a repeat within a window
+	Deduplicated                     // servers of one scope ignore a repeat within a window, by idempotency key
 	Idempotent                       // may run again
 )
 
-// Retry modes of Host.Admit.
+// Retry modes of Host.SetAdmission.
 const (
 	RetryNever       = 0
-	RetryUnprocessed = 1 // one more try, after proof that the first never ran
-	RetryOnce        = 2 // one more try after any failure
-	RetryTwice       = 3 // two more tries after any failure
+	RetryUnprocessed = 1 // one retry, after proof that the first attempt never ran
+	RetryOnce        = 2 // one retry after any failure
+	RetryTwice       = 3 // two retries after any failure
 )
 
-// AllTables, as a table number of Host.Admit, means every joined proxy.
+// AllTables is the table number that means every joined proxy to Host.SetAdmission.
 const AllTables = 65535
 
-// TrafficClass is one row of the settings' traffic group table.
+// TrafficClass is what the settings say of a traffic class. Its index there is its number.
 type TrafficClass struct {
-	LatencyObjectiveMs float64 // latency budget
-	PriorityWeight     float64
+	LatencyObjectiveMs float64
+	PriorityWeight     float64 // what a request within the objective is worth, comparable across classes
 	Idempotency        Idempotency
 	SameZoneOnly       bool // may go only to servers of the proxy's zone
 }
 
-// Settings are given once, when a planner starts.
+// Settings are given once, when a planner starts. A table entry sent to one proxy is the unit of the channel.
 type Settings struct {
-	Zones                int
+	Zones                int // numbered from 0
 	Classes              []TrafficClass
-	DefaultRetry         int     // the retry mode of a proxy that was told none
-	PartialAdmission     bool    // proxies heed admission levels that are shares
-	WatchRequired        bool    // the list comes only to those who ask
-	AssumeNotifiedMs     float64 // an unasked list counts as told after this long
-	Sharded              bool    // tables are key slices handed out by a store
-	EntriesPerSecond     float64 // lines a second that the channel sends when healthy
-	MessageOverhead      float64 // lines that a message costs beyond its own
-	MaxBacklog           float64 // lines that may wait in the channel
+	DefaultRetry         int     // the retry mode of a proxy that no order has reached
+	PartialAdmission     bool    // proxies heed admission rates between 0 and 1
+	WatchRequired        bool    // the endpoint list comes only to those who ask
+	AssumeNotifiedMs     float64 // a list that comes by itself counts as received after this long
+	Sharded              bool    // tables are key ranges handed out by a store; the policy has none of its own
+	EntriesPerSecond     float64 // that the channel sends when healthy
+	MessageOverhead      float64 // entries that a message costs beyond its own
+	MaxBacklog           float64 // entries that may wait in the channel
 	MaxMessages          int     // messages to one proxy within MessageWindowMs, 0: no limit
 	MessageWindowMs      float64
 	MaxPropagationMs     float64 // longest way of a message after the channel
-	ReportIntervalMs     float64
-	ColdCapacity         float64 // share of its capacity that a server starts with
+	ReportIntervalMs     float64 // between two load reports of a server
+	ColdCapacity         float64 // part of its capacity that a server starts with
 	SlowStartMs          float64 // time after which a server is warm
 	DrainGraceMs         float64 // time after which nothing may be sent to a server known to drain
-	ColdOverloadWindowMs float64 // window in which a cold server sent too much falls over
-	CrossZoneCost        float64 // utility lost by a flow that leaves its zone
-	Proxies              int     // proxies of all planners
-	Planners             int
-	MinServerConnections float64 // connections that the smallest server accepts
+	ColdOverloadWindowMs float64 // window in which a cold server with too many requests fails
+	CrossZoneCost        float64 // of a request that leaves its zone, in parts of the latency objective
+	Proxies              int     // of all planners
+	Planners             int     // that share the proxies, this one included
+	MinServerConnections float64 // that the smallest server accepts
 	IdleTimeoutMs        float64 // time after which a proxy closes an unused connection
 	OmitsEjected         bool    // the host leaves withdrawn servers out of a table that it binds, until they are let back
-	ReadmitByWeight      bool    // the host ends a withdrawal, where no table holds the server, with the line that brings it back
+	ReadmitByWeight      bool    // the host ends an ejection with the first weight, where no table holds the server
 }
 
-// State of a server in the list.
+// State of a server in the endpoint list.
 type State int
 
+// States in the order in which a server takes them on.
 const (
 	Ready State = iota
 	Draining
@@ -68,31 +70,41 @@
 
 // Endpoint is one server of the list.
 type Endpoint struct {
-	Server           string
+	Server           string // its name
 	Zone             int
 	State            State
-	RelativeCapacity float64 // relative size, comparable across servers
-	StartedMs        float64 // latest start, 0: long past
+	RelativeCapacity float64 // comparable across servers, in any unit
+	StartedMs        float64 // its last start, 0: long past
 }
 
-// UpdateKind says how a list is meant.
+// UpdateKind says what an update of the list holds.
 type UpdateKind int
 
+// Kinds of updates.
 const (
 	DeltaUpdate    UpdateKind = iota // only what changed
 	FullUpdate                       // every server there is
 	RestoredUpdate                   // every server as last held before a restart, perhaps stale
-	FailedUpdate                     // a call for the list failed; nothing came
+	FailedUpdate                     // nothing: a poll failed
 )
 
-// Host carries out decisions. Each method is one decision.
+// Host carries out decisions. Each method is one decision, and is called by Policy.Next alone. A host must not change the
+// slices that it is given.
 type Host interface {
+	// SetWeight sets the weight of a server in a table, above 0 to 1; with 0 it leaves the table. It goes to all proxies
+	// that follow the table, and a table exists from its first weight on.
 	SetWeight(table int, server string, weight float64)
+	// AssignTable has a proxy follow a table, with all its weights, for some traffic classes.
 	AssignTable(proxy, table int, groups []int)
 	SetEjected(server string, out, includeUnassigned bool) // also at proxies not bound yet, which may go by tables of others
 	EndInheritedEjections(proxy int, servers []string)     // ends, where nothing here withdraws them, withdrawals that another planner may have ordered
-	SetAdmission(table, group int, share float64, retry int)
+	// SetAdmission sets the part, 0 to 1, that proxies of a table admit of a traffic class, and its retry mode.
+	SetAdmission(table, class int, rate float64, retry int)
+	// RequestAcknowledgement asks each proxy that has a message at this time to acknowledge it with the number, which
+	// Policy.Acknowledge is then called with.
 	RequestAcknowledgement(number int)
+	// WatchEndpoints asks for the endpoint list, which Policy.UpdateEndpoints is then called with.
 	WatchEndpoints()
+	// SetTimer has Policy.SetTime and Policy.Next called after a time in ms, whatever else happens.
 	SetTimer(inMs float64)
 }
--- a/policy/measurements.go
+++ b/policy/measurements.go
@@ -1,9 +1,31 @@
 package policy
 
-import "math"
+import (
+	"math"
+	"slices"
+)
 
 // Measurements are what decisions go by: demand, and figures of servers and of the fleet. They decide nothing.
 
+// evaluate works out the figures that decisions need of servers, proxies and tables.
+func (p *Policy) evaluate() {
+	p.measureRound()
+	p.evaluateServers()
+	for _, table := range p.tables {
+		table.entries = filter(table.entries, (*entry).live)
+		table.proxies = nil
+		table.rate = 0
+	}
+	for index := range p.admission {
+		p.admission[index].demand = 0
+	}
+	for _, proxy := range p.proxies {
+		p.assignCohort(proxy)
+		p.countDemand(proxy)
+	}
+	p.averageObjective()
+}
+
 // evaluateServers works out each server's figures and those of the middle one of the fleet.
 func (p *Policy) evaluateServers() {
 	p.succeededRate = 0
@@ -158,3 +180,17 @@
 	total.latencyMs /= math.Max(total.succeeded, 1)
 	return total
 }
+
+// zoneLatencies are the lowest baseline latencies of each zone in ms. Within a zone, lows show the speed of
+// servers, which their capacities have already.
+func (p *Policy) zoneLatencies(servers []*server) []float64 {
+	lowest := slices.Repeat([]float64{p.typicalLatency()}, p.set.Zones)
+	for _, server := range servers {
+		if server.baselineMs > 0 {
+			lowest[server.Zone] = math.Min(lowest[server.Zone], server.baselineMs)
+		}
+	}
+	return lowest
+}
+
+func (p *Policy) typicalLatency() float64 { return math.Max(p.baselineMs, 1) }
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -7,15 +7,15 @@
 // usable says whether a server may get requests.
 func (s *server) usable() bool { return s.State == Ready && !s.unhealthy }
 
-// unverified says whether a server is new to the list and never succeeded, though it is said to run since long ago:
-// a wrong list may name some that are not ours. One that says when it started is new, and has slow start.
-// Harm: a wrong list with start times would be believed until the evidence is in.
+// unverified says whether a server is new to the list and never succeeded, though it is said to run since
+// long ago: a wrong list may name some that are not ours. One that says when it started is new, and has slow
+// start. Harm: a wrong list with start times would be believed until the evidence is in.
 func (p *Policy) unverified(server *server) bool {
 	return p.anySuccess && !server.proven && server.discoveredLate && server.StartedMs == 0
 }
 
-// restartServer is about a server that came back cold under its old name: its reports are void. What old tables sent
-// it counts as overload of a cold server, so it rests until that is out of the window.
+// restartServer is about a server that came back cold under its old name: its reports are void. What old
+// tables sent it counts as overload of a cold server, so it rests until that is out of the window.
 func (p *Policy) restartServer(server *server, startedMs float64) {
 	server.samples = nil
 	server.sinceMs = p.now
@@ -30,8 +30,8 @@
 	return server.State == Removed && p.now-server.notified > forgetRemovedMs && !server.inAnyTable()
 }
 
-// updateEjections runs the sequential test on each ready server and ends ejections whose time has come. Many outliers at
-// once are more likely a fault of reports, so only some of the fleet may be out.
+// updateEjections runs the sequential test on each ready server and ends ejections whose time has come. Many
+// outliers at once are more likely a fault of reports, so only some of the fleet may be out.
 func (p *Policy) updateEjections() {
 	fleet := filter(p.servers, func(server *server) bool { return server.State == Ready && !p.unverified(server) })
 	size := float64(len(fleet))
@@ -55,7 +55,8 @@
 	}
 }
 
-// demandUncertain says whether most of the fleet fails, or may fail before reports show it as many proxies are new.
+// demandUncertain says whether most of the fleet fails, or may fail before reports show it as many proxies
+// are new.
 func (p *Policy) demandUncertain() bool {
 	added := filter(p.proxies, func(proxy *proxy) bool { return p.now-proxy.joined < ejectionMs })
 	return p.failureShare > maxEjected || len(added) > len(p.proxies)/maxNewProxies
@@ -79,8 +80,8 @@
 	p.unsolved = true
 }
 
-// evidence is a CUSUM of log likelihood ratios in nats that a server is dead rather than sound, by failures and by
-// silence where requests were sent.
+// evidence is a CUSUM of log likelihood ratios in nats that a server is dead rather than sound, by failures
+// and by silence where requests were sent.
 func (p *Policy) evidence(server *server) float64 {
 	score, lastMs := p.failureEvidence(server)
 	score += p.silenceEvidence(server, lastMs)
@@ -90,8 +91,9 @@
 	return score
 }
 
-// failureEvidence adds up load reports on requests sent after the server's last change. It also gives the time in ms
-// from which on the server is silent. A sound server may be full, and the more so the more the middle one fails.
+// failureEvidence adds up load reports on requests sent after the server's last change. It also gives the
+// time in ms from which on the server is silent. A sound server may be full, and the more so the more the
+// middle one fails.
 func (p *Policy) failureEvidence(server *server) (score, lastMs float64) {
 	soundShare := math.Max(minOverloadFailureShare, overloadFailureFactor*p.failureShare)
 	soundShare = math.Min(soundShare, maxOverloadFailureShare)
@@ -111,8 +113,8 @@
 	return score, lastMs
 }
 
-// silenceEvidence is about reports that are missing since a time. A round of reports is longer the more there are; so
-// only what is missing from a round counts as silence.
+// silenceEvidence is about reports that are missing since a time. A round of reports is longer the more there
+// are; so only what is missing from a round counts as silence.
 func (p *Policy) silenceEvidence(server *server, lastMs float64) float64 {
 	silentMs := p.reportedMs - lastMs - reportRounds*p.roundMs
 	if silentMs <= 0 || server.ejected {
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -7,8 +7,8 @@
 // observeChannel takes the channel for slow when an acknowledgement took twice the longest way.
 func (p *Policy) observeChannel(tookMs float64) { p.queueSlow = tookMs > 2*p.set.MaxPropagationMs }
 
-// queue gives the backlog as of now: entries, and messages as entries, that wait in the channel. It drains at the
-// channel's rate, and is never more than what has not arrived for all that is known.
+// queue gives the backlog as of now: entries, and messages as entries, that wait in the channel. It drains at
+// the channel's rate, and is never more than what has not arrived for all that is known.
 func (p *Policy) queue() float64 {
 	drained := (p.now - p.countedMs) * p.set.EntriesPerSecond / 1000
 	if p.queueSlow {
@@ -20,15 +20,16 @@
 	return p.backlog
 }
 
-// unsure are the entries that no acknowledgement shows to have arrived: at the most, these wait, however slow the
-// channel is. Those to proxies that left count until the channel could have sent them.
+// unsure are the entries that no acknowledgement shows to have arrived: at the most, these wait, however slow
+// the channel is. Those to proxies that left count until the channel could have sent them.
 func (p *Policy) unsure() float64 {
 	return p.departedBacklog + sumBy(p.proxies, func(proxy *proxy) float64 {
 		return proxy.ordered - proxy.acknowledged
 	})
 }
 
-// spendBudget counts an order of so many entries to each of some proxies, if there is room for it at its urgency.
+// spendBudget counts an order of so many entries to each of some proxies, if there is room for it at its
+// urgency.
 func (p *Policy) spendBudget(entries float64, recipients []*proxy, urgency int) bool {
 	first := filter(recipients, func(proxy *proxy) bool { return !proxy.reached(p.now) })
 	if !p.hasMessages(first, urgency) {
@@ -60,8 +61,9 @@
 	return true
 }
 
-// receipt requests acknowledgements of this evaluation's messages: once a solve, and more often while much may wait.
-func (p *Policy) receipt(host Host) bool {
+// requestAcknowledgements requests acknowledgements of this evaluation's messages: once a solve, and more
+// often while much may wait.
+func (p *Policy) requestAcknowledgements(host Host) bool {
 	needless := p.acknowledgedSolve == p.solves || p.lagging
 	if needless && p.unsure() < p.set.MaxBacklog*queueShare[urgent]/2 {
 		return false
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,8 +1,3 @@
-// Package policy decides for one planner: which tables its proxies follow, and when they hear of it.
-//
-// How to call it: New at each start, then the input methods after a SetTime with the time; they only update what
-// is known. Then Next until it says false: each call makes at most one decision, by one call on the Host. The
-// interface is in host.go, the reasons in docs/design.md.
 package policy
 
 import (
@@ -38,25 +33,6 @@
 	return true
 }
 
-// evaluate works out the figures that decisions need of servers, proxies and tables.
-func (p *Policy) evaluate() {
-	p.measureRound()
-	p.evaluateServers()
-	for _, table := range p.tables {
-		table.entries = filter(table.entries, (*entry).live)
-		table.proxies = nil
-		table.rate = 0
-	}
-	for index := range p.admission {
-		p.admission[index].demand = 0
-	}
-	for _, proxy := range p.proxies {
-		p.assignCohort(proxy)
-		p.countDemand(proxy)
-	}
-	p.averageObjective()
-}
-
 // measureRound sets how far reports are looked back for. A round of them, in which each server reports once, takes longer
 // where there are more than the intake lets through.
 func (p *Policy) measureRound() {
@@ -129,7 +105,7 @@
 	if !p.lagging {
 		p.pendingDecisions = append(p.pendingDecisions, lines[deferrable]...)
 	}
-	p.pendingDecisions = append(p.pendingDecisions, p.receipt)
+	p.pendingDecisions = append(p.pendingDecisions, p.requestAcknowledgements)
 }
 
 // mask shuts out a server that drains, is gone or was judged bad, or lets one back once no table holds more
--- a/policy/problem.go
+++ b/policy/problem.go
@@ -109,6 +109,9 @@
 // live says whether an entry is wanted, or has to be taken back still.
 func (e *entry) live() bool { return e.target > 0 || e.sent > 0 }
 
+// demand is what an entry's target gives the server.
+func (e *entry) demand() float64 { return e.target * e.table.demand() }
+
 func (s *server) inAnyTable() bool { return slices.ContainsFunc(s.entries, (*entry).inUse) }
 
 func (t *table) clearTargets() {
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -8,14 +8,14 @@
 
 // Tables: when the split is solved for, what the solver is given, and the weights that tables should hold.
 
-// solveIfDue solves every few seconds, and soon after servers came or left or a proxy joined an unused cohort. With no
-// server to use, tables keep what they hold.
+// solveIfDue solves every few seconds, and soon after servers came or left or a proxy got an unused table.
 func (p *Policy) solveIfDue() {
 	servers := filter(p.servers, (*server).usable)
 	sinceMs := p.now - p.solvedMs
 	hasNews := p.unsolved || p.emptyTable
-	if len(servers) == 0 || p.set.Sharded || sinceMs < 2*evaluationIntervalMs || sinceMs < solveIntervalMs && !hasNews {
-		return
+	waits := sinceMs < 2*evaluationIntervalMs || sinceMs < solveIntervalMs && !hasNews
+	if len(servers) == 0 || p.set.Sharded || waits {
+		return // with no server to use, tables keep what they hold
 	}
 	if p.solves == 0 {
 		p.createTables(p.cohortCount(servers))
@@ -31,16 +31,15 @@
 	}
 }
 
-// cohortCount is the number of cohorts of a client: two, or in a large fleet as many as give each server two entries,
-// but each cohort has two proxies.
+// cohortCount is two, or in a large fleet as many as give each server two entries with two proxies a cohort.
 func (p *Policy) cohortCount(servers []*server) int {
 	proxies := float64(p.set.Proxies) / math.Max(float64(p.set.Zones*p.set.Planners), 1)
 	wanted := minCohorts * float64(len(servers)) / float64(p.maxTableSize(servers))
 	return max(minCohorts, int(math.Min(wanted, proxies/minCohorts)))
 }
 
-// maxTableSize is the number of entries that a table should hold: so few that the channel can send all in a second, that
-// servers accept the connections, and that these are used before they idle out.
+// maxTableSize is the number of entries that a table should hold: so few that the channel can send all in a
+// second, that servers accept the connections, and that these are used before they idle out.
 func (p *Policy) maxTableSize(servers []*server) int {
 	proxies := math.Max(float64(p.set.Proxies), 1)
 	joined := float64(len(p.proxies))
@@ -66,9 +65,9 @@
 	p.applySplit(problem)
 }
 
-// unobservedClients are proxies that do not report to us: other planners', or cut off. They are taken to be spread evenly
-// and to have as much demand as ours. Guards against a planner with the proxies of one zone that spreads these over all
-// servers, as if nobody else used the rest.
+// unobservedClients are proxies that do not report to us: other planners', or cut off. They are taken to be
+// spread evenly and to have as much demand as ours. Guards against a planner with the proxies of one zone
+// that spreads these over all servers, as if nobody else used the rest.
 func (p *Policy) unobservedClients(demand float64) []*client {
 	var clients []*client
 	for zone := range p.set.Zones {
@@ -80,8 +79,8 @@
 	return clients
 }
 
-// startsOver says whether old prices and shares are forgotten: after a shift of demand or servers, and while a server is
-// on its ramp, or was at the last solve.
+// startsOver says whether old prices and shares are forgotten: after a shift of demand or servers, and while
+// a server is on its ramp, or was at the last solve.
 func (p *Policy) startsOver(servers []*server, shifted bool) bool {
 	ramps := slices.ContainsFunc(servers, func(server *server) bool { return p.ramp(server) < 1 })
 	startOver := shifted || ramps || p.ramps
@@ -89,21 +88,7 @@
 	return startOver
 }
 
-// zoneLatencies are the lowest baseline latencies of each zone in ms. Within a zone, lows show the speed of servers, which
-// their capacities have already.
-func (p *Policy) zoneLatencies(servers []*server) []float64 {
-	lowest := slices.Repeat([]float64{p.typicalLatency()}, p.set.Zones)
-	for _, server := range servers {
-		if server.baselineMs > 0 {
-			lowest[server.Zone] = math.Min(lowest[server.Zone], server.baselineMs)
-		}
-	}
-	return lowest
-}
-
-func (p *Policy) typicalLatency() float64 { return math.Max(p.baselineMs, 1) }
-
-// costs are what a request of a client costs at each server: the paper's L, with a price for leaving the zone.
+// costs are the paper's L of a client's request at each server, with a price for leaving the zone.
 func (p *Policy) costs(client *client, servers []*server, zoneLatencies []float64) []float64 {
 	costs := make([]float64, len(servers))
 	sameZoneOnly := len(client.classes) > 0 && p.set.Classes[client.classes[0]].SameZoneOnly
@@ -123,7 +108,7 @@
 // applySplit turns each client's alphas into what its tables should hold.
 func (p *Policy) applySplit(problem *splitProblem) {
 	load := problem.load()
-	// Late reports are relied on less: when a shift between zones shows, the servers of one have filled already.
+	// Late reports are relied on less: when a shift between zones shows, the servers of one are full.
 	late := math.Max(0, 1-minWindowMs/p.roundMs)
 	smallest := minWeightChange / float64(len(problem.servers))
 	for i, client := range p.clients {
@@ -145,7 +130,7 @@
 	}
 }
 
-// fillTables shares a client's servers out over its tables, all to each in a small fleet, and sets the weights.
+// fillTables shares a client's servers out over its tables, all to each in a small fleet.
 func (p *Policy) fillTables(client *client, wanted []*serverShare, maxSize int, smallest float64) {
 	shares, total := p.dropSmallShares(wanted, smallest)
 	tables := filter(client.tables, func(table *table) bool { return table.rate > 0 || client.demand == 0 })
@@ -163,9 +148,11 @@
 	p.balanceWeights(tables, shares, total)
 }
 
-// dropSmallShares leaves out shares that are not worth their connections, but keeps a few of each client, and those of
-// warming servers, which are small for a time only. It gives the rest, largest first, and their sum.
-func (p *Policy) dropSmallShares(wanted []*serverShare, smallest float64) (kept []*serverShare, total float64) {
+// dropSmallShares leaves out shares that are not worth their connections, but keeps a few of each client, and
+// those of warming servers, which are small for a time only. It gives the rest, largest first, and their sum.
+func (p *Policy) dropSmallShares(wanted []*serverShare, smallest float64) ([]*serverShare, float64) {
+	var kept []*serverShare
+	total := 0.0
 	slices.SortStableFunc(wanted, func(a, b *serverShare) int { return cmp.Compare(b.share, a.share) })
 	for _, share := range wanted {
 		warming := p.ramp(share.server) < 1 && share.share > smallest/minWarmingShare
@@ -178,8 +165,8 @@
 	return kept, total
 }
 
-// takeServers chooses the servers of one table out of those of its client: first, as changes cost entries, those that it
-// holds, then those that the fewest tables hold.
+// takeServers chooses the servers of one table out of those of its client: first, as changes cost entries,
+// those that it holds, then those that the fewest tables hold.
 func (t *table) takeServers(shares []*serverShare, tables, count int) {
 	for _, share := range shares {
 		share.rank = len(share.entries)
@@ -194,17 +181,16 @@
 	}
 }
 
-// balanceWeights sets weights with which a client's tables, by the demand of each, together give each server its share.
-// Servers and tables are scaled in turn; the last time only servers on a ramp are, and down, so that none gets more.
+// balanceWeights sets weights with which tables, by the demand of each, together give each server its share.
+// Servers and tables are scaled in turn; the last time only servers on a ramp are, and down only.
 func (p *Policy) balanceWeights(tables []*table, shares []*serverShare, total float64) {
 	demand := sumBy(tables, (*table).demand)
 	eachEntry(shares, func(share *serverShare, entry *entry) { entry.target = share.share })
-	for round := range admmIterations + 1 {
+	for round := range balanceRounds + 1 {
 		sums := map[*table]float64{}
 		for _, share := range shares {
-			got := sumBy(share.entries, func(entry *entry) float64 { return entry.target * entry.table.demand() }) / demand
-			factor := share.share / total / got
-			if round == admmIterations && (factor > 1 || p.ramp(share.server) >= 1) {
+			factor := share.share / total / (sumBy(share.entries, (*entry).demand) / demand)
+			if round == balanceRounds && (factor > 1 || p.ramp(share.server) >= 1) {
 				factor = 1
 			}
 			for _, entry := range share.entries {
@@ -219,7 +205,7 @@
 	})
 }
 
-// demand is a table's part in the balance; one without proxies needs sound weights, too.
+// demand is a table's in the balance; one without proxies needs sound weights, too.
 func (t *table) demand() float64 { return math.Max(t.rate, minDemand) }
 
 // assignCohort gives a proxy that follows no table yet the cohort of its zone that has the least demand.
@@ -227,8 +213,9 @@
 	if p.parts == 0 || proxy.cohort >= 0 && proxy.bound[0] != nil {
 		return
 	}
-	for number, table := range p.clients[proxy.zone*p.parts].tables {
-		if proxy.cohort < 0 || table.rate < p.clients[proxy.zone*p.parts].tables[proxy.cohort].rate {
+	tables := p.clients[proxy.zone*p.parts].tables
+	for number, table := range tables {
+		if proxy.cohort < 0 || table.rate < tables[proxy.cohort].rate {
 			proxy.cohort = number
 		}
 	}
