--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -695,7 +695,7 @@
 	}
 }
 
-func (o policyHost) AssignTable(proxy, number int, groups []int) {
+func (o policyHost) AssignTable(proxy, number int, groups []int, _ []string) {
 	p, t := o.c.peers[proxy], o.c.registry.Table(number)
 	if p == nil || !p.commanded {
 		return
@@ -731,8 +731,8 @@
 	}
 }
 
-// EndInheritedEjections does nothing: a proxy states which servers it has ejected when it joins, and AddProxy's caller aligns them.
-func (o policyHost) EndInheritedEjections(int, []string) {}
+// RestoreServers does nothing: a proxy states which servers it has ejected when it joins, and AddProxy's caller aligns them.
+func (o policyHost) RestoreServers(int, []string) {}
 
 func (o policyHost) SetAdmission(number, group int, share float64, retry int) {
 	if number != policy.AllTables {
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -60,7 +60,7 @@
 // NewCore makes a planner at a time in Unix ms. All chance comes from the seed.
 func NewCore(settings simulator.Settings, seed int64, nowMs float64) *Core {
 	settings.Policy.ReadmitByWeight = true // as policyHost does in SetWeight
-	settings.Policy.OmitsEjected = true    // as policyHost does in AssignTable
+	settings.Policy.OmitsEntries = true    // as policyHost does in AssignTable
 	core := &Core{
 		settings:        settings,
 		policy:          policy.New(settings.Policy, seed),
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -13,8 +13,7 @@
 	// Proxies that this planner has notified of the server's ejection, and those that another planner, or an earlier
 	// incarnation of this one, may have notified.
 	notified, possiblyNotified proxySet
-	// Proxies whose assigned tables were sent without this server, as it was ejected then. Saves the channel during a
-	// release: with a third of a table ejected, those entries and their ejections were two fifths of an assignment.
+	// Proxies whose assigned tables were sent without this server.
 	omitted proxySet
 	// Reports since the last WriteState.
 	requests, failed, latencySumMs float64 // the sum is of the requests that succeeded
--- a/internal/platform/policyhost.go
+++ b/internal/platform/policyhost.go
@@ -35,9 +35,9 @@
 }
 
 // AssignTable has a proxy go by a table for some traffic classes. The table is sent complete, by which the proxy forgets
-// the admission rates of before, so that these are sent again. Ejected servers are omitted until they are readmitted.
-// Ejections that the proxy may hold from another planner are left to EndInheritedEjections.
-func (h policyHost) AssignTable(proxyID, tableNumber int, classes []int) {
+// the admission rates of before, so that these are sent again. Entries of omitted servers are sent when these are
+// restored or readmitted. Ejections that the proxy may hold from another planner are left to RestoreServers.
+func (h policyHost) AssignTable(proxyID, tableNumber int, classes []int, omittedServers []string) {
 	publisher := &h.core.publisher
 	p := h.core.proxies.byID[proxyID]
 	table := publisher.registry.Table(tableNumber)
@@ -50,7 +50,6 @@
 	for _, class := range classes {
 		update.admission[class] = publisher.registry.Admission[class].Set
 	}
-	complete := publisher.allEjected(table) // a table is never sent empty
 	for _, entry := range table.Entries {
 		e := h.core.endpoints.byName[entry.Server]
 		if e == nil {
@@ -58,7 +57,7 @@
 		}
 		ejected := publisher.registry.Ejected[entry.Server]
 		notified := e.notified.contains(proxyID)
-		omitted := ejected && !notified && !complete
+		omitted := slices.Contains(omittedServers, entry.Server)
 		e.omitted.set(proxyID, omitted)
 		if !omitted && (ejected || notified) {
 			publisher.alignEjection(p, e)
@@ -66,15 +65,22 @@
 	}
 }
 
-// EndInheritedEjections has a proxy readmit servers that another planner may have ejected there, unless they are ejected
-// by this planner too.
-func (h policyHost) EndInheritedEjections(proxyID int, servers []string) {
+// RestoreServers sends a proxy the omitted entries of servers, and has it readmit those that another planner may have
+// ejected there. Servers that this planner has ejected stay omitted and ejected.
+func (h policyHost) RestoreServers(proxyID int, servers []string) {
 	p := h.core.proxies.byID[proxyID]
 	if p == nil { // it left after the policy's last evaluation
 		return
 	}
 	for _, server := range servers {
-		h.core.publisher.alignEjection(p, h.core.endpoints.byName[server])
+		e := h.core.endpoints.byName[server]
+		if e == nil || h.core.publisher.registry.Ejected[server] {
+			continue
+		}
+		if e.omitted.contains(proxyID) {
+			h.core.publisher.sendOmitted(p, e)
+		}
+		h.core.publisher.alignEjection(p, e)
 	}
 }
 
--- a/internal/platform/publisher.go
+++ b/internal/platform/publisher.go
@@ -137,14 +137,7 @@
 	return entries
 }
 
-// allEjected says whether a table holds no server that is not ejected.
-func (b *publisher) allEjected(table *weighttable.Table[*proxy]) bool {
-	return !slices.ContainsFunc(table.Entries, func(entry weighttable.Entry) bool {
-		return !b.registry.Ejected[entry.Server]
-	})
-}
-
-// sendOmitted has a proxy sent the entries of a server that was omitted from its tables, as its ejection has ended.
+// sendOmitted has a proxy sent the entries of a server that was omitted from its tables.
 func (b *publisher) sendOmitted(p *proxy, e *endpoint) {
 	e.omitted.set(p.id, false)
 	for class, table := range p.tables {
--- a/internal/scenario/baseline.go
+++ b/internal/scenario/baseline.go
@@ -90,7 +90,7 @@
 	if len(b.unassigned) > 0 && len(b.sentWeights) > 0 {
 		proxyID := b.unassigned[0]
 		b.unassigned = b.unassigned[1:]
-		host.AssignTable(proxyID, baselineTable, b.classes)
+		host.AssignTable(proxyID, baselineTable, b.classes, nil)
 		return true
 	}
 	if !b.timerRequested {
--- a/internal/scenario/decider_test.go
+++ b/internal/scenario/decider_test.go
@@ -56,8 +56,8 @@
 	d.host.SetWeight(table, server, weight)
 }
 
-func (d *editingDecider) EndInheritedEjections(proxyID int, servers []string) {
-	d.host.EndInheritedEjections(proxyID, servers)
+func (d *editingDecider) RestoreServers(proxyID int, servers []string) {
+	d.host.RestoreServers(proxyID, servers)
 }
 
 func (d *editingDecider) SetEjected(server string, ejected, includeUnassigned bool) {
@@ -72,8 +72,8 @@
 	d.host.SetAdmission(table, class, share, retry)
 }
 
-func (d *editingDecider) AssignTable(proxyID, table int, classes []int) {
-	d.host.AssignTable(proxyID, table, classes)
+func (d *editingDecider) AssignTable(proxyID, table int, classes []int, omitted []string) {
+	d.host.AssignTable(proxyID, table, classes, omitted)
 }
 
 func (d *editingDecider) RequestAcknowledgement(number int) { d.host.RequestAcknowledgement(number) }
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -38,7 +38,7 @@
 }
 
 // AssignTable writes that a proxy is to use a table for some traffic classes.
-func (i *instance) AssignTable(proxy, table int, classes []int) {
+func (i *instance) AssignTable(proxy, table int, classes []int, _ []string) {
 	i.actions.assignTable(i.name, proxy, table, classes)
 }
 
@@ -47,8 +47,8 @@
 	i.actions.setEjected(i.name, server, ejected)
 }
 
-// EndInheritedEjections writes nothing: the policy is never told here that a proxy holds ejections of another planner.
-func (i *instance) EndInheritedEjections(int, []string) {}
+// RestoreServers writes nothing: the policy is never told here that a proxy holds ejections of another planner.
+func (i *instance) RestoreServers(int, []string) {}
 
 // SetAdmission writes which fraction of a class's requests is admitted, and its retry mode.
 func (i *instance) SetAdmission(table, class int, fraction float64, retry int) {
--- a/policy/collections.go
+++ b/policy/collections.go
@@ -34,3 +34,12 @@
 	slices.Sort(figures)
 	return figures[len(list)/part]
 }
+
+// serverNames are the names of the servers of some entries.
+func serverNames(entries []*entry) []string {
+	names := make([]string, 0, len(entries))
+	for _, entry := range entries {
+		names = append(names, entry.server.Server)
+	}
+	return names
+}
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -287,8 +287,11 @@
 	}
 }
 
-func (s *simulation) AssignTable(proxy, table int, groups []int) {
+func (s *simulation) AssignTable(proxy, table int, groups []int, omitted []string) {
 	s.record("bind %d %d %d", proxy, table, groups)
+	if len(omitted) > 0 {
+		s.record("omit %v", omitted)
+	}
 	for _, group := range groups {
 		s.proxies[proxy].tables[group] = s.tables[table]
 	}
@@ -340,7 +343,7 @@
 }
 
 // Restore is recorded only: the simulated proxies hold nothing of other planners.
-func (s *simulation) EndInheritedEjections(proxy int, servers []string) {
+func (s *simulation) RestoreServers(proxy int, servers []string) {
 	s.record("restore %d %v", proxy, servers)
 }
 
--- a/policy/host.go
+++ b/policy/host.go
@@ -53,7 +53,7 @@
 	Planners             int
 	MinServerConnections float64 // connections that the smallest server accepts
 	IdleTimeoutMs        float64 // time after which a proxy closes an unused connection
-	OmitsEjected         bool    // the host leaves withdrawn servers out of a table that it binds, until they are let back
+	OmitsEntries         bool    // the host can leave entries out of a table that it assigns, until they are restored
 	ReadmitByWeight      bool    // the host ends a withdrawal, where no table holds the server, with the line that brings it back
 }
 
@@ -88,9 +88,15 @@
 // Host carries out decisions. Each method is one decision.
 type Host interface {
 	SetWeight(table int, server string, weight float64)
-	AssignTable(proxy, table int, groups []int)
-	SetEjected(server string, out, includeUnassigned bool) // also at proxies not bound yet, which may go by tables of others
-	EndInheritedEjections(proxy int, servers []string)     // ends, where nothing here withdraws them, withdrawals that another planner may have ordered
+	// AssignTable has a proxy go by a table for some traffic classes. Entries of omitted servers are not sent until
+	// RestoreServers, the end of an ejection, or SetWeight.
+	AssignTable(proxy, table int, groups []int, omitted []string)
+	// SetEjected ejects a server, or ends that, at proxies whose tables hold it and, with includeUnassigned, at those
+	// that may go by tables of another planner.
+	SetEjected(server string, out, includeUnassigned bool)
+	// RestoreServers sends a proxy omitted entries, and ends ejections of these servers that another planner may have
+	// ordered there. Servers that are ejected here stay so.
+	RestoreServers(proxy int, servers []string)
 	SetAdmission(table, group int, share float64, retry int)
 	RequestAcknowledgement(number int)
 	WatchEndpoints()
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -134,7 +134,7 @@
 	f.lines[table][server] = weight
 }
 
-func (f *fake) AssignTable(proxy, table int, groups []int) {
+func (f *fake) AssignTable(proxy, table int, groups []int, omitted []string) {
 	f.log("bind %d %d %d", proxy, table, groups)
 	for _, g := range groups {
 		f.bound[fmt.Sprint(proxy, "/", g)] = table
@@ -166,7 +166,7 @@
 	f.asked = nil
 }
 
-func (f *fake) EndInheritedEjections(proxy int, servers []string) {
+func (f *fake) RestoreServers(proxy int, servers []string) {
 	f.log("restore %d %v", proxy, servers)
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -29,6 +29,7 @@
 	minRequestsPerConnection = 5.0    // flows on a line before its connection idles out; fewer open it ever anew
 	minTableEntries          = 8      // lines; a table keeps most of its servers when a fifth fails
 	minEntries               = 3      // lines of a client that are kept; two may be lost at once before a table is bare
+	essential                = 0.8    // part of a table's weight that a proxy is sent at once in a rush of joins
 	minWeightChange          = 0.25   // part of a line's weight that it moves by, or of an average line; less is noise
 	urgentIntervalMs         = 1500.0 // ms between lines of a table that cannot wait; messages are few where tables run bare
 	maxMissingWeight         = 0.4    // part of a table's weight that is missing when it cannot wait for its turn
@@ -770,7 +771,7 @@
 	for _, q := range p.proxies {
 		for k := range p.parts {
 			if q.bound[k] == nil && q.cohort >= 0 && fit {
-				p.bind(q, k)
+				p.bind(q, k, rush)
 			}
 		}
 	}
@@ -793,7 +794,7 @@
 	}
 	for _, q := range p.proxies {
 		if q.inheritedEjections {
-			p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool { return p.restore(h, q, len(q.doubted), deferrable) })
+			p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool { return p.restore(h, q, len(q.unrestored), deferrable) })
 		}
 	}
 	if !p.lagging {
@@ -863,8 +864,8 @@
 		(rush || p.now >= s.notified+p.set.DrainGraceMs/2-p.set.MaxPropagationMs)
 	last := required + min(int(s.State), 1) // drained, unless it is ready
 	lines := 1.0
-	if !out && p.set.OmitsEjected {
-		lines++ // the line that was left out, and the end of another planner's withdrawal
+	if !out && p.set.OmitsEntries {
+		lines++ // the entry that was omitted, and the end of another planner's ejection
 	}
 	if !p.spendBudget(lines, to, urgent) && !(must && p.spendBudget(lines, to, last)) {
 		return false
@@ -917,7 +918,7 @@
 	if len(t.proxies) > 0 { // where it is withdrawn still, or another planner may have done so
 		told := filter(t.proxies, func(q *proxy) bool {
 			return r.sent == 0 && (q.inheritedEjections || q.ejected[r.server] && p.set.ReadmitByWeight) ||
-				r.target > 0 && slices.Contains(q.doubted, r.server)
+				r.target > 0 && slices.ContainsFunc(q.unrestored, func(x restoration) bool { return x.server == r.server })
 		})
 		lines += float64(len(told)) / float64(len(t.proxies))
 	}
@@ -992,22 +993,26 @@
 }
 
 // bind gives a proxy its first table. It takes the place of what another planner gave it, with all that drains:
-// after many joins that costs less than a withdrawal of each server, and must not wait behind those.
-func (p *Policy) bind(q *proxy, k int) {
+// after many joins that costs less than an ejection of each server, and must not wait behind those. In a rush the
+// light entries follow later.
+func (p *Policy) bind(q *proxy, k int, rush bool) {
 	c := p.clients[q.zone*p.parts+k]
 	t := c.tables[q.cohort]
 	p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool {
 		out := filter(t.entries, func(r *entry) bool { return r.server.ejected })
 		back := filter(t.entries, func(r *entry) bool { return !r.server.ejected && q.ejected[r.server] })
-		doubted := filter(t.entries, func(r *entry) bool {
+		inherited := filter(t.entries, func(r *entry) bool {
 			return q.inheritedEjections && r.inUse() && !r.server.ejected && !q.ejected[r.server]
 		})
-		slices.SortStableFunc(doubted, func(a, b *entry) int { return cmp.Compare(b.sent, a.sent) })
-		cost := float64(1 + len(p.admission) + len(t.entries) + len(out) + len(back) + min(len(doubted), minEntries))
-		if p.set.OmitsEjected {
-			left := filter(out, func(r *entry) bool { return r.inUse() && !q.ejected[r.server] })
-			cost -= 2 * float64(len(left))
+		restored := len(inherited) // with the table
+		var omitted []*entry
+		if rush && p.set.OmitsEntries {
+			slices.SortStableFunc(inherited, func(a, b *entry) int { return cmp.Compare(b.sent, a.sent) })
+			restored = min(restored, minEntries)
+			omitted = omittedEntries(q, out, inherited)
 		}
+		cost := float64(1 + len(p.admission) + len(t.entries) + len(out) + len(back) + restored - len(omitted))
+		cost -= float64(len(filter(omitted, func(r *entry) bool { return r.server.ejected }))) // not notified
 		if !slices.ContainsFunc(t.entries, (*entry).inUse) || !p.spendBudget(cost, []*proxy{q}, required) {
 			return false
 		}
@@ -1015,26 +1020,54 @@
 		for _, r := range t.entries {
 			q.ejected[r.server] = r.server.ejected
 		}
-		for _, r := range doubted {
-			q.doubted = append(q.doubted, r.server)
+		for _, r := range inherited {
+			pending := restoration{server: r.server, entries: 1}
+			if slices.Contains(omitted, r) {
+				pending.entries++
+			}
+			q.unrestored = append(q.unrestored, pending)
 		}
-		h.AssignTable(q.id, t.number, c.groups)
+		q.paid += restored
+		h.AssignTable(q.id, t.number, c.groups, serverNames(omitted))
 		return true
-	}, func(h Host) bool { return p.restore(h, q, min(len(q.doubted), minEntries), paid) })
+	}, func(h Host) bool {
+		most := q.paid
+		q.paid = 0
+		return p.restore(h, q, most, paid)
+	})
+}
+
+// omittedEntries are those of a table that a proxy is not sent with its assignment: of ejected servers, and the
+// light ones. Guards the channel when many proxies join during a release.
+func omittedEntries(q *proxy, out, inherited []*entry) []*entry {
+	omitted := filter(out, func(r *entry) bool { return r.inUse() && !q.ejected[r.server] })
+	all, weight := sumBy(inherited, func(r *entry) float64 { return r.sent }), 0.0
+	for n, r := range inherited {
+		if n >= minEntries && weight >= essential*all {
+			return append(omitted, inherited[n:]...)
+		}
+		weight += r.sent
+	}
+	if len(inherited) == 0 {
+		return nil // a table is never sent empty
+	}
+	return omitted
 }
 
-// restore ends withdrawals that others may have ordered of servers in a proxy's tables: of a few with its
-// binding, so that there is one to pick for certain, of the rest when the channel has room.
+// restore ends ejections that others may have ordered of servers in a proxy's tables, and sends entries that were
+// omitted: of a few with the assignment, so that there is one to pick for certain, of the rest when there is room.
 func (p *Policy) restore(h Host, q *proxy, most, urgency int) bool {
-	if most == 0 || urgency != paid && !p.spendBudget(float64(most), []*proxy{q}, urgency) {
+	restored := q.unrestored[:most]
+	cost := sumBy(restored, func(r restoration) float64 { return r.entries })
+	if most == 0 || urgency != paid && !p.spendBudget(cost, []*proxy{q}, urgency) {
 		return false
 	}
-	var servers []string
-	for _, s := range q.doubted[:most] {
-		servers = append(servers, s.Server)
+	servers := make([]string, 0, most)
+	for _, r := range restored {
+		servers = append(servers, r.server.Server)
 	}
-	q.doubted = q.doubted[most:]
-	h.EndInheritedEjections(q.id, servers)
+	q.unrestored = q.unrestored[most:]
+	h.RestoreServers(q.id, servers)
 	return true
 }
 
--- a/policy/state.go
+++ b/policy/state.go
@@ -34,7 +34,8 @@
 	acknowledgements      map[int]float64  // lines ordered up to each receipt asked for
 	ejected               map[*server]bool // told by us to shut it out
 	inheritedEjections    bool             // tables and withdrawals of others, until it is bound and told otherwise
-	doubted               []*server        // in its tables, heaviest first; withdrawn there by others for all we know
+	unrestored            []restoration    // in its tables, heaviest first
+	paid                  int              // of these, restored with the assignment
 }
 
 // client is the paper's i: the proxies of one zone, for the traffic groups that may go to the same servers.
@@ -109,3 +110,10 @@
 	watching, queueSlow                      bool      // the list; the last receipt was late
 	lagging                                  bool      // what is heard is late
 }
+
+// restoration is what a proxy has yet to be sent of a server: an end of another planner's ejection, and its entry
+// where that was omitted. Its cost is in entries of the channel.
+type restoration struct {
+	server  *server
+	entries float64
+}
