--- a/policy/policy.go
+++ b/policy/policy.go
@@ -776,8 +776,8 @@
 		}
 	}
 	for _, s := range p.servers { // after first tables: many cold servers rest at once when planners restart
-		if out := !s.usable() && !p.expired(s); out != s.ejected && (out || !p.unsolved) && (fit || s.State == Ready) {
-			p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool { return out != s.ejected && p.mask(h, s, out, rush) })
+		if out := !s.usable() && !p.expired(s); out != s.ejected && (out || !p.unsolved) && !(rush && s.State != Ready) {
+			p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool { return p.mask(h, s, out, rush) })
 		}
 	}
 	p.pendingDecisions = append(p.pendingDecisions, lines[urgent]...)
@@ -955,14 +955,23 @@
 	})
 }
 
-// drains are the withdrawals of a rush. All go off together, as few proxies hold each server, and one by one each
+// drains are the ejections that go before first tables in a rush: of the oldest notification, as both have its grace,
+// and of later ones when theirs gets short. They go together, as few proxies hold each server, and one by one each
 // would cost messages: tables wait until the channel has room for all, or little waits in it.
 func (p *Policy) drains(rush bool) (drains []*server, fit bool) {
 	if !rush {
 		return nil, true
 	}
-	cost, to := 0.0, map[*proxy]bool{}
-	for _, s := range filter(p.servers, func(s *server) bool { return s.State != Ready && !s.ejected }) {
+	cost, to, oldest := 0.0, map[*proxy]bool{}, p.now
+	for _, s := range p.servers {
+		if s.State != Ready && p.now < s.notified+p.set.DrainGraceMs {
+			oldest = min(oldest, s.notified)
+		}
+	}
+	short := p.now - p.set.DrainGraceMs/2 + p.set.MaxPropagationMs // as in mask
+	for _, s := range filter(p.servers, func(s *server) bool {
+		return s.State != Ready && !s.ejected && s.notified <= max(oldest, short)
+	}) {
 		holders := p.holders(s, true, rush)
 		for _, q := range holders {
 			to[q] = true
