--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -174,7 +174,7 @@
 				l.second()
 			}
 			b.ReportMetric(float64(m.HeapAlloc)/1e6, "heap-MB")
-			b.ReportMetric(float64(len(l.listed)), "names")
+			b.ReportMetric(float64(len(l.endpoints.byServer)), "names")
 		})
 	}
 }
@@ -183,7 +183,7 @@
 // merging on as many cores as there are, and one that owns the rest. Ten servers a report.
 func BenchmarkPlannerReports(b *testing.B) {
 	l := load(b, 500, 200)
-	r := &coalescedReports{signal: make(chan struct{}, 1)}
+	r := newCoalescedReports()
 	done, ended := make(chan struct{}), make(chan struct{})
 	begun := clock.NewReal()
 	go func() {
@@ -193,12 +193,12 @@
 			select {
 			case <-done:
 				return
-			case <-r.signal:
+			case <-r.available:
 			}
 			l.now = last + begun.Monotonic()
 			l.SetTime(l.now, time.UnixMilli(int64(1e12+l.now)))
 			for s, m, _ := r.take(); s != nil; s, m, _ = r.take() {
-				l.HandleLoadReport(s.core, m)
+				l.HandleLoadReport(s.stream, m)
 			}
 			for _, a := range l.answers {
 				l.HandleAck(a.to, a.m)
@@ -213,7 +213,7 @@
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		n := int(next.Add(1))
-		s := &stream{core: l.streams[n]}
+		s := &connection{stream: l.streams[n]}
 		body := &order.Sums{CoversMs: 1000, Groups: []*order.GroupSum{{Group: 0, Came: 4}}}
 		for k := range 10 {
 			body.Servers = append(body.Servers, &order.ServerSum{Server: l.reports[n+k].Servers[0].Server, Tries: 1, LatencyMs: 30})
--- a/internal/planner/coalesce.go
+++ b/internal/planner/coalesce.go
@@ -6,100 +6,140 @@
 	"lichenpick/proto/order"
 )
 
-// coalescedReports holds the reports that the core has not taken yet: one a stream, to which later ones are added by the stream's reader, on
-// whatever core it runs. So a core that falls behind hears the same sums less often, readers never wait for it, and memory stays
-// within a report a stream. Guards against readers that stop: proxies' writes would then time out, and all dial anew at once.
+// maxCoalescedSamples bounds the servers, and the traffic classes, of a coalesced report; tables hold far fewer.
+const maxCoalescedSamples = 4096
+
+// coalescedReports holds the load reports that the core has not taken yet: one per connection, to which the connection's
+// reader adds later ones. A core that lags hears the same samples less often, readers never wait for it, and memory stays
+// within one report per connection. It guards against readers that stop: writes of proxies would time out then, and all
+// proxies would dial anew at once. It is safe for use by several goroutines.
 type coalescedReports struct {
-	mu     sync.Mutex
-	queue  []*stream // oldest first; each once
-	signal chan struct{}
+	available chan struct{} // of capacity 1; holds a token after each add
 
-	merged, lost uint64 // reports added to one that waited; servers left out as one held too many
+	mu     sync.Mutex
+	queue  []*connection // with a report, oldest first; guarded by mu, as are their reports
+	merged uint64        // reports added to one that waited; guarded by mu
+	lost   uint64        // samples of servers dropped as their report was full; guarded by mu
 }
 
-// maxMerged bounds the servers of a report that waits; tables hold far fewer.
-const maxMerged = 4096
+func newCoalescedReports() *coalescedReports {
+	return &coalescedReports{available: make(chan struct{}, 1)}
+}
 
-// coalescedReport is a stream's that waits.
+// coalescedReport is what waits of one connection. The zero value is empty.
 type coalescedReport struct {
-	m     *order.Sums
-	since float64        // ms, when the first of it came
-	index map[string]int // places of servers in m; made with the second report
+	report      *order.Sums    // nil: nothing waits
+	sinceMs     float64        // when the first one came
+	serverIndex map[string]int // of servers in the report; nil until a second one comes
 }
 
-// add takes in a report, and says nothing of when it will be heard.
-func (r *coalescedReports) add(s *stream, m *order.Sums, now float64) {
+// add adds a report that came at a time, in ms. It does not wait for the core.
+func (r *coalescedReports) add(c *connection, report *order.Sums, nowMs float64) {
 	r.mu.Lock()
-	if s.report.m == nil {
-		s.report = coalescedReport{m: m, since: now}
-		r.queue = append(r.queue, s)
+	if c.report.report == nil {
+		c.report = coalescedReport{report: report, sinceMs: nowMs}
+		r.queue = append(r.queue, c)
 	} else {
 		r.merged++
-		r.lost += s.report.merge(m)
+		r.lost += c.report.merge(report)
 	}
 	r.mu.Unlock()
+	r.signal()
+}
+
+// signal has the core's goroutine take reports.
+func (r *coalescedReports) signal() {
 	select {
-	case r.signal <- struct{}{}:
-	default:
+	case r.available <- struct{}{}:
+	default: // it has been told already
 	}
 }
 
-// take gives the oldest report and since when it waited.
-func (r *coalescedReports) take() (s *stream, m *order.Sums, since float64) {
+// take removes the report that has waited longest. The connection is nil if none waits.
+func (r *coalescedReports) take() (c *connection, report *order.Sums, sinceMs float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.queue) == 0 {
-		r.queue = nil
+		r.queue = nil // releases what the array still refers to
 		return nil, nil, 0
 	}
-	s, r.queue = r.queue[0], r.queue[1:]
-	m, since, s.report = s.report.m, s.report.since, coalescedReport{}
-	return s, m, since
+	c = r.queue[0]
+	r.queue = r.queue[1:]
+	report = c.report.report
+	sinceMs = c.report.sinceMs
+	c.report = coalescedReport{}
+	return c, report, sinceMs
 }
 
-// counts are reports merged and servers left out since the start.
+// counts returns the reports merged and the samples lost since the start.
 func (r *coalescedReports) counts() (merged, lost uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.merged, r.lost
 }
 
-// merge adds a later report. It says how many servers found no place.
-func (w *coalescedReport) merge(m *order.Sums) (lost uint64) {
-	if w.index == nil {
-		w.index = map[string]int{}
-		for n, x := range w.m.Servers {
-			w.index[x.Server] = n
-		}
+// merge adds a later report and returns how many samples of servers it had to drop.
+func (c *coalescedReport) merge(later *order.Sums) (lost uint64) {
+	if c.serverIndex == nil {
+		c.indexServers()
 	}
-	w.m.CoversMs += m.CoversMs
-	for _, x := range m.Servers {
-		n, known := w.index[x.Server]
-		switch {
-		case !known && len(w.m.Servers) >= maxMerged:
+	c.report.CoversMs += later.CoversMs
+	for _, sample := range later.Servers {
+		if !c.mergeServer(sample) {
 			lost++
-		case !known:
-			w.index[x.Server] = len(w.m.Servers)
-			w.m.Servers = append(w.m.Servers, x)
-		default:
-			y := w.m.Servers[n]
-			had, has := float64(y.Tries-min(y.Dropped, y.Tries)), float64(x.Tries-min(x.Dropped, x.Tries))
-			if had+has > 0 {
-				y.LatencyMs = (y.LatencyMs*had + x.LatencyMs*has) / (had + has)
-			}
-			y.Tries, y.Dropped = y.Tries+x.Tries, y.Dropped+x.Dropped
 		}
 	}
-	for _, x := range m.Groups {
-		found := false
-		for _, y := range w.m.Groups {
-			if y.Group == x.Group {
-				y.Came, y.Dropped, found = y.Came+x.Came, y.Dropped+x.Dropped, true
-			}
+	for _, sample := range later.Groups {
+		c.mergeClass(sample)
+	}
+	return lost
+}
+
+func (c *coalescedReport) indexServers() {
+	c.serverIndex = map[string]int{}
+	for index, sample := range c.report.Servers {
+		c.serverIndex[sample.Server] = index
+	}
+}
+
+// mergeServer adds a sample of a server and reports whether there was room for it.
+func (c *coalescedReport) mergeServer(sample *order.ServerSum) bool {
+	index, known := c.serverIndex[sample.Server]
+	if !known {
+		if len(c.report.Servers) >= maxCoalescedSamples {
+			return false
 		}
-		if !found && len(w.m.Groups) < maxMerged {
-			w.m.Groups = append(w.m.Groups, x)
+		c.serverIndex[sample.Server] = len(c.report.Servers)
+		c.report.Servers = append(c.report.Servers, sample)
+		return true
+	}
+	sum := c.report.Servers[index]
+	succeededBefore := succeededAttempts(sum)
+	succeededLater := succeededAttempts(sample)
+	if succeeded := succeededBefore + succeededLater; succeeded > 0 {
+		sum.LatencyMs = (sum.LatencyMs*succeededBefore + sample.LatencyMs*succeededLater) / succeeded
+	}
+	sum.Tries += sample.Tries
+	sum.Dropped += sample.Dropped
+	return true
+}
+
+// succeededAttempts counts those of a sample; a peer may claim more failures than attempts.
+func succeededAttempts(sample *order.ServerSum) float64 {
+	return float64(sample.Tries - min(sample.Dropped, sample.Tries))
+}
+
+// mergeClass adds a sample of a traffic class. Beyond the bound it drops it uncounted: no honest proxy reports so many.
+func (c *coalescedReport) mergeClass(sample *order.GroupSum) {
+	found := false
+	for _, sum := range c.report.Groups {
+		if sum.Group == sample.Group {
+			sum.Came += sample.Came
+			sum.Dropped += sample.Dropped
+			found = true
 		}
 	}
-	return lost
+	if !found && len(c.report.Groups) < maxCoalescedSamples {
+		c.report.Groups = append(c.report.Groups, sample)
+	}
 }
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -187,8 +187,8 @@
 		if w.ended[a] != controlstream.ReasonAckTimeout {
 			t.Errorf("ended %q after the grace of 3 s", w.ended[a])
 		}
-		if w.deaf[a] = false; len(w.names) != 0 || w.sendQueue.Len() != 0 {
-			t.Errorf("%d joined, %d messages wait", len(w.names), w.sendQueue.Len())
+		if w.deaf[a] = false; len(w.proxies.byName) != 0 || w.publisher.queue.Len() != 0 {
+			t.Errorf("%d joined, %d messages wait", len(w.proxies.byName), w.publisher.queue.Len())
 		}
 	})
 	t.Run("but not for orders that can wait", func(t *testing.T) {
@@ -250,7 +250,7 @@
 				t.Fatalf("%v, ended %q", w.told(s, bound), w.ended[s])
 			}
 		}
-		if peak := w.sendQueue.PeakBacklog(); peak > 3500 {
+		if peak := w.publisher.queue.PeakBacklog(); peak > 3500 {
 			t.Errorf("%g lines waited", peak)
 		}
 	})
@@ -277,11 +277,11 @@
 	t.Run("the last inputs can be written out", func(t *testing.T) {
 		w := begin(t, "proxies: 4", 4)
 		a := w.join("x", 1, 1)
-		for range lastInputs {
+		for range recentInputCount {
 			w.HandleLoadReport(a, &order.Sums{CoversMs: 7})
 		}
 		var b bytes.Buffer
-		if w.DumpInputs(&b); strings.Count(b.String(), "\n") != lastInputs || !strings.Contains(b.String(), "sums x covers_ms:7") {
+		if w.DumpInputs(&b); strings.Count(b.String(), "\n") != recentInputCount || !strings.Contains(b.String(), "load report x covers_ms:7") {
 			t.Errorf("%.300s", b.String())
 		}
 	})
@@ -298,8 +298,8 @@
 	if w.told(s, func(o *order.Order) bool { return o.GetWithdraw().GetServer() == "s2" }) < 0 {
 		t.Fatal("it was not told of the drain")
 	}
-	if p := w.names["x"]; len(p.ejected) != 0 || !w.registry.Ejected["s2"] {
-		t.Errorf("withdrawn at it %v, of all %v", p.ejected, w.registry.Ejected)
+	if p := w.proxies.byName["x"]; len(p.ejections) != 0 || !w.registry.Ejected["s2"] {
+		t.Errorf("withdrawn at it %v, of all %v", p.ejections, w.registry.Ejected)
 	}
 	w.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: 1e12, Endpoints: []discovery.Endpoint{{Server: "s2", Zone: "a", RelativeCapacity: 1}}})
 	w.run(30050, 60000)
@@ -324,47 +324,47 @@
 
 func TestIntake(t *testing.T) {
 	t.Run("one line a server and period, oldest first, at the stated rate", func(t *testing.T) {
-		a, b := &tally{server: "a"}, &tally{server: "b"}
-		in := newIntake(1000, 1, 10, 0)
+		a, b := &pendingLoad{server: "a"}, &pendingLoad{server: "b"}
+		in := newReportIntake(intakeLimits{periodMs: 1000, perSecond: 1, maxQueued: 10}, 0)
 		in.add(a, 5, 1, 10)
 		in.add(b, 1, 0, 10)
 		in.add(a, 5, 0, 20)
-		in.tick(1000)
+		in.setTime(1000)
 		l := in.next()
-		if f := l.take(); l != a || f != (loadSample{10, 1, 140}) || l.covers != 1000 || in.next() != nil {
+		if f := l.take(); l != a || f != (loadSample{10, 1, 140}) || l.coversMs != 1000 || in.next() != nil {
 			t.Errorf("%+v", l)
 		}
 		in.add(b, 2, 0, 10)
-		in.tick(2000)
-		if l = in.next(); l != b || l.take().count != 3 || l.covers != 2000 {
+		in.setTime(2000)
+		if l = in.next(); l != b || l.take().count != 3 || l.coversMs != 2000 {
 			t.Errorf("%+v", l)
 		}
 		in.add(b, 2, 0, 10)
-		in.tick(3000)
-		if l = in.next(); l != b || l.take().count != 2 || l.covers != 1000 {
+		in.setTime(3000)
+		if l = in.next(); l != b || l.take().count != 2 || l.coversMs != 1000 {
 			t.Errorf("what was taken counts again: %+v", l)
 		}
 	})
 	// A proxy that leaves while its lines wait: they must not reach the module, nor take the rate or the room of others.
 	t.Run("what waits of a proxy that left is passed over", func(t *testing.T) {
-		a, b := &tally{proxy: &peer{}}, &tally{server: "b"}
-		in := newIntake(1000, 1, 2, 0)
+		a, b := &pendingLoad{proxy: &joinedProxy{}}, &pendingLoad{server: "b"}
+		in := newReportIntake(intakeLimits{periodMs: 1000, perSecond: 1, maxQueued: 2}, 0)
 		in.add(a, 1, 0, 1)
 		in.add(b, 1, 0, 1)
-		in.tick(1000)
-		in.forget([]*tally{a})
-		if l := in.next(); l != b || in.next() != nil || in.due() != 2000 && in.due() < 1e300 {
-			t.Errorf("%+v, due %g", l, in.due())
+		in.setTime(1000)
+		in.remove([]*pendingLoad{a})
+		if l := in.next(); l != b || in.next() != nil || in.deadline() != 2000 && in.deadline() < 1e300 {
+			t.Errorf("%+v, due %g", l, in.deadline())
 		}
 	})
 	t.Run("when too many wait the oldest is shed and counted", func(t *testing.T) {
-		a, b := &tally{server: "a"}, &tally{server: "b"}
-		in := newIntake(1000, 1, 1, 0)
+		a, b := &pendingLoad{server: "a"}, &pendingLoad{server: "b"}
+		in := newReportIntake(intakeLimits{periodMs: 1000, perSecond: 1, maxQueued: 1}, 0)
 		in.add(a, 1, 0, 1)
 		in.add(b, 1, 0, 1)
-		in.tick(1000)
-		if l := in.next(); l != b || in.dropped != 1 || a.waits || a.queued.count != 0 {
-			t.Errorf("%+v, %d", l, in.dropped)
+		in.setTime(1000)
+		if l := in.next(); l != b || in.shed != 1 || a.isQueued || a.queued.count != 0 {
+			t.Errorf("%+v, %d", l, in.shed)
 		}
 	})
 }
@@ -377,7 +377,7 @@
 		}
 	}
 	t.Run("later reports of a stream are added to the one that waits", func(t *testing.T) {
-		r, a, b := &coalescedReports{signal: make(chan struct{}, 1)}, &stream{}, &stream{}
+		r, a, b := newCoalescedReports(), &connection{}, &connection{}
 		r.add(a, sums("s", 4, 1, 10), 5)
 		r.add(b, sums("s", 1, 0, 10), 6)
 		r.add(a, sums("s", 2, 1, 50), 7)
@@ -395,12 +395,12 @@
 		}
 	})
 	t.Run("a report that waits is bounded, and what finds no place is counted", func(t *testing.T) {
-		r, a := &coalescedReports{signal: make(chan struct{}, 1)}, &stream{}
-		for n := range maxMerged + 10 {
+		r, a := newCoalescedReports(), &connection{}
+		for n := range maxCoalescedSamples + 10 {
 			r.add(a, sums(fmt.Sprint(n), 1, 0, 1), 0)
 		}
 		_, m, _ := r.take()
-		if _, lost := r.counts(); len(m.Servers) != maxMerged || lost != 10 || m.Groups[0].Came != maxMerged+10 {
+		if _, lost := r.counts(); len(m.Servers) != maxCoalescedSamples || lost != 10 || m.Groups[0].Came != maxCoalescedSamples+10 {
 			t.Errorf("%d servers, %d lost", len(m.Servers), lost)
 		}
 	})
@@ -459,10 +459,10 @@
 			case 8:
 				w.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: 1e12, Endpoints: []discovery.Endpoint{{Server: "s2", Zone: "a", RelativeCapacity: 1, State: policy.Draining}}})
 			case 15:
-				w.HandleDisconnect(w.names["x7"].stream, &controlstream.CloseError{Reason: controlstream.ReasonConnectionLost})
+				w.HandleDisconnect(w.proxies.byName["x7"].stream, &controlstream.CloseError{Reason: controlstream.ReasonConnectionLost})
 			}
 			for n := range 40 {
-				if p := w.names[fmt.Sprint("x", n)]; p != nil {
+				if p := w.proxies.byName[fmt.Sprint("x", n)]; p != nil {
 					m := &order.Sums{CoversMs: 1000, Groups: []*order.GroupSum{{Group: 0, Came: 10}}}
 					for k := range 6 {
 						m.Servers = append(m.Servers, &order.ServerSum{Server: fmt.Sprint("s", (n+5*k)%24), Tries: 2, LatencyMs: float64(20 + (n*k+second)%40)})
@@ -472,9 +472,9 @@
 			}
 			w.run(float64(second)*1000, float64(second)*1000+950)
 		}
-		names := slices.Sorted(maps.Keys(w.names))
+		names := slices.Sorted(maps.Keys(w.proxies.byName))
 		for _, name := range names {
-			for _, m := range w.sent[w.names[name].stream] {
+			for _, m := range w.sent[w.proxies.byName[name].stream] {
 				b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 				if err != nil {
 					t.Fatal(err)
--- /dev/null
+++ b/internal/planner/epochwriter.go
@@ -0,0 +1,48 @@
+package planner
+
+import (
+	"context"
+	"log/slog"
+
+	"lichenpick/internal/store"
+)
+
+// epochWriter records epochs in the store away from the core's goroutine: a sync takes milliseconds, or seconds on a busy
+// disk. It is owned by the goroutine in run.
+type epochWriter struct {
+	store     *store.Store
+	requests  chan uint64 // epochs to reserve up to; of capacity 1, as the core has one request under way at a time
+	loop      *eventLoop
+	log       *slog.Logger
+	lastError string // of the last write; empty: it succeeded. Each failure is logged once
+}
+
+func newEpochWriter(epochStore *store.Store, loop *eventLoop, log *slog.Logger) *epochWriter {
+	return &epochWriter{store: epochStore, requests: make(chan uint64, 1), loop: loop, log: log}
+}
+
+// run serves requests until the context ends.
+func (w *epochWriter) run(ctx context.Context) error {
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case upTo := <-w.requests:
+			err := w.store.ReserveEpochs(upTo)
+			w.logChange(err)
+			w.loop.submit(ctx, func(c *Core) { c.EpochsReserved(upTo, err) })
+		}
+	}
+}
+
+// logChange logs a failure unless it is the same as the last one.
+func (w *epochWriter) logChange(err error) {
+	if err == nil {
+		w.lastError = ""
+		return
+	}
+	if err.Error() != w.lastError {
+		w.log.Error("the store cannot be written; no new leases are requested", slog.Any(logKeyError, err))
+		w.lastError = err.Error()
+	}
+}
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -1,137 +1,201 @@
 package planner
 
-import "math"
-
-// intake merges sums per server and zone, and usage per proxy and group, and lets a stated number of lines a second
-// through to the module, oldest first; what waits is added up. A line of some server is in it once at most.
-type intake struct {
-	everyMs float64
-	perS    float64
-	most    int // lines that wait
-
-	opened  float64  // start of the period that is being filled
-	news    []*tally // with something in this period, in order of coming
-	waiting []*tally // oldest first
-	dead    int      // of these, those whose proxy left
-	tokens  float64
-	at      float64
-	dropped int // lines shed, in all
-}
-
-// tally is a server's line for a zone, or a proxy's for a traffic group. Its owner keeps it, so that a sum costs no search and
-// nothing new.
-type tally struct {
-	server string // none: it is of a proxy
+import (
+	"math"
+
+	"lichenpick/internal/settings"
+	pb "lichenpick/proto/settings"
+)
+
+const (
+	intakeBurstsPerSecond = 5 // the rate of one second, divided by this, may pass at once
+	millisPerSecond       = 1000
+)
+
+// intakeLimits bound what the policy hears of load reports.
+type intakeLimits struct {
+	periodMs  float64 // for which samples are summed up
+	perSecond float64 // loads that may pass to the policy
+	maxQueued int     // loads that wait; beyond it the oldest is shed
+}
+
+// intakeLimitsOf translates checked settings.
+func intakeLimitsOf(set *pb.Reports) intakeLimits {
+	return intakeLimits{
+		periodMs:  settings.Milliseconds(set.Every),
+		perSecond: settings.PerSecond(set.Intake),
+		maxQueued: int(set.GetMostPending()),
+	}
+}
+
+// reportIntake sums load reports up, per server and zone, and per proxy and traffic class, and passes a limited number of
+// loads per second to the policy, oldest first. What waits keeps growing in place: each load is queued once at most.
+type reportIntake struct {
+	intakeLimits
+	periodStartMs float64
+	current       []*pendingLoad // with samples in this period, in order of their first
+	queue         []*pendingLoad // of closed periods, oldest first
+	removed       int            // of the queue: those whose owner is gone
+	tokens        float64        // loads that may pass now
+	nowMs         float64
+	shed          int // loads dropped from the queue since the start
+}
+
+// pendingLoad is what is known and not yet passed on of a server in a zone, or of a proxy in a traffic class. Its owner (an
+// endpointState or a joinedProxy) holds on to it, so that a report costs neither a search nor an allocation.
+type pendingLoad struct {
+	server string // empty: it is demand of a proxy
 	zone   int
-	proxy  *peer
-	group  int
+	proxy  *joinedProxy
+	class  int
 
-	fresh, queued loadSample // of this period; of those before, as it waits
-	covers        float64    // ms that the queued ones cover
-	isNew, waits  bool
-	gone          bool
+	current   loadSample // of the current period
+	queued    loadSample // of earlier periods
+	coversMs  float64    // length of these
+	isCurrent bool       // listed in reportIntake.current
+	isQueued  bool       // listed in reportIntake.queue
+	removed   bool       // its owner is gone
 }
 
+// loadSample is a number of attempts or requests.
 type loadSample struct {
-	count, failed int
-	latency       float64 // summed over the good ones, ms
+	count     int
+	failed    int
+	latencyMs float64 // sum over those that succeeded
 }
 
-func (f *loadSample) add(g loadSample) {
-	f.count, f.failed, f.latency = f.count+g.count, f.failed+g.failed, f.latency+g.latency
+func (f *loadSample) add(other loadSample) {
+	f.count += other.count
+	f.failed += other.failed
+	f.latencyMs += other.latencyMs
 }
 
-func newIntake(everyMs, perS float64, most int, now float64) *intake {
-	return &intake{everyMs: everyMs, perS: perS, most: most, opened: now, at: now}
+// meanLatencyMs is 0 if none succeeded.
+func (f *loadSample) meanLatencyMs() float64 {
+	succeeded := f.count - f.failed
+	if succeeded <= 0 {
+		return 0
+	}
+	return f.latencyMs / float64(succeeded)
+}
+
+func newReportIntake(limits intakeLimits, nowMs float64) *reportIntake {
+	return &reportIntake{intakeLimits: limits, periodStartMs: nowMs, nowMs: nowMs}
 }
 
-func (in *intake) add(t *tally, count, failed int, latency float64) {
-	if !t.isNew {
-		t.isNew, in.news = true, append(in.news, t)
+// add adds a report to a load. The latency is the mean of those that succeeded, in ms.
+func (in *reportIntake) add(load *pendingLoad, count, failed int, meanLatencyMs float64) {
+	if !load.isCurrent {
+		load.isCurrent = true
+		in.current = append(in.current, load)
 	}
-	t.fresh.add(loadSample{count, failed, latency * float64(count-failed)})
+	load.current.add(loadSample{count: count, failed: failed, latencyMs: meanLatencyMs * float64(count-failed)})
 }
 
-// tick closes periods and counts what may pass.
-func (in *intake) tick(now float64) {
-	in.tokens = math.Min(in.tokens+(now-in.at)/1000*in.perS, math.Max(in.perS/5, 1)) // a fifth of a second at once
-	in.at = now
-	if now-in.opened < in.everyMs {
-		return
+// setTime adds to what may pass, and closes the period if it is over.
+func (in *reportIntake) setTime(nowMs float64) {
+	burst := math.Max(in.perSecond/intakeBurstsPerSecond, 1)
+	in.tokens = math.Min(in.tokens+(nowMs-in.nowMs)/millisPerSecond*in.perSecond, burst)
+	in.nowMs = nowMs
+	if nowMs-in.periodStartMs >= in.periodMs {
+		in.closePeriod()
 	}
-	covers := now - in.opened
-	in.opened = now
-	in.bury()
-	for _, t := range in.waiting { // what waits covers the new period too, also if nothing came
-		t.covers += covers
+}
+
+// closePeriod queues what came in the current period and starts the next one.
+func (in *reportIntake) closePeriod() {
+	coversMs := in.nowMs - in.periodStartMs
+	in.periodStartMs = in.nowMs
+	in.compact()
+	for _, load := range in.queue { // covers this period too, even if nothing came
+		load.coversMs += coversMs
 	}
-	for _, t := range in.news {
-		if t.isNew = false; t.gone {
+	for _, load := range in.current {
+		load.isCurrent = false
+		if load.removed {
 			continue
 		}
-		if !t.waits {
-			if len(in.waiting) >= in.most { // the newest is kept; the module hears the longer cover of what follows
-				old := in.waiting[0]
-				old.queued, old.waits = loadSample{}, false
-				in.waiting, in.dropped = in.waiting[1:], in.dropped+1
-			}
-			t.waits, t.covers, in.waiting = true, covers, append(in.waiting, t)
+		if !load.isQueued {
+			in.enqueue(load, coversMs)
 		}
-		t.queued.add(t.fresh)
-		t.fresh = loadSample{}
+		load.queued.add(load.current)
+		load.current = loadSample{}
+	}
+	in.current = in.current[:0]
+}
+
+// enqueue queues a load. If too many wait it sheds the oldest: of two that the policy cannot both hear, the newer tells more,
+// and the next one of the shed load states the longer time that it covers.
+func (in *reportIntake) enqueue(load *pendingLoad, coversMs float64) {
+	if len(in.queue) >= in.maxQueued {
+		oldest := in.queue[0]
+		oldest.queued = loadSample{}
+		oldest.isQueued = false
+		in.queue = in.queue[1:]
+		in.shed++
 	}
-	in.news = in.news[:0]
+	load.isQueued = true
+	load.coversMs = coversMs
+	in.queue = append(in.queue, load)
 }
 
-// next gives the oldest line, if one may pass. What it says is to be taken before anything is added.
-func (in *intake) next() *tally {
-	for len(in.waiting) > 0 && in.waiting[0].gone {
-		in.waiting, in.dead = in.waiting[1:], in.dead-1
+// next removes the oldest load from the queue, if one may pass now; nil if none may. The caller takes its sample before
+// anything is added to it.
+func (in *reportIntake) next() *pendingLoad {
+	for len(in.queue) > 0 && in.queue[0].removed {
+		in.queue = in.queue[1:]
+		in.removed--
 	}
-	if len(in.waiting) == 0 || in.tokens < 1 {
+	if len(in.queue) == 0 || in.tokens < 1 {
 		return nil
 	}
-	t := in.waiting[0]
-	in.waiting, in.tokens, t.waits = in.waiting[1:], in.tokens-1, false
-	return t
+	load := in.queue[0]
+	in.queue = in.queue[1:]
+	in.tokens--
+	load.isQueued = false
+	return load
 }
 
-// take empties what waited.
-func (t *tally) take() (f loadSample) {
-	f, t.queued = t.queued, loadSample{}
-	return f
+// take returns what was queued and empties it.
+func (load *pendingLoad) take() loadSample {
+	sample := load.queued
+	load.queued = loadSample{}
+	return sample
 }
 
-// due is when the next line may pass, in ms.
-func (in *intake) due() float64 {
+// deadline is when the next load may pass, in ms; infinite if nothing waits.
+func (in *reportIntake) deadline() float64 {
 	switch {
-	case len(in.waiting) > in.dead:
-		return in.at + math.Max(1-in.tokens, 0)/in.perS*1000
-	case len(in.news) > 0:
-		return in.opened + in.everyMs
+	case len(in.queue) > in.removed:
+		return in.nowMs + math.Max(1-in.tokens, 0)/in.perSecond*millisPerSecond
+	case len(in.current) > 0:
+		return in.periodStartMs + in.periodMs
+	default:
+		return math.Inf(1)
 	}
-	return math.Inf(1)
 }
 
-// forget ends tallies whose owner is gone; they are left out when their turn comes.
-func (in *intake) forget(tallies []*tally) {
-	for _, t := range tallies {
-		if t.gone = true; t.waits {
-			in.dead++
+// remove ends loads whose owner is gone. They stay queued and are skipped in their turn.
+func (in *reportIntake) remove(loads []*pendingLoad) {
+	for _, load := range loads {
+		load.removed = true
+		if load.isQueued {
+			in.removed++
 		}
 	}
 }
 
-// bury takes out those that are gone, once they are many.
-func (in *intake) bury() {
-	if in.dead == 0 {
+// compact takes removed loads out of the queue, so that they use up no place.
+func (in *reportIntake) compact() {
+	if in.removed == 0 {
 		return
 	}
-	kept := in.waiting[:0]
-	for _, t := range in.waiting {
-		if !t.gone {
-			kept = append(kept, t)
+	remaining := in.queue[:0]
+	for _, load := range in.queue {
+		if !load.removed {
+			remaining = append(remaining, load)
 		}
 	}
-	in.waiting, in.dead = kept, 0
+	in.queue = remaining
+	in.removed = 0
 }
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -66,7 +66,7 @@
 		if n < 0 {
 			t.Fatal("not bound")
 		}
-		epoch, ok := w.leases.HoldsLease("x")
+		epoch, ok := w.leases.manager.HoldsLease("x")
 		if m := w.sent[s][n].(*order.Orders); !ok || m.Epoch != epoch || m.Epoch == 0 {
 			t.Errorf("ordered under %d, granted %d %v", m.Epoch, epoch, ok)
 		}
@@ -134,7 +134,7 @@
 					t.Errorf("refused %v: sent %v", refused, o)
 				}
 			}
-			if p := w.names["x"]; p == nil || p.commanded || w.sendQueue.Len() > 0 {
+			if p := w.proxies.byName["x"]; p == nil || p.commanded || w.publisher.queue.Len() > 0 {
 				t.Error("still commanded")
 			}
 		}
--- /dev/null
+++ b/internal/planner/metrics.go
@@ -0,0 +1,42 @@
+package planner
+
+import "github.com/prometheus/client_golang/prometheus"
+
+// metricPrefix begins the name of each metric.
+const metricPrefix = "lichenpick_"
+
+// metric is one number of the status. Names are an interface and do not change.
+type metric struct {
+	name  string // without the prefix
+	help  string // with the unit
+	value func(*Status) float64
+}
+
+// metrics are all that a planner exports. Totals are exported as gauges too, as they always were.
+var metrics = []metric{
+	{"proxies", "Number of proxies joined.", func(s *Status) float64 { return float64(s.Proxies) }},
+	{"commanded", "Number of proxies commanded by this planner.", func(s *Status) float64 { return float64(s.LeasesHeld) }},
+	{"takeovers", "Total proxies taken over from other planners.", func(s *Status) float64 { return float64(s.Takeovers) }},
+	{"streams", "Number of open control streams.", func(s *Status) float64 { return float64(s.Streams) }},
+	{"servers_ready", "Number of servers listed as ready.", func(s *Status) float64 { return float64(s.Ready) }},
+	{"servers_doubted", "Number of servers missing from the endpoint list and kept for now.", func(s *Status) float64 { return float64(s.Unverified) }},
+	{"lines_waiting", "Entries that wait to be sent, message overhead included.", func(s *Status) float64 { return s.Backlog }},
+	{"messages_sent", "Total order messages sent.", func(s *Status) float64 { return float64(s.Messages) }},
+	{"lines_sent", "Total entries sent in order messages, message overhead included.", func(s *Status) float64 { return float64(s.Entries) }},
+	{"sums_shed", "Total load entries dropped as too many waited for the policy.", func(s *Status) float64 { return float64(s.Shed) }},
+	{"reports_merged", "Total load reports added to an earlier one of their stream that still waited.", func(s *Status) float64 { return float64(s.Merged) }},
+	{"lag_ms", "Time that the last load reports waited for the core, in milliseconds.", func(s *Status) float64 { return s.LagMs }},
+	{"dials_refused", "Total connections rejected by address or by number.", func(s *Status) float64 { return float64(s.RejectedDials) }},
+	{"order_ms_p50", "Time from a decision to its acknowledgement, median, in milliseconds.", func(s *Status) float64 { return s.OrderMsP50 }},
+	{"order_ms_p99", "Time from a decision to its acknowledgement, 99th percentile, in milliseconds.", func(s *Status) float64 { return s.OrderMsP99 }},
+}
+
+// newMetricsRegistry registers all metrics; they read the last status when they are scraped.
+func newMetricsRegistry(status *statusPublisher) *prometheus.Registry {
+	registry := prometheus.NewRegistry()
+	for _, m := range metrics {
+		options := prometheus.GaugeOpts{Name: metricPrefix + m.name, Help: m.help}
+		registry.MustRegister(prometheus.NewGaugeFunc(options, func() float64 { return m.value(status.load()) }))
+	}
+	return registry
+}
--- /dev/null
+++ b/internal/planner/policy_settings.go
@@ -0,0 +1,62 @@
+package planner
+
+import (
+	"lichenpick/internal/settings"
+	"lichenpick/policy"
+	pb "lichenpick/proto/settings"
+)
+
+// idempotencyOf translates the settings' kinds of repetition.
+var idempotencyOf = map[pb.Repeat]policy.Idempotency{
+	pb.Repeat_NON_RETRIABLE: policy.NonIdempotent,
+	pb.Repeat_DEDUPED:       policy.Deduplicated,
+	pb.Repeat_RETRIABLE:     policy.Idempotent,
+}
+
+// retryModeOf translates the settings' kinds of retry.
+var retryModeOf = map[pb.Retry]int{
+	pb.Retry_NEVER:       policy.RetryNever,
+	pb.Retry_AFTER_PROOF: policy.RetryUnprocessed,
+	pb.Retry_ONCE:        policy.RetryOnce,
+	pb.Retry_TWICE:       policy.RetryTwice,
+}
+
+// NewPolicy makes the policy for checked settings.
+func NewPolicy(set *pb.Planner) Decider { return policy.New(policySettings(set), int64(set.GetSeed())) }
+
+// RetryMode translates a retry of the settings into one of the policy's retry modes.
+func RetryMode(r pb.Retry) int { return retryModeOf[r] }
+
+// policySettings translates checked settings into the policy's.
+func policySettings(set *pb.Planner) policy.Settings {
+	translated := policy.Settings{
+		Zones:                len(set.Zones),
+		DefaultRetry:         RetryMode(set.DefaultRetry),
+		PartialAdmission:     true,
+		EntriesPerSecond:     settings.PerSecond(set.Channel.Lines),
+		MessageOverhead:      set.Channel.GetHeadLines(),
+		MaxBacklog:           float64(set.Channel.GetMostWaiting()),
+		MaxMessages:          int(set.Channel.GetMostMessages()),
+		MessageWindowMs:      settings.Milliseconds(set.Channel.MessageSpan),
+		MaxPropagationMs:     settings.Milliseconds(set.Channel.LongestWay),
+		ReportIntervalMs:     settings.Milliseconds(set.Reports.Every),
+		ColdCapacity:         set.Servers.GetColdShare(),
+		SlowStartMs:          settings.Milliseconds(set.Servers.WarmUp),
+		DrainGraceMs:         settings.Milliseconds(set.Servers.DrainGrace),
+		ColdOverloadWindowMs: settings.Milliseconds(set.Servers.FallWindow),
+		CrossZoneCost:        set.GetCrossPrice(),
+		Proxies:              int(set.GetProxies()),
+		Planners:             int(set.GetPlanners()),
+		MinServerConnections: float64(set.Servers.GetLeastConnections()),
+		IdleTimeoutMs:        settings.Milliseconds(set.Servers.ConnectionIdle),
+	}
+	for _, class := range set.Groups {
+		translated.Classes = append(translated.Classes, policy.TrafficClass{
+			LatencyObjectiveMs: settings.Milliseconds(class.LatencyBudget),
+			PriorityWeight:     class.GetUtility(),
+			Idempotency:        idempotencyOf[class.Repeat],
+			SameZoneOnly:       class.OnlyZone,
+		})
+	}
+	return translated
+}
--- /dev/null
+++ b/internal/planner/profiling.go
@@ -0,0 +1,14 @@
+package planner
+
+import (
+	"net/http"
+	"net/http/pprof"
+)
+
+// handleProfiles serves the runtime's profiles, for questions about a running planner's CPU time and memory.
+func handleProfiles(mux *http.ServeMux) {
+	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
+	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
+	mux.HandleFunc("GET /debug/pprof/symbol", pprof.Symbol)
+	mux.HandleFunc("GET /debug/pprof/trace", pprof.Trace)
+}
--- /dev/null
+++ b/internal/planner/server.go
@@ -0,0 +1,175 @@
+package planner
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+
+	"golang.org/x/sync/errgroup"
+
+	"lichenpick/internal/clock"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
+	"lichenpick/internal/settings"
+	"lichenpick/internal/store"
+	pb "lichenpick/proto/settings"
+)
+
+// ErrCoreFailed is returned, wrapped, by Run if the core panicked. It means a fault of the program, not of its surroundings.
+var ErrCoreFailed = errors.New("planner core failed")
+
+// Options are what a planner runs on. Fields are required unless they say otherwise.
+type Options struct {
+	Settings *pb.Planner // checked by package settings
+	Clock    clock.Clock
+	Network  clock.Network
+	Source   discovery.Source // of the endpoint list
+	Log      *slog.Logger
+	Ready    func(addr net.Addr) // called once, when the planner accepts proxies; nil: not called
+	Decider  Decider             // nil: the policy, by NewPolicy
+	Status   func(*Status)       // called with the last status before Run returns, unless it failed at its start; nil: not called
+}
+
+// server is a running planner: goroutines for the listener, the core, the endpoint source, the epoch store and the status
+// page, and three for each connection. All end before Run returns.
+type server struct {
+	Options
+	limits   controlstream.Limits
+	loop     *eventLoop
+	acceptor *acceptor
+	status   *statusPublisher
+	reports  *coalescedReports
+	epochs   *epochWriter // nil: planners share nothing
+}
+
+// Run runs a planner until the context ends, and then leaves proxies with the tables that they hold. It returns nil when
+// the context ended, an error that wraps ErrCoreFailed if the core panicked, and otherwise why it could not start or go on.
+func Run(ctx context.Context, o Options) error {
+	listener, err := o.Network.Listen(ctx, o.Settings.Listen)
+	if err != nil {
+		return fmt.Errorf("listening for proxies: %w", err)
+	}
+	defer closeQuietly(listener)
+	s := newServer(o)
+	if o.Settings.Sharing != nil { // a planner must not command proxies of a shared fleet without its store
+		epochStore, err := store.Open(o.Settings.Sharing.Store, o.Settings.Name)
+		if err != nil {
+			return fmt.Errorf("sharing refused: %w", err)
+		}
+		defer closeQuietly(epochStore)
+		s.shareFleet(epochStore)
+	}
+	s.loop.publishStatus(true)
+	s.restoreEndpoints()
+	var statusListener net.Listener
+	if o.Settings.Status != "" {
+		statusListener, err = o.Network.Listen(ctx, o.Settings.Status)
+		if err != nil {
+			return fmt.Errorf("listening for status: %w", err)
+		}
+	}
+	err = s.run(ctx, listener, statusListener)
+	if o.Status != nil {
+		o.Status(s.status.load())
+	}
+	o.Log.Info("planner stopped", slog.String(logKeyPlanner, o.Settings.Name), slog.Any(logKeyError, err))
+	return err
+}
+
+// newServer makes a server whose core knows nothing yet.
+func newServer(o Options) *server {
+	if o.Decider == nil {
+		o.Decider = NewPolicy(o.Settings)
+	}
+	core := NewCore(o.Settings, o.Decider, newIncarnation(), o.Clock.Monotonic())
+	s := &server{
+		Options: o,
+		limits: controlstream.Limits{
+			MaxFrameBytes:      int(o.Settings.Streams.GetFrameBytes()),
+			HandshakeTimeoutMs: settings.Milliseconds(o.Settings.Streams.JoinWithin),
+			HeartbeatTimeoutMs: settings.Milliseconds(o.Settings.Streams.SilentAfter),
+		},
+		status:  &statusPublisher{},
+		reports: newCoalescedReports(),
+	}
+	s.acceptor = newAcceptor(o, s.status, s.serveConnection)
+	s.loop = &eventLoop{
+		Options:  o,
+		core:     core,
+		inputs:   make(chan input, inputBacklog),
+		reports:  s.reports,
+		acceptor: s.acceptor,
+		status:   s.status,
+	}
+	return s
+}
+
+// shareFleet makes the planner one of several that share a fleet.
+func (s *server) shareFleet(epochStore *store.Store) {
+	s.epochs = newEpochWriter(epochStore, s.loop, s.Log)
+	s.loop.epochs = s.epochs.requests
+	s.loop.core.EnableLeases(epochStore.ReservedEpoch())
+}
+
+// restoreEndpoints starts from the endpoint list that an earlier process saved, if there is one.
+func (s *server) restoreEndpoints() {
+	path := s.Settings.List.Keep
+	if path == "" {
+		return
+	}
+	update, found, err := discovery.Restore(path, uint64(s.Clock.WallTime().UnixMilli()))
+	switch {
+	case err != nil:
+		s.Log.Warn("saved endpoint list cannot be read; starting without one", slog.Any(logKeyError, err))
+	case found:
+		s.loop.core.UpdateEndpoints(update)
+		s.Log.Info("starting from the saved endpoint list", slog.Int(logKeyServers, len(update.Endpoints)))
+	}
+}
+
+// run starts the server's goroutines and waits for them. Connections have a group of their own in the acceptor: each ends by
+// itself, and none may end the planner.
+func (s *server) run(ctx context.Context, listener, statusListener net.Listener) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { return s.acceptor.run(ctx, listener) })
+	group.Go(func() error { return s.loop.run(ctx) })
+	group.Go(func() error { return s.followEndpoints(ctx) })
+	if s.epochs != nil {
+		group.Go(func() error { return s.epochs.run(ctx) })
+	}
+	if statusListener != nil {
+		page := &statusServer{status: s.status, loop: s.loop, shared: s.epochs != nil, log: s.Log}
+		group.Go(func() error { return page.run(ctx, statusListener) })
+	}
+	address := listener.Addr()
+	s.Log.Info("planner listens", slog.String(logKeyPlanner, s.Settings.Name), slog.String(logKeyAddress, address.String()))
+	if s.Ready != nil {
+		s.Ready(address)
+	}
+	return group.Wait()
+}
+
+// followEndpoints passes the source's updates to the core.
+func (s *server) followEndpoints(ctx context.Context) error {
+	return s.Source.Run(ctx, func(update discovery.Update) {
+		if update.Fault != "" {
+			s.Log.Warn("endpoint update failed; the last list stays in force", slog.String(logKeyCause, update.Fault))
+		}
+		s.loop.submit(ctx, func(c *Core) { c.UpdateEndpoints(update) })
+	})
+}
+
+// newIncarnation draws a number, never 0, that tells this process from any other of its name, now or before.
+func newIncarnation() uint64 {
+	var number [8]byte
+	rand.Read(number[:])
+	return binary.BigEndian.Uint64(number[:]) | 1
+}
+
+// closeQuietly closes what is of no use any more. An error of that is no news: whoever used it has seen it end.
+func closeQuietly(c io.Closer) { _ = c.Close() }
