--- /dev/null
+++ b/internal/planner/ejections_test.go
@@ -0,0 +1,117 @@
+package planner
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"lichenpick/internal/proxy"
+	"lichenpick/internal/settings"
+	"lichenpick/policy"
+	"lichenpick/proto/order"
+	pb "lichenpick/proto/settings"
+)
+
+func TestDrain(t *testing.T) {
+	t.Run("a drain reaches every proxy that uses the server", func(t *testing.T) {
+		host := newRecordingHost(t, "proxies: 4", 4)
+		first := host.join("x", 1, 1)
+		second := host.join("y", 2, 1)
+		host.run(0, 5000)
+		host.UpdateEndpoints(stateChange("s0", policy.Draining))
+		host.run(5050, 8000)
+		if !host.received(first, isEjectionOf("s0")) || !host.received(second, isEjectionOf("s0")) {
+			t.Error("not ejected")
+		}
+	})
+}
+
+// An ejection that outlives the server's last entry would stay for ever at both ends, one for each server that was ever
+// replaced; one that ends at one side only would keep the proxy off a server that the planner means it to use.
+func TestEjectionEndsWithLastEntry(t *testing.T) {
+	host := newRecordingHost(t, "", 8)
+	stream := host.join("x", 1, 1)
+	host.run(0, 8000)
+	host.UpdateEndpoints(stateChange("s2", policy.Draining))
+	host.run(8050, 30000)
+	if !host.received(stream, isEjectionOf("s2")) {
+		t.Fatal("the proxy was not told of the drain")
+	}
+	p := host.proxies.byName["x"]
+	if len(p.ejections) != 0 || !host.registry.Ejected["s2"] {
+		t.Errorf("ejected at the proxy %v, in the fleet %v", p.ejections, host.registry.Ejected)
+	}
+	host.UpdateEndpoints(stateChange("s2", policy.Ready))
+	host.run(30050, 60000)
+	if !replayAtProxy(t, host, stream).MayReceive("s2") {
+		t.Error("the proxy keeps off a server that is ready again")
+	}
+}
+
+// replayAtProxy applies all that a stream was sent at a proxy's core.
+func replayAtProxy(t *testing.T, host *recordingHost, stream *Stream) *proxy.Core {
+	t.Helper()
+	set := &pb.Proxy{}
+	err := settings.Parse("proxy", []byte(`name: "x" listen: "127.0.0.1:0" planners: "127.0.0.1:1"
+		groups { name: "check" latency_budget: "600ms" expiry: "1.5s" } groups { name: "charge" latency_budget: "800ms" expiry: "2.5s" }`), set)
+	if err != nil {
+		t.Fatal(err)
+	}
+	core := proxy.NewCore(set, 0)
+	for _, message := range host.sent[stream] {
+		switch message := message.(type) {
+		case *order.Welcome:
+			core.StartSession(message)
+		case *order.Orders:
+			core.ApplyOrders(message)
+		}
+	}
+	return core
+}
+
+// Two thousand proxies join at once while a server drains: first tables are long, ejections short and due. It guards against a
+// drain that waits behind the joins; the joins wait instead, and nobody's stream is closed for it.
+func TestDrainPrecedesManyJoins(t *testing.T) {
+	host := newRecordingHost(t, `proxies: 2100 channel { lines: "20000/s" most_waiting: 30000 } servers { drain_grace: "5s" }`, 20)
+	var established []*Stream
+	for number := range 100 {
+		established = append(established, host.join(fmt.Sprint("old", number), 1, 1))
+	}
+	host.run(0, 8000)
+	host.UpdateEndpoints(stateChange("s2", policy.Draining))
+	var joining []*Stream
+	for number := range 2000 {
+		joining = append(joining, host.join(fmt.Sprint("new", number), 1, 1))
+	}
+	host.run(8050, 10500) // half of the grace
+	for _, stream := range established {
+		if host.received(stream, usesServer("s2")) && !host.received(stream, stopsServer("s2")) {
+			t.Fatalf("%s was not told of the drain within half the grace", stream.Name())
+		}
+	}
+	host.run(10550, 40000)
+	for _, stream := range joining {
+		if !host.received(stream, isAssignment) {
+			t.Fatalf("%s has no table", stream.Name())
+		}
+	}
+	if len(host.closed) > 0 {
+		t.Errorf("%d streams closed", len(host.closed))
+	}
+}
+
+// usesServer matches a table or an entry with a server.
+func usesServer(server string) func(*order.Order) bool {
+	return func(o *order.Order) bool {
+		assigned := slices.ContainsFunc(o.GetBind().GetLines(), func(entry *order.Line) bool { return entry.Server == server })
+		return assigned || o.GetLine().GetLine().GetServer() == server
+	}
+}
+
+// stopsServer matches a server's ejection, or the removal of its entry.
+func stopsServer(server string) func(*order.Order) bool {
+	return func(o *order.Order) bool {
+		removed := o.GetLine().GetLine().GetServer() == server && o.GetLine().Line.Weight == 0
+		return removed || o.GetWithdraw().GetServer() == server
+	}
+}
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -61,32 +61,32 @@
 
 // fakeProxy is the other end of a stream.
 type fakeProxy struct {
-	name        string
-	zone        int
-	incarnation uint64
-	lease       lease.Grantor
-	stream      *planner.Stream // nil: it has none
-	streams     uint64          // so far
-	redialAt    int             // step
-	inbox       []proto.Message // of the current stream, to be answered in the next step
-	deaf        bool            // answers nothing
-	silent      bool            // sends nothing at all
+	name         string
+	zone         int
+	incarnation  uint64
+	lease        lease.Grantor
+	stream       *planner.Stream // nil: it has none
+	streams      uint64          // so far
+	redialAt     int             // step
+	inbox        []proto.Message // of the current stream, to be answered in the next step
+	unresponsive bool            // answers nothing
+	silent       bool            // sends nothing at all
 }
 
 // conversation is a planner core, its proxies and a list source in simulated time. All that the core decides goes into the
 // digest, byte for byte.
 type conversation struct {
-	t       *testing.T
-	core    *planner.Core
-	digest  *golden.Digest
-	random  *rand.Rand
-	shared  bool
-	step    int
-	proxies []*fakeProxy
-	servers []discovery.Endpoint
-	slow    map[string]float64 // factor of a server's latency
-	broken  map[string]bool    // servers whose requests fail
-	full    bool               // the store cannot be written
+	t        *testing.T
+	core     *planner.Core
+	digest   *golden.Digest
+	random   *rand.Rand
+	shared   bool
+	step     int
+	proxies  []*fakeProxy
+	servers  []discovery.Endpoint
+	slow     map[string]float64 // factor of a server's latency
+	broken   map[string]bool    // servers whose requests fail
+	diskFull bool               // the store cannot be written
 }
 
 func newConversation(t *testing.T, name, more string, shared bool) *conversation {
@@ -124,7 +124,7 @@
 func (c *conversation) proxyOf(stream *planner.Stream) *fakeProxy {
 	proxy, ok := stream.Transport.(*fakeProxy)
 	if !ok {
-		c.t.Fatal("a stream of nobody")
+		c.t.Fatal("a stream of no proxy")
 	}
 	return proxy
 }
@@ -158,7 +158,7 @@
 func (c *conversation) ReserveEpochs(upTo uint64) {
 	c.digest.Add(c.now(), "reserve %d", upTo)
 	var err error
-	if c.full {
+	if c.diskFull {
 		err = errors.New("no space left")
 	}
 	c.core.EpochsReserved(upTo, err)
@@ -166,15 +166,19 @@
 
 func (p *fakeProxy) disconnect(step int) {
 	p.stream, p.inbox = nil, nil
-	p.deaf, p.silent = false, false
+	p.unresponsive, p.silent = false, false
 	p.redialAt = step + redialSteps
 }
 
 // leaseState is what a proxy says of its lease.
 func (p *fakeProxy) leaseState() *order.Lease {
 	return &order.Lease{
-		Epoch: p.lease.Epoch, Controller: p.lease.Controller, Incarnation: p.lease.Incarnation, LeftMs: p.lease.RemainingMs(),
-		Reachable: []string{plannerName, rivalName}, Controllers: 2,
+		Epoch:       p.lease.Epoch,
+		Controller:  p.lease.Controller,
+		Incarnation: p.lease.Incarnation,
+		LeftMs:      p.lease.RemainingMs(),
+		Reachable:   []string{plannerName, rivalName},
+		Controllers: 2,
 	}
 }
 
@@ -206,7 +210,7 @@
 func (c *conversation) answer(proxy *fakeProxy) {
 	inbox := proxy.inbox
 	proxy.inbox = nil
-	if proxy.deaf {
+	if proxy.unresponsive {
 		return
 	}
 	for _, message := range inbox {
@@ -238,9 +242,9 @@
 		acknowledgement.Epoch = proxy.lease.Epoch
 		acknowledgement.Refused = !proxy.lease.Accepts(message.Planner, message.Incarnation, message.Epoch)
 	}
-	for _, single := range message.Orders {
-		if receipt, ok := single.What.(*order.Order_Receipt); ok {
-			acknowledgement.Receipts = append(acknowledgement.Receipts, receipt.Receipt)
+	for _, o := range message.Orders {
+		if request, ok := o.What.(*order.Order_Receipt); ok {
+			acknowledgement.Receipts = append(acknowledgement.Receipts, request.Receipt)
 		}
 	}
 	return acknowledgement
@@ -276,50 +280,47 @@
 	c.core.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: unixOriginMs + uint64(c.now()), Version: 2, Endpoints: changed})
 }
 
-// faults plays what goes wrong, by second.
-func (c *conversation) faults(second int) {
-	switch second {
-	case 5:
-		c.broken[c.servers[3].Server] = true
-	case 7:
-		c.listChange(0, policy.Draining)
-	case 9:
+// faults are what goes wrong, by second.
+var faults = map[int]func(*conversation){
+	5: func(c *conversation) { c.broken[c.servers[3].Server] = true },
+	7: func(c *conversation) { c.listChange(0, policy.Draining) },
+	9: func(c *conversation) {
 		c.slow[c.servers[4].Server] = 20
-		c.proxies[1].deaf = true
-	case 10:
+		c.proxies[1].unresponsive = true
+	},
+	10: func(c *conversation) {
 		c.listChange(0, policy.Removed)
-		c.listChange(5, policy.Draining) // the deaf proxy does not acknowledge that
-	case 12:
+		c.listChange(5, policy.Draining) // the unresponsive proxy does not acknowledge that
+	},
+	12: func(c *conversation) {
 		c.core.UpdateEndpoints(discovery.Update{Kind: policy.FailedUpdate, Fault: "no answer"})
 		delete(c.broken, c.servers[3].Server)
-	case 13:
+	},
+	13: func(c *conversation) {
 		c.lose(c.proxies[4])
 		c.lose(c.proxies[5])
-	case 14:
-		c.core.RecordLag(1500)
-	case 15:
+	},
+	14: func(c *conversation) { c.core.RecordLag(1500) },
+	15: func(c *conversation) {
 		c.core.RecordLag(10)
 		c.servers = append(c.servers, discovery.Endpoint{Server: "10.0.1.1:80", Zone: "a", RelativeCapacity: 2, StartedUnixMs: unixOriginMs + uint64(c.now()) - 500})
 		c.listAll(3)
-	case 16:
-		c.full = true
-	case 18:
-		c.connect(c.proxies[6]) // a newer stream while the older one is up
-	case 20:
-		c.core.SetDraining(true)
-	case 21:
-		c.full = false
-	case 23:
+	},
+	16: func(c *conversation) { c.diskFull = true },
+	18: func(c *conversation) { c.connect(c.proxies[6]) }, // a newer stream while the older one is up
+	20: func(c *conversation) { c.core.SetDraining(true) },
+	21: func(c *conversation) { c.diskFull = false },
+	23: func(c *conversation) {
 		c.core.SetDraining(false)
 		c.proxies[8].silent = true
 		c.servers = c.servers[:6]
 		c.listAll(4) // most servers are missing at once
-	case 25:
-		c.join(c.proxies[8], firstProcess+1) // too early: its first process may be alive
-	case 26:
+	},
+	25: func(c *conversation) { c.join(c.proxies[8], firstProcess+1) }, // too early: its first process may be alive
+	26: func(c *conversation) {
 		c.proxies[8].incarnation++ // its first process has been silent for long
 		c.connect(c.proxies[8])
-	}
+	},
 }
 
 func (c *conversation) lose(proxy *fakeProxy) {
@@ -348,7 +349,9 @@
 		c.listAll(1)
 	}
 	if c.step%stepsPerSecond == 0 {
-		c.faults(c.step / stepsPerSecond)
+		if fault := faults[c.step/stepsPerSecond]; fault != nil {
+			fault(c)
+		}
 	}
 	for number, proxy := range c.proxies {
 		if c.shared {
--- /dev/null
+++ b/internal/planner/server_test.go
@@ -0,0 +1,244 @@
+package planner
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"lichenpick/internal/clock"
+	"lichenpick/internal/controlstream"
+	"lichenpick/internal/discovery"
+	"lichenpick/policy"
+	"lichenpick/proto/order"
+)
+
+func TestRun(t *testing.T) {
+	t.Run("200 proxies that join within 100 ms are assigned tables with a short backlog", testManyJoins)
+	t.Run("a proxy that stops reading while its server drains loses its stream within the grace", testStoppedReader)
+	t.Run("a proxy that dials again replaces its half-open stream", testRedial)
+	t.Run("a date that is stepped by an hour and back changes nothing", testSteppedDate)
+	t.Run("told to stop amid joins and reports it ends at once and tells its proxies", testShutdownUnderLoad)
+	t.Run("a policy that panics ends its planner with an error and the last inputs", testPolicyFailure)
+	t.Run("a planner that starts again begins from its saved endpoint list", testSavedEndpoints)
+}
+
+func testManyJoins(t *testing.T) {
+	t.Parallel()
+	const proxies, maxBacklog = 200, 3500
+	server := startServer(t, parseTestSettings(t, "proxies: 200 channel { lines: \"5000/s\" }"), nil, 10)
+	var all []*testProxy
+	for number := range proxies {
+		all = append(all, server.join(fmt.Sprint("x", number), 1, 1))
+	}
+	for _, p := range all {
+		eventually(t, "a table", func() bool { return p.received(isAssignment) })
+	}
+	last := server.stop()
+	if last.MaxBacklog > maxBacklog || last.Joins != proxies || len(last.Closes) != 0 {
+		t.Errorf("%+v", last)
+	}
+}
+
+// Each faulty peer's stream is closed for one reason, logged once and counted; a sound proxy beside it goes on.
+func TestFaultyPeer(t *testing.T) {
+	for name, variant := range map[string]struct {
+		bytes  []byte
+		reason controlstream.CloseReason
+	}{
+		"garbage":                   {[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), controlstream.ReasonBadMagic},
+		"half a frame":              {encodeFrame(t, controlstream.FrameJoin, &order.Join{Proxy: "y"})[:15], controlstream.ReasonJoinTimeout},
+		"nothing":                   {nil, controlstream.ReasonJoinTimeout},
+		"a join from another zone":  {encodeFrame(t, controlstream.FrameJoin, &order.Join{Proxy: "y", Zone: "mars", Groups: 2}), controlstream.ReasonUnknownPeer},
+		"a report before its join":  {encodeFrame(t, controlstream.FrameLoadReport, &order.Sums{}), controlstream.ReasonUnexpectedFrame},
+		"a huge size in its header": {[]byte{'L', 'P', 1, 1, 0xff, 0xff, 0xff, 0xff}, controlstream.ReasonBadSize},
+		"a name in use":             {encodeFrame(t, controlstream.FrameJoin, &order.Join{Proxy: "sound", Incarnation: 9, Groups: 2}), controlstream.ReasonNameInUse},
+		"a close frame":             {encodeFrame(t, controlstream.FrameClose, &order.Bye{Reason: "never mind"}), controlstream.ReasonPeerClosed},
+	} {
+		t.Run("a peer that sends "+name, func(t *testing.T) {
+			t.Parallel()
+			testFaultyPeer(t, variant.bytes, variant.reason)
+		})
+	}
+}
+
+func testFaultyPeer(t *testing.T, bytes []byte, reason controlstream.CloseReason) {
+	t.Helper()
+	server := startServer(t, parseTestSettings(t, `proxies: 4 streams { join_within: "300ms" }`), nil, 4)
+	sound := server.joinAndAwaitTable("sound", 1, 1)
+	faulty := server.connect()
+	if _, err := faulty.conn.Write(bytes); err != nil {
+		t.Fatal(err)
+	}
+	<-faulty.done
+	eventually(t, "a log record", func() bool {
+		return server.log.count("reason=\""+string(reason)+"\"")+server.log.count("reason="+string(reason)+" ") == 1
+	})
+	select {
+	case <-sound.done:
+		t.Error("the sound proxy lost its stream")
+	default:
+	}
+	last := server.stop()
+	if last.Closes[reason] != 1 {
+		t.Errorf("%v", last.Closes)
+	}
+}
+
+func testStoppedReader(t *testing.T) {
+	t.Parallel()
+	const drainGrace = 3 * time.Second // the default
+	server := startServer(t, parseTestSettings(t, "proxies: 4"), nil, 4)
+	stopped := server.joinAndAwaitTable("stopped", 1, 1)
+	sound := server.joinAndAwaitTable("sound", 1, 1)
+	time.Sleep(time.Second)
+	stopped.paused.Store(true)
+	begun := time.Now()
+	server.source <- stateChange("s0", policy.Draining)
+	eventually(t, "the drain", func() bool { return sound.received(isEjectionOf("s0")) })
+	eventually(t, "the end of the stopped stream", func() bool { return server.log.count("reason=answer") == 1 })
+	if took := time.Since(begun); took > drainGrace {
+		t.Errorf("after %v; the grace is %v", took, drainGrace)
+	}
+	stopped.paused.Store(false)
+	<-stopped.done
+}
+
+func testRedial(t *testing.T) {
+	t.Parallel()
+	server := startServer(t, parseTestSettings(t, "proxies: 4"), nil, 4)
+	first := server.joinAndAwaitTable("x", 7, 1)
+	server.joinAndAwaitTable("x", 7, 2)
+	eventually(t, "the end of the first stream", func() bool { return first.isClosedFor(controlstream.ReasonSuperseded) })
+}
+
+func testSteppedDate(t *testing.T) {
+	t.Parallel()
+	const settleTime = 700 * time.Millisecond
+	const hourMs = 3600e3
+	server := startServer(t, parseTestSettings(t, "proxies: 4"), nil, 0)
+	list := func(asOfMs uint64) discovery.Update {
+		update := endpointList(4)
+		update.AsOfMs = asOfMs
+		for number := range update.Endpoints {
+			update.Endpoints[number].StartedUnixMs = testUnixOriginMs - 1e8
+		}
+		return update
+	}
+	server.source <- list(testUnixOriginMs)
+	p := server.joinAndAwaitTable("x", 1, 1)
+	server.clock.offset.Store(int64(time.Hour))
+	server.source <- list(testUnixOriginMs + hourMs)
+	time.Sleep(settleTime)
+	server.clock.offset.Store(-int64(time.Hour))
+	server.source <- list(testUnixOriginMs - hourMs)
+	time.Sleep(settleTime)
+	if p.received(func(o *order.Order) bool { return o.GetWithdraw() != nil }) {
+		t.Error("a server was ejected")
+	}
+	last := server.stop()
+	if len(last.Closes) != 0 || last.Ready != 4 {
+		t.Errorf("%+v", last)
+	}
+}
+
+func testShutdownUnderLoad(t *testing.T) {
+	t.Parallel()
+	const proxies, reports = 50, 200
+	server := startServer(t, parseTestSettings(t, "proxies: 100"), nil, 10)
+	var all []*testProxy
+	var reporting sync.WaitGroup
+	for number := range proxies {
+		p := server.join(fmt.Sprint("x", number), 1, 1)
+		all = append(all, p)
+		reporting.Go(func() {
+			for range reports {
+				p.send(controlstream.FrameLoadReport, &order.Sums{CoversMs: 5, Servers: []*order.ServerSum{{Server: "s1", Tries: 9, LatencyMs: 3}}})
+			}
+		})
+	}
+	eventually(t, "some tables", func() bool { return all[0].received(isAssignment) })
+	server.stop()
+	for number, p := range all {
+		<-p.done
+		if p.closeCause() != nil && !p.isClosedFor(controlstream.ReasonShutdown) {
+			t.Errorf("stream %d: %v", number, p.closeCause())
+		}
+	}
+	reporting.Wait()
+}
+
+func testPolicyFailure(t *testing.T) {
+	t.Parallel()
+	set := parseTestSettings(t, "proxies: 4")
+	set.Dump = filepath.Join(t.TempDir(), "dump")
+	server := startServer(t, set, failingPolicy{NewPolicy(set)}, 4)
+	server.join("x", 1, 1)
+	eventually(t, "the failure", func() bool { return server.log.count("core failed") > 0 })
+	server.wait()
+	if !errors.Is(server.err, ErrCoreFailed) || !strings.Contains(server.err.Error(), errFailingPolicy.Error()) {
+		t.Errorf("%v", server.err)
+	}
+	dump, err := os.ReadFile(set.Dump)
+	if err != nil || !strings.Contains(string(dump), "join proxy:\"x\"") {
+		t.Errorf("%v, %.300s", err, dump)
+	}
+}
+
+func testSavedEndpoints(t *testing.T) {
+	t.Parallel()
+	set := parseTestSettings(t, "proxies: 4")
+	set.List.Keep = filepath.Join(t.TempDir(), "saved")
+	first := startServer(t, set, nil, 4)
+	first.joinAndAwaitTable("x", 1, 1)
+	eventually(t, "the saved list", func() bool {
+		_, err := os.ReadFile(set.List.Keep)
+		return err == nil
+	})
+	first.stop()
+	second := startServer(t, set, nil, 0) // its source is silent
+	second.joinAndAwaitTable("x", 1, 2)
+}
+
+// A core that stands still for two seconds under reports without end. It guards against readers that wait for it, as proxies
+// would end their streams and dial anew together, and against a queue that grows: each stream may leave one report, and no
+// attempt is lost.
+func TestStalledCore(t *testing.T) {
+	t.Parallel()
+	const proxies, reports, attempts, stallMs = 8, 1500, 2, 2000
+	set := parseTestSettings(t, `reports { every: "100ms" intake: "100000/s" } streams { silent_after: "20s" }`)
+	stalling := &stallingPolicy{Decider: NewPolicy(set), lagging: make(chan bool, 100)}
+	server := startServer(t, set, stalling, 6)
+	var all []*testProxy
+	for number := range proxies {
+		all = append(all, server.joinAndAwaitTable(fmt.Sprint("x", number), 1, 1))
+	}
+	stalling.gate.Lock()
+	var sending sync.WaitGroup
+	for _, p := range all {
+		sending.Go(func() {
+			for range reports {
+				p.send(controlstream.FrameLoadReport, &order.Sums{CoversMs: 1, Servers: []*order.ServerSum{{Server: "s1", Tries: attempts, LatencyMs: 30}}})
+			}
+		})
+	}
+	sending.Wait() // it ends although nobody takes anything
+	err := clock.Sleep(t.Context(), server.clock, stallMs)
+	stalling.gate.Unlock()
+	if err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, "every attempt", func() bool { return stalling.attempts.Load() == attempts*proxies*reports })
+	begins, ends := <-stalling.lagging, <-stalling.lagging
+	if !begins || ends {
+		t.Errorf("lagging %v, then %v", begins, ends)
+	}
+	last := server.stop()
+	if last.Merged < proxies*reports/2 || last.Lost != 0 || len(last.Closes) != 0 {
+		t.Errorf("%+v", last)
+	}
+}
