--- a/internal/planner/acknowledgements.go
+++ b/internal/planner/acknowledgements.go
@@ -42,7 +42,7 @@
 type ackTracker struct {
 	timeoutMs      float64 // for every message
 	drainTimeoutMs float64 // for one that ejects a server which drains
-	// earliestMs is a lower bound of all proxies' deadlines: acknowledgements only move deadlines back. It spares looking at
+	// earliestMs is a lower bound of all proxies' deadlines: acknowledgements only move deadlines back. It spares a scan of
 	// all proxies at each decision.
 	earliestMs float64
 }
@@ -94,7 +94,7 @@
 
 // HandleAck takes in that a proxy applied a message and all before it, or refused one that was decided under another epoch.
 func (c *Core) HandleAck(s *Stream, ack *order.Applied) {
-	c.recordInput(recordedInput{kind: inputAck, stream: s, message: ack})
+	c.logInput(inputAck, s, ack)
 	p := s.proxy
 	if p == nil || s.ended {
 		return
--- a/internal/planner/coalesce.go
+++ b/internal/planner/coalesce.go
@@ -51,7 +51,7 @@
 func (r *coalescedReports) signal() {
 	select {
 	case r.available <- struct{}{}:
-	default: // it has been told already
+	default: // it has been signalled already
 	}
 }
 
@@ -124,7 +124,7 @@
 	return true
 }
 
-// succeededAttempts counts those of a sample; a peer may claim more failures than attempts.
+// succeededAttempts counts those of a sample; a peer may state more failures than attempts.
 func succeededAttempts(sample *order.ServerSum) float64 {
 	return float64(sample.Tries - min(sample.Dropped, sample.Tries))
 }
--- a/internal/planner/connection.go
+++ b/internal/planner/connection.go
@@ -27,7 +27,7 @@
 // connection is a proxy's connection. Three goroutines serve it: a streamReader, a streamWriter and watch. Fields do not
 // change once made, unless they say otherwise.
 type connection struct {
-	stream  *Stream // the core's; only its goroutine looks into it
+	stream  *Stream // the core's; only its goroutine reads it
 	conn    net.Conn
 	outbox  chan outgoingFrame // from the core to the writer
 	session *controlstream.PlannerSession
@@ -111,7 +111,7 @@
 	_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// closeLogLevel is Info for ends that are part of a fleet's life, and Warn for those that an operator should look into.
+// closeLogLevel is Info for ends that are ordinary in a fleet, and Warn for those that an operator should investigate.
 func closeLogLevel(reason controlstream.CloseReason) slog.Level {
 	switch reason {
 	case controlstream.ReasonPeerClosed, controlstream.ReasonConnectionLost, controlstream.ReasonShutdown:
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -1,6 +1,7 @@
 package planner
 
 import (
+	"fmt"
 	"io"
 	"time"
 
@@ -139,14 +140,13 @@
 
 // UpdateEndpoints takes in an update of the endpoint source.
 func (c *Core) UpdateEndpoints(u discovery.Update) {
-	c.recordInput(recordedInput{kind: inputEndpoints, endpoints: endpointSummaryOf(u)})
+	c.logInput(inputEndpoints, nil, newUpdateSummary(u))
 	c.endpoints.tracker.RecordUpdate(u)
 }
 
-// recordInput keeps an input for a later dump.
-func (c *Core) recordInput(in recordedInput) {
-	in.atMs = c.now
-	c.recentInputs.add(in)
+// logInput logs an input for a later dump. The stream is nil if it has not joined, the content if there is none.
+func (c *Core) logInput(kind inputKind, s *Stream, content fmt.Stringer) {
+	c.recentInputs.add(loggedInput{atMs: c.now, kind: kind, stream: s, content: content})
 }
 
 // Next carries out at most one decision and reports whether it did. The host calls it until it returns false.
--- a/internal/planner/ejections.go
+++ b/internal/planner/ejections.go
@@ -10,7 +10,7 @@
 // entriesPerOrder is what an order costs of the control stream's rate, other than the assignment of a table.
 const entriesPerOrder = 1
 
-// setEjected has a proxy told that a server is ejected, or is so no longer.
+// setEjected has a proxy notified that a server is ejected, or is so no longer.
 func (c *Core) setEjected(p *joinedProxy, server string, ejected bool) {
 	leaving := ejected && c.isLeaving(p, server)
 	c.addOrder(p, entriesPerOrder, &order.Order{What: &order.Order_Withdraw{
--- a/internal/planner/eventloop.go
+++ b/internal/planner/eventloop.go
@@ -22,7 +22,7 @@
 	saveIntervalMs = 1000.0 // between writes of the endpoint list
 )
 
-// input is something that happened, told to the core on its goroutine.
+// input is something that happened, passed to the core on its goroutine.
 type input func(*Core)
 
 // eventLoop owns the core: the goroutine in run is the only one that touches it, and calls the Host methods from within.
@@ -53,7 +53,7 @@
 }
 
 // run lets the core decide whenever something happened, until the context ends. The recover guards against a fault of the
-// core: what led to it is written down, proxies keep their tables, and a supervisor starts the planner anew.
+// core: what led to it is written down, proxies go on with their tables, and a supervisor starts the planner anew.
 func (l *eventLoop) run(ctx context.Context) (err error) {
 	defer func() {
 		cause := recover()
@@ -101,7 +101,7 @@
 	l.saveEndpoints()
 }
 
-// takeInputs tells the core of the inputs that wait, up to a bound.
+// takeInputs passes the inputs that wait to the core, up to a bound.
 func (l *eventLoop) takeInputs() {
 	for range maxInputBatch {
 		select {
@@ -113,7 +113,7 @@
 	}
 }
 
-// takeReports tells the core of the load reports that wait, up to a bound; the rest has its turn once the core has decided.
+// takeReports passes the load reports that wait to the core, up to a bound; the rest has its turn once the core has decided.
 func (l *eventLoop) takeReports() {
 	lagMs := 0.0
 	for range maxReportBatch {
@@ -174,7 +174,7 @@
 	}
 }
 
-// sayFarewell tells all proxies that this planner stops; they keep what they hold and dial elsewhere. Leases are given back
+// sayFarewell tells all proxies that this planner stops; they go on with the tables that they hold and dial elsewhere. Leases are given back
 // first, so that another planner can take the proxies over at once.
 func (l *eventLoop) sayFarewell() {
 	for p := range l.core.proxies.all() {
--- a/internal/planner/inputlog.go
+++ b/internal/planner/inputlog.go
@@ -5,87 +5,92 @@
 	"io"
 	"strings"
 
-	"google.golang.org/protobuf/proto"
-
 	"lichenpick/internal/controlstream"
 	"lichenpick/internal/discovery"
-	"lichenpick/policy"
 )
 
-// recentInputCount is how many inputs are kept for a dump: some seconds of a large fleet.
+// recentInputCount is how many inputs are logged for a dump: some seconds of a large fleet.
 const recentInputCount = 4096
 
-// inputKind is the kind of an input, as written to a dump.
-type inputKind string
+// inputKind is the kind of a logged input.
+type inputKind uint8
 
 const (
-	inputEndpoints  inputKind = "endpoints"
-	inputJoin       inputKind = "join"
-	inputDisconnect inputKind = "disconnect"
-	inputLoadReport inputKind = "load report"
-	inputAck        inputKind = "acknowledgement"
-	inputLease      inputKind = "lease"
+	inputEndpoints inputKind = iota
+	inputJoin
+	inputDisconnect
+	inputLoadReport
+	inputAck
+	inputLease
 )
 
-// recordedInput is an input as it came. It is put into words only when a dump is written, as most never are.
-type recordedInput struct {
-	atMs      float64
-	kind      inputKind
-	stream    *Stream                   // nil: of no stream that joined
-	message   proto.Message             // nil: none
-	cause     *controlstream.CloseError // of a disconnect
-	endpoints *endpointSummary          // of an endpoint update
-}
-
-// endpointSummary is what a dump says of an endpoint update, whose list may be long.
-type endpointSummary struct {
-	kind    policy.UpdateKind
-	version uint64
-	asOfMs  uint64 // the source's clock
-	entries int
-	fault   string
+// String is the kind's name in a dump.
+func (k inputKind) String() string {
+	return [...]string{"endpoints", "join", "disconnect", "load report", "acknowledgement", "lease"}[k]
 }
 
-// endpointSummaryOf summarises an update.
-func endpointSummaryOf(u discovery.Update) *endpointSummary {
-	return &endpointSummary{kind: u.Kind, version: u.Version, asOfMs: u.AsOfMs, entries: len(u.Endpoints), fault: u.Fault}
+// loggedInput is an input as it came. It is formatted only when a dump is written, as most never are.
+type loggedInput struct {
+	atMs    float64
+	stream  *Stream      // nil: of no stream that joined
+	content fmt.Stringer // nil: none
+	kind    inputKind
 }
 
 // String gives the input as one line of a dump, without its end.
-func (in *recordedInput) String() string {
-	var text strings.Builder
-	fmt.Fprintf(&text, "%.3f %s", in.atMs, in.kind)
-	if s := in.endpoints; s != nil {
-		fmt.Fprintf(&text, " kind=%d version=%d as_of=%d entries=%d %s", s.kind, s.version, s.asOfMs, s.entries, s.fault)
-	}
+func (in *loggedInput) String() string {
+	text := fmt.Sprintf("%.3f %s", in.atMs, in.kind)
 	if in.stream != nil {
-		fmt.Fprintf(&text, " %s", in.stream.Name())
-	}
-	if in.cause != nil {
-		fmt.Fprintf(&text, " %v", in.cause)
+		text += " " + in.stream.Name()
 	}
-	if in.message != nil {
-		fmt.Fprintf(&text, " %s", strings.Join(strings.Fields(fmt.Sprint(in.message)), " "))
+	if in.content != nil {
+		text += " " + strings.Join(strings.Fields(in.content.String()), " ") // the spaces of protobuf's text vary
 	}
-	return text.String()
+	return text
 }
 
+// updateSummary is what a dump says of an endpoint update, whose list may be long.
+type updateSummary struct {
+	update  discovery.Update // without its endpoints
+	entries int
+}
+
+// newUpdateSummary summarises an update.
+func newUpdateSummary(u discovery.Update) *updateSummary {
+	summary := &updateSummary{update: u, entries: len(u.Endpoints)}
+	summary.update.Endpoints = nil
+	return summary
+}
+
+// String states the form of the update and why it failed, if it did.
+func (s *updateSummary) String() string {
+	u := &s.update
+	return fmt.Sprintf("kind=%d version=%d as_of=%d entries=%d %s", u.Kind, u.Version, u.AsOfMs, s.entries, u.Fault)
+}
+
+// disconnectCause makes the reason of a disconnect content of a logged input.
+type disconnectCause struct{ *controlstream.CloseError }
+
+// String gives the reason with its detail.
+func (d disconnectCause) String() string { return d.Error() }
+
 // inputLog is a ring of the last inputs. The zero value is empty.
 type inputLog struct {
-	entries [recentInputCount]recordedInput
+	entries [recentInputCount]loggedInput
 	count   int // of all inputs since the start
 }
 
-func (l *inputLog) add(in recordedInput) {
+func (l *inputLog) add(in loggedInput) {
 	l.entries[l.count%recentInputCount] = in
 	l.count++
 }
 
-// writeTo writes the inputs that are kept, oldest first, one per line.
+// writeTo writes the logged inputs, oldest first, one per line.
 func (l *inputLog) writeTo(w io.Writer) error {
 	for number := max(0, l.count-recentInputCount); number < l.count; number++ {
 		in := &l.entries[number%recentInputCount]
-		if _, err := fmt.Fprintln(w, in.String()); err != nil {
+		_, err := fmt.Fprintln(w, in.String())
+		if err != nil {
 			return fmt.Errorf("writing input %d: %w", number, err)
 		}
 	}
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -12,7 +12,7 @@
 	millisPerSecond       = 1000
 )
 
-// intakeLimits bound what the policy hears of load reports.
+// intakeLimits bound how much of load reports the policy is told.
 type intakeLimits struct {
 	periodMs  float64 // for which samples are summed up
 	perSecond float64 // loads that may pass to the policy
@@ -28,7 +28,7 @@
 	}
 }
 
-// reportIntake sums load reports up, per server and zone, and per proxy and traffic class, and passes a limited number of
+// reportIntake adds load reports up, per server and zone, and per proxy and traffic class, and passes a limited number of
 // loads per second to the policy, oldest first. What waits keeps growing in place: each load is queued once at most.
 type reportIntake struct {
 	intakeLimits
@@ -124,8 +124,8 @@
 	in.current = in.current[:0]
 }
 
-// enqueue queues a load. If too many wait it sheds the oldest: of two that the policy cannot both hear, the newer tells more,
-// and the next one of the shed load states the longer time that it covers.
+// enqueue queues a load. If too many wait it sheds the oldest: the newer is the better news, and
+// the next load of the shed one's owner states the longer time that it covers.
 func (in *reportIntake) enqueue(load *pendingLoad, coversMs float64) {
 	if len(in.queue) >= in.maxQueued {
 		oldest := in.queue[0]
--- a/internal/planner/leases.go
+++ b/internal/planner/leases.go
@@ -9,7 +9,7 @@
 )
 
 // leaseState is this planner's part where several share a fleet. Package lease decides who commands which proxy; the core
-// carries that out and keeps what a proxy's last planner knew.
+// carries that out and remembers what a proxy's last planner knew.
 type leaseState struct {
 	manager    *lease.Manager // nil: planners share nothing
 	settled    bool           // the manager has nothing more to decide before the next SetTime
@@ -38,7 +38,7 @@
 }
 
 // EnableLeases makes the planner one of several that share a fleet. It must be called before any other method. Epochs up to
-// reserved may have been used by earlier processes, by the word of the epoch store.
+// reserved may have been used by earlier processes, as the epoch store states.
 func (c *Core) EnableLeases(reserved uint64) {
 	c.leases.manager = lease.NewManager(c.configuration.Name, c.incarnation, reserved, c.now)
 }
@@ -64,7 +64,7 @@
 // HandleLease takes in a proxy's statement of who commands it, unasked or in answer to a lease request. A proxy that grants a
 // new lease states what it holds.
 func (c *Core) HandleLease(s *Stream, state *order.Lease) {
-	c.recordInput(recordedInput{kind: inputLease, stream: s, message: state})
+	c.logInput(inputLease, s, state)
 	p := s.proxy
 	if p == nil || s.ended || !c.leases.enabled() {
 		return
--- a/internal/planner/loadreports.go
+++ b/internal/planner/loadreports.go
@@ -9,7 +9,7 @@
 
 // HandleLoadReport takes in a proxy's load report. Samples of servers that were never listed are ignored.
 func (c *Core) HandleLoadReport(s *Stream, report *order.Sums) {
-	c.recordInput(recordedInput{kind: inputLoadReport, stream: s, message: report})
+	c.logInput(inputLoadReport, s, report)
 	p := s.proxy
 	if p == nil || s.ended {
 		return
@@ -25,7 +25,7 @@
 		p.demand = c.newDemand(p)
 	}
 	for _, sample := range report.Groups {
-		if int(sample.Group) < len(p.demand) { // a proxy may claim any class
+		if int(sample.Group) < len(p.demand) { // a proxy may name any class
 			c.intake.add(p.demand[sample.Group], int(sample.Came), int(sample.Dropped), 0)
 		}
 	}
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -19,7 +19,7 @@
 	{"takeovers", "Total proxies taken over from other planners.", func(s *Status) float64 { return float64(s.Takeovers) }},
 	{"streams", "Number of open control streams.", func(s *Status) float64 { return float64(s.Streams) }},
 	{"servers_ready", "Number of servers listed as ready.", func(s *Status) float64 { return float64(s.Ready) }},
-	{"servers_doubted", "Number of servers missing from the endpoint list and kept for now.", func(s *Status) float64 { return float64(s.Unverified) }},
+	{"servers_doubted", "Number of servers missing from the endpoint list that are not taken for removed yet.", func(s *Status) float64 { return float64(s.Unverified) }},
 	{"lines_waiting", "Entries that wait to be sent, message overhead included.", func(s *Status) float64 { return s.Backlog }},
 	{"messages_sent", "Total order messages sent.", func(s *Status) float64 { return float64(s.Messages) }},
 	{"lines_sent", "Total entries sent in order messages, message overhead included.", func(s *Status) float64 { return float64(s.Entries) }},
--- a/internal/planner/policyhost.go
+++ b/internal/planner/policyhost.go
@@ -6,7 +6,7 @@
 	"lichenpick/proto/order"
 )
 
-// policyHost carries out the policy's decisions: it keeps what the tables hold and has proxies told of it.
+// policyHost carries out the policy's decisions: it records what the tables hold and has proxies notified.
 type policyHost struct{ core *Core }
 
 var _ policy.Host = policyHost{}
@@ -22,7 +22,7 @@
 		if endsEjection {
 			delete(p.ejections, server)
 		}
-		// An ejection holds for all proxies, but one that used the server in no table was not told of it.
+		// An ejection holds for all proxies, but one that used the server in no table was not notified.
 		if weight > 0 && c.isEjected(p, server) && !p.ejections[server] {
 			c.setEjected(p, server, true)
 		}
@@ -48,8 +48,8 @@
 	c.addOrder(p, float64(entries), &order.Order{What: &order.Order_Bind{Bind: assignment}})
 }
 
-// newAssignment makes the order of a whole table, with the ejections and admission rates that concern it, and records the
-// ejections as told.
+// newAssignment makes the order of a whole table, with the ejections and admission rates that concern it, and records that
+// the proxy is notified of the ejections.
 func (h policyHost) newAssignment(p *joinedProxy, table *weighttable.Table[*joinedProxy], classes []int) *order.Bind {
 	c := h.core
 	assignment := &order.Bind{Table: uint32(table.Number), Lines: make([]*order.Line, 0, len(table.Entries))}
@@ -80,8 +80,8 @@
 	return &order.Level{Group: uint32(class), Share: rate.Fraction, Retry: uint32(rate.Retry)}
 }
 
-// SetEjected ejects a server for the fleet, or ends that. Proxies are told if it concerns them: of an ejection those that use
-// the server, of its end those that were told of the ejection, unless their last planner knew of a drain.
+// SetEjected ejects a server for the fleet, or ends that. Proxies that it concerns are notified: of an ejection those that
+// use the server, of its end those that were notified of the ejection, unless their last planner knew of a drain.
 func (h policyHost) SetEjected(server string, ejected bool) {
 	c := h.core
 	c.registry.SetEjected(server, ejected)
--- a/internal/planner/proxies.go
+++ b/internal/planner/proxies.go
@@ -13,7 +13,7 @@
 // HandleJoin on.
 type Stream struct {
 	Address   netip.Addr // of the proxy; tells its zone if it names none
-	Transport any        // the host's own; the core never looks at it
+	Transport any        // the host's own; the core never uses it
 
 	proxy *joinedProxy // nil until it has joined
 	ended bool
@@ -35,12 +35,12 @@
 	stream          *Stream
 	incarnation     uint64  // of its process
 	streamNumber    uint64  // of this stream, as its process counts them
-	expectedRate    float64 // requests per second, by its own word at the join
+	expectedRate    float64 // requests per second, as it stated at the join
 	lastFrameMs     float64
 	window          *controlstream.MessageWindow
 	tables          []*weighttable.Table[*joinedProxy] // by traffic class; nil where this stream assigned none
-	reportedTables  []*order.Holding                   // by its own word, from earlier streams
-	ejections       map[string]bool                    // servers that it was told are ejected
+	reportedTables  []*order.Holding                   // as it stated, from earlier streams
+	ejections       map[string]bool                    // ejected servers that it was notified of
 	unacknowledged  []sentUpdate                       // oldest first
 	messageCount    uint64                             // messages decided on for this stream; the number of the last
 	update          pendingUpdate
--- a/internal/planner/sessions.go
+++ b/internal/planner/sessions.go
@@ -8,13 +8,13 @@
 	"lichenpick/proto/order"
 )
 
-// nameReservedMs is how long after its last frame a proxy's name is kept from other processes. It guards against two proxies
+// nameReservedMs is how long after its last frame a proxy's name is reserved for its process. It guards against two proxies
 // that are set up with one name and would otherwise replace each other without end.
 const nameReservedMs = 2500.0
 
 // HandleJoin takes in the first frame of a stream. The stream is welcomed or closed by the next calls of Next.
 func (c *Core) HandleJoin(s *Stream, join *order.Join) {
-	c.recordInput(recordedInput{kind: inputJoin, message: join})
+	c.logInput(inputJoin, nil, join)
 	if s.ended {
 		return
 	}
@@ -100,10 +100,10 @@
 func (c *Core) welcome(p *joinedProxy) {
 	welcome := c.newWelcome()
 	for _, table := range p.reportedTables {
-		for _, line := range table.Lines {
-			if c.registry.Ejected[line.Server] && !p.ejections[line.Server] {
-				p.ejections[line.Server] = true
-				welcome.Withdrawn = append(welcome.Withdrawn, line.Server)
+		for _, entry := range table.Lines {
+			if c.registry.Ejected[entry.Server] && !p.ejections[entry.Server] {
+				p.ejections[entry.Server] = true
+				welcome.Withdrawn = append(welcome.Withdrawn, entry.Server)
 			}
 		}
 	}
@@ -132,7 +132,7 @@
 
 // HandleDisconnect takes in that a stream ended, by whichever side. The host calls it once for each stream.
 func (c *Core) HandleDisconnect(s *Stream, why *controlstream.CloseError) {
-	c.recordInput(recordedInput{kind: inputDisconnect, stream: s, cause: why})
+	c.logInput(inputDisconnect, s, disconnectCause{why})
 	if !s.ended {
 		c.Counts.Closes[why.Reason]++
 	}
--- a/internal/planner/status.go
+++ b/internal/planner/status.go
@@ -26,7 +26,7 @@
 	Ready      int `json:"Ready"`    // servers listed as ready
 	Draining   int `json:"Draining"` // servers listed as draining
 	Removed    int `json:"Gone"`     // servers listed as removed
-	Unverified int `json:"Doubted"`  // servers missing from the list and kept for now
+	Unverified int `json:"Doubted"`  // servers missing from the list that are not taken for removed yet
 	Rejected   int `json:"Refused"`  // entries of the list that were not taken since the start
 
 	Backlog     float64 `json:"LinesWaiting"` // entries that wait to be sent, message overhead included
--- a/internal/planner/streamreader.go
+++ b/internal/planner/streamreader.go
@@ -47,7 +47,7 @@
 	return !r.isClosed()
 }
 
-// takeFrames passes all whole frames on, and reports whether the core could be told of them.
+// takeFrames passes all whole frames on, and reports whether the core took them.
 func (r *streamReader) takeFrames(ctx context.Context) bool {
 	for r.session.Next(r) {
 		if !r.submitPending(ctx) {
@@ -57,7 +57,7 @@
 	return r.submitPending(ctx)
 }
 
-// submitPending tells the core of the last frame, if it is for the core.
+// submitPending passes the last frame to the core, if it is for the core.
 func (r *streamReader) submitPending(ctx context.Context) bool {
 	if r.pending == nil {
 		return true
--- a/internal/planner/timers.go
+++ b/internal/planner/timers.go
@@ -5,7 +5,7 @@
 // maxTimerMs is the longest time between evaluations: late acknowledgements and silent streams are noticed this late at most.
 const maxTimerMs = 250.0
 
-// timers are the times, in ms, at which parts of the core that keep no time of their own want to be asked again, and the
+// timers are the times, in ms, at which the policy and the lease manager want to be asked again, and the
 // time for which the host's one timer was last set.
 type timers struct {
 	policyAtMs float64
