--- a/internal/planner/acknowledgements.go
+++ b/internal/planner/acknowledgements.go
@@ -99,7 +99,7 @@
 	if p == nil || s.ended {
 		return
 	}
-	p.lastFrameMs = c.now
+	p.lastFrameMs = c.nowMs
 	if ack.Refused && c.leases.enabled() {
 		c.leases.manager.OrdersRejected(p.name)
 		return
@@ -113,7 +113,7 @@
 
 // acknowledge takes the latency of one message, and tells the policy of the acknowledgements that it asked for.
 func (c *Core) acknowledge(p *joinedProxy, update sentUpdate, acknowledged []uint32) {
-	tookMs := c.now - update.decidedMs
+	tookMs := c.nowMs - update.decidedMs
 	if update.number > 0 {
 		// A latency over the histogram's upper bound is not recorded: its stream has long been closed for it.
 		_ = c.OrderLatency.RecordValue(max(int64(tookMs*microsPerMilli), minOrderLatencyUs))
@@ -127,12 +127,12 @@
 
 // nextLateAck closes one stream whose proxy did not acknowledge in time, and reports whether there was one.
 func (c *Core) nextLateAck() bool {
-	p := c.acks.findLate(c.now, &c.proxies)
+	p := c.acks.findLate(c.nowMs, &c.proxies)
 	if p == nil {
 		return false
 	}
 	first := p.unacknowledged[0]
-	detail := fmt.Sprintf("message %d of %d, decided %.0f ms ago", first.number, p.messageCount, c.now-first.decidedMs)
+	detail := fmt.Sprintf("message %d of %d, decided %.0f ms ago", first.number, p.messageCount, c.nowMs-first.decidedMs)
 	c.closeStream(p.stream, &controlstream.CloseError{Reason: controlstream.ReasonAckTimeout, Detail: detail})
 	return true
 }
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -36,7 +36,7 @@
 	Close(s *Stream, why *controlstream.CloseError)
 	// SetTimer asks for a call of SetTime and Next at a time, in ms of the clock that SetTime goes by. It replaces the
 	// timer set before.
-	SetTimer(at float64)
+	SetTimer(atMs float64)
 	// ReserveEpochs has the store record that epochs up to this one may be used; the host reports the outcome by
 	// EpochsReserved. It is called only where planners share a fleet, and once at a time.
 	ReserveEpochs(upTo uint64)
@@ -44,14 +44,23 @@
 
 // Decider decides: the policy, or a baseline to compare it with. Its methods are those of policy.Policy.
 type Decider interface {
-	SetTime(now float64)
-	UpdateEndpoints(form policy.UpdateKind, list []policy.Endpoint)
-	AddProxy(id, zone int, usual float64, sent ...float64)
+	// SetTime sets the time, in ms from policyOriginMs on.
+	SetTime(nowMs float64)
+	// UpdateEndpoints takes in a list of servers, or changes of one.
+	UpdateEndpoints(kind policy.UpdateKind, list []policy.Endpoint)
+	// AddProxy begins the command of a proxy that expects some requests per second and was sent messages at these times.
+	AddProxy(id, zone int, expectedRate float64, sentMs ...float64)
+	// RemoveProxy ends the command of a proxy.
 	RemoveProxy(id int)
-	RecordReport(server string, zone, count, failed int, latency, covers float64)
-	RecordDemand(id, group, count, failed int, covers float64)
-	Acknowledge(id, number int, took float64)
+	// RecordReport takes in attempts of a zone's proxies at a server, with the mean latency of those that succeeded.
+	RecordReport(server string, zone, count, failed int, latencyMs, coversMs float64)
+	// RecordDemand takes in a proxy's requests of a traffic class.
+	RecordDemand(id, class, count, failed int, coversMs float64)
+	// Acknowledge takes in that a proxy gave an acknowledgement, some time after it was decided to ask for it.
+	Acknowledge(id, number int, tookMs float64)
+	// SetLagging says whether the planner lags: deferrable decisions rest then.
 	SetLagging(on bool)
+	// Next carries out at most one decision and reports whether it did.
 	Next(h policy.Host) bool
 }
 
@@ -72,7 +81,7 @@
 type Core struct {
 	configuration *pb.Planner
 	policy        Decider
-	now           float64
+	nowMs         float64
 	wall          time.Time // date at now; only shown and sent along
 	incarnation   uint64
 
@@ -100,17 +109,17 @@
 
 // NewCore starts a planner at a time in ms of the host's clock. The incarnation tells this process from earlier ones of the
 // same name. The settings must have been checked by package settings; the core only reads them.
-func NewCore(set *pb.Planner, decider Decider, incarnation uint64, now float64) *Core {
+func NewCore(set *pb.Planner, decider Decider, incarnation uint64, nowMs float64) *Core {
 	c := &Core{
 		configuration: set,
 		policy:        decider,
-		now:           now,
+		nowMs:         nowMs,
 		incarnation:   incarnation,
 		zones:         newZoneTable(set.Zones),
 		proxies:       newProxyTable(),
 		registry:      weighttable.NewRegistry[*joinedProxy](len(set.Groups)),
 		endpoints:     newEndpointRegistry(set),
-		intake:        newReportIntake(intakeLimitsOf(set.Reports), now),
+		intake:        newReportIntake(intakeLimitsOf(set.Reports), nowMs),
 		publisher:     newPublisher(set, incarnation),
 		acks:          newAckTracker(set),
 		leases:        newLeaseState(),
@@ -120,19 +129,19 @@
 		Counts:        Counts{Closes: map[controlstream.CloseReason]uint64{}},
 		OrderLatency:  hdrhistogram.New(minOrderLatencyUs, maxOrderLatencyUs, orderLatencyDigits),
 	}
-	c.SetTime(now, time.Time{})
+	c.SetTime(nowMs, time.Time{})
 	return c
 }
 
-// SetTime sets the time, by a clock that never jumps and by the date. What is decided until the next call leaves in one
+// SetTime sets the time, in ms of a clock that never jumps, and the date. What is decided until the next call leaves in one
 // message per proxy.
-func (c *Core) SetTime(now float64, wall time.Time) {
-	c.now = now
+func (c *Core) SetTime(nowMs float64, wall time.Time) {
+	c.nowMs = nowMs
 	c.wall = wall
-	c.policy.SetTime(policyOriginMs + now)
-	c.endpoints.tracker.SetTime(policyOriginMs + now)
-	c.intake.setTime(now)
-	c.leases.setTime(now)
+	c.policy.SetTime(policyOriginMs + nowMs)
+	c.endpoints.tracker.SetTime(policyOriginMs + nowMs)
+	c.intake.setTime(nowMs)
+	c.leases.setTime(nowMs)
 }
 
 // DumpInputs writes the last inputs, oldest first, one per line.
@@ -146,10 +155,12 @@
 
 // logInput logs an input for a later dump. The stream is nil if it has not joined, the content if there is none.
 func (c *Core) logInput(kind inputKind, s *Stream, content fmt.Stringer) {
-	c.recentInputs.add(loggedInput{atMs: c.now, kind: kind, stream: s, content: content})
+	c.recentInputs.add(loggedInput{atMs: c.nowMs, kind: kind, stream: s, content: content})
 }
 
-// Next carries out at most one decision and reports whether it did. The host calls it until it returns false.
+// Next carries out at most one decision and reports whether it did. The host calls it until it returns false. What is known
+// already goes first, then news for the policy, so that the policy decides on all of it, then what follows from its decisions:
+// an update is queued only when the policy has nothing to add to it.
 func (c *Core) Next(h Host) bool {
 	if c.nextReply(h) || c.nextLeaseDecision(h) {
 		return true
--- a/internal/planner/ejections.go
+++ b/internal/planner/ejections.go
@@ -64,7 +64,7 @@
 			return true
 		}
 		for _, server := range slices.Sorted(maps.Keys(p.inheritedUntilMs)) { // sorted: the same inputs give the same orders
-			if c.now < p.inheritedUntilMs[server] {
+			if c.nowMs < p.inheritedUntilMs[server] {
 				continue
 			}
 			delete(p.inheritedUntilMs, server)
--- a/internal/planner/endpoints.go
+++ b/internal/planner/endpoints.go
@@ -85,8 +85,8 @@
 func (u endpointUpdater) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) {
 	c := u.core
 	for _, endpoint := range endpoints {
-		c.endpoints.record(endpoint.Server, endpoint.State, c.now)
-		startedLately := endpoint.StartedMs > c.now+policyOriginMs-c.warmUpMs
+		c.endpoints.record(endpoint.Server, endpoint.State, c.nowMs)
+		startedLately := endpoint.StartedMs > c.nowMs+policyOriginMs-c.warmUpMs
 		if endpoint.State != policy.Ready || startedLately {
 			// Our list shows the drain by now, or the server has started anew since.
 			for p := range c.proxies.all() {
@@ -98,5 +98,5 @@
 		c.endpoints.changed = true
 	}
 	c.policy.UpdateEndpoints(kind, endpoints)
-	c.endpoints.forgetRemoved(c.now, c.registry.Ejected)
+	c.endpoints.forgetRemoved(c.nowMs, c.registry.Ejected)
 }
--- a/internal/planner/leases.go
+++ b/internal/planner/leases.go
@@ -40,7 +40,7 @@
 // EnableLeases makes the planner one of several that share a fleet. It must be called before any other method. Epochs up to
 // reserved may have been used by earlier processes, as the epoch store states.
 func (c *Core) EnableLeases(reserved uint64) {
-	c.leases.manager = lease.NewManager(c.configuration.Name, c.incarnation, reserved, c.now)
+	c.leases.manager = lease.NewManager(c.configuration.Name, c.incarnation, reserved, c.nowMs)
 }
 
 // EpochsReserved takes in whether the epoch store recorded that epochs up to this one may be used.
@@ -69,7 +69,7 @@
 	if p == nil || s.ended || !c.leases.enabled() {
 		return
 	}
-	p.lastFrameMs = c.now
+	p.lastFrameMs = c.nowMs
 	if state.Nonce == 0 {
 		c.leases.manager.UpdateLease(p.name, proxyViewOf(state))
 		return
@@ -86,7 +86,7 @@
 	p.inheritedDrains = state.Going
 	p.sentByOthersMs = nil
 	for _, agoMs := range state.MessagesAgoMs {
-		p.sentByOthersMs = append(p.sentByOthersMs, c.now-agoMs)
+		p.sentByOthersMs = append(p.sentByOthersMs, c.nowMs-agoMs)
 	}
 	slices.Sort(p.sentByOthersMs)
 }
@@ -180,7 +180,7 @@
 	p.inheritedUntilMs = map[string]float64{}
 	for _, server := range p.inheritedDrains {
 		if c.endpoints.isReady(server) {
-			p.inheritedUntilMs[server] = c.now + lease.DrainMemoryMs
+			p.inheritedUntilMs[server] = c.nowMs + lease.DrainMemoryMs
 		}
 	}
 	if len(p.inheritedUntilMs) > 0 && !slices.Contains(c.leases.inheritors, p) {
@@ -208,4 +208,4 @@
 }
 
 // SetTimer has the lease manager asked again at a time, in ms.
-func (h leaseHost) SetTimer(atMs float64) { h.core.timers.leaseAtMs = max(atMs, h.core.now) }
+func (h leaseHost) SetTimer(atMs float64) { h.core.timers.leaseAtMs = max(atMs, h.core.nowMs) }
--- a/internal/planner/loadreports.go
+++ b/internal/planner/loadreports.go
@@ -14,7 +14,7 @@
 	if p == nil || s.ended {
 		return
 	}
-	p.lastFrameMs = c.now
+	p.lastFrameMs = c.nowMs
 	if !p.commanded {
 		return
 	}
--- a/internal/planner/policyhost.go
+++ b/internal/planner/policyhost.go
@@ -121,4 +121,4 @@
 func (policyHost) WatchEndpoints() {}
 
 // SetTimer has the policy asked again after some ms.
-func (h policyHost) SetTimer(inMs float64) { h.core.timers.policyAtMs = h.core.now + inMs }
+func (h policyHost) SetTimer(inMs float64) { h.core.timers.policyAtMs = h.core.nowMs + inMs }
--- a/internal/planner/publisher.go
+++ b/internal/planner/publisher.go
@@ -102,7 +102,7 @@
 	if len(c.publisher.dirty) == 0 {
 		return false
 	}
-	p, sent, refusal := c.publisher.enqueue(c.now)
+	p, sent, refusal := c.publisher.enqueue(c.nowMs)
 	if refusal != nil {
 		c.closeStream(p.stream, refusal)
 		return true
@@ -113,7 +113,7 @@
 
 // nextDeparture sends one message whose time has come and reports whether there was one.
 func (c *Core) nextDeparture(h Host) bool {
-	departure, ok := c.publisher.queue.Pop(c.now)
+	departure, ok := c.publisher.queue.Pop(c.nowMs)
 	if !ok {
 		return false
 	}
--- a/internal/planner/sessions.go
+++ b/internal/planner/sessions.go
@@ -33,7 +33,7 @@
 		incarnation:    join.Incarnation,
 		streamNumber:   join.Stream,
 		expectedRate:   join.UsualPerS,
-		lastFrameMs:    c.now,
+		lastFrameMs:    c.nowMs,
 		window:         &controlstream.MessageWindow{},
 		tables:         make([]*weighttable.Table[*joinedProxy], len(c.registry.Admission)),
 		reportedTables: join.Holds,
@@ -76,7 +76,7 @@
 		return nil
 	}
 	newer := old.incarnation == join.Incarnation && join.Stream > old.streamNumber
-	if !newer && c.now-old.lastFrameMs < nameReservedMs {
+	if !newer && c.nowMs-old.lastFrameMs < nameReservedMs {
 		detail := fmt.Sprintf("%q is joined from %s", join.Proxy, old.stream.Address)
 		return &controlstream.CloseError{Reason: controlstream.ReasonNameInUse, Detail: detail}
 	}
@@ -107,7 +107,7 @@
 			}
 		}
 	}
-	c.acks.add(p, sentUpdate{decidedMs: c.now, urgent: len(welcome.Withdrawn) > 0})
+	c.acks.add(p, sentUpdate{decidedMs: c.nowMs, urgent: len(welcome.Withdrawn) > 0})
 	p.commanded = true
 	c.policy.AddProxy(p.id, p.zone, p.expectedRate)
 	c.reply(func(h Host) { h.Send(p.stream, controlstream.FrameWelcome, welcome) })
@@ -126,7 +126,7 @@
 // HandleHeartbeat takes in that a proxy sent something.
 func (c *Core) HandleHeartbeat(s *Stream) {
 	if s.proxy != nil {
-		s.proxy.lastFrameMs = c.now
+		s.proxy.lastFrameMs = c.nowMs
 	}
 }
 
--- a/internal/planner/timers.go
+++ b/internal/planner/timers.go
@@ -21,7 +21,7 @@
 	if c.publisher.queue.Len() > 0 {
 		due = min(due, c.publisher.queue.NextDeparture())
 	}
-	due = min(max(due, c.now), c.now+maxTimerMs)
+	due = min(max(due, c.nowMs), c.nowMs+maxTimerMs)
 	if due == c.timers.setForMs {
 		return false
 	}
