--- a/internal/planner/acceptor.go
+++ b/internal/planner/acceptor.go
@@ -18,6 +18,7 @@
 	pb "lichenpick/proto/settings"
 )
 
+// How connections are paced.
 const (
 	acceptRetryMs       = 100.0 // after an accept failed, which may be for want of file descriptors
 	acceptBurstDivisor  = 10    // the accepts of one second, divided by this, may come at once
@@ -40,6 +41,7 @@
 	rejected atomic.Uint64 // connections closed by address or number since the start
 }
 
+// newAcceptor makes an acceptor by checked settings. It has serve run each connection that it admits.
 func newAcceptor(o Options, status *statusPublisher, serve func(context.Context, net.Conn, netip.Addr)) *acceptor {
 	perSecond := settings.PerSecond(o.Settings.Streams.Accepts)
 	return &acceptor{
--- a/internal/planner/acknowledgements.go
+++ b/internal/planner/acknowledgements.go
@@ -47,6 +47,7 @@
 	earliestMs float64
 }
 
+// newAckTracker makes a tracker by checked settings.
 func newAckTracker(set *pb.Planner) ackTracker {
 	return ackTracker{
 		timeoutMs:      settings.Milliseconds(set.Streams.SilentAfter),
--- a/internal/planner/coalesce.go
+++ b/internal/planner/coalesce.go
@@ -22,6 +22,7 @@
 	lost   uint64        // samples of servers dropped as their report was full; guarded by mu
 }
 
+// newCoalescedReports makes one that is empty.
 func newCoalescedReports() *coalescedReports {
 	return &coalescedReports{available: make(chan struct{}, 1)}
 }
@@ -36,12 +37,12 @@
 // add adds a report that came at a time, in ms. It does not wait for the core.
 func (r *coalescedReports) add(c *connection, report *order.Sums, nowMs float64) {
 	r.mu.Lock()
-	if c.report.report == nil {
-		c.report = coalescedReport{report: report, sinceMs: nowMs}
+	if c.coalesced.report == nil {
+		c.coalesced = coalescedReport{report: report, sinceMs: nowMs}
 		r.queue = append(r.queue, c)
 	} else {
 		r.merged++
-		r.lost += c.report.merge(report)
+		r.lost += c.coalesced.merge(report)
 	}
 	r.mu.Unlock()
 	r.signal()
@@ -65,9 +66,9 @@
 	}
 	c = r.queue[0]
 	r.queue = r.queue[1:]
-	report = c.report.report
-	sinceMs = c.report.sinceMs
-	c.report = coalescedReport{}
+	report = c.coalesced.report
+	sinceMs = c.coalesced.sinceMs
+	c.coalesced = coalescedReport{}
 	return c, report, sinceMs
 }
 
@@ -95,6 +96,7 @@
 	return lost
 }
 
+// indexServers prepares for merging; most reports are taken before a second one comes.
 func (c *coalescedReport) indexServers() {
 	c.serverIndex = map[string]int{}
 	for index, sample := range c.report.Servers {
--- a/internal/planner/connection.go
+++ b/internal/planner/connection.go
@@ -13,6 +13,7 @@
 	"lichenpick/internal/controlstream"
 )
 
+// Limits of one connection.
 const (
 	farewellMs   = 200.0 // that the last frames of a stream may take
 	outboxFrames = 256   // frames that wait for one connection; a window's messages are far fewer
@@ -37,9 +38,10 @@
 	closeCause *controlstream.CloseError // valid once closed is closed
 
 	proxyName string          // empty until it joins; the reader's, and anybody's when it has ended
-	report    coalescedReport // guarded by the lock of coalescedReports
+	coalesced coalescedReport // guarded by the lock of coalescedReports
 }
 
+// newConnection makes a connection and the core's stream of it.
 func newConnection(conn net.Conn, from netip.Addr, session *controlstream.PlannerSession) *connection {
 	c := &connection{
 		stream:  &Stream{Address: from},
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -16,6 +16,7 @@
 	pb "lichenpick/proto/settings"
 )
 
+// Scales of time.
 const (
 	// policyOriginMs is the policy's time when the planner's clock shows 0. Start times of servers some days before the
 	// planner stay above 0, which the policy takes for "long past".
@@ -95,7 +96,7 @@
 	leases        leaseState
 	timers        timers
 	recentInputs  inputLog
-	replies       []func(Host) // answers to inputs, carried out before anything new is decided
+	actions       []func(Host) // decided already; carried out before anything new is decided
 	reportLagMs   float64      // that load reports waited for the core last
 	lagging       bool
 	warmUpMs      float64 // after its start, for which a server is warming up
@@ -122,7 +123,6 @@
 		intake:        newReportIntake(intakeLimitsOf(set.Reports), nowMs),
 		publisher:     newPublisher(set, incarnation),
 		acks:          newAckTracker(set),
-		leases:        newLeaseState(),
 		timers:        newTimers(),
 		warmUpMs:      settings.Milliseconds(set.Servers.WarmUp),
 		reportEveryMs: uint32(settings.Milliseconds(set.Reports.Every)),
@@ -162,7 +162,7 @@
 // already goes first, then news for the policy, so that the policy decides on all of it, then what follows from its decisions:
 // an update is queued only when the policy has nothing to add to it.
 func (c *Core) Next(h Host) bool {
-	if c.nextReply(h) || c.nextLeaseDecision(h) {
+	if c.nextAction(h) || c.nextLeaseDecision(h) {
 		return true
 	}
 	if c.endpoints.tracker.Next(endpointUpdater{c}) || c.nextLoad() {
@@ -177,16 +177,16 @@
 	return c.updateTimer(h)
 }
 
-// nextReply carries out the oldest answer to an input.
-func (c *Core) nextReply(h Host) bool {
-	if len(c.replies) == 0 {
+// nextAction carries out the oldest action that an input method scheduled.
+func (c *Core) nextAction(h Host) bool {
+	if len(c.actions) == 0 {
 		return false
 	}
-	reply := c.replies[0]
-	c.replies = c.replies[1:]
-	reply(h)
+	action := c.actions[0]
+	c.actions = c.actions[1:]
+	action(h)
 	return true
 }
 
-// reply has an answer to an input carried out by the next call of Next.
-func (c *Core) reply(act func(Host)) { c.replies = append(c.replies, act) }
+// schedule has an action carried out by a later call of Next, as input methods have no host.
+func (c *Core) schedule(action func(Host)) { c.actions = append(c.actions, action) }
--- a/internal/planner/endpoints.go
+++ b/internal/planner/endpoints.go
@@ -26,6 +26,7 @@
 	changed  bool // since the list was last saved
 }
 
+// newEndpointRegistry makes one that knows no servers, by checked settings.
 func newEndpointRegistry(set *pb.Planner) endpointRegistry {
 	var zones []string
 	for _, zone := range set.Zones {
--- a/internal/planner/epochwriter.go
+++ b/internal/planner/epochwriter.go
@@ -17,6 +17,7 @@
 	lastError string // of the last write; empty: it succeeded. Each failure is logged once
 }
 
+// newEpochWriter makes a writer to an open store, which the caller closes once run has returned.
 func newEpochWriter(epochStore *store.Store, loop *eventLoop, log *slog.Logger) *epochWriter {
 	return &epochWriter{store: epochStore, requests: make(chan uint64, 1), loop: loop, log: log}
 }
--- a/internal/planner/eventloop.go
+++ b/internal/planner/eventloop.go
@@ -15,6 +15,7 @@
 	"lichenpick/proto/order"
 )
 
+// Bounds of one evaluation of the core.
 const (
 	inputBacklog   = 1024   // inputs that wait for the core; then streams are read no further, and writes of peers wait
 	maxInputBatch  = 512    // inputs taken in before the core decides; so many take a few ms
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -22,22 +22,22 @@
 )
 
 const (
-	stepMs          = 25.0
-	conversationMs  = 30_000.0
-	digestMs        = 1000.0 // one line of a golden file
-	reportMs        = 1000.0
-	unixOriginMs    = 1_790_000_000_000
-	conversationTag = 20261202 // seed
-	proxyCount      = 12
-	serverCount     = 14
-	classCount      = 3
-	redialSteps     = 20 // after a stream ended
-	idleSteps       = 40 // before the first proxy joins
-	joinSteps       = 8  // from one proxy's joining to the next one's
-	rivalName       = "planner-2"
-	plannerName     = "planner-1"
-	rivalNumber     = 99 // incarnation
-	firstProcess    = 5  // incarnation of each proxy at the start
+	stepMs           = 25.0
+	conversationMs   = 30_000.0
+	digestMs         = 1000.0 // one line of a golden file
+	reportMs         = 1000.0
+	unixOriginMs     = 1_790_000_000_000
+	randomSeed       = 20261202
+	proxyCount       = 12
+	serverCount      = 14
+	classCount       = 3
+	redialSteps      = 20 // after a stream ended
+	idleSteps        = 40 // before the first proxy joins
+	joinSteps        = 8  // from one proxy's joining to the next one's
+	rivalName        = "planner-2"
+	plannerName      = "planner-1"
+	rivalIncarnation = 99
+	firstProcess     = 5 // incarnation of each proxy at the start
 )
 
 const conversationSettings = `name: "planner-1" listen: "127.0.0.1:0"
@@ -99,7 +99,7 @@
 		t:      t,
 		core:   planner.NewCore(configuration, planner.NewPolicy(configuration), 1, 0),
 		digest: golden.NewDigest(name, digestMs),
-		random: rand.New(rand.NewSource(conversationTag)),
+		random: rand.New(rand.NewSource(randomSeed)),
 		shared: shared,
 		slow:   map[string]float64{},
 		broken: map[string]bool{},
@@ -270,11 +270,11 @@
 	c.core.HandleLoadReport(proxy.stream, report)
 }
 
-func (c *conversation) listAll(version uint64) {
+func (c *conversation) sendFullList(version uint64) {
 	c.core.UpdateEndpoints(discovery.Update{Kind: policy.FullUpdate, AsOfMs: unixOriginMs + uint64(c.now()), Version: version, Endpoints: c.servers})
 }
 
-func (c *conversation) listChange(number int, state policy.State) {
+func (c *conversation) changeState(number int, state policy.State) {
 	c.servers[number].State = state
 	changed := c.servers[number : number+1]
 	c.core.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: unixOriginMs + uint64(c.now()), Version: 2, Endpoints: changed})
@@ -283,28 +283,28 @@
 // faults are what goes wrong, by second.
 var faults = map[int]func(*conversation){
 	5: func(c *conversation) { c.broken[c.servers[3].Server] = true },
-	7: func(c *conversation) { c.listChange(0, policy.Draining) },
+	7: func(c *conversation) { c.changeState(0, policy.Draining) },
 	9: func(c *conversation) {
 		c.slow[c.servers[4].Server] = 20
 		c.proxies[1].unresponsive = true
 	},
 	10: func(c *conversation) {
-		c.listChange(0, policy.Removed)
-		c.listChange(5, policy.Draining) // the unresponsive proxy does not acknowledge that
+		c.changeState(0, policy.Removed)
+		c.changeState(5, policy.Draining) // the unresponsive proxy does not acknowledge that
 	},
 	12: func(c *conversation) {
 		c.core.UpdateEndpoints(discovery.Update{Kind: policy.FailedUpdate, Fault: "no answer"})
 		delete(c.broken, c.servers[3].Server)
 	},
 	13: func(c *conversation) {
-		c.lose(c.proxies[4])
-		c.lose(c.proxies[5])
+		c.breakConnection(c.proxies[4])
+		c.breakConnection(c.proxies[5])
 	},
 	14: func(c *conversation) { c.core.RecordLag(1500) },
 	15: func(c *conversation) {
 		c.core.RecordLag(10)
 		c.servers = append(c.servers, discovery.Endpoint{Server: "10.0.1.1:80", Zone: "a", RelativeCapacity: 2, StartedUnixMs: unixOriginMs + uint64(c.now()) - 500})
-		c.listAll(3)
+		c.sendFullList(3)
 	},
 	16: func(c *conversation) { c.diskFull = true },
 	18: func(c *conversation) { c.connect(c.proxies[6]) }, // a newer stream while the older one is up
@@ -314,7 +314,7 @@
 		c.core.SetDraining(false)
 		c.proxies[8].silent = true
 		c.servers = c.servers[:6]
-		c.listAll(4) // most servers are missing at once
+		c.sendFullList(4) // most servers are missing at once
 	},
 	25: func(c *conversation) { c.join(c.proxies[8], firstProcess+1) }, // too early: its first process may be alive
 	26: func(c *conversation) {
@@ -323,7 +323,7 @@
 	},
 }
 
-func (c *conversation) lose(proxy *fakeProxy) {
+func (c *conversation) breakConnection(proxy *fakeProxy) {
 	if proxy.stream == nil {
 		return
 	}
@@ -336,7 +336,7 @@
 	const chance, leaseMs = 0.01, 1500
 	expired := proxy.lease.SetTime(c.now())
 	taken := proxy.lease.Controller == "" && c.random.Float64() < chance &&
-		proxy.lease.Grant(rivalName, rivalNumber, proxy.lease.Epoch+1, leaseMs)
+		proxy.lease.Grant(rivalName, rivalIncarnation, proxy.lease.Epoch+1, leaseMs)
 	if (expired || taken) && proxy.stream != nil {
 		c.core.HandleLease(proxy.stream, proxy.leaseState())
 	}
@@ -346,7 +346,7 @@
 	const stepsPerSecond = 1000 / stepMs
 	c.core.SetTime(c.now(), time.UnixMilli(unixOriginMs+int64(c.now())))
 	if c.step == 0 {
-		c.listAll(1)
+		c.sendFullList(1)
 	}
 	if c.step%stepsPerSecond == 0 {
 		if fault := faults[c.step/stepsPerSecond]; fault != nil {
--- a/internal/planner/inputlog.go
+++ b/internal/planner/inputlog.go
@@ -15,6 +15,7 @@
 // inputKind is the kind of a logged input.
 type inputKind uint8
 
+// Kinds of inputs, one for each input method that is logged.
 const (
 	inputEndpoints inputKind = iota
 	inputJoin
@@ -80,6 +81,7 @@
 	count   int // of all inputs since the start
 }
 
+// add logs an input in place of the oldest one.
 func (l *inputLog) add(in loggedInput) {
 	l.entries[l.count%recentInputCount] = in
 	l.count++
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -7,6 +7,7 @@
 	pb "lichenpick/proto/settings"
 )
 
+// Scales of the intake's rate.
 const (
 	intakeBurstsPerSecond = 5 // the rate of one second, divided by this, may pass at once
 	millisPerSecond       = 1000
@@ -64,6 +65,7 @@
 	latencyMs float64 // sum over those that succeeded
 }
 
+// add adds another sample.
 func (f *loadSample) add(other loadSample) {
 	f.count += other.count
 	f.failed += other.failed
@@ -79,6 +81,7 @@
 	return f.latencyMs / float64(succeeded)
 }
 
+// newReportIntake starts the first period at a time, in ms.
 func newReportIntake(limits intakeLimits, nowMs float64) *reportIntake {
 	return &reportIntake{intakeLimits: limits, periodStartMs: nowMs, nowMs: nowMs}
 }
--- a/internal/planner/leases.go
+++ b/internal/planner/leases.go
@@ -16,11 +16,10 @@
 	inheritors []*joinedProxy // with drains that only their last planner knew of
 }
 
-func newLeaseState() leaseState { return leaseState{} }
-
 // enabled reports whether planners share the fleet.
 func (l *leaseState) enabled() bool { return l.manager != nil }
 
+// setTime sets the time, in ms; it may bring leases new decisions.
 func (l *leaseState) setTime(nowMs float64) {
 	if l.enabled() {
 		l.manager.SetTime(nowMs)
--- a/internal/planner/loadreports.go
+++ b/internal/planner/loadreports.go
@@ -2,6 +2,7 @@
 
 import "lichenpick/proto/order"
 
+// When the planner lags. Between the two times it stays as it is, so that it does not change its mind with each report.
 const (
 	laggingMs  = 1000.0 // that a report may wait; beyond it decisions go by old reports, and the planner lags
 	caughtUpMs = 100.0  // that it waits once the planner lags no longer
--- a/internal/planner/proxies.go
+++ b/internal/planner/proxies.go
@@ -62,6 +62,7 @@
 	freeIDs []int
 }
 
+// newProxyTable makes one that is empty.
 func newProxyTable() proxyTable { return proxyTable{byName: map[string]*joinedProxy{}} }
 
 // add gives a proxy its number and makes it the one of its name.
--- a/internal/planner/publisher.go
+++ b/internal/planner/publisher.go
@@ -33,6 +33,7 @@
 	orders *order.Orders
 }
 
+// newPublisher makes a publisher by checked settings.
 func newPublisher(set *pb.Planner, incarnation uint64) publisher {
 	overhead := set.Channel.GetHeadLines()
 	limits := controlstream.SendQueueLimits{
@@ -51,15 +52,15 @@
 }
 
 // add adds an order of some entries to a proxy's update. The date is that of the evaluation.
-func (b *publisher) add(p *joinedProxy, wall time.Time, entries float64, o *order.Order) {
+func (pub *publisher) add(p *joinedProxy, wall time.Time, entries float64, o *order.Order) {
 	update := &p.update
 	if update.orders == nil {
 		update.orders = &order.Orders{
-			Planner:       b.planner,
-			Incarnation:   b.incarnation,
+			Planner:       pub.planner,
+			Incarnation:   pub.incarnation,
 			DecidedUnixUs: uint64(max(wall.UnixMicro(), 0)), // a date before 1970 is none
 		}
-		b.dirty = append(b.dirty, p)
+		pub.dirty = append(pub.dirty, p)
 	}
 	update.orders.Orders = append(update.orders.Orders, o)
 	update.entries += entries
@@ -67,15 +68,15 @@
 
 // enqueue queues the update of the proxy that got one first, as one message. The caller has it acknowledged, or closes the
 // proxy's stream if a limit stands in the way: a proxy that missed a message would go by a table that nobody knows.
-func (b *publisher) enqueue(nowMs float64) (*joinedProxy, sentUpdate, *controlstream.CloseError) {
-	p := b.dirty[0]
-	b.dirty = b.dirty[1:]
+func (pub *publisher) enqueue(nowMs float64) (*joinedProxy, sentUpdate, *controlstream.CloseError) {
+	p := pub.dirty[0]
+	pub.dirty = pub.dirty[1:]
 	update := p.update
 	p.update = pendingUpdate{}
 	p.messageCount++
 	update.orders.Number = p.messageCount
-	update.orders.Lines = update.entries + b.messageOverhead
-	refusal := b.queue.Push(nowMs, p.window, update.entries, &queuedMessage{to: p, orders: update.orders})
+	update.orders.Lines = update.entries + pub.messageOverhead
+	refusal := pub.queue.Push(nowMs, p.window, update.entries, &queuedMessage{to: p, orders: update.orders})
 	sent := sentUpdate{
 		number:    p.messageCount,
 		decidedMs: nowMs,
@@ -86,9 +87,9 @@
 }
 
 // remove forgets what was decided for a proxy and not sent yet.
-func (b *publisher) remove(p *joinedProxy) {
-	b.queue.Remove(p.window)
-	b.dirty = slices.DeleteFunc(b.dirty, func(other *joinedProxy) bool { return other == p })
+func (pub *publisher) remove(p *joinedProxy) {
+	pub.queue.Remove(p.window)
+	pub.dirty = slices.DeleteFunc(pub.dirty, func(other *joinedProxy) bool { return other == p })
 	p.update = pendingUpdate{}
 }
 
--- a/internal/planner/sessions.go
+++ b/internal/planner/sessions.go
@@ -110,13 +110,13 @@
 	c.acks.add(p, sentUpdate{decidedMs: c.nowMs, urgent: len(welcome.Withdrawn) > 0})
 	p.commanded = true
 	c.policy.AddProxy(p.id, p.zone, p.expectedRate)
-	c.reply(func(h Host) { h.Send(p.stream, controlstream.FrameWelcome, welcome) })
+	c.schedule(func(h Host) { h.Send(p.stream, controlstream.FrameWelcome, welcome) })
 }
 
 // welcomeShared answers a join where planners share a fleet: the proxy is commanded only once it grants a lease.
 func (c *Core) welcomeShared(p *joinedProxy, state *order.Lease) {
 	welcome := c.newWelcome()
-	c.reply(func(h Host) {
+	c.schedule(func(h Host) {
 		h.Send(p.stream, controlstream.FrameWelcome, welcome)
 		h.Send(p.stream, controlstream.FrameControllerStatus, c.controllerStatus())
 	})
@@ -146,7 +146,7 @@
 	}
 	c.Counts.Closes[why.Reason]++
 	c.detach(s)
-	c.reply(func(h Host) { h.Close(s, why) })
+	c.schedule(func(h Host) { h.Close(s, why) })
 }
 
 // detach forgets a stream, and its proxy if that has no newer one.
--- a/internal/planner/status.go
+++ b/internal/planner/status.go
@@ -8,6 +8,7 @@
 	"lichenpick/internal/controlstream"
 )
 
+// How often a status is published, and what it says of latencies.
 const (
 	// statusInterval is the shortest time between two statuses, by the date.
 	statusInterval = 200 * time.Millisecond
--- a/internal/planner/statusserver.go
+++ b/internal/planner/statusserver.go
@@ -43,6 +43,7 @@
 	return group.Wait()
 }
 
+// handler routes requests to the pages.
 func (s *statusServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(newMetricsRegistry(s.status), promhttp.HandlerOpts{}))
--- a/internal/planner/streamwriter.go
+++ b/internal/planner/streamwriter.go
@@ -26,6 +26,7 @@
 	buffer      []byte // of the last frame, used again
 }
 
+// newStreamWriter makes the writer of a connection, by the server's settings.
 func newStreamWriter(c *connection, s *server) *streamWriter {
 	heartbeatMs := s.limits.HeartbeatTimeoutMs / heartbeatsPerTimeout
 	if s.epochs != nil { // a proxy tells each planner which others it hears
--- a/internal/planner/timers.go
+++ b/internal/planner/timers.go
@@ -13,6 +13,7 @@
 	setForMs   float64 // infinite: never set
 }
 
+// newTimers makes timers of which none is set but the policy's: it is asked at once.
 func newTimers() timers { return timers{leaseAtMs: math.Inf(1), setForMs: math.Inf(1)} }
 
 // updateTimer sets the host's timer for the next time at which something is due, and reports whether that changed.
