--- a/internal/planner/host_test.go
+++ b/internal/planner/host_test.go
@@ -212,3 +212,9 @@
 		Endpoints: []discovery.Endpoint{{Server: server, Zone: "a", State: state, RelativeCapacity: 1}},
 	}
 }
+
+// isOrders matches messages of orders.
+func isOrders(message proto.Message) bool {
+	_, ok := message.(*order.Orders)
+	return ok
+}
--- a/internal/planner/server_test.go
+++ b/internal/planner/server_test.go
@@ -233,7 +233,9 @@
 		t.Fatal(err)
 	}
 	eventually(t, "every attempt", func() bool { return stalling.attempts.Load() == attempts*proxies*reports })
-	begins, ends := <-stalling.lagging, <-stalling.lagging
+	eventually(t, "the planner to lag and to catch up", func() bool { return len(stalling.lagging) >= 2 })
+	begins := <-stalling.lagging
+	ends := <-stalling.lagging
 	if !begins || ends {
 		t.Errorf("lagging %v, then %v", begins, ends)
 	}
