--- a/policy/policy.go
+++ b/policy/policy.go
@@ -776,7 +776,7 @@
 		}
 	}
 	for _, s := range p.servers { // after first tables: many cold servers rest at once when planners restart
-		if out := !s.usable() && !p.expired(s); out != s.ejected && (out || !p.unsolved) && !(rush && s.State != Ready) {
+		if out := !s.usable() && !p.expired(s); out != s.ejected && (out || !p.unsolved) && (!rush || s.State == Ready) {
 			p.pendingDecisions = append(p.pendingDecisions, func(h Host) bool { return p.mask(h, s, out, rush) })
 		}
 	}
