--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -287,8 +287,11 @@
 	}
 }
 
-func (s *simulation) AssignTable(proxy, table int, classes []int) {
+func (s *simulation) AssignTable(proxy, table int, classes []int, omitted []string) {
 	s.record("bind %d %d %d", proxy, table, classes)
+	if len(omitted) > 0 {
+		s.record("omit %v", omitted)
+	}
 	for _, class := range classes {
 		s.proxies[proxy].tables[class] = s.tables[table]
 	}
@@ -339,8 +342,8 @@
 	}
 }
 
-// EndInheritedEjections is recorded only: the simulated proxies hold nothing of other planners.
-func (s *simulation) EndInheritedEjections(proxy int, servers []string) {
+// RestoreServers is recorded only: the simulated proxies hold nothing of other planners, and all of their tables.
+func (s *simulation) RestoreServers(proxy int, servers []string) {
 	s.record("restore %d %v", proxy, servers)
 }
 
--- a/policy/host.go
+++ b/policy/host.go
@@ -54,7 +54,7 @@
 	Planners             int     // that share the proxies, this one included
 	MinServerConnections float64 // that the smallest server accepts
 	IdleTimeoutMs        float64 // time after which a proxy closes an unused connection
-	OmitsEjected         bool    // the host leaves withdrawn servers out of a table that it binds, until they are let back
+	OmitsEntries         bool    // the host can leave entries out of a table that it assigns, until they are restored
 	ReadmitByWeight      bool    // the host ends an ejection with the first weight, where no table holds the server
 }
 
@@ -94,10 +94,15 @@
 	// SetWeight sets the weight of a server in a table, above 0 to 1; with 0 it leaves the table. It goes to all proxies
 	// that follow the table, and a table exists from its first weight on.
 	SetWeight(table int, server string, weight float64)
-	// AssignTable has a proxy follow a table, with all its weights, for some traffic classes.
-	AssignTable(proxy, table int, groups []int)
-	SetEjected(server string, out, includeUnassigned bool) // also at proxies not bound yet, which may go by tables of others
-	EndInheritedEjections(proxy int, servers []string)     // ends, where nothing here withdraws them, withdrawals that another planner may have ordered
+	// AssignTable has a proxy follow a table for some traffic classes. Entries of omitted servers are not sent until
+	// RestoreServers, the end of an ejection, or SetWeight.
+	AssignTable(proxy, table int, classes []int, omitted []string)
+	// SetEjected ejects a server, or ends that, at proxies whose tables hold it and, with includeUnassigned, at those
+	// that may follow tables of another planner.
+	SetEjected(server string, ejected, includeUnassigned bool)
+	// RestoreServers sends a proxy omitted entries, and ends ejections of these servers that another planner may have
+	// ordered there. Servers that are ejected here stay so.
+	RestoreServers(proxy int, servers []string)
 	// SetAdmission sets the part, 0 to 1, that proxies of a table admit of a traffic class, and its retry mode.
 	SetAdmission(table, class int, rate float64, retry int)
 	// RequestAcknowledgement asks each proxy that has a message at this time to acknowledge it with the number, which
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -204,7 +204,7 @@
 	f.weights[table][server] = weight
 }
 
-func (f *fakeHost) AssignTable(proxy, table int, classes []int) {
+func (f *fakeHost) AssignTable(proxy, table int, classes []int, _ []string) {
 	f.log("assign %d %d %d", proxy, table, classes)
 	for _, class := range classes {
 		f.assigned[fmt.Sprint(proxy, "/", class)] = table
@@ -237,8 +237,8 @@
 	f.unanswered = nil
 }
 
-func (f *fakeHost) EndInheritedEjections(proxy int, servers []string) {
-	f.log("end inherited %d %v", proxy, servers)
+func (f *fakeHost) RestoreServers(proxy int, servers []string) {
+	f.log("restore %d %v", proxy, servers)
 }
 
 func (f *fakeHost) WatchEndpoints() { f.polls = append(f.polls, f.nowMs) }
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -157,7 +157,7 @@
 }
 
 // ExpectInheritedEjections records that a joined proxy may hold tables and ejections of another planner.
-// Host.EndInheritedEjections ends these.
+// Host.RestoreServers ends these.
 func (p *Policy) ExpectInheritedEjections(id int) {
 	if proxy := p.byID[id]; proxy != nil {
 		proxy.inheritedEjections = true
--- a/policy/state.go
+++ b/policy/state.go
@@ -52,7 +52,8 @@
 	acknowledgements      map[int]float64  // lines ordered up to each receipt asked for
 	ejected               map[*server]bool // told by us to shut it out
 	inheritedEjections    bool             // tables and withdrawals of others, until it is bound and told otherwise
-	doubted               []*server        // in its tables, heaviest first; withdrawn there by others for all we know
+	unrestored            []restoration    // in its tables, heaviest first
+	paid                  int              // of these, restored with the assignment
 }
 
 // client is the paper's i: the proxies of one zone, for the traffic classes that may go to the same servers.
@@ -178,3 +179,10 @@
 		proxy.acknowledgements[p.acknowledgementNumber] = proxy.ordered
 	}
 }
+
+// restoration is what a proxy has yet to be sent of a server: an end of another planner's ejection, and its entry
+// where that was omitted. Its cost is in entries of the channel.
+type restoration struct {
+	server  *server
+	entries float64
+}
