--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,8 +6,6 @@
 	"slices"
 )
 
-// Admission: which part of each traffic class proxies admit while the fleet is overloaded.
-
 // newAdmission admits all of a class, with the default retry mode unless a rule forbids that. Proxies must
 // then be notified that they may not repeat; a rate that was never sent causes that order.
 func newAdmission(class TrafficClass, defaultRetry int) admission {
@@ -33,7 +31,8 @@
 // overloaded says whether requests wait. Failures without a wait are servers that reject us, not a full
 // fleet.
 func (l fleetLoad) overloaded() bool {
-	return l.latency > overloadThreshold || l.latency > recoveryThreshold && l.failureShare > overloadFailureShare
+	late := l.latency > recoveryThreshold
+	return l.latency > overloadThreshold || late && l.failureShare > overloadFailureShare
 }
 
 func (l fleetLoad) recovered() bool {
@@ -79,3 +78,19 @@
 		excess -= rejected
 	}
 }
+
+// planAdmission queues the admission rates that changed. The first order of a class is not held back, as proxies
+// must be notified of the retries that a rule forbids.
+func (p *Policy) planAdmission() {
+	for index := range p.admission {
+		p.enqueue(func(host Host) bool {
+			class := &p.admission[index]
+			if class.target == class.sent || class.sent >= 0 && !p.spendBudget(1, p.proxies, urgent) {
+				return false
+			}
+			class.sent = class.target
+			host.SetAdmission(AllTables, index, class.target, class.retry)
+			return true
+		})
+	}
+}
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -1,11 +1,6 @@
 package policy
 
-import (
-	"math"
-	"slices"
-)
-
-// Capacity: what each server may be given, by its listed capacity, its latency and its slow start.
+import "math"
 
 // cold says whether a server is in slow start.
 func (p *Policy) cold(server *server) bool {
@@ -36,10 +31,10 @@
 	listed = math.Max(listed, minRelativeCapacity)
 	// A ramp is of what the fleet succeeds in, not of demand: in an overload all requests run to the least
 	// busy.
-	served := math.Max(p.succeededRate, minDemand*demand) / math.Max(demand, minDemand)
-	served = math.Min(1, served)
+	served := math.Min(1, math.Max(p.succeededRate, minDemand*demand)/math.Max(demand, minDemand))
 	for j, server := range servers {
-		C[j] = server.RelativeCapacity / listed * math.Max(p.relativeSpeed(server), minCapacity) * p.ramp(server)
+		speed := math.Max(p.relativeSpeed(server), minCapacity)
+		C[j] = server.RelativeCapacity / listed * speed * p.ramp(server)
 		if p.ramp(server) < 1 {
 			C[j] *= served
 			warming += C[j]
@@ -72,18 +67,3 @@
 	}
 	return speed
 }
-
-// baselineOf is the lower quartile of latencies in ms, 0 where no report has enough successes.
-func (p *Policy) baselineOf(reports []sample) float64 {
-	p.latencies = p.latencies[:0]
-	for _, report := range reports {
-		if report.succeeded >= minBaselineRequests {
-			p.latencies = append(p.latencies, report.latencyMs)
-		}
-	}
-	if len(p.latencies) == 0 {
-		return 0
-	}
-	slices.Sort(p.latencies)
-	return p.latencies[len(p.latencies)/baselineQuantile]
-}
--- a/policy/collections.go
+++ b/policy/collections.go
@@ -43,3 +43,14 @@
 	}
 	return names
 }
+
+func restoredNames(restored []restoration) []string {
+	names := make([]string, 0, len(restored))
+	for _, pending := range restored {
+		names = append(names, pending.server.Server)
+	}
+	return names
+}
+
+// only is a list of one recipient.
+func only(recipient *proxy) []*proxy { return []*proxy{recipient} }
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -5,7 +5,6 @@
 // All tuned values, each with its unit and reason; parts and shares have no unit. See also docs/design.md.
 const (
 	// The solver and what it is given.
-
 	solveIntervalMs     = 2500.0 // half the design's 5 s: two cohorts then give each proxy updates every 5 s
 	admmIterations      = 20     // the paper's ADMM-20
 	capacityHeadroom    = 1.01   // capacities over demand; more idles the dearest servers of a linear cost
@@ -24,7 +23,6 @@
 	baselineQuantile    = 4      // a baseline is the lower quartile of means, as these are noisy
 
 	// Sizes of tables and changes to them.
-
 	minCohorts               = 2      // of a client's table; half the proxies try a split first
 	refreshMs                = 1000.0 // channel time for all entries of all proxies; many joins fit then
 	connectionQuota          = 0.4    // part of the smallest server's connections; full ones work slower
@@ -42,7 +40,6 @@
 	overTargetFactor         = 1.5    // times its target that an entry may have; more is urgent
 
 	// Load reports and slow start.
-
 	maxSamples          = 24     // load reports kept of each server and proxy; a baseline is sought in all
 	minWindowMs         = 3500.0 // three load reports or more; longer windows show a fault too late
 	reportRounds        = 1.5    // rounds of load reports in a window at least; each server is in one of them
@@ -51,7 +48,6 @@
 	idleClassRate       = 0.01   // requests per second; weight of an idle class in the mean latency objective
 
 	// Ejection of outliers and their return.
-
 	ejectionThreshold       = 6.0     // nats; a dozen failures without success, 1 of 400 false
 	maxSampleEvidence       = 4.0     // nats that one load report may add; one odd report is never enough
 	unverifiedEvidence      = 2.0     // times the evidence on unverified servers; not ours maybe
@@ -69,7 +65,6 @@
 	forgetRemovedMs         = 600e3   // a removed server in no table is remembered; its name may come back
 
 	// Admission.
-
 	admissionIntervalMs  = 2000.0 // a rate shows in the load reports after about this time
 	overloadThreshold    = 0.5    // latency over its objective; above it a tenth or so is late
 	recoveryThreshold    = 0.35   // below it failures are no overload; also of the wait, when rates may rise
@@ -83,7 +78,6 @@
 	admissionSteps       = 20     // steps of an admission rate; finer ones cost messages
 
 	// The control channel and timers.
-
 	maxQueueSlowdown       = 6.0    // times slower that the channel is while answers are late
 	pollsUntilNotified     = 3      // polls at least while an update that was not requested would arrive
 	pollBackoffMs          = 1200.0 // first wait after a failed poll of the endpoint list, doubled each time
--- a/policy/measurements.go
+++ b/policy/measurements.go
@@ -194,3 +194,18 @@
 }
 
 func (p *Policy) typicalLatency() float64 { return math.Max(p.baselineMs, 1) }
+
+// baselineOf is the lower quartile of latencies in ms, 0 where no report has enough successes.
+func (p *Policy) baselineOf(reports []sample) float64 {
+	p.latencies = p.latencies[:0]
+	for _, report := range reports {
+		if report.succeeded >= minBaselineRequests {
+			p.latencies = append(p.latencies, report.latencyMs)
+		}
+	}
+	if len(p.latencies) == 0 {
+		return 0
+	}
+	slices.Sort(p.latencies)
+	return p.latencies[len(p.latencies)/baselineQuantile]
+}
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -2,8 +2,6 @@
 
 import "math"
 
-// Outliers: which ready servers are ejected by the evidence of load reports, and when they return.
-
 // usable says whether a server may get requests.
 func (s *server) usable() bool { return s.State == Ready && !s.unhealthy }
 
@@ -33,7 +31,8 @@
 // updateEjections runs the sequential test on each ready server and ends ejections whose time has come. Many
 // outliers at once are more likely a fault of reports, so only some of the fleet may be out.
 func (p *Policy) updateEjections() {
-	fleet := filter(p.servers, func(server *server) bool { return server.State == Ready && !p.unverified(server) })
+	ours := func(server *server) bool { return server.State == Ready && !p.unverified(server) }
+	fleet := filter(p.servers, ours)
 	size := float64(len(fleet))
 	ejected := float64(1 + len(fleet) - len(filter(fleet, (*server).usable))) // if one more is
 	uncertain := p.demandUncertain()
@@ -72,14 +71,6 @@
 	p.unsolved = true
 }
 
-// readmit takes a server back, by the recovery ramp and judged by new reports alone.
-func (p *Policy) readmit(server *server) {
-	server.unhealthy = false
-	server.sinceMs = p.now
-	server.readmittedMs = p.now
-	p.unsolved = true
-}
-
 // evidence is a CUSUM of log likelihood ratios in nats that a server is dead rather than sound, by failures
 // and by silence where requests were sent.
 func (p *Policy) evidence(server *server) float64 {
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -2,8 +2,6 @@
 
 import "math"
 
-// Pacing: what the control channel and each proxy's message quota have room for.
-
 // observeChannel takes the channel for slow when an acknowledgement took twice the longest way.
 func (p *Policy) observeChannel(tookMs float64) { p.queueSlow = tookMs > 2*p.set.MaxPropagationMs }
 
@@ -20,14 +18,6 @@
 	return p.backlog
 }
 
-// unsure are the entries that no acknowledgement shows to have arrived: at the most, these wait, however slow
-// the channel is. Those to proxies that left count until the channel could have sent them.
-func (p *Policy) unsure() float64 {
-	return p.departedBacklog + sumBy(p.proxies, func(proxy *proxy) float64 {
-		return proxy.ordered - proxy.acknowledged
-	})
-}
-
 // spendBudget counts an order of so many entries to each of some proxies, if there is room for it at its
 // urgency.
 func (p *Policy) spendBudget(entries float64, recipients []*proxy, urgency int) bool {
--- a/policy/problem.go
+++ b/policy/problem.go
@@ -114,12 +114,22 @@
 
 func (s *server) inAnyTable() bool { return slices.ContainsFunc(s.entries, (*entry).inUse) }
 
-func (t *table) clearTargets() {
-	for _, entry := range t.entries {
-		entry.target = 0
+func clearTargets(tables []*table) {
+	for _, table := range tables {
+		for _, entry := range table.entries {
+			entry.target = 0
+		}
 	}
 }
 
+// recordSolve records that tables are as of now.
+func (p *Policy) recordSolve() {
+	p.solvedMs = p.now
+	p.unsolved = false
+	p.emptyTable = false
+	p.solves++
+}
+
 // eachEntry visits the entries of all shares, in their order.
 func eachEntry(shares []*serverShare, visit func(share *serverShare, entry *entry)) {
 	for _, share := range shares {
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand"
+	"slices"
 )
 
 // What a planner knows and has ordered: types and their plain bookkeeping, no decisions.
@@ -42,18 +43,32 @@
 	baselineMs float64  // its latency without overload, 0 before a load report shows it
 }
 
+// proxy is a joined proxy, and what was ordered to it.
 type proxy struct {
-	id, zone, cohort      int
-	expectedRate, joined  float64          // flows per second by its own word; when its stream came up
-	demand                [][]sample       // by traffic group
-	bound                 []*table         // by part
-	sent                  []float64        // times of the last messages
-	ordered, acknowledged float64          // lines ordered to it, and known to have reached it
-	acknowledgements      map[int]float64  // lines ordered up to each receipt asked for
-	ejected               map[*server]bool // told by us to shut it out
-	inheritedEjections    bool             // tables and withdrawals of others, until it is bound and told otherwise
-	unrestored            []restoration    // in its tables, heaviest first
-	paid                  int              // of these, restored with the assignment
+	id           int
+	zone         int
+	cohort       int        // of its zone, by number; -1 before there are tables
+	expectedRate float64    // requests per second, by its own statement
+	joined       float64    // when it joined, or the first message of the planner that it comes from was sent
+	demand       [][]sample // its last demand reports, by traffic class
+	bound        []*table   // that it follows, by part; nil before it is assigned one
+
+	sent             []float64       // times of its last messages
+	ordered          float64         // entries ordered to it
+	acknowledged     float64         // of these, known to have arrived
+	acknowledgements map[int]float64 // entries ordered up to each request for an acknowledgement
+
+	ejected            map[*server]bool // as last ordered to it
+	inheritedEjections bool             // it may hold tables and ejections of another planner
+	unrestored         []restoration    // of servers in its tables, heaviest first in a takeover
+	paid               int              // of these, restored with the assignment
+}
+
+// restoration is what a proxy has yet to be sent of a server: an end of another planner's ejection, and its entry
+// where that was omitted. Its cost is in entries of the channel.
+type restoration struct {
+	server  *server
+	entries float64
 }
 
 // client is the paper's i: the proxies of one zone, for the traffic classes that may go to the same servers.
@@ -98,6 +113,9 @@
 	retry  int     // mode, see RetryNever
 }
 
+// decision makes one call on the host, or none if nothing is due or there is no room for it, and says which.
+type decision func(Host) bool
+
 // Policy decides for the proxies joined to it. It shares nothing with other planners and has no lock: one goroutine at a
 // time may call it. All times are in ms as given to SetTime.
 type Policy struct {
@@ -109,12 +127,12 @@
 	proxies []*proxy // joined, in order of joining
 	byID    map[int]*proxy
 
-	clients          []*client         // by zone, then part
-	parts            int               // clients of a zone
-	tables           []*table          // by number
-	admission        []admission       // by traffic class
-	sheddingOrder    []int             // traffic classes, those that earn least for their work first
-	pendingDecisions []func(Host) bool // of this evaluation; each says whether it did anything
+	clients          []*client   // by zone, then part
+	parts            int         // clients of a zone
+	tables           []*table    // by number
+	admission        []admission // by traffic class
+	sheddingOrder    []int       // traffic classes, those that earn least for their work first
+	pendingDecisions []decision  // of this evaluation
 
 	solves       int     // so far
 	solvedMs     float64 // time of the last solve
@@ -180,9 +198,115 @@
 	}
 }
 
-// restoration is what a proxy has yet to be sent of a server: an end of another planner's ejection, and its entry
-// where that was omitted. Its cost is in entries of the channel.
-type restoration struct {
-	server  *server
-	entries float64
+func (p *Policy) enqueue(decisions ...decision) {
+	p.pendingDecisions = append(p.pendingDecisions, decisions...)
+}
+
+// inUse says whether proxies were sent a weight of the entry.
+func (e *entry) inUse() bool { return e.sent > 0 }
+
+// mayFollowOthers says whether a proxy may follow tables of another planner, as it has not all of ours yet.
+func (q *proxy) mayFollowOthers() bool { return q.inheritedEjections && slices.Contains(q.bound, nil) }
+
+// mayUse says whether a table of the proxy holds a server, or may, where others gave it one that we do not know.
+func (q *proxy) mayUse(server *server, unknownTables bool) bool {
+	return slices.ContainsFunc(q.bound, func(table *table) bool {
+		if table == nil {
+			return unknownTables
+		}
+		return table.uses(server)
+	})
+}
+
+// mayInheritEjection says whether another planner may have ejected the entry's server at the proxy.
+func (q *proxy) mayInheritEjection(entry *entry) bool {
+	return q.inheritedEjections && entry.inUse() && !entry.server.ejected && !q.ejected[entry.server]
+}
+
+func (q *proxy) awaitsRestoration(server *server) bool {
+	return slices.ContainsFunc(q.unrestored, func(pending restoration) bool { return pending.server == server })
+}
+
+// takePaid gives the number of restorations that are paid for, once.
+func (q *proxy) takePaid() int {
+	count := q.paid
+	q.paid = 0
+	return count
+}
+
+// follow records that a proxy was assigned a table, with the ejections as they are.
+func (q *proxy) follow(part int, table *table) {
+	q.bound[part] = table
+	table.proxies = append(table.proxies, q)
+	for _, entry := range table.entries {
+		q.ejected[entry.server] = entry.server.ejected
+	}
+}
+
+// expectRestorations records what a proxy has yet to be sent after an assignment.
+func (q *proxy) expectRestorations(inherited, omitted []*entry) {
+	for _, entry := range inherited {
+		pending := restoration{server: entry.server, entries: 1}
+		if slices.Contains(omitted, entry) {
+			pending.entries++
+		}
+		q.unrestored = append(q.unrestored, pending)
+	}
+}
+
+// hasTables says whether there is something to assign to a proxy in each part of its zone.
+func (p *Policy) hasTables(proxy *proxy) bool {
+	for _, client := range p.clients[proxy.zone*p.parts : (proxy.zone+1)*p.parts] {
+		if proxy.cohort < 0 || !slices.ContainsFunc(client.tables[proxy.cohort].entries, (*entry).inUse) {
+			return false
+		}
+	}
+	return true
+}
+
+// recordWeight records that an entry was sent to the proxies of its table.
+func (p *Policy) recordWeight(entry *entry, urgent bool) {
+	if entry.sent == 0 {
+		entry.server.addedAt = p.now
+	}
+	for _, proxy := range entry.table.proxies {
+		proxy.ejected[entry.server] = entry.server.ejected
+	}
+	entry.sent = entry.target
+	if urgent {
+		entry.table.urgentAt = p.now
+	}
+}
+
+// recordEjection records that an ejection, or its end, was ordered to some proxies.
+func (s *server) recordEjection(ejected bool, recipients []*proxy) {
+	s.ejected = ejected
+	for _, proxy := range recipients {
+		proxy.ejected[s] = ejected
+	}
+}
+
+// awaitsReadmission says whether the end of an ejection has not been ordered to the proxy.
+func (q *proxy) awaitsReadmission(entry *entry) bool {
+	return !entry.server.ejected && q.ejected[entry.server]
+}
+
+func (p *Policy) anyFollowsOthers() bool {
+	return slices.ContainsFunc(p.proxies, (*proxy).mayFollowOthers)
+}
+
+// unsure are the entries that no acknowledgement shows to have arrived: at the most, these wait, however slow
+// the channel is. Those to proxies that left count until the channel could have sent them.
+func (p *Policy) unsure() float64 {
+	return p.departedBacklog + sumBy(p.proxies, func(proxy *proxy) float64 {
+		return proxy.ordered - proxy.acknowledged
+	})
+}
+
+// readmit takes a server back, by the recovery ramp and judged by new reports alone.
+func (p *Policy) readmit(server *server) {
+	server.unhealthy = false
+	server.sinceMs = p.now
+	server.readmittedMs = p.now
+	p.unsolved = true
 }
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -6,8 +6,6 @@
 	"slices"
 )
 
-// Tables: when the split is solved for, what the solver is given, and the weights that tables should hold.
-
 // solveIfDue solves every few seconds, and soon after servers came or left or a proxy got an unused table.
 func (p *Policy) solveIfDue() {
 	servers := filter(p.servers, (*server).usable)
@@ -22,10 +20,7 @@
 	}
 	p.evaluate() // anew, as ejections void load reports and admission rates change demand
 	p.split(servers, p.unsolved)
-	p.solvedMs = p.now
-	p.unsolved = false
-	p.emptyTable = false
-	p.solves++
+	p.recordSolve()
 	for _, table := range p.tables {
 		table.due = table.due || table.number%minCohorts == p.solves%minCohorts
 	}
@@ -134,9 +129,7 @@
 func (p *Policy) fillTables(client *client, wanted []*serverShare, maxSize int, smallest float64) {
 	shares, total := p.dropSmallShares(wanted, smallest)
 	tables := filter(client.tables, func(table *table) bool { return table.rate > 0 || client.demand == 0 })
-	for _, table := range tables {
-		table.clearTargets()
-	}
+	clearTargets(tables)
 	for _, table := range tables {
 		table.takeServers(shares, len(tables), min(len(shares), maxSize))
 	}
