--- a/policy/admission.go
+++ b/policy/admission.go
@@ -41,10 +41,10 @@
 
 // updateAdmissionIfDue moves the part of all requests that is admitted, down in an overload and up after it.
 func (p *Policy) updateAdmissionIfDue() {
-	if !p.set.PartialAdmission || p.now-p.admissionMs < admissionIntervalMs {
+	if !p.settings.PartialAdmission || p.nowMs-p.admissionMs < admissionIntervalMs {
 		return
 	}
-	p.admissionMs = p.now
+	p.admissionMs = p.nowMs
 	demand := sumBy(p.admission, func(class admission) float64 { return class.demand })
 	if demand == 0 || p.latencyMs == 0 {
 		return
@@ -56,7 +56,7 @@
 		// What succeeded is what the fleet can do; admitting less drains the overload. Half the interval
 		// more, as a second cut before this one shows would be too deep.
 		p.capacityRate = math.Max(load.succeededRate, minCapacityKept*p.capacityRate)
-		p.admissionMs = p.now + admissionIntervalMs/2
+		p.admissionMs = p.nowMs + admissionIntervalMs/2
 		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*recoveryAdmission/demand))
 	case load.recovered():
 		// What succeeded before is admitted again at once.
@@ -79,8 +79,8 @@
 	}
 }
 
-// planAdmission queues the admission rates that changed. The first order of a class is not held back, as proxies
-// must be notified of the retries that a rule forbids.
+// planAdmission queues the admission rates that changed. The first order of a class is not held back, as
+// proxies must be notified of the retries that a rule forbids.
 func (p *Policy) planAdmission() {
 	for index := range p.admission {
 		p.enqueue(func(host Host) bool {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -2,18 +2,13 @@
 
 import "math"
 
-// cold says whether a server is in slow start.
-func (p *Policy) cold(server *server) bool {
-	return server.StartedMs > 0 && p.now-server.StartedMs < p.set.SlowStartMs
-}
-
 // ramp is the part of its capacity that a server may be given. A cold one, and one that was ejected, starts
 // low and doubles; an unverified one stays low.
 func (p *Policy) ramp(server *server) float64 {
-	part := math.Min(1, recoveryShare*math.Exp2((p.now-server.readmittedMs)/recoveryDoublingMs))
+	part := math.Min(1, recoveryShare*math.Exp2((p.nowMs-server.readmittedMs)/recoveryDoublingMs))
 	if p.cold(server) {
-		doublings := math.Max(p.now-server.StartedMs, 0) / slowStartDoublingMs
-		part = math.Min(part, slowStartMargin*p.set.ColdCapacity*math.Exp2(doublings))
+		doublings := math.Max(p.nowMs-server.StartedMs, 0) / slowStartDoublingMs
+		part = math.Min(part, slowStartMargin*p.settings.ColdCapacity*math.Exp2(doublings))
 	}
 	if p.unverified(server) {
 		part = math.Min(part, minCapacity)
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -29,7 +29,7 @@
 	minRequestsPerConnection = 5.0    // before an entry's connection idles out; fewer reopen it
 	minTableEntries          = 8      // a table keeps most of its servers when a fifth fails
 	minEntries               = 3      // of a client; two may be lost at once before a table is empty
-	essential                = 0.8    // part of a table's weight that a proxy is sent at once in a rush of joins
+	essentialWeight          = 0.8    // part of a table's weight that a proxy is sent at once in a rush of joins
 	minWeightChange          = 0.25   // part of a weight, or of an average one; less is noise
 	minWarmingShare          = 4      // times smaller that an entry of a warming server may be
 	balanceRounds            = 20     // of scaling weights to shares, as many as of ADMM
@@ -87,7 +87,7 @@
 
 // Urgency of an order: deferrable work leaves room for what cannot wait, and both for what the rules ask for.
 const (
-	paid = iota - 1 // with an order before
+	prepaid = iota - 1 // with an order before
 	deferrable
 	urgent
 	required
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -9,11 +9,11 @@
 
 // The inputs record what is known; what follows from it is decided by Next.
 
-// New starts a planner that knows nothing yet. The seed is for the spread of polls alone. The planner keeps set.Classes;
+// New starts a planner that knows nothing yet. The seed is for the spread of polls alone. The planner keeps settings.Classes;
 // its caller must not change them.
-func New(set Settings, seed int64) *Policy {
+func New(settings Settings, seed int64) *Policy {
 	p := &Policy{
-		set:         set,
+		settings:    settings,
 		random:      rand.New(rand.NewSource(seed)),
 		byName:      map[string]*server{},
 		byID:        map[int]*proxy{},
@@ -25,13 +25,13 @@
 		timerMs:     unset,
 		reportedMs:  unset,
 	}
-	for _, class := range set.Classes {
-		p.admission = append(p.admission, newAdmission(class, set.DefaultRetry))
+	for _, class := range settings.Classes {
+		p.admission = append(p.admission, newAdmission(class, settings.DefaultRetry))
 	}
-	p.sheddingOrder = sheddingOrder(set.Classes)
-	parts := classesByDestination(set.Classes)
+	p.sheddingOrder = sheddingOrder(settings.Classes)
+	parts := classesByDestination(settings.Classes)
 	p.parts = len(parts)
-	for zone := range set.Zones {
+	for zone := range settings.Zones {
 		for _, classes := range parts {
 			p.clients = append(p.clients, &client{zone: zone, classes: classes})
 		}
@@ -54,7 +54,7 @@
 
 // SetTime sets the time in ms, from any start; it never goes back. Orders until the next SetTime share one message
 // for each proxy.
-func (p *Policy) SetTime(now float64) { p.now = now }
+func (p *Policy) SetTime(nowMs float64) { p.nowMs = nowMs }
 
 // UpdateEndpoints records what discovery says of the endpoint list, or that a poll of it failed. The planner keeps no
 // part of the list. Endpoints of zones that the settings do not have are ignored.
@@ -71,7 +71,7 @@
 	p.dirty = true
 	seen := map[*server]bool{}
 	for _, endpoint := range list {
-		if endpoint.Zone >= 0 && endpoint.Zone < p.set.Zones {
+		if endpoint.Zone >= 0 && endpoint.Zone < p.settings.Zones {
 			seen[p.updateEndpoint(kind, endpoint)] = true
 		}
 	}
@@ -88,9 +88,9 @@
 	if known == nil {
 		known = &server{
 			discoveredLate: kind != RestoredUpdate && p.solves > 0,
-			sinceMs:        p.now,
+			sinceMs:        p.nowMs,
 			readmittedMs:   unset,
-			addedAt:        unset,
+			addedMs:        unset,
 		}
 		p.byName[endpoint.Server] = known
 		p.servers = append(p.servers, known)
@@ -111,7 +111,7 @@
 	}
 	server.ejected = server.ejected && server.State != Ready
 	server.State = state
-	server.notified = p.now
+	server.stateChangedMs = p.nowMs
 }
 
 // forgetRemoved drops the servers of which nothing is left to decide, once their ejections have ended.
@@ -131,25 +131,25 @@
 // AddProxy records that a proxy joined, or joined anew: its id, its zone, the requests per second that it says it usually
 // gets, and the times in ms of messages that another planner sent it, oldest first. These count in its message span.
 // A proxy of a zone that the settings do not have is ignored.
-func (p *Policy) AddProxy(id, zone int, usual float64, sent ...float64) {
+func (p *Policy) AddProxy(id, zone int, usualRate float64, messageTimes ...float64) {
 	p.RemoveProxy(id)
-	if zone < 0 || zone >= p.set.Zones {
+	if zone < 0 || zone >= p.settings.Zones {
 		return
 	}
 	joined := &proxy{
 		id:               id,
 		zone:             zone,
 		cohort:           -1,
-		expectedRate:     usual,
-		joined:           p.now,
-		sent:             slices.Clone(sent),
+		expectedRate:     usualRate,
+		joinedMs:         p.nowMs,
+		messageTimes:     slices.Clone(messageTimes),
 		acknowledgements: map[int]float64{},
 		ejected:          map[*server]bool{},
 		demand:           make([][]sample, len(p.admission)),
-		bound:            make([]*table, p.parts),
+		tables:           make([]*table, p.parts),
 	}
-	if p.anySuccess && len(sent) > 0 { // taken over: another had its reports since then, and we have those of others
-		joined.joined = math.Min(joined.joined, sent[0])
+	if p.anySuccess && len(messageTimes) > 0 { // taken over: another had its reports since then, and we have those of others
+		joined.joinedMs = math.Min(joined.joinedMs, messageTimes[0])
 	}
 	p.byID[id] = joined
 	p.proxies = append(p.proxies, joined)
@@ -171,7 +171,7 @@
 		return
 	}
 	delete(p.byID, id)
-	p.queue()
+	p.updateBacklog()
 	p.departedBacklog += leaving.ordered - leaving.acknowledged
 	p.proxies = filter(p.proxies, func(proxy *proxy) bool { return proxy != leaving })
 }
@@ -180,22 +180,22 @@
 // and the mean latency in ms of those that succeeded. One of an unknown server or zone, or of no attempt, is ignored.
 func (p *Policy) RecordReport(name string, zone, count, failed int, latencyMs, coversMs float64) {
 	server := p.byName[name]
-	if server == nil || count <= 0 || zone < 0 || zone >= p.set.Zones {
+	if server == nil || count <= 0 || zone < 0 || zone >= p.settings.Zones {
 		return
 	}
-	p.reportedMs = p.now
+	p.reportedMs = p.nowMs
 	server.proven = server.proven || failed < count
 	p.anySuccess = p.anySuccess || server.proven
-	p.covers = appendBounded(p.covers, coversMs, maxSamples)
+	p.reportCoversMs = appendBounded(p.reportCoversMs, coversMs, maxSamples)
 	report := sample{
 		zone:      zone,
-		atMs:      p.now,
+		atMs:      p.nowMs,
 		succeeded: float64(count - failed),
 		failed:    float64(failed),
 		latencyMs: latencyMs,
 		coversMs:  coversMs,
 	}
-	server.samples = appendBounded(server.samples, report, maxSamples*min(p.set.Zones, 2))
+	server.samples = appendBounded(server.samples, report, maxSamples*min(p.settings.Zones, 2))
 }
 
 // RecordDemand records a proxy's demand report: the requests of a traffic class that came to it within coversMs, and how
@@ -207,7 +207,7 @@
 	}
 	report := sample{
 		zone:      proxy.zone,
-		atMs:      p.now,
+		atMs:      p.nowMs,
 		succeeded: float64(count - failed),
 		failed:    float64(failed),
 		coversMs:  coversMs,
--- a/policy/measurements.go
+++ b/policy/measurements.go
@@ -63,10 +63,10 @@
 			continue
 		}
 		table := client.tables[proxy.cohort]
-		if proxy.bound[part] == table {
+		if proxy.tables[part] == table {
 			table.proxies = append(table.proxies, proxy)
 		}
-		p.emptyTable = p.emptyTable || proxy.bound[part] == nil && table.rate == 0
+		p.emptyTable = p.emptyTable || proxy.tables[part] == nil && table.rate == 0
 		table.rate += admitted
 	}
 }
@@ -76,7 +76,7 @@
 	coversMs, requests := 0.0, 0.0
 	for index := range proxy.demand[class] { // by index, as there are many proxies
 		report := &proxy.demand[class][index]
-		if report.atMs > p.now-p.windowMs {
+		if report.atMs > p.nowMs-p.windowMs {
 			coversMs += report.coversMs
 			requests += report.attempts()
 		}
@@ -94,7 +94,7 @@
 	for index, class := range p.admission {
 		admitted := class.demand * class.target
 		p.admittedRate += admitted
-		p.latencyObjectiveMs += (admitted + idleClassRate) * p.set.Classes[index].LatencyObjectiveMs
+		p.latencyObjectiveMs += (admitted + idleClassRate) * p.settings.Classes[index].LatencyObjectiveMs
 	}
 	p.latencyObjectiveMs /= p.admittedRate + idleClassRate*float64(len(p.admission))
 }
@@ -109,15 +109,15 @@
 
 func (p *Policy) fleetLoad() fleetLoad {
 	used := filter(p.servers, func(server *server) bool {
-		return server.usable() && !p.unverified(server) && server.last.attempts() > 0
+		return server.usable() && !p.unverified(server) && server.lastRound.attempts() > 0
 	})
 	failureShare := quantile(used, 2, func(server *server) float64 {
-		return server.last.failed / server.last.attempts()
+		return server.lastRound.failed / server.lastRound.attempts()
 	})
-	used = filter(used, func(server *server) bool { return server.last.latencyMs > 0 })
-	latencyMs := quantile(used, 2, func(server *server) float64 { return server.last.latencyMs })
-	attempts := sumBy(p.servers, func(server *server) float64 { return server.last.attempts() })
-	succeeded := sumBy(p.servers, func(server *server) float64 { return server.last.succeeded })
+	used = filter(used, func(server *server) bool { return server.lastRound.latencyMs > 0 })
+	latencyMs := quantile(used, 2, func(server *server) float64 { return server.lastRound.latencyMs })
+	attempts := sumBy(p.servers, func(server *server) float64 { return server.lastRound.attempts() })
+	succeeded := sumBy(p.servers, func(server *server) float64 { return server.lastRound.succeeded })
 	allowedWait := math.Max(p.latencyObjectiveMs-p.baselineMs, p.baselineMs)
 	return fleetLoad{
 		latency:       latencyMs / p.latencyObjectiveMs,
@@ -129,10 +129,10 @@
 
 // aggregateReports works out what a server's load reports since its last change say, by period and in all.
 func (p *Policy) aggregateReports(server *server) {
-	server.mergeReports(p.set.ReportIntervalMs / 2)
+	server.mergeReports(p.settings.ReportIntervalMs / 2)
 	server.baselineMs = p.baselineOf(server.reports)
-	server.windowed = server.recent(p.now - p.windowMs)
-	server.last = server.recent(p.now - admissionRounds*p.roundMs)
+	server.windowed = server.recent(p.nowMs - p.windowMs)
+	server.lastRound = server.recent(p.nowMs - admissionRounds*p.roundMs)
 }
 
 // updateDemand takes over the demand of each client. It gives that of all, and what moved from one to another.
@@ -184,7 +184,7 @@
 // zoneLatencies are the lowest baseline latencies of each zone in ms. Within a zone, lows show the speed of
 // servers, which their capacities have already.
 func (p *Policy) zoneLatencies(servers []*server) []float64 {
-	lowest := slices.Repeat([]float64{p.typicalLatency()}, p.set.Zones)
+	lowest := slices.Repeat([]float64{p.typicalLatency()}, p.settings.Zones)
 	for _, server := range servers {
 		if server.baselineMs > 0 {
 			lowest[server.Zone] = math.Min(lowest[server.Zone], server.baselineMs)
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -2,9 +2,6 @@
 
 import "math"
 
-// usable says whether a server may get requests.
-func (s *server) usable() bool { return s.State == Ready && !s.unhealthy }
-
 // unverified says whether a server is new to the list and never succeeded, though it is said to run since
 // long ago: a wrong list may name some that are not ours. One that says when it started is new, and has slow
 // start. Harm: a wrong list with start times would be believed until the evidence is in.
@@ -15,17 +12,14 @@
 // restartServer is about a server that came back cold under its old name: its reports are void. What old
 // tables sent it counts as overload of a cold server, so it rests until that is out of the window.
 func (p *Policy) restartServer(server *server, startedMs float64) {
-	server.samples = nil
-	server.sinceMs = p.now
-	server.readmittedMs = unset
-	server.ejections = 0
-	server.unhealthy = startedMs > p.now-p.set.SlowStartMs
-	server.unhealthyUntilMs = p.now + p.set.ColdOverloadWindowMs + p.set.MaxPropagationMs
+	server.forgetReports(p.nowMs)
+	server.unhealthy = startedMs > p.nowMs-p.settings.SlowStartMs
+	server.unhealthyUntilMs = p.nowMs + p.settings.ColdOverloadWindowMs + p.settings.MaxPropagationMs
 }
 
 // expired says whether nothing is left to decide of a server: its ejection ends, and then it is forgotten.
 func (p *Policy) expired(server *server) bool {
-	return server.State == Removed && p.now-server.notified > forgetRemovedMs && !server.inAnyTable()
+	return server.State == Removed && p.nowMs-server.stateChangedMs > forgetRemovedMs && !server.inAnyTable()
 }
 
 // updateEjections runs the sequential test on each ready server and ends ejections whose time has come. Many
@@ -38,13 +32,13 @@
 	uncertain := p.demandUncertain()
 	for _, server := range p.servers {
 		switch {
-		case server.State != Ready || server.unhealthy && p.now < server.unhealthyUntilMs:
+		case server.State != Ready || server.unhealthy && p.nowMs < server.unhealthyUntilMs:
 		case server.unhealthy:
 			p.readmit(server)
 		case p.cold(server) && uncertain && ejected <= maxEjectedForColdRest*size:
 			// Proxies keep away from servers that fail and try others: a cold one would get it all.
 			server.unhealthy = true
-			server.unhealthyUntilMs = p.now + p.set.ColdOverloadWindowMs
+			server.unhealthyUntilMs = p.nowMs + p.settings.ColdOverloadWindowMs
 			p.unsolved = true
 			ejected++
 		case p.evidence(server) >= ejectionThreshold && ejected <= maxEjected*size:
@@ -57,7 +51,7 @@
 // demandUncertain says whether most of the fleet fails, or may fail before reports show it as many proxies
 // are new.
 func (p *Policy) demandUncertain() bool {
-	added := filter(p.proxies, func(proxy *proxy) bool { return p.now-proxy.joined < ejectionMs })
+	added := filter(p.proxies, func(proxy *proxy) bool { return p.nowMs-proxy.joinedMs < ejectionMs })
 	return p.failureShare > maxEjected || len(added) > len(p.proxies)/maxNewProxies
 }
 
@@ -65,8 +59,8 @@
 func (p *Policy) eject(server *server) {
 	lastsMs := math.Min(ejectionMs*math.Exp2(float64(server.ejections)), maxEjectionMs)
 	server.unhealthy = true
-	server.unhealthyUntilMs = p.now + lastsMs
-	server.sinceMs = p.now
+	server.unhealthyUntilMs = p.nowMs + lastsMs
+	server.sinceMs = p.nowMs
 	server.ejections++
 	p.unsolved = true
 }
@@ -90,8 +84,8 @@
 	soundShare = math.Min(soundShare, maxOverloadFailureShare)
 	failure := math.Log(deadFailureShare / soundShare)
 	success := math.Log((1 - deadFailureShare) / (1 - soundShare))
-	delayMs := p.set.MaxPropagationMs + p.set.ReportIntervalMs
-	lastMs = math.Max(server.sinceMs, server.addedAt) + math.Max(delayMs, ejectionMs-reportRounds*p.roundMs)
+	delayMs := p.settings.MaxPropagationMs + p.settings.ReportIntervalMs
+	lastMs = math.Max(server.sinceMs, server.addedMs) + math.Max(delayMs, ejectionMs-reportRounds*p.roundMs)
 	for _, report := range server.reports {
 		if report.atMs <= server.sinceMs+delayMs {
 			continue
@@ -99,7 +93,7 @@
 		nats := report.failed*failure + report.succeeded*success
 		score += math.Max(-maxSampleEvidence, math.Min(nats, maxSampleEvidence))
 		score = math.Max(0, score)
-		lastMs = math.Max(report.atMs, server.addedAt+delayMs)
+		lastMs = math.Max(report.atMs, server.addedMs+delayMs)
 	}
 	return score, lastMs
 }
@@ -112,5 +106,5 @@
 		return 0
 	}
 	sent := sumBy(server.entries, func(entry *entry) float64 { return entry.sent * entry.table.rate }) / 1000
-	return silentMs * math.Min(sent, maxSampleEvidence/p.set.ReportIntervalMs)
+	return silentMs * math.Min(sent, maxSampleEvidence/p.settings.ReportIntervalMs)
 }
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -26,7 +26,7 @@
 			f.update(Endpoint{Server: fmt.Sprint("s", step%8), Zone: step % 2, State: state, RelativeCapacity: 1})
 			f.run(1, sound)
 			for _, proxy := range f.planner.proxies {
-				recent := filter(proxy.sent, func(at float64) bool { return at > f.nowMs-settings.MessageWindowMs })
+				recent := filter(proxy.messageTimes, func(at float64) bool { return at > f.nowMs-settings.MessageWindowMs })
 				if len(recent) > settings.MaxMessages {
 					t.Fatalf("%d messages in a span", len(recent))
 				}
@@ -38,7 +38,7 @@
 		times := []float64{f.nowMs - 400, f.nowMs - 300, f.nowMs - 200, f.nowMs - 100}
 		f.planner.AddProxy(1, 1, 10, times...)
 		times[0] = f.nowMs
-		if f.planner.byID[1].sent[0] == f.nowMs {
+		if f.planner.byID[1].messageTimes[0] == f.nowMs {
 			t.Error("the host's list is taken for the module's")
 		}
 	})
@@ -51,10 +51,10 @@
 		f.planner.proxies[0].ordered = 1000
 		f.planner.proxies[0].acknowledged = 0
 		f.advance(100)
-		near(t, "healthy", f.planner.queue(), 750, 1)
+		near(t, "healthy", f.planner.updateBacklog(), 750, 1)
 		f.planner.Acknowledge(0, 9, 5000)
 		f.advance(100)
-		near(t, "slow", f.planner.queue(), 750-250/maxQueueSlowdown, 1)
+		near(t, "slow", f.planner.updateBacklog(), 750-250/maxQueueSlowdown, 1)
 	})
 	t.Run("entries not known to have arrived fill it until an acknowledgement", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
@@ -90,7 +90,7 @@
 		t.Run(fmt.Sprint("rejoin ", rejoin), func(t *testing.T) {
 			f := startFleet(testSettings(), 6)
 			f.run(10, sound)
-			f.planner.queue() // as of now
+			f.planner.updateBacklog() // as of now
 			f.planner.backlog = 3400
 			for _, proxy := range f.planner.proxies {
 				proxy.ordered = proxy.acknowledged + 850
@@ -101,14 +101,14 @@
 					f.planner.AddProxy(id, id%2, 10)
 				}
 			}
-			near(t, "backlog", f.planner.queue(), 3400, 0)
+			near(t, "backlog", f.planner.updateBacklog(), 3400, 0)
 			f.planner.AddProxy(9, 0, 10)
 			if f.planner.spendBudget(8, f.planner.proxies, required) {
 				t.Error("more is ordered than may wait")
 			}
 			f.advance(1500)
-			near(t, "left", f.planner.queue(), 0, 0)
-			near(t, "unacknowledged", f.planner.unsure(), 0, 0)
+			near(t, "left", f.planner.updateBacklog(), 0, 0)
+			near(t, "unacknowledged", f.planner.unacknowledged(), 0, 0)
 		})
 	}
 }
--- a/policy/problem.go
+++ b/policy/problem.go
@@ -82,7 +82,7 @@
 func (p *Policy) createTables(cohorts int) {
 	for _, client := range p.clients {
 		for range cohorts {
-			created := &table{number: len(p.tables), due: true, urgentAt: unset}
+			created := &table{number: len(p.tables), due: true, urgentMs: unset}
 			client.tables = append(client.tables, created)
 			p.tables = append(p.tables, created)
 		}
@@ -124,7 +124,7 @@
 
 // recordSolve records that tables are as of now.
 func (p *Policy) recordSolve() {
-	p.solvedMs = p.now
+	p.solvedMs = p.nowMs
 	p.unsolved = false
 	p.emptyTable = false
 	p.solves++
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// plan queues the decisions of this evaluation, what cannot wait first. Each is made if the channel has room for
-// it when its turn comes.
+// plan queues the decisions of this evaluation, what cannot wait first. Each is made if the channel has room
+// for it when its turn comes.
 func (p *Policy) plan() {
 	p.pendingDecisions = nil
 	p.enqueue(p.pollEndpoints)
@@ -30,7 +30,8 @@
 	p.planAdmission()
 	for _, proxy := range p.proxies {
 		if proxy.inheritedEjections {
-			p.enqueue(func(host Host) bool { return p.restore(host, proxy, len(proxy.unrestored), deferrable) })
+			restoreAll := func(host Host) bool { return p.restore(host, proxy, len(proxy.unrestored), deferrable) }
+			p.enqueue(restoreAll)
 		}
 	}
 	if !p.lagging {
@@ -39,7 +40,8 @@
 	p.enqueue(p.requestAcknowledgements)
 }
 
-// planWeights adds the weights of a table to send by their urgency, additions first so that it never runs empty.
+// planWeights adds the weights of a table to send by their urgency, additions first so that it never runs
+// empty.
 func (p *Policy) planWeights(table *table, planned *[required + 1][]decision) {
 	missing, total := 0.0, 0.0
 	usable := 0
@@ -54,8 +56,9 @@
 			changed = append(changed, entry)
 		}
 	}
-	slices.SortStableFunc(changed, func(a, b *entry) int { return cmp.Compare(b.target-b.sent, a.target-a.sent) })
-	hasTurn := table.urgentAt == p.now || p.now-table.urgentAt >= urgentIntervalMs
+	additionsFirst := func(a, b *entry) int { return cmp.Compare(b.target-b.sent, a.target-a.sent) }
+	slices.SortStableFunc(changed, additionsFirst)
+	hasTurn := table.urgentMs == p.nowMs || p.nowMs-table.urgentMs >= urgentIntervalMs
 	mayHurry := !p.unsolved && hasTurn
 	for _, entry := range changed {
 		urgency := p.weightUrgency(entry, usable, missing > maxMissingWeight*total)
@@ -73,8 +76,8 @@
 	table.due = table.due && len(changed) > 0
 }
 
-// weightUrgency depends on how many usable servers the table has and on whether much of its weight is missing.
-// Nothing is spent on a table without proxies, so its entries go at once.
+// weightUrgency depends on how many usable servers the table has and on whether much of its weight is
+// missing. Nothing is spent on a table without proxies, so its entries go at once.
 func (p *Policy) weightUrgency(entry *entry, usable int, muchMissing bool) int {
 	server := entry.server
 	switch {
@@ -108,7 +111,7 @@
 // weightCost is one for each proxy, and one more where the entry also ends an ejection, of ours or inherited.
 func (p *Policy) weightCost(entry *entry) float64 {
 	both := filter(entry.table.proxies, func(proxy *proxy) bool {
-		ends := proxy.inheritedEjections || proxy.ejected[entry.server] && p.set.ReadmitByWeight
+		ends := proxy.inheritedEjections || proxy.ejected[entry.server] && p.settings.ReadmitByWeight
 		return entry.sent == 0 && ends || entry.target > 0 && proxy.awaitsRestoration(entry.server)
 	})
 	return 1 + float64(len(both))/float64(len(entry.table.proxies))
@@ -125,44 +128,49 @@
 	}
 }
 
-// setEjected ejects a server at the proxies that may use it, or ends that once no table holds more of it than its
-// ramp allows. Other proxies learn of it by its weight.
+// setEjected ejects a server at the proxies that may use it, or ends that once no table holds more of it than
+// its ramp allows. Other proxies learn of it by its weight.
 func (p *Policy) setEjected(host Host, server *server, eject, takeover bool) bool {
-	if eject && p.solves > 0 && !server.inAnyTable() && (takeover || !p.anyFollowsOthers()) {
-		return false // nobody uses it; there may be many such servers, so this comes first
+	unused := eject && !server.inAnyTable()
+	if unused && p.solves > 0 && (takeover || !p.anyFollowsOthers()) {
+		return false // there may be many such servers, so this comes first
 	}
 	recipients := p.ejectionRecipients(server, eject, takeover)
-	if eject && (len(recipients) == 0 || server.State == Ready && !server.inAnyTable()) {
+	if unused && server.State == Ready || eject && len(recipients) == 0 {
 		return false
 	}
 	if !eject && slices.ContainsFunc(server.entries, (*entry).overTarget) {
 		return false
 	}
-	entries := 1.0
-	if !eject && p.set.OmitsEntries {
-		entries++ // the entry that was omitted, and the end of another planner's ejection
-	}
-	if !p.spendBudget(entries, recipients, urgent) {
-		// A drain waits to share its message only while messages are short, and not too long.
-		must := eject && (server.State != Ready || p.cold(server)) && (takeover || p.drainIsShort(server))
-		urgency := required + min(int(server.State), 1) // drainEjection, unless it is ready
-		if !must || !p.spendBudget(entries, recipients, urgency) {
-			return false
-		}
+	if !p.spendForEjection(server, recipients, eject, takeover) {
+		return false
 	}
 	server.recordEjection(eject, recipients)
 	host.SetEjected(server.Server, eject, !takeover)
 	return true
 }
 
-// drainIsShort says whether half the grace of a drain has passed, less the longest way of a message.
-func (p *Policy) drainIsShort(server *server) bool {
-	return p.now >= server.notified+p.set.DrainGraceMs/2-p.set.MaxPropagationMs
+// spendForEjection counts an ejection or its end. Drains and cold servers may use what is kept for them; but
+// a drain waits to share its message while messages are short, and not too long.
+func (p *Policy) spendForEjection(server *server, recipients []*proxy, eject, takeover bool) bool {
+	entries := 1.0
+	if !eject && p.settings.OmitsEntries {
+		entries++ // the entry that was omitted, and the end of another planner's ejection
+	}
+	if p.spendBudget(entries, recipients, urgent) {
+		return true
+	}
+	urgency := drainEjection
+	if server.State == Ready {
+		urgency = required
+	}
+	must := eject && (server.State != Ready || p.cold(server)) && (takeover || p.drainIsShort(server))
+	return must && p.spendBudget(entries, recipients, urgency)
 }
 
-// inGrace says whether proxies may still send to a server that drains or is removed.
-func (p *Policy) inGrace(server *server) bool {
-	return server.State != Ready && p.now < server.notified+p.set.DrainGraceMs
+// drainIsShort says whether half the grace of a drain has passed, less the longest way of a message.
+func (p *Policy) drainIsShort(server *server) bool {
+	return p.nowMs >= server.stateChangedMs+p.settings.DrainGraceMs/2-p.settings.MaxPropagationMs
 }
 
 // ejectionRecipients are the proxies that an ejection or its end concerns.
@@ -172,9 +180,9 @@
 	})
 }
 
-// inTakeover says whether proxies with tables of other planners wait for ours while servers drain. Guards against
-// ejecting each draining server at each such proxy: that filled the channel, their tables waited, and the next
-// drains cost as much.
+// inTakeover says whether proxies with tables of other planners wait for ours while servers drain. Guards
+// against ejecting each draining server at each such proxy: that filled the channel, their tables waited, and
+// the next drains cost as much.
 func (p *Policy) inTakeover() bool {
 	waiting := filter(p.proxies, (*proxy).mayFollowOthers)
 	if len(waiting) == 0 || !slices.ContainsFunc(p.servers, p.inGrace) {
@@ -184,20 +192,21 @@
 	return !slices.ContainsFunc(waiting, withoutTable)
 }
 
-// urgentDrains are the ejections that go before first tables in a takeover: of the oldest notification, as both
-// have its grace, and of later ones when theirs gets short. They go together, as few proxies hold each server, and
-// one by one each would cost messages: tables wait until the channel has room for all, or little waits in it.
+// urgentDrains are the ejections that go before first tables in a takeover: of the oldest notification, as
+// both have its grace, and of later ones when theirs gets short. They go together, as few proxies hold each
+// server, and one by one each would cost messages: tables wait until the channel has room for all, or little
+// waits in it.
 func (p *Policy) urgentDrains() (drains []*server, fit bool) {
-	oldest := p.now
+	oldest := p.nowMs
 	for _, server := range p.servers {
 		if p.inGrace(server) {
-			oldest = min(oldest, server.notified)
+			oldest = min(oldest, server.stateChangedMs)
 		}
 	}
 	entries := 0
 	recipients := map[*proxy]bool{}
 	for _, server := range p.servers {
-		isUrgent := server.notified <= oldest || p.drainIsShort(server)
+		isUrgent := server.stateChangedMs <= oldest || p.drainIsShort(server)
 		if server.State == Ready || server.ejected || !isUrgent {
 			continue
 		}
@@ -207,66 +216,68 @@
 			entries++
 		}
 	}
-	cost := float64(entries) + p.set.MessageOverhead*float64(len(recipients))
-	room := p.set.MaxBacklog*queueShare[drainEjection] - max(p.queue(), p.unsure())
-	return drains, cost <= room || p.unsure() < p.set.MaxBacklog*queueShare[required]/2
+	cost := float64(entries) + p.settings.MessageOverhead*float64(len(recipients))
+	room := p.settings.MaxBacklog*queueShare[drainEjection] - max(p.updateBacklog(), p.unacknowledged())
+	return drains, cost <= room || p.unacknowledged() < p.settings.MaxBacklog*queueShare[required]/2
 }
 
 // planAssignments queues the first tables of proxies, each with the restorations that are paid with it.
 func (p *Policy) planAssignments(takeover bool) {
 	for _, proxy := range p.proxies {
 		for part := range p.parts {
-			if proxy.bound[part] != nil || proxy.cohort < 0 {
+			if proxy.tables[part] != nil || proxy.cohort < 0 {
 				continue
 			}
 			p.enqueue(
 				func(host Host) bool { return p.assignTable(host, proxy, part, takeover) },
-				func(host Host) bool { return p.restore(host, proxy, proxy.takePaid(), paid) },
+				func(host Host) bool { return p.restore(host, proxy, proxy.takePrepaid(), prepaid) },
 			)
 		}
 	}
 }
 
-// assignTable gives a proxy its first table. It takes the place of what another planner gave it, with all that
-// drains: after many joins that costs less than an ejection of each server, and must not wait behind those. In a
-// takeover the light entries follow later.
+// assignTable gives a proxy its first table. It takes the place of what another planner gave it, with all
+// that drains: after many joins that costs less than an ejection of each server, and must not wait behind
+// those. In a takeover the light entries follow later.
 func (p *Policy) assignTable(host Host, proxy *proxy, part int, takeover bool) bool {
 	client := p.clients[proxy.zone*p.parts+part]
 	table := client.tables[proxy.cohort]
-	ejected := filter(table.entries, func(entry *entry) bool { return entry.server.ejected })
+	ejected := filter(table.entries, (*entry).ejected)
 	readmitted := filter(table.entries, proxy.awaitsReadmission)
 	inherited := filter(table.entries, proxy.mayInheritEjection)
 	restored := len(inherited) // with the table
 	var omitted []*entry
-	if takeover && p.set.OmitsEntries {
+	if takeover && p.settings.OmitsEntries {
 		slices.SortStableFunc(inherited, func(a, b *entry) int { return cmp.Compare(b.sent, a.sent) })
 		restored = min(restored, minEntries)
 		omitted = omittedEntries(proxy, ejected, inherited)
 	}
-	entries := 1 + len(p.admission) + len(table.entries) + len(ejected) + len(readmitted) + restored - len(omitted)
-	// Proxies are not notified of ejected servers that they do not get.
-	entries -= len(filter(omitted, func(entry *entry) bool { return entry.server.ejected }))
-	if !slices.ContainsFunc(table.entries, (*entry).inUse) || !p.spendBudget(float64(entries), only(proxy), required) {
+	entries := 1 + len(p.admission) + len(table.entries) - len(omitted)
+	entries += len(ejected) + len(readmitted) + restored
+	entries -= len(filter(omitted, (*entry).ejected)) // proxies need no ejection of what they do not get
+	empty := !slices.ContainsFunc(table.entries, (*entry).inUse)
+	if empty || !p.spendBudget(float64(entries), only(proxy), required) {
 		return false
 	}
 	proxy.follow(part, table)
 	proxy.expectRestorations(inherited, omitted)
-	proxy.paid += restored
+	proxy.prepaid += restored
 	host.AssignTable(proxy.id, table.number, client.classes, serverNames(omitted))
 	return true
 }
 
-// omittedEntries are those of a table that a proxy is not sent with its assignment: of ejected servers, and the
-// light ones. Guards the channel when many proxies join during a release. A table is never sent empty.
+// omittedEntries are those of a table that a proxy is not sent with its assignment: of ejected servers, and
+// the light ones. Guards the channel when many proxies join during a release. A table is never sent empty.
 func omittedEntries(proxy *proxy, ejected, inherited []*entry) []*entry {
 	if len(inherited) == 0 {
 		return nil
 	}
-	omitted := filter(ejected, func(entry *entry) bool { return entry.inUse() && !proxy.ejected[entry.server] })
+	isNew := func(entry *entry) bool { return entry.inUse() && !proxy.ejected[entry.server] }
+	omitted := filter(ejected, isNew)
 	total := sumBy(inherited, func(entry *entry) float64 { return entry.sent })
 	weight := 0.0
 	for index, entry := range inherited {
-		if index >= minEntries && weight >= essential*total {
+		if index >= minEntries && weight >= essentialWeight*total {
 			return append(omitted, inherited[index:]...)
 		}
 		weight += entry.sent
@@ -274,15 +285,16 @@
 	return omitted
 }
 
-// restore ends ejections that others may have ordered of servers in a proxy's tables, and sends entries that were
-// omitted: of a few with the assignment, so that there is one to pick for certain, of the rest when there is room.
+// restore ends ejections that others may have ordered of servers in a proxy's tables, and sends entries that
+// were omitted: of a few with the assignment, so that there is one to pick for certain, of the rest when
+// there is room.
 func (p *Policy) restore(host Host, proxy *proxy, count, urgency int) bool {
 	if count == 0 {
 		return false
 	}
 	restored := proxy.unrestored[:count]
 	entries := sumBy(restored, func(pending restoration) float64 { return pending.entries })
-	if urgency != paid && !p.spendBudget(entries, only(proxy), urgency) {
+	if urgency != prepaid && !p.spendBudget(entries, only(proxy), urgency) {
 		return false
 	}
 	proxy.unrestored = proxy.unrestored[count:]
--- a/policy/state.go
+++ b/policy/state.go
@@ -33,13 +33,13 @@
 	readmittedMs     float64 // end of the last ejection: start of the recovery ramp
 	proven           bool    // it has succeeded in some request
 	discoveredLate   bool    // it was not in the list that the planner started with
-	notified         float64 // when its state in the list changed
-	addedAt          float64 // when a table that did not hold it was last sent it
+	stateChangedMs   float64 // when its state in the list changed
+	addedMs          float64 // when a table that did not hold it was last sent it
 
 	// As of this evaluation:
 	reports    []sample // its load reports since sinceMs, merged by period
 	windowed   sample   // of these, those in the window
-	last       sample   // and those of the last round
+	lastRound  sample   // and those of the last round
 	baselineMs float64  // its latency without overload, 0 before a load report shows it
 }
 
@@ -49,11 +49,11 @@
 	zone         int
 	cohort       int        // of its zone, by number; -1 before there are tables
 	expectedRate float64    // requests per second, by its own statement
-	joined       float64    // when it joined, or the first message of the planner that it comes from was sent
+	joinedMs     float64    // when it joined, or the first message of the planner that it comes from was sent
 	demand       [][]sample // its last demand reports, by traffic class
-	bound        []*table   // that it follows, by part; nil before it is assigned one
+	tables       []*table   // that it follows, by part; nil before it is assigned one
 
-	sent             []float64       // times of its last messages
+	messageTimes     []float64       // times of its last messages
 	ordered          float64         // entries ordered to it
 	acknowledged     float64         // of these, known to have arrived
 	acknowledgements map[int]float64 // entries ordered up to each request for an acknowledgement
@@ -61,7 +61,7 @@
 	ejected            map[*server]bool // as last ordered to it
 	inheritedEjections bool             // it may hold tables and ejections of another planner
 	unrestored         []restoration    // of servers in its tables, heaviest first in a takeover
-	paid               int              // of these, restored with the assignment
+	prepaid            int              // of these, restored with the assignment
 }
 
 // restoration is what a proxy has yet to be sent of a server: an end of another planner's ejection, and its entry
@@ -93,7 +93,7 @@
 	entries  []*entry
 	proxies  []*proxy // that follow it
 	rate     float64  // requests per second admitted at its proxies, joined or to be assigned
-	urgentAt float64  // when urgent entries were last sent
+	urgentMs float64  // when urgent entries were last sent
 	due      bool     // deferrable entries may be sent
 }
 
@@ -119,13 +119,13 @@
 // Policy decides for the proxies joined to it. It shares nothing with other planners and has no lock: one goroutine at a
 // time may call it. All times are in ms as given to SetTime.
 type Policy struct {
-	set     Settings
-	random  *rand.Rand // for the spread of polls
-	now     float64
-	servers []*server // in order of discovery
-	byName  map[string]*server
-	proxies []*proxy // joined, in order of joining
-	byID    map[int]*proxy
+	settings Settings
+	random   *rand.Rand // for the spread of polls
+	nowMs    float64
+	servers  []*server // in order of discovery
+	byName   map[string]*server
+	proxies  []*proxy // joined, in order of joining
+	byID     map[int]*proxy
 
 	clients          []*client   // by zone, then part
 	parts            int         // clients of a zone
@@ -152,7 +152,7 @@
 	capacityRate float64 // requests per second that the fleet has succeeded in
 
 	// As of this evaluation; latencies and failures are those of the middle server:
-	covers             []float64 // ms that the last load reports cover
+	reportCoversMs     []float64 // ms that the last load reports cover
 	latencies          []float64 // scratch of baselineOf
 	roundMs            float64   // in which each server reports once
 	windowMs           float64   // that load reports are looked back for
@@ -174,7 +174,9 @@
 }
 
 // reached says whether a proxy gets a message at this time already, which further orders share.
-func (q *proxy) reached(now float64) bool { return len(q.sent) > 0 && q.sent[len(q.sent)-1] == now }
+func (p *proxy) reached(now float64) bool {
+	return len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == now
+}
 
 // countOrder adds an order to the backlog and to what each recipient was sent; first are those that had no message yet.
 func (p *Policy) countOrder(entries, cost float64, recipients, first []*proxy) {
@@ -183,8 +185,8 @@
 		proxy.ordered += entries
 	}
 	for _, proxy := range first {
-		proxy.sent = appendBounded(proxy.sent, p.now, p.set.MaxMessages+1)
-		proxy.ordered += p.set.MessageOverhead
+		proxy.messageTimes = appendBounded(proxy.messageTimes, p.nowMs, p.settings.MaxMessages+1)
+		proxy.ordered += p.settings.MessageOverhead
 	}
 }
 
@@ -206,11 +208,11 @@
 func (e *entry) inUse() bool { return e.sent > 0 }
 
 // mayFollowOthers says whether a proxy may follow tables of another planner, as it has not all of ours yet.
-func (q *proxy) mayFollowOthers() bool { return q.inheritedEjections && slices.Contains(q.bound, nil) }
+func (p *proxy) mayFollowOthers() bool { return p.inheritedEjections && slices.Contains(p.tables, nil) }
 
 // mayUse says whether a table of the proxy holds a server, or may, where others gave it one that we do not know.
-func (q *proxy) mayUse(server *server, unknownTables bool) bool {
-	return slices.ContainsFunc(q.bound, func(table *table) bool {
+func (p *proxy) mayUse(server *server, unknownTables bool) bool {
+	return slices.ContainsFunc(p.tables, func(table *table) bool {
 		if table == nil {
 			return unknownTables
 		}
@@ -219,38 +221,38 @@
 }
 
 // mayInheritEjection says whether another planner may have ejected the entry's server at the proxy.
-func (q *proxy) mayInheritEjection(entry *entry) bool {
-	return q.inheritedEjections && entry.inUse() && !entry.server.ejected && !q.ejected[entry.server]
+func (p *proxy) mayInheritEjection(entry *entry) bool {
+	return p.inheritedEjections && entry.inUse() && !entry.server.ejected && !p.ejected[entry.server]
 }
 
-func (q *proxy) awaitsRestoration(server *server) bool {
-	return slices.ContainsFunc(q.unrestored, func(pending restoration) bool { return pending.server == server })
+func (p *proxy) awaitsRestoration(server *server) bool {
+	return slices.ContainsFunc(p.unrestored, func(pending restoration) bool { return pending.server == server })
 }
 
-// takePaid gives the number of restorations that are paid for, once.
-func (q *proxy) takePaid() int {
-	count := q.paid
-	q.paid = 0
+// takePrepaid gives the number of restorations that are paid for, once.
+func (p *proxy) takePrepaid() int {
+	count := p.prepaid
+	p.prepaid = 0
 	return count
 }
 
 // follow records that a proxy was assigned a table, with the ejections as they are.
-func (q *proxy) follow(part int, table *table) {
-	q.bound[part] = table
-	table.proxies = append(table.proxies, q)
+func (p *proxy) follow(part int, table *table) {
+	p.tables[part] = table
+	table.proxies = append(table.proxies, p)
 	for _, entry := range table.entries {
-		q.ejected[entry.server] = entry.server.ejected
+		p.ejected[entry.server] = entry.server.ejected
 	}
 }
 
 // expectRestorations records what a proxy has yet to be sent after an assignment.
-func (q *proxy) expectRestorations(inherited, omitted []*entry) {
+func (p *proxy) expectRestorations(inherited, omitted []*entry) {
 	for _, entry := range inherited {
 		pending := restoration{server: entry.server, entries: 1}
 		if slices.Contains(omitted, entry) {
 			pending.entries++
 		}
-		q.unrestored = append(q.unrestored, pending)
+		p.unrestored = append(p.unrestored, pending)
 	}
 }
 
@@ -267,14 +269,14 @@
 // recordWeight records that an entry was sent to the proxies of its table.
 func (p *Policy) recordWeight(entry *entry, urgent bool) {
 	if entry.sent == 0 {
-		entry.server.addedAt = p.now
+		entry.server.addedMs = p.nowMs
 	}
 	for _, proxy := range entry.table.proxies {
 		proxy.ejected[entry.server] = entry.server.ejected
 	}
 	entry.sent = entry.target
 	if urgent {
-		entry.table.urgentAt = p.now
+		entry.table.urgentMs = p.nowMs
 	}
 }
 
@@ -287,17 +289,17 @@
 }
 
 // awaitsReadmission says whether the end of an ejection has not been ordered to the proxy.
-func (q *proxy) awaitsReadmission(entry *entry) bool {
-	return !entry.server.ejected && q.ejected[entry.server]
+func (p *proxy) awaitsReadmission(entry *entry) bool {
+	return !entry.server.ejected && p.ejected[entry.server]
 }
 
 func (p *Policy) anyFollowsOthers() bool {
 	return slices.ContainsFunc(p.proxies, (*proxy).mayFollowOthers)
 }
 
-// unsure are the entries that no acknowledgement shows to have arrived: at the most, these wait, however slow
+// unacknowledged are the entries that no acknowledgement shows to have arrived: at the most, these wait, however slow
 // the channel is. Those to proxies that left count until the channel could have sent them.
-func (p *Policy) unsure() float64 {
+func (p *Policy) unacknowledged() float64 {
 	return p.departedBacklog + sumBy(p.proxies, func(proxy *proxy) float64 {
 		return proxy.ordered - proxy.acknowledged
 	})
@@ -306,7 +308,30 @@
 // readmit takes a server back, by the recovery ramp and judged by new reports alone.
 func (p *Policy) readmit(server *server) {
 	server.unhealthy = false
-	server.sinceMs = p.now
-	server.readmittedMs = p.now
+	server.sinceMs = p.nowMs
+	server.readmittedMs = p.nowMs
 	p.unsolved = true
 }
+
+// inGrace says whether proxies may still send to a server that drains or is removed.
+func (p *Policy) inGrace(server *server) bool {
+	return server.State != Ready && p.nowMs < server.stateChangedMs+p.settings.DrainGraceMs
+}
+
+// cold says whether a server is in slow start.
+func (p *Policy) cold(server *server) bool {
+	return server.StartedMs > 0 && p.nowMs-server.StartedMs < p.settings.SlowStartMs
+}
+
+// usable says whether a server may get requests.
+func (s *server) usable() bool { return s.State == Ready && !s.unhealthy }
+
+func (e *entry) ejected() bool { return e.server.ejected }
+
+// forgetReports voids what was recorded of a server before now.
+func (s *server) forgetReports(nowMs float64) {
+	s.samples = nil
+	s.sinceMs = nowMs
+	s.readmittedMs = unset
+	s.ejections = 0
+}
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -9,10 +9,10 @@
 // solveIfDue solves every few seconds, and soon after servers came or left or a proxy got an unused table.
 func (p *Policy) solveIfDue() {
 	servers := filter(p.servers, (*server).usable)
-	sinceMs := p.now - p.solvedMs
+	sinceMs := p.nowMs - p.solvedMs
 	hasNews := p.unsolved || p.emptyTable
 	waits := sinceMs < 2*evaluationIntervalMs || sinceMs < solveIntervalMs && !hasNews
-	if len(servers) == 0 || p.set.Sharded || waits {
+	if len(servers) == 0 || p.settings.Sharded || waits {
 		return // with no server to use, tables keep what they hold
 	}
 	if p.solves == 0 {
@@ -28,7 +28,7 @@
 
 // cohortCount is two, or in a large fleet as many as give each server two entries with two proxies a cohort.
 func (p *Policy) cohortCount(servers []*server) int {
-	proxies := float64(p.set.Proxies) / math.Max(float64(p.set.Zones*p.set.Planners), 1)
+	proxies := float64(p.settings.Proxies) / math.Max(float64(p.settings.Zones*p.settings.Planners), 1)
 	wanted := minCohorts * float64(len(servers)) / float64(p.maxTableSize(servers))
 	return max(minCohorts, int(math.Min(wanted, proxies/minCohorts)))
 }
@@ -36,15 +36,15 @@
 // maxTableSize is the number of entries that a table should hold: so few that the channel can send all in a
 // second, that servers accept the connections, and that these are used before they idle out.
 func (p *Policy) maxTableSize(servers []*server) int {
-	proxies := math.Max(float64(p.set.Proxies), 1)
+	proxies := math.Max(float64(p.settings.Proxies), 1)
 	joined := float64(len(p.proxies))
-	ours := math.Max(proxies/math.Max(float64(p.set.Planners), 1), joined)
-	sendable := p.set.EntriesPerSecond * refreshMs / 1000 / ours
-	connectable := p.set.MinServerConnections * connectionQuota * float64(len(servers)) / proxies
+	ours := math.Max(proxies/math.Max(float64(p.settings.Planners), 1), joined)
+	sendable := p.settings.EntriesPerSecond * refreshMs / 1000 / ours
+	connectable := p.settings.MinServerConnections * connectionQuota * float64(len(servers)) / proxies
 	size := math.Min(sendable, connectable)
 	if joined > 0 {
 		rate := sumBy(p.proxies, func(proxy *proxy) float64 { return proxy.expectedRate }) / joined
-		size = math.Min(size, rate*p.set.IdleTimeoutMs/1000/minRequestsPerConnection)
+		size = math.Min(size, rate*p.settings.IdleTimeoutMs/1000/minRequestsPerConnection)
 	}
 	return max(int(size), minTableEntries)
 }
@@ -53,9 +53,8 @@
 func (p *Policy) split(servers []*server, serversChanged bool) {
 	demand, moved := p.updateDemand()
 	clients := append(slices.Clone(p.clients), p.unobservedClients(demand)...)
-	startOver := p.startsOver(servers, serversChanged || moved > maxDemandShift*demand)
 	problem := p.newProblem(servers, clients, demand)
-	problem.startCells(startOver)
+	problem.startCells(p.startsOver(servers, serversChanged || moved > maxDemandShift*demand))
 	solve(problem.D, problem.C, problem.cost, problem.cells, maxLambda/float64(len(servers)))
 	p.applySplit(problem)
 }
@@ -65,11 +64,11 @@
 // that spreads these over all servers, as if nobody else used the rest.
 func (p *Policy) unobservedClients(demand float64) []*client {
 	var clients []*client
-	for zone := range p.set.Zones {
+	for zone := range p.settings.Zones {
 		joined := filter(p.proxies, func(proxy *proxy) bool { return proxy.zone == zone })
-		missing := math.Max(0, float64(p.set.Proxies)/float64(p.set.Zones)-float64(len(joined)))
-		share := missing * demand / math.Max(float64(len(p.proxies)), 1)
-		clients = append(clients, &client{zone: zone, demand: share})
+		missing := math.Max(0, float64(p.settings.Proxies)/float64(p.settings.Zones)-float64(len(joined)))
+		rate := missing * demand / math.Max(float64(len(p.proxies)), 1)
+		clients = append(clients, &client{zone: zone, demand: rate})
 	}
 	return clients
 }
@@ -86,11 +85,11 @@
 // costs are the paper's L of a client's request at each server, with a price for leaving the zone.
 func (p *Policy) costs(client *client, servers []*server, zoneLatencies []float64) []float64 {
 	costs := make([]float64, len(servers))
-	sameZoneOnly := len(client.classes) > 0 && p.set.Classes[client.classes[0]].SameZoneOnly
+	sameZoneOnly := len(client.classes) > 0 && p.settings.Classes[client.classes[0]].SameZoneOnly
 	for j, server := range servers {
 		L := zoneLatencies[server.Zone]
 		if server.Zone != client.zone {
-			L += p.set.CrossZoneCost * p.latencyObjectiveMs
+			L += p.settings.CrossZoneCost * p.latencyObjectiveMs
 		}
 		if server.Zone != client.zone && sameZoneOnly {
 			L = math.Inf(1)
@@ -143,14 +142,12 @@
 
 // dropSmallShares leaves out shares that are not worth their connections, but keeps a few of each client, and
 // those of warming servers, which are small for a time only. It gives the rest, largest first, and their sum.
-func (p *Policy) dropSmallShares(wanted []*serverShare, smallest float64) ([]*serverShare, float64) {
-	var kept []*serverShare
-	total := 0.0
+func (p *Policy) dropSmallShares(wanted []*serverShare, least float64) (kept []*serverShare, total float64) {
 	slices.SortStableFunc(wanted, func(a, b *serverShare) int { return cmp.Compare(b.share, a.share) })
 	for _, share := range wanted {
-		warming := p.ramp(share.server) < 1 && share.share > smallest/minWarmingShare
-		if share.share >= smallest || len(kept) < minEntries || warming {
-			share.share = math.Max(share.share, smallest/minWarmingShare)
+		warming := p.ramp(share.server) < 1 && share.share > least/minWarmingShare
+		if share.share >= least || len(kept) < minEntries || warming {
+			share.share = math.Max(share.share, least/minWarmingShare)
 			kept = append(kept, share)
 			total += share.share
 		}
@@ -203,7 +200,7 @@
 
 // assignCohort gives a proxy that follows no table yet the cohort of its zone that has the least demand.
 func (p *Policy) assignCohort(proxy *proxy) {
-	if p.parts == 0 || proxy.cohort >= 0 && proxy.bound[0] != nil {
+	if p.parts == 0 || proxy.cohort >= 0 && proxy.tables[0] != nil {
 		return
 	}
 	tables := p.clients[proxy.zone*p.parts].tables
