--- a/policy/admission.go
+++ b/policy/admission.go
@@ -28,17 +28,12 @@
 	return order
 }
 
-// overloaded says whether requests wait. Failures without a wait are servers that reject us, not a full
-// fleet.
+// overloaded says whether requests wait. Failures without a wait are servers that reject us, no full fleet.
 func (l fleetLoad) overloaded() bool {
 	late := l.latency > recoveryThreshold
 	return l.latency > overloadThreshold || late && l.failureShare > overloadFailureShare
 }
 
-func (l fleetLoad) recovered() bool {
-	return l.wait < recoveryThreshold && l.failureShare < overloadFailureShare
-}
-
 // updateAdmissionIfDue moves the part of all requests that is admitted, down in an overload and up after it.
 func (p *Policy) updateAdmissionIfDue() {
 	if !p.settings.PartialAdmission || p.nowMs-p.admissionMs < admissionIntervalMs {
@@ -53,12 +48,12 @@
 	share := p.admittedRate / demand
 	switch {
 	case load.overloaded():
-		// What succeeded is what the fleet can do; admitting less drains the overload. Half the interval
-		// more, as a second cut before this one shows would be too deep.
+		// What succeeded is what the fleet can do; admitting less drains the overload. The next step waits
+		// longer, as a second cut before this one shows would be too deep.
 		p.capacityRate = math.Max(load.succeededRate, minCapacityKept*p.capacityRate)
-		p.admissionMs = p.nowMs + admissionIntervalMs/2
+		p.admissionMs = p.nowMs + admissionRestMs
 		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*recoveryAdmission/demand))
-	case load.recovered():
+	case load.wait < recoveryThreshold && load.failureShare < overloadFailureShare:
 		// What succeeded before is admitted again at once.
 		p.capacityRate = math.Max(p.capacityRate, load.succeededRate)
 		increased := share * (1 + admissionIncrease*(1-load.wait/recoveryThreshold))
@@ -67,20 +62,18 @@
 	p.shed(math.Max(1-share, 0) * demand)
 }
 
-// shed sets the admission rates so that so many requests per second are rejected, of the classes that earn
-// least first.
+// shed sets admission rates with which so many requests per second are rejected, first of what earns least.
 func (p *Policy) shed(excess float64) {
 	for _, index := range p.sheddingOrder {
 		class := &p.admission[index]
 		rejected := math.Min(excess, class.demand*(1-minAdmission))
-		rate := 1 - rejected/math.Max(class.demand, 1e-9) // guards a class without demand
+		rate := 1 - rejected/math.Max(class.demand, minClassDemand)
 		class.target = math.Round(rate*admissionSteps) / admissionSteps
 		excess -= rejected
 	}
 }
 
-// planAdmission queues the admission rates that changed. The first order of a class is not held back, as
-// proxies must be notified of the retries that a rule forbids.
+// planAdmission queues the rates that changed. An order about retries that a rule forbids is not held back.
 func (p *Policy) planAdmission() {
 	for index := range p.admission {
 		p.enqueue(func(host Host) bool {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -24,8 +24,7 @@
 	verified := filter(servers, func(server *server) bool { return !p.unverified(server) })
 	listed := sumBy(verified, func(server *server) float64 { return server.RelativeCapacity })
 	listed = math.Max(listed, minRelativeCapacity)
-	// A ramp is of what the fleet succeeds in, not of demand: in an overload all requests run to the least
-	// busy.
+	// A ramp is of what the fleet succeeds in: in an overload all requests run to the least busy servers.
 	served := math.Min(1, math.Max(p.succeededRate, minDemand*demand)/math.Max(demand, minDemand))
 	for j, server := range servers {
 		speed := math.Max(p.relativeSpeed(server), minCapacity)
--- a/policy/collections.go
+++ b/policy/collections.go
@@ -4,35 +4,39 @@
 
 // General helpers on slices; none of them decides anything.
 
+// filter gives a new list of the elements that fit.
 func filter[T any](list []T, fits func(T) bool) []T {
 	return slices.DeleteFunc(slices.Clone(list), func(x T) bool { return !fits(x) })
 }
 
-func sumBy[T any](list []T, of func(T) float64) (sum float64) {
+// sumBy adds up a figure of all elements, in their order.
+func sumBy[T any](list []T, of func(T) float64) float64 {
+	total := 0.0
 	for _, x := range list {
-		sum += of(x)
+		total += of(x)
 	}
-	return sum
+	return total
 }
 
-// appendBounded appends to the last ones, in place, as there are many.
-func appendBounded[T any](list []T, last T, most int) []T {
-	if drop := len(list) - most + 1; drop > 0 {
+// appendBounded appends to a list and drops the oldest elements beyond a limit, in place.
+func appendBounded[T any](list []T, last T, limit int) []T {
+	if drop := len(list) - limit + 1; drop > 0 {
 		list = slices.Delete(list, 0, drop)
 	}
 	return append(list, last)
 }
 
-func quantile[T any](list []T, part int, of func(T) float64) float64 {
+// median gives the middle of some figures, the upper of two, and 0 of none.
+func median[T any](list []T, of func(T) float64) float64 {
 	if len(list) == 0 {
 		return 0
 	}
 	figures := make([]float64, len(list))
-	for n, x := range list {
-		figures[n] = of(x)
+	for index, x := range list {
+		figures[index] = of(x)
 	}
 	slices.Sort(figures)
-	return figures[len(list)/part]
+	return figures[len(list)/2]
 }
 
 // serverNames are the names of the servers of some entries.
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -6,6 +6,7 @@
 const (
 	// The solver and what it is given.
 	solveIntervalMs     = 2500.0 // half the design's 5 s: two cohorts then give each proxy updates every 5 s
+	minSolveIntervalMs  = 400.0  // also when servers come and go; changes within it are solved for together
 	admmIterations      = 20     // the paper's ADMM-20
 	capacityHeadroom    = 1.01   // capacities over demand; more idles the dearest servers of a linear cost
 	recoveryHeadroom    = 0.4    // more of it while latencies are low; requests then stay in their zone
@@ -29,7 +30,7 @@
 	minRequestsPerConnection = 5.0    // before an entry's connection idles out; fewer reopen it
 	minTableEntries          = 8      // a table keeps most of its servers when a fifth fails
 	minEntries               = 3      // of a client; two may be lost at once before a table is empty
-	essentialWeight          = 0.8    // part of a table's weight that a proxy is sent at once in a rush of joins
+	essentialWeight          = 0.8    // part of a table's weight that a proxy is sent at once in a takeover
 	minWeightChange          = 0.25   // part of a weight, or of an average one; less is noise
 	minWarmingShare          = 4      // times smaller that an entry of a warming server may be
 	balanceRounds            = 20     // of scaling weights to shares, as many as of ADMM
@@ -41,6 +42,8 @@
 
 	// Load reports and slow start.
 	maxSamples          = 24     // load reports kept of each server and proxy; a baseline is sought in all
+	maxSampleZones      = 2      // times as many are kept of a server that has them from several zones
+	maxPeriodGap        = 0.5    // part of the report interval; closer reports, of several zones, are one
 	minWindowMs         = 3500.0 // three load reports or more; longer windows show a fault too late
 	reportRounds        = 1.5    // rounds of load reports in a window at least; each server is in one of them
 	slowStartDoublingMs = 5000.0 // the design's doubling time of a new server's capacity
@@ -66,6 +69,7 @@
 
 	// Admission.
 	admissionIntervalMs  = 2000.0 // a rate shows in the load reports after about this time
+	admissionRestMs      = 1000.0 // more until the step after a cut
 	overloadThreshold    = 0.5    // latency over its objective; above it a tenth or so is late
 	recoveryThreshold    = 0.35   // below it failures are no overload; also of the wait, when rates may rise
 	overloadFailureShare = 0.12   // of requests; more is overload rather than chance
@@ -74,13 +78,19 @@
 	minCapacityKept      = 0.8    // part of past successes believed in an overload; servers may be fewer
 	recoveryAdmission    = 0.85   // part of the succeeded rate admitted in an overload, so that it drains
 	admissionIncrease    = 0.3    // more admitted a step while nothing waits, less near recoveryThreshold
+	minClassDemand       = 1e-9   // requests per second; guards a division
 	minAdmission         = 0.1    // of a traffic class; some of it shows whether the overload is over
 	admissionSteps       = 20     // steps of an admission rate; finer ones cost messages
 
 	// The control channel and timers.
+	lateAcknowledgement    = 2      // times the longest way; the channel is slow then
+	lowBacklog             = 0.5    // part of what an urgency may fill; with less, little waits
+	maxDrainWait           = 0.5    // part of the grace that a drain waits to share a message
 	maxQueueSlowdown       = 6.0    // times slower that the channel is while answers are late
 	pollsUntilNotified     = 3      // polls at least while an update that was not requested would arrive
 	pollBackoffMs          = 1200.0 // first wait after a failed poll of the endpoint list, doubled each time
+	pollSpread             = 0.5    // least part of a wait; up to one and a half, so that planners spread
+	maxPollBackoff         = 0.5    // part of the time in which an update arrives by itself
 	acknowledgementNumbers = 65536  // numbers that the platform has
 	evaluationIntervalMs   = 200.0  // between evaluations without input; well under every grace
 )
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -299,19 +299,19 @@
 	s.observed.assignments++
 }
 
-func (s *simulation) SetEjected(name string, out, includeUnassigned bool) {
-	s.record("withdraw %s %t", name, out)
-	s.ejected[name] = out
+func (s *simulation) SetEjected(name string, ejected, _ bool) {
+	s.record("withdraw %s %t", name, ejected)
+	s.ejected[name] = ejected
 	server := s.find(name)
 	warm := s.nowMs-server.StartedMs > s.settings.SlowStartMs
 	switch {
-	case out && server.State == policy.Ready && warm:
+	case ejected && server.State == policy.Ready && warm:
 		s.observed.ejections++
-	case out && server.State != policy.Ready:
+	case ejected && server.State != policy.Ready:
 		s.observed.drains++
-	case !out && server.State == policy.Ready:
+	case !ejected && server.State == policy.Ready:
 		s.observed.returns++
-	case !out && server.State == policy.Removed:
+	case !ejected && server.State == policy.Removed:
 		s.observed.forgotten++
 	}
 }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -32,7 +32,9 @@
 //	constants.go     all tuned values
 //	host.go          settings, and the interface that decisions go through
 //	inputs.go        the input methods
-//	measurements.go  demand and figures of servers; they decide nothing, nor do problem.go, state.go and collections.go
+//	measurements.go  demand and figures of servers; they decide nothing, nor do the files below
+//	state.go         the types of what is known; records.go and problem.go keep them
+//	collections.go   helpers on slices
 //	view.go          the state as text, for traces
 //
 // The reasons are in docs/design.md.
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -195,7 +195,7 @@
 		latencyMs: latencyMs,
 		coversMs:  coversMs,
 	}
-	server.samples = appendBounded(server.samples, report, maxSamples*min(p.settings.Zones, 2))
+	server.samples = appendBounded(server.samples, report, maxSamples*min(p.settings.Zones, maxSampleZones))
 }
 
 // RecordDemand records a proxy's demand report: the requests of a traffic class that came to it within coversMs, and how
--- a/policy/measurements.go
+++ b/policy/measurements.go
@@ -26,6 +26,14 @@
 	p.averageObjective()
 }
 
+// measureRound sets how far reports are looked back for. A round of them, in which each server reports once,
+// takes longer where there are more than the intake lets through.
+func (p *Policy) measureRound() {
+	middle := median(p.reportCoversMs, func(coversMs float64) float64 { return coversMs })
+	p.roundMs = math.Max(p.settings.ReportIntervalMs, middle)
+	p.windowMs = math.Max(minWindowMs, reportRounds*p.roundMs)
+}
+
 // evaluateServers works out each server's figures and those of the middle one of the fleet.
 func (p *Policy) evaluateServers() {
 	p.succeededRate = 0
@@ -37,13 +45,13 @@
 	used := filter(p.servers, func(server *server) bool {
 		return server.usable() && !p.unverified(server) && server.windowed.attempts() > 0
 	})
-	p.failureShare = quantile(used, 2, func(server *server) float64 {
+	p.failureShare = median(used, func(server *server) float64 {
 		return server.windowed.failed / server.windowed.attempts()
 	})
 	used = filter(used, func(server *server) bool { return server.baselineMs > 0 && server.windowed.latencyMs > 0 })
-	p.latencyMs = quantile(used, 2, func(server *server) float64 { return server.windowed.latencyMs })
-	p.baselineMs = quantile(used, 2, func(server *server) float64 { return server.baselineMs })
-	p.overloadRatio = quantile(used, 2, func(server *server) float64 {
+	p.latencyMs = median(used, func(server *server) float64 { return server.windowed.latencyMs })
+	p.baselineMs = median(used, func(server *server) float64 { return server.baselineMs })
+	p.overloadRatio = median(used, func(server *server) float64 {
 		return server.windowed.latencyMs / server.baselineMs
 	})
 }
@@ -107,15 +115,16 @@
 	succeededRate float64 // requests per second
 }
 
+// fleetLoad counts usable servers alone for what is of the middle one, and all for the succeeded rate.
 func (p *Policy) fleetLoad() fleetLoad {
 	used := filter(p.servers, func(server *server) bool {
 		return server.usable() && !p.unverified(server) && server.lastRound.attempts() > 0
 	})
-	failureShare := quantile(used, 2, func(server *server) float64 {
+	failureShare := median(used, func(server *server) float64 {
 		return server.lastRound.failed / server.lastRound.attempts()
 	})
 	used = filter(used, func(server *server) bool { return server.lastRound.latencyMs > 0 })
-	latencyMs := quantile(used, 2, func(server *server) float64 { return server.lastRound.latencyMs })
+	latencyMs := median(used, func(server *server) float64 { return server.lastRound.latencyMs })
 	attempts := sumBy(p.servers, func(server *server) float64 { return server.lastRound.attempts() })
 	succeeded := sumBy(p.servers, func(server *server) float64 { return server.lastRound.succeeded })
 	allowedWait := math.Max(p.latencyObjectiveMs-p.baselineMs, p.baselineMs)
@@ -129,7 +138,7 @@
 
 // aggregateReports works out what a server's load reports since its last change say, by period and in all.
 func (p *Policy) aggregateReports(server *server) {
-	server.mergeReports(p.settings.ReportIntervalMs / 2)
+	server.mergeReports(p.settings.ReportIntervalMs * maxPeriodGap)
 	server.baselineMs = p.baselineOf(server.reports)
 	server.windowed = server.recent(p.nowMs - p.windowMs)
 	server.lastRound = server.recent(p.nowMs - admissionRounds*p.roundMs)
@@ -168,10 +177,10 @@
 }
 
 // recent adds up the server's reports since a time.
-func (s *server) recent(since float64) sample {
+func (s *server) recent(sinceMs float64) sample {
 	var total sample
 	for _, report := range s.reports {
-		if report.atMs > since {
+		if report.atMs > sinceMs {
 			total.succeeded += report.succeeded
 			total.failed += report.failed
 			total.latencyMs += report.latencyMs * report.succeeded
@@ -193,6 +202,7 @@
 	return lowest
 }
 
+// typicalLatency is the unit of costs in ms; above 0 before there are reports.
 func (p *Policy) typicalLatency() float64 { return math.Max(p.baselineMs, 1) }
 
 // baselineOf is the lower quartile of latencies in ms, 0 where no report has enough successes.
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -48,8 +48,7 @@
 	}
 }
 
-// demandUncertain says whether most of the fleet fails, or may fail before reports show it as many proxies
-// are new.
+// demandUncertain says whether much fails, or may fail before reports show it as many proxies are new.
 func (p *Policy) demandUncertain() bool {
 	added := filter(p.proxies, func(proxy *proxy) bool { return p.nowMs-proxy.joinedMs < ejectionMs })
 	return p.failureShare > maxEjected || len(added) > len(p.proxies)/maxNewProxies
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -3,7 +3,9 @@
 import "math"
 
 // observeChannel takes the channel for slow when an acknowledgement took twice the longest way.
-func (p *Policy) observeChannel(tookMs float64) { p.queueSlow = tookMs > 2*p.settings.MaxPropagationMs }
+func (p *Policy) observeChannel(tookMs float64) {
+	p.queueSlow = tookMs > lateAcknowledgement*p.settings.MaxPropagationMs
+}
 
 // updateBacklog gives the backlog as of now: entries, and messages as entries, that wait in the channel. It
 // drains at the channel's rate, and is never more than what has not arrived for all that is known.
@@ -18,8 +20,7 @@
 	return p.backlog
 }
 
-// spendBudget counts an order of so many entries to each of some proxies, if there is room for it at its
-// urgency.
+// spendBudget counts an order of so many entries to each of some proxies, if its urgency has room for it.
 func (p *Policy) spendBudget(entries float64, recipients []*proxy, urgency int) bool {
 	first := filter(recipients, func(proxy *proxy) bool { return !proxy.reached(p.nowMs) })
 	if !p.hasMessages(first, urgency) {
@@ -42,8 +43,9 @@
 	if most <= 0 {
 		return true
 	}
+	since := p.nowMs - p.settings.MessageWindowMs
 	for _, proxy := range recipients {
-		recent := filter(proxy.messageTimes, func(at float64) bool { return at > p.nowMs-p.settings.MessageWindowMs })
+		recent := filter(proxy.messageTimes, func(at float64) bool { return at > since })
 		if float64(len(recent)+1) > most {
 			return false
 		}
@@ -51,11 +53,10 @@
 	return true
 }
 
-// requestAcknowledgements requests acknowledgements of this evaluation's messages: once a solve, and more
-// often while much may wait.
+// requestAcknowledgements requests those of this evaluation's messages: each solve, more while much may wait.
 func (p *Policy) requestAcknowledgements(host Host) bool {
 	needless := p.acknowledgedSolve == p.solves || p.lagging
-	if needless && p.unacknowledged() < p.settings.MaxBacklog*queueShare[urgent]/2 {
+	if needless && p.unacknowledged() < p.settings.MaxBacklog*queueShare[urgent]*lowBacklog {
 		return false
 	}
 	recipients := filter(p.proxies, func(proxy *proxy) bool { return proxy.reached(p.nowMs) })
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -3,8 +3,7 @@
 import "math"
 
 // Next makes at most one decision, by one call on the host, and says whether it did. Its caller calls it
-// until it says false. An evaluation takes place when the last is some time ago or endpoints or proxies came
-// or left.
+// until it says false. It evaluates the fleet anew from time to time, and when endpoints or proxies changed.
 func (p *Policy) Next(host Host) bool {
 	if p.nowMs-p.evaluatedMs >= evaluationIntervalMs || p.dirty {
 		p.evaluatedMs = p.nowMs
@@ -30,16 +29,7 @@
 	return true
 }
 
-// measureRound sets how far reports are looked back for. A round of them, in which each server reports once,
-// takes longer where there are more than the intake lets through.
-func (p *Policy) measureRound() {
-	middle := quantile(p.reportCoversMs, 2, func(coversMs float64) float64 { return coversMs })
-	p.roundMs = math.Max(p.settings.ReportIntervalMs, middle)
-	p.windowMs = math.Max(minWindowMs, reportRounds*p.roundMs)
-}
-
-// pollEndpoints asks for the endpoint list where it comes only on request, until an update shows that it
-// comes.
+// pollEndpoints asks for the endpoint list where it comes on request alone, until an update arrives.
 func (p *Policy) pollEndpoints(host Host) bool {
 	if !p.settings.WatchRequired || p.watching || p.nowMs < p.pollMs {
 		return false
@@ -52,6 +42,6 @@
 // backOffPolling waits twice as long after each failed poll, spread so that planners do not poll together.
 func (p *Policy) backOffPolling() {
 	p.watching = false
-	p.pollMs = p.nowMs + p.pollBackoff*(0.5+p.random.Float64())
-	p.pollBackoff = math.Min(2*p.pollBackoff, p.settings.AssumeNotifiedMs/2)
+	p.pollMs = p.nowMs + p.pollBackoff*(pollSpread+p.random.Float64())
+	p.pollBackoff = math.Min(2*p.pollBackoff, p.settings.AssumeNotifiedMs*maxPollBackoff)
 }
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -30,8 +30,9 @@
 	p.planAdmission()
 	for _, proxy := range p.proxies {
 		if proxy.inheritedEjections {
-			restoreAll := func(host Host) bool { return p.restore(host, proxy, len(proxy.unrestored), deferrable) }
-			p.enqueue(restoreAll)
+			p.enqueue(func(host Host) bool {
+				return p.restore(host, proxy, len(proxy.unrestored), deferrable)
+			})
 		}
 	}
 	if !p.lagging {
@@ -40,8 +41,7 @@
 	p.enqueue(p.requestAcknowledgements)
 }
 
-// planWeights adds the weights of a table to send by their urgency, additions first so that it never runs
-// empty.
+// planWeights adds a table's weights to send by urgency, additions first so that it never runs empty.
 func (p *Policy) planWeights(table *table, planned *[required + 1][]decision) {
 	missing, total := 0.0, 0.0
 	usable := 0
@@ -59,14 +59,14 @@
 	additionsFirst := func(a, b *entry) int { return cmp.Compare(b.target-b.sent, a.target-a.sent) }
 	slices.SortStableFunc(changed, additionsFirst)
 	hasTurn := table.urgentMs == p.nowMs || p.nowMs-table.urgentMs >= urgentIntervalMs
-	mayHurry := !p.unsolved && hasTurn
+	urgentDue := !p.unsolved && hasTurn
 	for _, entry := range changed {
 		urgency := p.weightUrgency(entry, usable, missing > maxMissingWeight*total)
 		missing -= math.Max(entry.target-entry.sent, 0)
 		if entry.sent == 0 {
 			usable++
 		}
-		due := urgency == deferrable && table.due || urgency > deferrable && mayHurry
+		due := urgency == deferrable && table.due || urgency > deferrable && urgentDue
 		if total > 0 && due { // a table without targets keeps what it holds
 			planned[urgency] = append(planned[urgency], func(host Host) bool {
 				return p.sendWeight(host, entry, urgency)
@@ -164,13 +164,13 @@
 	if server.State == Ready {
 		urgency = required
 	}
-	must := eject && (server.State != Ready || p.cold(server)) && (takeover || p.drainIsShort(server))
+	must := eject && (server.State != Ready || p.cold(server)) && (takeover || p.drainIsDue(server))
 	return must && p.spendBudget(entries, recipients, urgency)
 }
 
-// drainIsShort says whether half the grace of a drain has passed, less the longest way of a message.
-func (p *Policy) drainIsShort(server *server) bool {
-	return p.nowMs >= server.stateChangedMs+p.settings.DrainGraceMs/2-p.settings.MaxPropagationMs
+// drainIsDue says whether half the grace of a drain has passed, less the longest way of a message.
+func (p *Policy) drainIsDue(server *server) bool {
+	return p.nowMs >= server.stateChangedMs+p.settings.DrainGraceMs*maxDrainWait-p.settings.MaxPropagationMs
 }
 
 // ejectionRecipients are the proxies that an ejection or its end concerns.
@@ -194,8 +194,7 @@
 
 // urgentDrains are the ejections that go before first tables in a takeover: of the oldest notification, as
 // both have its grace, and of later ones when theirs gets short. They go together, as few proxies hold each
-// server, and one by one each would cost messages: tables wait until the channel has room for all, or little
-// waits in it.
+// server, and one by one each would cost messages: tables wait until all fit, or little else waits.
 func (p *Policy) urgentDrains() (drains []*server, fit bool) {
 	oldest := p.nowMs
 	for _, server := range p.servers {
@@ -206,7 +205,7 @@
 	entries := 0
 	recipients := map[*proxy]bool{}
 	for _, server := range p.servers {
-		isUrgent := server.stateChangedMs <= oldest || p.drainIsShort(server)
+		isUrgent := server.stateChangedMs <= oldest || p.drainIsDue(server)
 		if server.State == Ready || server.ejected || !isUrgent {
 			continue
 		}
@@ -218,7 +217,7 @@
 	}
 	cost := float64(entries) + p.settings.MessageOverhead*float64(len(recipients))
 	room := p.settings.MaxBacklog*queueShare[drainEjection] - max(p.updateBacklog(), p.unacknowledged())
-	return drains, cost <= room || p.unacknowledged() < p.settings.MaxBacklog*queueShare[required]/2
+	return drains, cost <= room || p.unacknowledged() < p.settings.MaxBacklog*queueShare[required]*lowBacklog
 }
 
 // planAssignments queues the first tables of proxies, each with the restorations that are paid with it.
@@ -286,8 +285,7 @@
 }
 
 // restore ends ejections that others may have ordered of servers in a proxy's tables, and sends entries that
-// were omitted: of a few with the assignment, so that there is one to pick for certain, of the rest when
-// there is room.
+// were omitted: of a few with the assignment, so that one can be picked, of the rest when there is room.
 func (p *Policy) restore(host Host, proxy *proxy, count, urgency int) bool {
 	if count == 0 {
 		return false
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -11,7 +11,7 @@
 	servers := filter(p.servers, (*server).usable)
 	sinceMs := p.nowMs - p.solvedMs
 	hasNews := p.unsolved || p.emptyTable
-	waits := sinceMs < 2*evaluationIntervalMs || sinceMs < solveIntervalMs && !hasNews
+	waits := sinceMs < minSolveIntervalMs || sinceMs < solveIntervalMs && !hasNews
 	if len(servers) == 0 || p.settings.Sharded || waits {
 		return // with no server to use, tables keep what they hold
 	}
@@ -141,7 +141,7 @@
 }
 
 // dropSmallShares leaves out shares that are not worth their connections, but keeps a few of each client, and
-// those of warming servers, which are small for a time only. It gives the rest, largest first, and their sum.
+// those of warming servers, which are small for a time only. It gives the rest, largest first, and their total.
 func (p *Policy) dropSmallShares(wanted []*serverShare, least float64) (kept []*serverShare, total float64) {
 	slices.SortStableFunc(wanted, func(a, b *serverShare) int { return cmp.Compare(b.share, a.share) })
 	for _, share := range wanted {
@@ -177,7 +177,7 @@
 	demand := sumBy(tables, (*table).demand)
 	eachEntry(shares, func(share *serverShare, entry *entry) { entry.target = share.share })
 	for round := range balanceRounds + 1 {
-		sums := map[*table]float64{}
+		totals := map[*table]float64{}
 		for _, share := range shares {
 			factor := share.share / total / (sumBy(share.entries, (*entry).demand) / demand)
 			if round == balanceRounds && (factor > 1 || p.ramp(share.server) >= 1) {
@@ -185,10 +185,10 @@
 			}
 			for _, entry := range share.entries {
 				entry.target *= factor
-				sums[entry.table] += entry.target
+				totals[entry.table] += entry.target
 			}
 		}
-		eachEntry(shares, func(_ *serverShare, entry *entry) { entry.target /= sums[entry.table] })
+		eachEntry(shares, func(_ *serverShare, entry *entry) { entry.target /= totals[entry.table] })
 	}
 	eachEntry(shares, func(_ *serverShare, entry *entry) {
 		entry.target = math.Max(math.Round(entry.target*weightSteps), 1) / weightSteps
