--- a/policy/problem.go
+++ b/policy/problem.go
@@ -18,8 +18,8 @@
 
 // newProblem gives the solver its demand, capacities and costs. D averages 1, and costs are divided by the middle
 // latency and the number of servers, as ADMM-20 converges by then with rho 1.
-func (p *Policy) newProblem(servers []*server, clients []*client, demand float64) *splitProblem {
-	problem := &splitProblem{
+func (p *Policy) newProblem(servers []*server, clients []*client, demand float64) splitProblem {
+	problem := splitProblem{
 		servers: servers,
 		clients: clients,
 		C:       p.capacities(servers, demand),
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -220,21 +220,24 @@
 	return drains, cost <= room || p.unacknowledged() < p.settings.MaxBacklog*queueShare[required]*lowBacklog
 }
 
-// planAssignments queues the first tables of proxies, each with the restorations that are paid with it.
+// planAssignments queues the first tables of proxies.
 func (p *Policy) planAssignments(takeover bool) {
 	for _, proxy := range p.proxies {
-		for part := range p.parts {
-			if proxy.tables[part] != nil || proxy.cohort < 0 {
-				continue
+		for part, table := range proxy.tables {
+			if table == nil && proxy.cohort >= 0 {
+				p.planAssignment(proxy, part, takeover)
 			}
-			p.enqueue(
-				func(host Host) bool { return p.assignTable(host, proxy, part, takeover) },
-				func(host Host) bool { return p.restore(host, proxy, proxy.takePrepaid(), prepaid) },
-			)
 		}
 	}
 }
 
+// planAssignment queues a first table with the restorations that are paid with it.
+func (p *Policy) planAssignment(proxy *proxy, part int, takeover bool) {
+	assign := func(host Host) bool { return p.assignTable(host, proxy, part, takeover) }
+	restore := func(host Host) bool { return p.restore(host, proxy, proxy.takePrepaid(), prepaid) }
+	p.enqueue(assign, restore)
+}
+
 // assignTable gives a proxy its first table. It takes the place of what another planner gave it, with all
 // that drains: after many joins that costs less than an ejection of each server, and must not wait behind
 // those. In a takeover the light entries follow later.
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -10,8 +10,7 @@
 func (p *Policy) solveIfDue() {
 	servers := filter(p.servers, (*server).usable)
 	sinceMs := p.nowMs - p.solvedMs
-	hasNews := p.unsolved || p.emptyTable
-	waits := sinceMs < minSolveIntervalMs || sinceMs < solveIntervalMs && !hasNews
+	waits := sinceMs < minSolveIntervalMs || sinceMs < solveIntervalMs && !p.unsolved && !p.emptyTable
 	if len(servers) == 0 || p.settings.Sharded || waits {
 		return // with no server to use, tables keep what they hold
 	}
@@ -52,18 +51,17 @@
 // split solves for all clients and sets what their tables should hold.
 func (p *Policy) split(servers []*server, serversChanged bool) {
 	demand, moved := p.updateDemand()
-	clients := append(slices.Clone(p.clients), p.unobservedClients(demand)...)
+	clients := p.addUnobservedClients(slices.Clone(p.clients), demand)
 	problem := p.newProblem(servers, clients, demand)
 	problem.startCells(p.startsOver(servers, serversChanged || moved > maxDemandShift*demand))
 	solve(problem.D, problem.C, problem.cost, problem.cells, maxLambda/float64(len(servers)))
-	p.applySplit(problem)
+	p.applySplit(&problem)
 }
 
-// unobservedClients are proxies that do not report to us: other planners', or cut off. They are taken to be
-// spread evenly and to have as much demand as ours. Guards against a planner with the proxies of one zone
+// addUnobservedClients adds proxies that do not report to us: other planners', or cut off. They are taken to
+// be spread evenly and to have as much demand as ours. Guards against a planner with the proxies of one zone
 // that spreads these over all servers, as if nobody else used the rest.
-func (p *Policy) unobservedClients(demand float64) []*client {
-	var clients []*client
+func (p *Policy) addUnobservedClients(clients []*client, demand float64) []*client {
 	for zone := range p.settings.Zones {
 		joined := filter(p.proxies, func(proxy *proxy) bool { return proxy.zone == zone })
 		missing := math.Max(0, float64(p.settings.Proxies)/float64(p.settings.Zones)-float64(len(joined)))
@@ -141,9 +139,10 @@
 }
 
 // dropSmallShares leaves out shares that are not worth their connections, but keeps a few of each client, and
-// those of warming servers, which are small for a time only. It gives the rest, largest first, and their total.
+// those of warming servers, which are small for a time only. It gives the rest, largest first, and the total.
 func (p *Policy) dropSmallShares(wanted []*serverShare, least float64) (kept []*serverShare, total float64) {
 	slices.SortStableFunc(wanted, func(a, b *serverShare) int { return cmp.Compare(b.share, a.share) })
+	kept = wanted[:0]
 	for _, share := range wanted {
 		warming := p.ramp(share.server) < 1 && share.share > least/minWarmingShare
 		if share.share >= least || len(kept) < minEntries || warming {
