--- /dev/null
+++ b/policy/admission.go
@@ -0,0 +1,89 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// newAdmission admits all of a class, with the default retry mode unless a rule forbids that. Proxies must
+// then be notified that they may not repeat; a rate that was never sent causes that order.
+func newAdmission(class TrafficClass, defaultRetry int) admission {
+	if class.Idempotency != Idempotent && defaultRetry > RetryUnprocessed {
+		return admission{target: 1, sent: -1, retry: RetryUnprocessed}
+	}
+	return admission{target: 1, sent: 1, retry: defaultRetry}
+}
+
+// sheddingOrder gives the traffic classes by what they earn for the work they cause, the least first.
+func sheddingOrder(classes []TrafficClass) []int {
+	var order []int
+	for index := range classes {
+		order = append(order, index)
+	}
+	slices.SortStableFunc(order, func(a, b int) int {
+		x, y := classes[a], classes[b]
+		return cmp.Compare(x.PriorityWeight*y.LatencyObjectiveMs, y.PriorityWeight*x.LatencyObjectiveMs)
+	})
+	return order
+}
+
+// overloaded says whether requests wait. Failures without a wait are servers that reject us, no full fleet.
+func (l fleetLoad) overloaded() bool {
+	late := l.latency > recoveryThreshold
+	return l.latency > overloadThreshold || late && l.failureShare > overloadFailureShare
+}
+
+// updateAdmissionIfDue moves the part of all requests that is admitted, down in an overload and up after it.
+func (p *Policy) updateAdmissionIfDue() {
+	if !p.settings.PartialAdmission || p.nowMs-p.admissionMs < admissionIntervalMs {
+		return
+	}
+	p.admissionMs = p.nowMs
+	demand := sumBy(p.admission, func(class admission) float64 { return class.demand })
+	if demand == 0 || p.latencyMs == 0 {
+		return
+	}
+	load := p.fleetLoad()
+	share := p.admittedRate / demand
+	switch {
+	case load.overloaded():
+		// What succeeded is what the fleet can do; admitting less drains the overload. The next step waits
+		// longer, as a second cut before this one shows would be too deep.
+		p.capacityRate = math.Max(load.succeededRate, minCapacityKept*p.capacityRate)
+		p.admissionMs = p.nowMs + admissionRestMs
+		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*recoveryAdmission/demand))
+	case load.wait < recoveryThreshold && load.failureShare < overloadFailureShare:
+		// What succeeded before is admitted again at once.
+		p.capacityRate = math.Max(p.capacityRate, load.succeededRate)
+		increased := share * (1 + admissionIncrease*(1-load.wait/recoveryThreshold))
+		share = math.Max(increased, math.Min(p.capacityRate*recoveryAdmission/demand, 1))
+	}
+	p.shed(math.Max(1-share, 0) * demand)
+}
+
+// shed sets admission rates with which so many requests per second are rejected, first of what earns least.
+func (p *Policy) shed(excess float64) {
+	for _, index := range p.sheddingOrder {
+		class := &p.admission[index]
+		rejected := math.Min(excess, class.demand*(1-minAdmission))
+		rate := 1 - rejected/math.Max(class.demand, minClassDemand)
+		class.target = math.Round(rate*admissionSteps) / admissionSteps
+		excess -= rejected
+	}
+}
+
+// planAdmission queues the rates that changed. An order about retries that a rule forbids is not held back.
+func (p *Policy) planAdmission() {
+	for index := range p.admission {
+		p.enqueue(func(host Host) bool {
+			class := &p.admission[index]
+			if class.target == class.sent || class.sent >= 0 && !p.spendBudget(1, p.proxies, urgent) {
+				return false
+			}
+			class.sent = class.target
+			host.SetAdmission(AllTables, index, class.target, class.retry)
+			return true
+		})
+	}
+}
--- /dev/null
+++ b/policy/measurements.go
@@ -0,0 +1,221 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+// Measurements are what decisions go by: demand, and figures of servers and of the fleet. They decide nothing.
+
+// evaluate works out the figures that decisions need of servers, proxies and tables.
+func (p *Policy) evaluate() {
+	p.measureRound()
+	p.evaluateServers()
+	for _, table := range p.tables {
+		table.entries = filter(table.entries, (*entry).live)
+		table.proxies = nil
+		table.rate = 0
+	}
+	for index := range p.admission {
+		p.admission[index].demand = 0
+	}
+	for _, proxy := range p.proxies {
+		p.assignCohort(proxy)
+		p.countDemand(proxy)
+	}
+	p.averageObjective()
+}
+
+// measureRound sets how far reports are looked back for. A round of them, in which each server reports once,
+// takes longer where there are more than the intake lets through.
+func (p *Policy) measureRound() {
+	middle := median(p.reportCoversMs, func(coversMs float64) float64 { return coversMs })
+	p.roundMs = math.Max(p.settings.ReportIntervalMs, middle)
+	p.windowMs = math.Max(minWindowMs, reportRounds*p.roundMs)
+}
+
+// evaluateServers works out each server's figures and those of the middle one of the fleet.
+func (p *Policy) evaluateServers() {
+	p.succeededRate = 0
+	for _, server := range p.servers {
+		server.entries = filter(server.entries, (*entry).live)
+		p.aggregateReports(server)
+		p.succeededRate += server.windowed.succeeded / p.windowMs * 1000
+	}
+	used := filter(p.servers, func(server *server) bool {
+		return server.usable() && !p.unverified(server) && server.windowed.attempts() > 0
+	})
+	p.failureShare = median(used, func(server *server) float64 {
+		return server.windowed.failed / server.windowed.attempts()
+	})
+	used = filter(used, func(server *server) bool { return server.baselineMs > 0 && server.windowed.latencyMs > 0 })
+	p.latencyMs = median(used, func(server *server) float64 { return server.windowed.latencyMs })
+	p.baselineMs = median(used, func(server *server) float64 { return server.baselineMs })
+	p.overloadRatio = median(used, func(server *server) float64 {
+		return server.windowed.latencyMs / server.baselineMs
+	})
+}
+
+// countDemand adds a proxy's demand to its tables and to the traffic classes.
+func (p *Policy) countDemand(proxy *proxy) {
+	for part := range p.parts {
+		client := p.clients[proxy.zone*p.parts+part]
+		admitted := 0.0
+		for _, index := range client.classes {
+			class := &p.admission[index]
+			demand := p.demandOf(proxy, index)
+			admitted += demand * class.target
+			class.demand += demand
+		}
+		if len(client.tables) == 0 {
+			continue
+		}
+		table := client.tables[proxy.cohort]
+		if proxy.tables[part] == table {
+			table.proxies = append(table.proxies, proxy)
+		}
+		p.emptyTable = p.emptyTable || proxy.tables[part] == nil && table.rate == 0
+		table.rate += admitted
+	}
+}
+
+// demandOf gives a proxy's requests per second of a traffic class: by its own statement until it reports.
+func (p *Policy) demandOf(proxy *proxy, class int) float64 {
+	coversMs, requests := 0.0, 0.0
+	for index := range proxy.demand[class] { // by index, as there are many proxies
+		report := &proxy.demand[class][index]
+		if report.atMs > p.nowMs-p.windowMs {
+			coversMs += report.coversMs
+			requests += report.attempts()
+		}
+	}
+	if coversMs > 0 {
+		return requests / coversMs * 1000
+	}
+	return proxy.expectedRate / float64(len(p.admission))
+}
+
+// averageObjective works out the admitted rate and, weighted by it, the mean latency objective in ms.
+func (p *Policy) averageObjective() {
+	p.admittedRate = 0
+	p.latencyObjectiveMs = 0
+	for index, class := range p.admission {
+		admitted := class.demand * class.target
+		p.admittedRate += admitted
+		p.latencyObjectiveMs += (admitted + idleClassRate) * p.settings.Classes[index].LatencyObjectiveMs
+	}
+	p.latencyObjectiveMs /= p.admittedRate + idleClassRate*float64(len(p.admission))
+}
+
+// fleetLoad is what the last round of load reports says of the fleet. Older ones are from before the last step.
+type fleetLoad struct {
+	latency       float64 // of the middle server, over the latency objective
+	wait          float64 // latency above the baseline, over what the objective leaves for it
+	failureShare  float64 // of the middle server
+	succeededRate float64 // requests per second
+}
+
+// fleetLoad counts usable servers alone for what is of the middle one, and all for the succeeded rate.
+func (p *Policy) fleetLoad() fleetLoad {
+	used := filter(p.servers, func(server *server) bool {
+		return server.usable() && !p.unverified(server) && server.lastRound.attempts() > 0
+	})
+	failureShare := median(used, func(server *server) float64 {
+		return server.lastRound.failed / server.lastRound.attempts()
+	})
+	used = filter(used, func(server *server) bool { return server.lastRound.latencyMs > 0 })
+	latencyMs := median(used, func(server *server) float64 { return server.lastRound.latencyMs })
+	attempts := sumBy(p.servers, func(server *server) float64 { return server.lastRound.attempts() })
+	succeeded := sumBy(p.servers, func(server *server) float64 { return server.lastRound.succeeded })
+	allowedWait := math.Max(p.latencyObjectiveMs-p.baselineMs, p.baselineMs)
+	return fleetLoad{
+		latency:       latencyMs / p.latencyObjectiveMs,
+		wait:          math.Max(latencyMs-p.baselineMs, 0) / allowedWait,
+		failureShare:  failureShare,
+		succeededRate: p.admittedRate * succeeded / math.Max(attempts, 1),
+	}
+}
+
+// aggregateReports works out what a server's load reports since its last change say, by period and in all.
+func (p *Policy) aggregateReports(server *server) {
+	server.mergeReports(p.settings.ReportIntervalMs * maxPeriodGap)
+	server.baselineMs = p.baselineOf(server.reports)
+	server.windowed = server.recent(p.nowMs - p.windowMs)
+	server.lastRound = server.recent(p.nowMs - admissionRounds*p.roundMs)
+}
+
+// updateDemand takes over the demand of each client. It gives that of all, and what moved from one to another.
+func (p *Policy) updateDemand() (all, moved float64) {
+	for _, client := range p.clients {
+		demand := sumBy(client.tables, func(table *table) float64 { return table.rate })
+		all += demand
+		moved += math.Abs(demand-client.demand) / 2
+		client.demand = demand
+	}
+	return all, moved
+}
+
+// mergeReports puts the load reports since the server's last change together by period, with those of all zones: one
+// alone is noisy. Reports further apart than a gap in ms are of different periods.
+func (s *server) mergeReports(gapMs float64) {
+	s.reports = s.reports[:0]
+	for _, report := range s.samples {
+		if report.atMs <= s.sinceMs {
+			continue
+		}
+		last := len(s.reports) - 1
+		if last < 0 || report.atMs-s.reports[last].atMs > gapMs {
+			s.reports = append(s.reports, report)
+			continue
+		}
+		merged := &s.reports[last]
+		weighted := merged.latencyMs*merged.succeeded + report.latencyMs*report.succeeded
+		merged.latencyMs = weighted / math.Max(merged.succeeded+report.succeeded, 1)
+		merged.succeeded += report.succeeded
+		merged.failed += report.failed
+	}
+}
+
+// recent adds up the server's reports since a time.
+func (s *server) recent(sinceMs float64) sample {
+	var total sample
+	for _, report := range s.reports {
+		if report.atMs > sinceMs {
+			total.succeeded += report.succeeded
+			total.failed += report.failed
+			total.latencyMs += report.latencyMs * report.succeeded
+		}
+	}
+	total.latencyMs /= math.Max(total.succeeded, 1)
+	return total
+}
+
+// zoneLatencies are the lowest baseline latencies of each zone in ms. Within a zone, lows show the speed of
+// servers, which their capacities have already.
+func (p *Policy) zoneLatencies(servers []*server) []float64 {
+	lowest := slices.Repeat([]float64{p.typicalLatency()}, p.settings.Zones)
+	for _, server := range servers {
+		if server.baselineMs > 0 {
+			lowest[server.Zone] = math.Min(lowest[server.Zone], server.baselineMs)
+		}
+	}
+	return lowest
+}
+
+// typicalLatency is the unit of costs in ms; above 0 before there are reports.
+func (p *Policy) typicalLatency() float64 { return math.Max(p.baselineMs, 1) }
+
+// baselineOf is the lower quartile of latencies in ms, 0 where no report has enough successes.
+func (p *Policy) baselineOf(reports []sample) float64 {
+	p.latencies = p.latencies[:0]
+	for _, report := range reports {
+		if report.succeeded >= minBaselineRequests {
+			p.latencies = append(p.latencies, report.latencyMs)
+		}
+	}
+	if len(p.latencies) == 0 {
+		return 0
+	}
+	slices.Sort(p.latencies)
+	return p.latencies[len(p.latencies)/baselineQuantile]
+}
