--- a/internal/controlstream/bench_test.go
+++ b/internal/controlstream/bench_test.go
@@ -38,7 +38,7 @@
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			if err := proto.Unmarshal(raw[headerBytes:], &order.Orders{}); err != nil {
+			if err := proto.Unmarshal(raw[FrameHeaderBytes:], &order.Orders{}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/controlstream/decoder.go
+++ b/internal/controlstream/decoder.go
@@ -32,7 +32,7 @@
 	rest := copy(d.buffer, d.buffer[d.consumed:])
 	d.buffer = append(d.buffer[:rest], data...)
 	d.consumed = 0
-	if cap(d.buffer) > largeBufferBytes && cap(d.buffer) > bufferSlack*(headerBytes+len(d.buffer)) {
+	if cap(d.buffer) > largeBufferBytes && cap(d.buffer) > bufferSlack*(FrameHeaderBytes+len(d.buffer)) {
 		smaller := make([]byte, 0, len(d.buffer)+spareBytes)
 		d.buffer = append(smaller, d.buffer...)
 	}
@@ -57,10 +57,10 @@
 	if closed := d.checkPrefix(unread); closed != nil {
 		return d.fail(closed)
 	}
-	if len(unread) < headerBytes {
+	if len(unread) < FrameHeaderBytes {
 		return Frame{}, false, nil
 	}
-	size := headerBytes + int(binary.BigEndian.Uint32(unread[lengthOffset:]))
+	size := FrameHeaderBytes + int(binary.BigEndian.Uint32(unread[lengthOffset:]))
 	if len(unread) < size {
 		return Frame{}, false, nil
 	}
@@ -113,7 +113,7 @@
 	frame := Frame{
 		Kind:     FrameKind(raw[kindOffset]),
 		Sequence: binary.BigEndian.Uint64(raw[sequenceOffset:]),
-		Body:     raw[headerBytes:],
+		Body:     raw[FrameHeaderBytes:],
 	}
 	if !frame.Kind.known() {
 		return Frame{}, newCloseError(ReasonBadKind, "%s", frame.Kind)
--- a/internal/controlstream/frame.go
+++ b/internal/controlstream/frame.go
@@ -8,16 +8,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Layout of a frame's header, as the package's documentation describes it: offsets and sizes in bytes.
+// Layout of a frame's header, as the package's documentation describes it: offsets in bytes.
 const (
 	versionOffset  = 2
 	kindOffset     = 3
 	lengthOffset   = 4
 	sequenceOffset = 8
 	checksumOffset = 16
-	headerBytes    = 20
 )
 
+// FrameHeaderBytes is the length of a frame's header; the body follows it.
+const FrameHeaderBytes = 20
+
 // First bytes of each frame.
 const (
 	magic0  = 'L'
@@ -87,7 +89,7 @@
 // body does not encode, and then returns dst with its length unchanged.
 func AppendFrame(dst []byte, kind FrameKind, sequence uint64, body proto.Message) ([]byte, error) {
 	start := len(dst)
-	dst = append(dst, make([]byte, headerBytes)...)
+	dst = append(dst, make([]byte, FrameHeaderBytes)...)
 	if body != nil {
 		encoded, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(dst, body)
 		if err != nil {
@@ -100,7 +102,7 @@
 	frame[1] = magic1
 	frame[versionOffset] = version
 	frame[kindOffset] = byte(kind)
-	binary.BigEndian.PutUint32(frame[lengthOffset:], uint32(len(frame)-headerBytes))
+	binary.BigEndian.PutUint32(frame[lengthOffset:], uint32(len(frame)-FrameHeaderBytes))
 	binary.BigEndian.PutUint64(frame[sequenceOffset:], sequence)
 	binary.BigEndian.PutUint32(frame[checksumOffset:], checksum(frame))
 	return dst, nil
@@ -109,5 +111,5 @@
 // checksum computes the CRC-32C of a whole frame, without the four bytes that hold it.
 func checksum(frame []byte) uint32 {
 	header := crc32.Checksum(frame[:checksumOffset], castagnoli)
-	return crc32.Update(header, castagnoli, frame[headerBytes:])
+	return crc32.Update(header, castagnoli, frame[FrameHeaderBytes:])
 }
--- a/internal/controlstream/fuzz_test.go
+++ b/internal/controlstream/fuzz_test.go
@@ -42,7 +42,7 @@
 			return decoded
 		}
 		decoded = append(decoded, magic0, magic1, version, byte(frame.Kind))
-		decoded = append(decoded, input[len(decoded):len(decoded)+headerBytes-lengthOffset]...)
+		decoded = append(decoded, input[len(decoded):len(decoded)+FrameHeaderBytes-lengthOffset]...)
 		decoded = append(decoded, frame.Body...)
 	}
 }
--- a/internal/controlstream/plannersession_test.go
+++ b/internal/controlstream/plannersession_test.go
@@ -75,7 +75,7 @@
 	t.Run("nothing is allocated for what a header only claims", func(t *testing.T) {
 		decoder := NewDecoder(1 << 30)
 		header := withByte(encode(t, testFrame{FrameJoin, testJoin()}), lengthOffset, 0x3f)
-		decoder.Feed(header[:headerBytes])
+		decoder.Feed(header[:FrameHeaderBytes])
 		_, ok, err := decoder.Next()
 		if ok || err != nil || cap(decoder.buffer) > 4096 {
 			t.Errorf("frame %t, error %v, %d bytes held", ok, err, cap(decoder.buffer))
--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -28,12 +28,6 @@
 	maxIdleConnections = 256
 )
 
-// Values of [proxy.OutcomeHeader] for requests that were not processed.
-const (
-	outcomeHeaderRejected = "blocked"
-	outcomeHeaderNoServer = "bare"
-)
-
 // ErrTooManyInFlight tells that a run ended as the proxies answered far more slowly than requests were due.
 var ErrTooManyInFlight = errors.New("too many requests in flight")
 
@@ -197,9 +191,9 @@
 		return Succeeded
 	}
 	switch response.Header.Get(proxy.OutcomeHeader) {
-	case outcomeHeaderRejected:
+	case proxy.OutcomeRejected:
 		return Rejected
-	case outcomeHeaderNoServer:
+	case proxy.OutcomeNoServer:
 		return NoServer
 	}
 	return Failed
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -22,12 +22,6 @@
 	progressIntervalMs = 1000.0
 )
 
-// Values of [proxy.OutcomeHeader] for requests that were not processed.
-const (
-	outcomeHeaderRejected = "blocked"
-	outcomeHeaderNoServer = "bare"
-)
-
 // generator sends the requests of a run.
 type generator struct {
 	options  Options
@@ -132,7 +126,7 @@
 		return succeeded
 	}
 	switch response.Header.Get(proxy.OutcomeHeader) {
-	case outcomeHeaderRejected, outcomeHeaderNoServer:
+	case proxy.OutcomeRejected, proxy.OutcomeNoServer:
 		return rejected
 	}
 	return failed
--- a/internal/planner/policysettings.go
+++ b/internal/planner/policysettings.go
@@ -13,25 +13,14 @@
 	pb.Repeat_RETRIABLE:     policy.Idempotent,
 }
 
-// retryModeOf translates the settings' kinds of retry.
-var retryModeOf = map[pb.Retry]int{
-	pb.Retry_NEVER:       policy.RetryNever,
-	pb.Retry_AFTER_PROOF: policy.RetryUnprocessed,
-	pb.Retry_ONCE:        policy.RetryOnce,
-	pb.Retry_TWICE:       policy.RetryTwice,
-}
-
 // NewPolicy makes the policy for checked settings.
 func NewPolicy(set *pb.Planner) Decider { return policy.New(policySettings(set), int64(set.GetSeed())) }
 
-// RetryMode translates a retry of the settings into one of the policy's retry modes.
-func RetryMode(r pb.Retry) int { return retryModeOf[r] }
-
 // policySettings translates checked settings into the policy's.
 func policySettings(set *pb.Planner) policy.Settings {
 	translated := policy.Settings{
 		Zones:                len(set.Zones),
-		DefaultRetry:         RetryMode(set.DefaultRetry),
+		DefaultRetry:         settings.RetryMode(set.DefaultRetry),
 		PartialAdmission:     true,
 		EntriesPerSecond:     settings.PerSecond(set.Channel.Lines),
 		MessageOverhead:      set.Channel.GetHeadLines(),
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -19,10 +19,11 @@
 	OutcomeHeader   = "Flow-Outcome"  // of answers that a proxy makes itself: one of the outcomes below
 )
 
-// Values of the headers above. They are part of the protocol.
+// Values of the headers above. They are part of the protocol: outcomes, and what a server states of a request that it did not
+// process.
 const (
-	outcomeRejected  = "blocked" // not admitted, or too many in flight
-	outcomeNoServer  = "bare"    // no server to pick
+	OutcomeRejected  = "blocked" // not admitted, or too many in flight
+	OutcomeNoServer  = "bare"    // no server to pick
 	outcomeFailed    = "dropped" // no attempt was answered
 	outcomeMalformed = "odd"     // the request cannot be handled at all
 	notProcessed     = "no"
@@ -35,7 +36,7 @@
 func (p *Proxy) ServeHTTP(response http.ResponseWriter, incoming *http.Request) {
 	if p.inFlightCount.Add(1) > int64(p.Settings.GetMostFlows()) {
 		p.inFlightCount.Add(-1) // before the answer is written, so that rejected requests do not use up the limit
-		p.reject(response, outcomeRejected, "too many requests in flight")
+		p.reject(response, OutcomeRejected, "too many requests in flight")
 		return
 	}
 	defer p.inFlightCount.Add(-1)
@@ -52,7 +53,7 @@
 	}
 	request, admitted := p.admit(class)
 	if !admitted {
-		p.reject(response, outcomeRejected, "not admitted")
+		p.reject(response, OutcomeRejected, "not admitted")
 		return
 	}
 	p.forward(response, incoming, body, request)
@@ -63,7 +64,7 @@
 	for {
 		next, ok := p.pick(request)
 		if !ok {
-			p.reject(response, outcomeNoServer, "no server available")
+			p.reject(response, OutcomeNoServer, "no server available")
 			return
 		}
 		startMs := p.Clock.Monotonic()
--- a/internal/scenario/streamobserver.go
+++ b/internal/scenario/streamobserver.go
@@ -8,10 +8,8 @@
 	"lichenpick/proto/order"
 )
 
-const (
-	maxObservedFrameBytes = 32 << 20 // no limit of either end is larger
-	frameHeaderBytes      = 20       // of the control stream
-)
+// maxObservedFrameBytes bounds the frames that are parsed; no limit of either end is larger.
+const maxObservedFrameBytes = 32 << 20
 
 // streamObserver parses the control stream of a proxy to a planner, which the proxy dialled.
 type streamObserver struct {
@@ -101,7 +99,7 @@
 		if !complete {
 			return
 		}
-		endBytes += frameHeaderBytes + len(frame.Body)
+		endBytes += controlstream.FrameHeaderBytes + len(frame.Body)
 		o.recordPlannerFrame(atMs, frame, endBytes)
 	}
 }
