--- a/cmd/lichenpick/examples_test.go
+++ b/cmd/lichenpick/examples_test.go
@@ -24,7 +24,7 @@
 	exampleMetrics   = "http://127.0.0.1:7180/metrics"
 )
 
-// The examples run as processes. A planner that is told to stop amid a burst of requests ends well, and its proxy goes on
+// The examples run as processes. A planner that is asked to stop amid a burst of requests ends well, and its proxy goes on
 // serving; a planner that is killed and started again takes the proxy back.
 func TestExamples(t *testing.T) {
 	startExample(t, "server")
@@ -76,7 +76,7 @@
 	return command
 }
 
-// checkEndsWell checks that a process which was told to stop ends in time, with exit code 0.
+// checkEndsWell checks that a process which was signalled to stop ends in time, with exit code 0.
 func checkEndsWell(t *testing.T, command *exec.Cmd) {
 	t.Helper()
 	ended := make(chan error, 1)
--- a/internal/architecture/words_test.go
+++ b/internal/architecture/words_test.go
@@ -57,7 +57,7 @@
 }
 
 // permittedPhrases contain a retired word in a standard sense.
-var permittedPhrases = []string{"flow control", "control flow", "mod tidy", "shell script"}
+var permittedPhrases = []string{"flow control", "control flow", "mod tidy", "shell script", "told apart"}
 
 // term is one word of a text or one part of an identifier, in lower case.
 type term struct {
--- a/internal/controlstream/golden_test.go
+++ b/internal/controlstream/golden_test.go
@@ -181,8 +181,8 @@
 	return stream
 }
 
-// checkReceived compares what a host was told with what the other end wrote, but for heartbeats and the goodbye, of which
-// hosts are not told.
+// checkReceived compares the calls on a host with what the other end wrote, but for heartbeats and the goodbye, of which
+// hosts are not notified.
 func checkReceived(t *testing.T, who string, got []proto.Message, frames []frame) {
 	t.Helper()
 	var want []proto.Message
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -1,4 +1,4 @@
-// Package discovery brings the list of endpoints, the servers that proxies send requests to, to a planner.
+// Package discovery supplies a planner with the list of endpoints, the servers that proxies send requests to.
 //
 // A Source delivers what some registry lists: FileSource polls a file, StreamSource follows a stream of full lists and
 // changes. A Tracker stands between a source and the policy: it turns updates into changes for the policy, works out when
--- a/internal/discovery/streamsource.go
+++ b/internal/discovery/streamsource.go
@@ -16,7 +16,7 @@
 
 // Faults of a list stream.
 var (
-	// errVersionGap is that a change was lost, which may have been a drain: the stream is dialled again, which brings a full list.
+	// errVersionGap is that a change was lost, which may have been a drain: the stream is dialled again for a full list.
 	errVersionGap = errors.New("a change does not follow the last list; reconnecting for a full list")
 	// errSourceFailed is that the source says that it could not get its list.
 	errSourceFailed = errors.New("the source reported a failure")
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -19,16 +19,16 @@
 	After     int     // with Cut: bytes of each connection that still pass towards the source, so that a frame may break
 }
 
-// Observer is told what passes on one connection. Its methods may be called by several goroutines, and should return soon.
+// Observer is notified of what passes on one connection. Its methods may be called by several goroutines, and should return soon.
 // Times are in ms of the relay's clock. The data must not be kept or changed.
 type Observer interface {
-	// ToTarget is told data that the source sent.
+	// ToTarget receives data that the source sent.
 	ToTarget(atMs float64, data []byte)
-	// FromTarget is told data that the target sent.
+	// FromTarget receives data that the target sent.
 	FromTarget(atMs float64, data []byte)
-	// Delivered is told how many more bytes were written to the source.
+	// Delivered receives how many more bytes were written to the source.
 	Delivered(atMs float64, count int)
-	// Closed is told once that one side ended the connection. What was on its way may still be delivered.
+	// Closed is called once when one side ended the connection. What was on its way may still be delivered.
 	Closed(atMs float64)
 }
 
--- a/internal/fake/relay_test.go
+++ b/internal/fake/relay_test.go
@@ -15,7 +15,7 @@
 // relayTestTimeout is how long anything may take in tests of the relay.
 const relayTestTimeout = 10 * time.Second
 
-// countingObserver counts what an observer is told.
+// countingObserver counts the calls on an observer.
 type countingObserver struct {
 	mu                              sync.Mutex
 	toTarget, fromTarget, delivered int // bytes
--- a/internal/invariant/endpoints.go
+++ b/internal/invariant/endpoints.go
@@ -6,12 +6,12 @@
 	"lichenpick/proto/order"
 )
 
-// endpoint is what a planner was told of one server.
+// endpoint is what the endpoint lists sent to a planner state of one server.
 type endpoint struct {
 	zone          string
 	startedUnixMs uint64  // incarnation of the server; 0: started long ago
-	startedAtMs   float64 // when the planner was told of this incarnation
-	removedAtMs   float64 // when it was told that the server drains or is gone; infinite while ready
+	startedAtMs   float64 // when the planner was notified of this incarnation
+	removedAtMs   float64 // when it was notified that the server drains or is gone; infinite while ready
 }
 
 // plannerState is what a planner knows and what it has sent.
@@ -64,7 +64,7 @@
 	switch {
 	case entry.State == 0:
 		server.removedAtMs = math.Inf(1)
-	case server.removedAtMs > atMs: // unless the planner was told before
+	case server.removedAtMs > atMs: // unless the planner was notified before
 		server.removedAtMs = atMs
 	}
 }
--- a/internal/invariant/orders.go
+++ b/internal/invariant/orders.go
@@ -102,10 +102,10 @@
 }
 
 // setEjected applies an order that ejects a server or ends its ejection.
-func (p *proxyState) setEjected(withdraw *order.Withdraw) {
-	if withdraw.Out {
-		p.ejected[withdraw.Server] = true
+func (p *proxyState) setEjected(ejection *order.Withdraw) {
+	if ejection.Out {
+		p.ejected[ejection.Server] = true
 	} else {
-		delete(p.ejected, withdraw.Server)
+		delete(p.ejected, ejection.Server)
 	}
 }
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// BenchmarkPlannerReports is how fast reports are taken in, from the bytes of a stream to the samples that the policy hears:
+// BenchmarkPlannerReports is how fast reports are taken in, from the bytes of a stream to the samples that the policy records:
 // decoding and merging on as many CPU cores as there are, and one that owns the rest. Each report has ten servers.
 func BenchmarkPlannerReports(b *testing.B) {
 	l := newLoadedCore(b, 500, 200)
@@ -221,7 +221,7 @@
 	b.ReportMetric(float64(reports.merged)/float64(b.N), "merged/op")
 }
 
-// takeReportsUntil runs the core on real time until told to stop, as the planner's goroutine does.
+// takeReportsUntil runs the core on real time until asked to stop, as the planner's goroutine does.
 func (l *loadedCore) takeReportsUntil(stopped <-chan struct{}, reports *coalescedReports) {
 	beginMs := l.nowMs
 	elapsed := clock.NewReal()
--- a/internal/planner/coalesce.go
+++ b/internal/planner/coalesce.go
@@ -10,7 +10,7 @@
 const maxCoalescedSamples = 4096
 
 // coalescedReports holds the load reports that the core has not taken yet: one per connection, to which the connection's
-// reader adds later ones. A core that lags hears the same samples less often, readers never wait for it, and memory stays
+// reader adds later ones. A core that lags takes the same samples less often, readers never wait for it, and memory stays
 // within one report per connection. It guards against readers that stop: writes of proxies would time out then, and all
 // proxies would dial anew at once. It is safe for use by several goroutines.
 type coalescedReports struct {
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -13,7 +13,7 @@
 	millisPerSecond       = 1000
 )
 
-// intakeLimits bound how much of load reports the policy is told.
+// intakeLimits bound how much of load reports the policy receives.
 type intakeLimits struct {
 	periodMs  float64 // for which samples are summed up
 	perSecond float64 // loads that may pass to the policy
--- a/internal/planner/server_fixture_test.go
+++ b/internal/planner/server_fixture_test.go
@@ -302,7 +302,7 @@
 
 func (failingPolicy) AddProxy(int, int, float64, ...float64) { panic(errFailingPolicy) }
 
-// stallingPolicy stands still while its gate is held, and counts the attempts that it hears of.
+// stallingPolicy stands still while its gate is held, and counts the attempts in the reports that it records.
 type stallingPolicy struct {
 	Decider
 	gate     sync.Mutex
--- a/internal/planner/server_test.go
+++ b/internal/planner/server_test.go
@@ -22,7 +22,7 @@
 	t.Run("a proxy that stops reading while its server drains loses its stream within the grace", testStoppedReader)
 	t.Run("a proxy that dials again replaces its half-open stream", testRedial)
 	t.Run("a date that is stepped by an hour and back changes nothing", testSteppedDate)
-	t.Run("told to stop amid joins and reports it ends at once and tells its proxies", testShutdownUnderLoad)
+	t.Run("asked to stop amid joins and reports it ends at once and notifies its proxies", testShutdownUnderLoad)
 	t.Run("a policy that panics ends its planner with an error and the last inputs", testPolicyFailure)
 	t.Run("a planner that starts again begins from its saved endpoint list", testSavedEndpoints)
 }
--- a/internal/planner/streamwriter.go
+++ b/internal/planner/streamwriter.go
@@ -29,7 +29,7 @@
 // newStreamWriter makes the writer of a connection, by the server's settings.
 func newStreamWriter(c *connection, s *server) *streamWriter {
 	heartbeatMs := s.limits.HeartbeatTimeoutMs / heartbeatsPerTimeout
-	if s.epochs != nil { // a proxy tells each planner which others it hears
+	if s.epochs != nil { // a proxy states to each planner which others it is connected to
 		heartbeatMs = min(heartbeatMs, lease.HeartbeatMs)
 	}
 	return &streamWriter{
@@ -93,7 +93,7 @@
 }
 
 // sayFarewell sends what is left when the planner stops, as the release of the lease is among it, and why the stream ends,
-// unless the proxy cannot hear that.
+// unless the proxy cannot receive that.
 func (w *streamWriter) sayFarewell() {
 	reason := w.closeCause.Reason
 	if reason == controlstream.ReasonShutdown {
--- a/internal/platform/acknowledgements_test.go
+++ b/internal/platform/acknowledgements_test.go
@@ -32,7 +32,7 @@
 	h.advance(1000)
 	for range 3 {
 		h.advance(3000)
-		for id, connection := range connections { // a report keeps no stream alive that is not its own: its own messages wake it
+		for id, connection := range connections { // a report keeps no stream alive that is not its own: its own messages reactivate it
 			h.receive(connection, demandMessage(id))
 			connection.lastMessageMs -= silenceMs
 		}
--- a/internal/platform/digest_test.go
+++ b/internal/platform/digest_test.go
@@ -10,7 +10,7 @@
 
 const (
 	digestOriginMs   = 1.8e12 // Unix time at which a conversation begins
-	digestStepMs     = 100.0  // between two times that the core is told
+	digestStepMs     = 100.0  // between two times that the core is given
 	conversationMs   = 150e3
 	digestIntervalMs = 10e3 // of an entry of the digest
 	lineEnd          = "\r\n"
--- a/internal/platform/runtime.go
+++ b/internal/platform/runtime.go
@@ -138,7 +138,7 @@
 
 // withCore calls a function with the lock held and the core's time set, and says whether that came to its end.
 //
-// A panic in it is logged and costs what was at hand: an input that brings one is lost with its connection, and a decision
+// A panic in it is logged and costs what was at hand: an input that causes one is lost with its connection, and a decision
 // is not made again, as the policy takes it off its list before it acts. What is half changed by then is one proxy's or one
 // server's, and the next solve writes all tables anew. Panics at every evaluation leave a planner that answers and orders
 // nothing: decide then ends the program, to be started from nothing.
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// countPartial brings the sum of incomplete messages up to date.
+// countPartial updates the sum of incomplete messages.
 func (t *sessionTable) countPartial(connection *Connection) {
 	held := len(connection.reader.partial)
 	t.partialBytes += held - connection.partialBytes
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -15,7 +15,7 @@
 	classes       []*pb.Group
 	pick          pb.Pick
 	firstAttempts float64 // latency objectives that an attempt may take if a retry can follow
-	defaultRetry  int     // retry mode of classes that were told none
+	defaultRetry  int     // retry mode of classes without one of their own
 	random        *rand.Rand
 
 	// What planners ordered.
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,7 +1,7 @@
 // Package proxy is a plain proxy of the control plane: it decides nothing itself, applies the weight tables, ejections and
 // admission rates that a planner sends, and keeps them while no planner is connected.
 //
-// Core holds what the proxy was told and decides on each request without I/O: whether it is admitted, which server it goes
+// Core holds the orders that the proxy received and decides on each request without I/O: whether it is admitted, which server it goes
 // to, and whether a failed attempt is retried. Times are handed to it, in milliseconds of a clock that never jumps.
 //
 // ControlClient connects a Core to planners: it keeps the control streams, applies orders, acknowledges them and reports
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -124,9 +124,9 @@
 		entry.Forget = c.random.Intn(4) == 0
 		return &order.Order{What: &order.Order_Line{Line: entry}}
 	case 3:
-		withdraw := &order.Withdraw{Server: c.randomServer(), Out: c.random.Intn(3) == 0}
-		withdraw.Going = withdraw.Out && c.random.Intn(2) == 0
-		return &order.Order{What: &order.Order_Withdraw{Withdraw: withdraw}}
+		ejection := &order.Withdraw{Server: c.randomServer(), Out: c.random.Intn(3) == 0}
+		ejection.Going = ejection.Out && c.random.Intn(2) == 0
+		return &order.Order{What: &order.Order_Withdraw{Withdraw: ejection}}
 	case 4:
 		return &order.Order{What: &order.Order_Level{Level: c.randomAdmission()}}
 	default:
--- a/internal/proxy/leasestate.go
+++ b/internal/proxy/leasestate.go
@@ -11,7 +11,7 @@
 const (
 	recentOrdersMs  = 60000.0  // ms that messages of orders are remembered; a planner's window for them is seldom longer
 	maxRecentOrders = 1000     // messages of orders that are remembered
-	drainMemoryMs   = 600000.0 // ms that a drain is told to a next holder; its endpoint list shows it long before
+	drainMemoryMs   = 600000.0 // ms that a drain is stated to a next holder; its endpoint list shows it long before
 )
 
 // HandleLeaseRequest grants or rejects a controller's request for the proxy's lease, or its renewal. A newly granted lease
@@ -33,7 +33,7 @@
 	return c.grantor.Accepts(controller, message.Incarnation, message.Epoch)
 }
 
-// isHolder says whether a controller's process holds the lease, as of the last time that the grantor was told.
+// isHolder says whether a controller's process holds the lease, as of the last time that the grantor was given.
 func (c *Core) isHolder(controller string, incarnation uint64) bool {
 	return c.grantor.Controller == controller && c.grantor.Incarnation == incarnation
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -152,7 +152,7 @@
 		})
 	}
 	t.Run("a server that does not listen is proof, and the request goes to another with its body", checkRetryAfterRefusedDial)
-	t.Run("what is not admitted, or has no server, is rejected at once and told when to come back", func(t *testing.T) {
+	t.Run("what is not admitted, or has no server, is rejected at once with a time to retry after", func(t *testing.T) {
 		running, address := startProxy(t, "")
 		checkSend(t, address, "check", http.StatusServiceUnavailable, "bare")
 		running.mu.Lock()
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -21,7 +21,7 @@
 	shutdownTimeout   = time.Second // that requests in flight are given when the proxy shuts down
 )
 
-// Proxy is a running proxy: a ControlClient that forwards requests by what it was told.
+// Proxy is a running proxy: a ControlClient that forwards requests by the orders it received.
 type Proxy struct {
 	*ControlClient
 	transports    map[string]*http.Transport // to servers, by address; guarded by the client's lock
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -15,7 +15,7 @@
 	"lichenpick/proto/order"
 )
 
-// shutdownReason is what planners are told when the proxy shuts down.
+// shutdownReason is the reason stated to planners when the proxy shuts down.
 const shutdownReason = "the proxy ends"
 
 // runStream dials a planner and holds the stream until it ends. It says whether the planner welcomed the proxy, and why the
--- a/internal/proxy/tables.go
+++ b/internal/proxy/tables.go
@@ -24,7 +24,7 @@
 	return slices.IndexFunc(t.entries, func(entry *weightEntry) bool { return entry.server == server })
 }
 
-// admission is what a class is told to admit and to retry.
+// admission is what a class is ordered to admit and to retry.
 type admission struct {
 	fraction float64 // of its requests, from 0 to 1
 	retry    int     // retry mode, one of policy.RetryNever to policy.RetryTwice
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -53,7 +53,7 @@
 	linkFaults      map[int]linkFault
 	nextLinkFault   int
 	plannerStatuses []*planner.Status // as planners ended
-	hungPlanners    int               // that did not end when told to
+	hungPlanners    int               // that did not end when asked to
 	plannerCPU      time.Duration     // of planners that ran as processes
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-// start brings up everything but the clients: the registry, servers, planners and proxies, in this order. What it started
+// start starts everything but the clients: the registry, servers, planners and proxies, in this order. What it started
 // ends with the context; the group owns the goroutines.
 func (f *fleet) start(ctx context.Context, group *errgroup.Group) error {
 	f.group = group
--- a/internal/settings/crossfield.go
+++ b/internal/settings/crossfield.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// checkEndpointList checks that no server is listed twice, and that start times can be told from the list's own time.
+// checkEndpointList checks that no server is listed twice, and that start times can be computed from the list's own time.
 func checkEndpointList(list *pb.List) *problem {
 	seen := map[string]bool{}
 	for index, endpoint := range list.Servers {
--- a/internal/settings/crossfield_script.go
+++ b/internal/settings/crossfield_script.go
@@ -20,9 +20,9 @@
 	if scenario.Servers.GetSlowest() > scenario.Servers.GetFastest() {
 		return newProblem(fieldPath("servers", "slowest"), "holds %g, over fastest", scenario.Servers.GetSlowest())
 	}
-	for index, trouble := range scenario.Troubles {
+	for index, fault := range scenario.Troubles {
 		at := path(nil).entry("troubles", index)
-		if found := checkTrouble(trouble, zones, scenario.Length, at); found != nil {
+		if found := checkFault(fault, zones, scenario.Length, at); found != nil {
 			return found
 		}
 	}
@@ -72,23 +72,23 @@
 	return names, nil
 }
 
-// checkTrouble checks one fault of a scenario: of a known kind, in a zone of the fleet, and before the scenario's end.
-func checkTrouble(trouble *script.Trouble, zones map[string]bool, length string, at path) *problem {
-	if trouble.What == nil {
+// checkFault checks one fault of a scenario: of a known kind, in a zone of the fleet, and before the scenario's end.
+func checkFault(fault *script.Trouble, zones map[string]bool, length string, at path) *problem {
+	if fault.What == nil {
 		return newProblem(at, "says nothing of what goes wrong")
 	}
-	if field, zone := zoneOf(trouble); field != "" && !zones[zone] {
+	if field, zone := zoneOf(fault); field != "" && !zones[zone] {
 		return newProblem(at.field(field).field("zone"), "holds %q, which is no place of this script", zone)
 	}
-	if Milliseconds(trouble.At) >= Milliseconds(length) {
-		return newProblem(at.field("at"), "holds %q, after the day's length of %q", trouble.At, length)
+	if Milliseconds(fault.At) >= Milliseconds(length) {
+		return newProblem(at.field("at"), "holds %q, after the day's length of %q", fault.At, length)
 	}
 	return nil
 }
 
 // zoneOf gives the field of a fault that concerns a zone, and the zone's name; empty for other faults.
-func zoneOf(trouble *script.Trouble) (field, zone string) {
-	switch what := trouble.What.(type) {
+func zoneOf(fault *script.Trouble) (field, zone string) {
+	switch what := fault.What.(type) {
 	case *script.Trouble_ZoneCut:
 		return "zone_cut", what.ZoneCut.Zone
 	case *script.Trouble_ZoneLoss:
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("%v\n%s\n%s", err, printed, Format(&again))
 		}
 	})
-	t.Run("start times need the clock that they are told by", func(t *testing.T) {
+	t.Run("start times need the clock that they are measured by", func(t *testing.T) {
 		text := `servers { server: "127.0.0.1:1" zone: "a" born_unix_ms: 5 }`
 		checkRejected(t, text, &pb.List{}, "as_of_unix_ms: is missing")
 	})
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -2,7 +2,7 @@
 // proxy core are the product's own, driven through their input methods. It opens no socket, starts no goroutine and reads no
 // clock, so that a script with its seed always gives the same result.
 //
-// All times are in ms since the start of the run. What the models leave out is in docs/emulator.md; a script with a fault
+// All times are in ms since the start of the run. What the models leave out is in docs/simulation.md; a script with a fault
 // that they cannot show is refused with an [UnsupportedFaultError].
 package simulation
 
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -47,7 +47,7 @@
 	i.actions.setEjected(i.name, server, ejected)
 }
 
-// RestoreServers writes nothing: the policy is never told here that a proxy holds ejections of another planner.
+// RestoreServers writes nothing: here the policy never learns of a proxy that holds ejections of another planner.
 func (i *instance) RestoreServers(int, []string) {}
 
 // SetAdmission writes which fraction of a class's requests is admitted, and its retry mode.
