--- a/cmd/lichenpick/plannermember.go
+++ b/cmd/lichenpick/plannermember.go
@@ -1,11 +1,9 @@
 package main
 
 import (
-	"encoding/json"
-	"errors"
+	"context"
 	"fmt"
 	"net"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -19,9 +17,6 @@
 	pb "lichenpick/proto/settings"
 )
 
-// plannerStatusTimeout is how long a planner may take to answer for its status.
-const plannerStatusTimeout = time.Second
-
 // plannerMember is one planner of a group, over its restarts.
 type plannerMember struct {
 	file          string // of its settings
@@ -81,14 +76,13 @@
 }
 
 // poll reads the planner's status.
-func (m *plannerMember) poll() (err error) {
-	client := &http.Client{Timeout: plannerStatusTimeout}
-	response, err := client.Get("http://" + m.statusAddress + "/status")
+func (m *plannerMember) poll() error {
+	status, err := planner.FetchStatus(context.Background(), m.statusAddress)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, response.Body.Close()) }()
-	return json.NewDecoder(response.Body).Decode(&m.status)
+	m.status = *status
+	return nil
 }
 
 // stop ends the planner's process by a signal, waits until it has ended, and adds up what it used. It does nothing where
--- a/internal/discovery/tracker.go
+++ b/internal/discovery/tracker.go
@@ -20,8 +20,9 @@
 	minUnverified = 3
 	// unverifiedMs is how long the removal of missing servers is delayed, in ms. A source that polls may lack them for a poll or two.
 	unverifiedMs = 10_000.0
-	// removedMemoryMs is how long a removed server is remembered, in ms: longer than the policy does.
-	removedMemoryMs = 900_000.0
+	// RemovedRetentionMs is how long a removed server is remembered, in ms. The policy forgets one earlier, so that no late decision
+	// of it is about an unknown server.
+	RemovedRetentionMs = 900_000.0
 )
 
 // earliestStartMs is what starts before the origin of the planner's clock count as, in ms. 0 would mean that the start is not
@@ -232,7 +233,7 @@
 	remembered := t.order[:0]
 	for _, server := range t.order {
 		endpoint := t.endpoints[server]
-		if endpoint.State == policy.Removed && !endpoint.changed && t.nowMs-endpoint.reportedMs > removedMemoryMs {
+		if endpoint.State == policy.Removed && !endpoint.changed && t.nowMs-endpoint.reportedMs > RemovedRetentionMs {
 			delete(t.endpoints, server)
 			continue
 		}
--- a/internal/discovery/tracker_test.go
+++ b/internal/discovery/tracker_test.go
@@ -131,15 +131,15 @@
 	test := newTrackerTest()
 	test.at(1000, listOf(10))
 	test.at(2000, listOf(9))
-	test.at(2000+removedMemoryMs/2, listOf(9))
+	test.at(2000+RemovedRetentionMs/2, listOf(9))
 	if test.tracker.endpoints["s9"] == nil {
 		t.Error("forgotten at once")
 	}
-	test.at(3000+removedMemoryMs, listOf(9))
+	test.at(3000+RemovedRetentionMs, listOf(9))
 	if len(test.tracker.endpoints) != 9 || len(test.tracker.order) != 9 {
 		t.Errorf("%d known, %d in order", len(test.tracker.endpoints), len(test.tracker.order))
 	}
-	test.at(4000+removedMemoryMs, listOf(10))
+	test.at(4000+RemovedRetentionMs, listOf(10))
 	test.expectReady(t, 10)
 }
 
--- a/internal/planner/endpoints.go
+++ b/internal/planner/endpoints.go
@@ -8,10 +8,6 @@
 	pb "lichenpick/proto/settings"
 )
 
-// removedRetentionMs is how long a removed server is known. The policy forgets one earlier, so that no late decision about a
-// server finds it unknown here.
-const removedRetentionMs = 9e5
-
 // endpointState is a server as the endpoint list last stated it.
 type endpointState struct {
 	state   policy.State
@@ -64,7 +60,7 @@
 // forgetRemoved forgets servers that were removed long ago. It guards against names that pile up with each release.
 func (r *endpointRegistry) forgetRemoved(nowMs float64, ejected map[string]bool) {
 	for server, endpoint := range r.byServer {
-		if endpoint.state == policy.Removed && nowMs-endpoint.sinceMs > removedRetentionMs && !ejected[server] {
+		if endpoint.state == policy.Removed && nowMs-endpoint.sinceMs > discovery.RemovedRetentionMs && !ejected[server] {
 			delete(r.byServer, server)
 		}
 	}
--- a/internal/scenario/plannerprocess.go
+++ b/internal/scenario/plannerprocess.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
@@ -23,7 +22,6 @@
 const (
 	startAttempts     = 3                     // a free port may be taken by another process before the planner listens
 	startPollInterval = 20 * time.Millisecond // of the status, until it answers
-	statusTimeout     = time.Second
 	// stopTimeout is how long a planner's process may take to end; one that takes longer hangs, and the run has failed.
 	stopTimeout = 5 * time.Second
 )
@@ -138,21 +136,8 @@
 }
 
 // status asks the planner for its status.
-func (p *plannerProcess) status(ctx context.Context) (status *planner.Status, err error) {
-	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
-	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.statusAddress+"/status", http.NoBody)
-	if err != nil {
-		return nil, err
-	}
-	response, err := http.DefaultClient.Do(request)
-	if err != nil {
-		return nil, err
-	}
-	defer func() { err = errors.Join(err, response.Body.Close()) }()
-	status = &planner.Status{}
-	err = json.NewDecoder(response.Body).Decode(status)
-	return status, err
+func (p *plannerProcess) status(ctx context.Context) (*planner.Status, error) {
+	return planner.FetchStatus(ctx, p.statusAddress)
 }
 
 // setDraining asks the planner to hand its proxies over to others, or to take part again. The end of the run does not cancel
--- a/internal/scenario/planners.go
+++ b/internal/scenario/planners.go
@@ -103,7 +103,7 @@
 // settings returns the planner's checked settings.
 func (p *plannerInstance) settings() (*pb.Planner, error) {
 	f := p.fleet
-	proxies := uint32(proxyCount(f.script))
+	proxies := uint32(settings.ProxyCount(f.script))
 	set := &pb.Planner{
 		Name:     p.name,
 		Listen:   plannerListen,
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -97,7 +97,7 @@
 	f.loadGenerator = &fake.LoadGenerator{
 		Clock:             f.clock,
 		Classes:           f.script.Groups,
-		Shares:            classShares(f.script),
+		Shares:            settings.ClassShares(f.script),
 		RequestsPerSecond: settings.PerSecond(f.script.Traffic.Rate),
 		MaxRetries:        int(f.script.Traffic.GetRepeats()),
 		BackoffMs:         settings.Milliseconds(f.script.Traffic.Pause),
@@ -137,24 +137,6 @@
 	return faultErr
 }
 
-// classShares returns the share of each traffic class in the requests; they add up to 1.
-func classShares(scenario *script.Script) []float64 {
-	shares := append([]float64(nil), scenario.Traffic.Shares...)
-	if len(shares) == 0 {
-		for range scenario.Groups {
-			shares = append(shares, 1)
-		}
-	}
-	sum := 0.0
-	for _, share := range shares {
-		sum += share
-	}
-	for class := range shares {
-		shares[class] /= sum
-	}
-	return shares
-}
-
 // sleep waits for a time on the run's clock. Its only error is that of a context that ends before.
 func (f *fleet) sleep(ctx context.Context, duration time.Duration) error {
 	return clock.Sleep(ctx, f.clock, milliseconds(duration))
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -10,7 +10,6 @@
 	"lichenpick/internal/proxy"
 	"lichenpick/internal/settings"
 	"lichenpick/proto/order"
-	"lichenpick/proto/script"
 	pb "lichenpick/proto/settings"
 )
 
@@ -58,7 +57,7 @@
 // newProxySettings returns the checked settings of a proxy, its number in its zone given.
 func (f *fleet) newProxySettings(zone, number int, known []string) (*pb.Proxy, error) {
 	zoneName := f.script.Places[zone].Name
-	usualRate := settings.PerSecond(f.script.Traffic.Rate) / float64(max(proxyCount(f.script), 1))
+	usualRate := settings.PerSecond(f.script.Traffic.Rate) / float64(max(settings.ProxyCount(f.script), 1))
 	seed, standing := f.drawProxy(known)
 	set := &pb.Proxy{
 		Name:           fmt.Sprintf("edge-%s-%d", zoneName, number),
@@ -140,12 +139,3 @@
 	}
 	return clones
 }
-
-// proxyCount returns the number of proxies of a script.
-func proxyCount(scenario *script.Script) int {
-	count := 0
-	for _, place := range scenario.Places {
-		count += int(place.GetProxies())
-	}
-	return count
-}
--- /dev/null
+++ b/internal/settings/script.go
@@ -0,0 +1,33 @@
+package settings
+
+import "lichenpick/proto/script"
+
+// ProxyCount returns the number of proxies in the fleet of a checked scenario.
+func ProxyCount(scenario *script.Script) int {
+	count := 0
+	for _, place := range scenario.Places {
+		count += int(place.GetProxies())
+	}
+	return count
+}
+
+// ClassShares returns the share of each traffic class in the requests of a checked scenario; they add up to 1. Where the
+// scenario states none, all are equal.
+func ClassShares(scenario *script.Script) []float64 {
+	given := scenario.Traffic.Shares
+	shares := make([]float64, len(scenario.Groups))
+	total := 0.0
+	for class := range shares {
+		switch {
+		case len(given) == 0:
+			shares[class] = 1
+		case class < len(given):
+			shares[class] = given[class]
+		}
+		total += shares[class]
+	}
+	for class := range shares {
+		shares[class] /= total
+	}
+	return shares
+}
--- a/internal/simulation/build.go
+++ b/internal/simulation/build.go
@@ -8,7 +8,6 @@
 
 	"lichenpick/internal/settings"
 	"lichenpick/policy"
-	"lichenpick/proto/script"
 	pb "lichenpick/proto/settings"
 )
 
@@ -27,7 +26,7 @@
 		}
 	}
 	f.planner.sendEndpoints(0, policy.FullUpdate, f.servers)
-	f.shares = classShares(f.script)
+	f.shares = settings.ClassShares(f.script)
 	for _, place := range f.script.Places {
 		for number := range place.GetProxies() {
 			if err := f.addProxy(place.Name, int(number)); err != nil {
@@ -38,35 +37,6 @@
 	return nil
 }
 
-// proxyCount returns the number of proxies of a script.
-func proxyCount(scenario *script.Script) int {
-	count := 0
-	for _, place := range scenario.Places {
-		count += int(place.GetProxies())
-	}
-	return count
-}
-
-// classShares returns the share of each traffic class in the requests; they add up to 1.
-func classShares(scenario *script.Script) []float64 {
-	given := scenario.Traffic.Shares
-	shares := make([]float64, len(scenario.Groups))
-	total := 0.0
-	for class := range shares {
-		switch {
-		case len(given) == 0:
-			shares[class] = 1
-		case class < len(given):
-			shares[class] = given[class]
-		}
-		total += shares[class]
-	}
-	for class := range shares {
-		shares[class] /= total
-	}
-	return shares
-}
-
 // addServer adds a server to a zone, warm. It is not listed yet.
 func (f *fleet) addServer(zone int) (*server, error) {
 	number := len(f.servers)
--- a/internal/simulation/planner.go
+++ b/internal/simulation/planner.go
@@ -44,7 +44,7 @@
 		Servers: f.script.Limits,
 		Streams: &pb.Streams{},
 		List:    &pb.ListSource{From: &pb.ListSource_File{File: &pb.FileList{Path: "unused"}}},
-		Proxies: proto.Uint32(uint32(max(proxyCount(f.script), 1))),
+		Proxies: proto.Uint32(uint32(max(settings.ProxyCount(f.script), 1))),
 	}
 	for _, place := range f.script.Places {
 		set.Zones = append(set.Zones, &pb.Zone{Name: place.Name})
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -54,7 +54,7 @@
 	join := &order.Join{
 		Proxy:       full.Name,
 		Zone:        zoneName,
-		UsualPerS:   settings.PerSecond(f.script.Traffic.Rate) / float64(proxyCount(f.script)),
+		UsualPerS:   settings.PerSecond(f.script.Traffic.Rate) / float64(settings.ProxyCount(f.script)),
 		Incarnation: 1,
 		Stream:      1,
 		Groups:      uint32(len(f.script.Groups)),
