--- a/internal/controlstream/golden_test.go
+++ b/internal/controlstream/golden_test.go
@@ -247,7 +247,7 @@
 		for _, f := range frames {
 			seenKinds[f.kind] = true
 			if f.body != nil {
-				collectFields(f.body.ProtoReflect(), seenFields)
+				golden.CollectNames(f.body.ProtoReflect(), seenFields)
 			}
 		}
 	}
@@ -260,23 +260,6 @@
 	checkFields(t, order.File_proto_order_order_proto.Messages(), seenFields)
 }
 
-// collectFields notes the fields that a message, or one below it, holds.
-func collectFields(message protoreflect.Message, seen map[protoreflect.FullName]bool) {
-	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
-		seen[field.FullName()] = true
-		switch {
-		case field.Message() == nil:
-		case field.IsList():
-			for index := range value.List().Len() {
-				collectFields(value.List().Get(index).Message(), seen)
-			}
-		default:
-			collectFields(value.Message(), seen)
-		}
-		return true
-	})
-}
-
 func checkFields(t *testing.T, messages protoreflect.MessageDescriptors, seen map[protoreflect.FullName]bool) {
 	t.Helper()
 	for index := range messages.Len() {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -88,7 +88,7 @@
 			if err := prototext.Unmarshal(text, message); err != nil {
 				t.Fatalf("%s: %v", path, err)
 			}
-			collectNames(message.ProtoReflect(), seen)
+			golden.CollectNames(message.ProtoReflect(), seen)
 		}
 	}
 	for _, file := range []protoreflect.FileDescriptor{pb.File_proto_settings_settings_proto, script.File_proto_script_script_proto} {
@@ -97,25 +97,6 @@
 	}
 }
 
-// collectNames notes the fields that a message, or one below it, holds, and the names of the enumerations.
-func collectNames(message protoreflect.Message, seen map[protoreflect.FullName]bool) {
-	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
-		seen[field.FullName()] = true
-		switch {
-		case field.Enum() != nil:
-			seen[field.Enum().Values().ByNumber(value.Enum()).FullName()] = true
-		case field.Message() == nil:
-		case field.IsList():
-			for index := range value.List().Len() {
-				collectNames(value.List().Get(index).Message(), seen)
-			}
-		default:
-			collectNames(value.Message(), seen)
-		}
-		return true
-	})
-}
-
 func checkMessages(t *testing.T, messages protoreflect.MessageDescriptors, seen map[protoreflect.FullName]bool) {
 	t.Helper()
 	for index := range messages.Len() {
