--- /dev/null
+++ b/internal/platform/fleet_test.go
@@ -0,0 +1,296 @@
+package platform
+
+import (
+	"cmp"
+	"fmt"
+	"iter"
+	"maps"
+	"math/rand"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"lichenpick/internal/simulator"
+	"lichenpick/policy"
+)
+
+// modelProxy is a proxy as the protocol has it: a weight table for each class, and ejected servers.
+type modelProxy struct {
+	id            int
+	connection    *Connection // nil while it has left
+	rejoinedMs    float64     // when it last came back
+	assigned      bool        // it has applied a table of the planner since it joined
+	weights       map[string]map[string]float64
+	ejected       map[string]bool
+	lastArrivalMs float64
+	sentMs        []float64 // times of the updates on this stream
+}
+
+func newModelProxy(id int, classes []string) *modelProxy {
+	p := &modelProxy{id: id, weights: map[string]map[string]float64{}, ejected: map[string]bool{}}
+	for _, class := range classes {
+		p.weights[class] = map[string]float64{}
+	}
+	return p
+}
+
+// inheritTables gives a proxy what a planner that has ended left it: a table and ejections, drawn at random.
+func (p *modelProxy) inheritTables(random *rand.Rand, servers []policy.Endpoint) {
+	const (
+		inheritedEntries   = 25
+		inheritedEjections = 10
+	)
+	for _, index := range random.Perm(len(servers))[:inheritedEntries] {
+		for _, weights := range p.weights {
+			weights[servers[index].Server] = 1.0 / inheritedEntries
+		}
+	}
+	for _, index := range random.Perm(len(servers))[:inheritedEjections] {
+		p.ejected[servers[index].Server] = true
+	}
+}
+
+// apply takes in an update, and returns the numbers that it asks to be acknowledged.
+func (p *modelProxy) apply(update string) []string {
+	var stamps []string
+	for line := range strings.Lines(update) {
+		classes := slices.Collect(maps.Keys(p.weights))
+		for _, word := range strings.Fields(line)[1:] {
+			name, value, _ := strings.Cut(word, "=")
+			switch name {
+			case "for":
+				classes = strings.Split(value, "+")
+			case "stamp":
+				stamps = append(stamps, value)
+			case "drop", "undrop":
+				for server := range strings.SplitSeq(value, ",") {
+					p.ejected[server] = name == "drop"
+				}
+			case "replace", "rows":
+				p.assigned = p.assigned || name == "replace"
+				for _, class := range classes {
+					p.changeTable(class, name, value)
+				}
+			}
+		}
+	}
+	return stamps
+}
+
+func (p *modelProxy) changeTable(class, field, value string) {
+	if field == "replace" {
+		p.weights[class] = map[string]float64{}
+		return
+	}
+	for entry := range strings.SplitSeq(value, ",") {
+		server, text, _ := strings.Cut(entry, ":")
+		weight, err := strconv.ParseFloat(text, 64)
+		if err != nil {
+			panic("a weight that is no number: " + entry)
+		}
+		if p.weights[class][server] = weight; weight == 0 {
+			delete(p.weights[class], server)
+		}
+	}
+}
+
+// pickable yields the servers that a class's requests may go to.
+func (p *modelProxy) pickable(class string) iter.Seq[string] {
+	return func(yield func(string) bool) {
+		for server := range p.weights[class] {
+			if !p.ejected[server] && !yield(server) {
+				return
+			}
+		}
+	}
+}
+
+// wireEntries is what the channel counts for an update, without the overhead of its message.
+func wireEntries(update string) int {
+	count := 0
+	for word := range strings.FieldsSeq(update) {
+		switch name, value, _ := strings.Cut(word, "="); name {
+		case "rows", "drop", "undrop":
+			count += 1 + strings.Count(value, ",")
+		case "replace", "gate", "stamp":
+			count++
+		}
+	}
+	return count
+}
+
+// delivery is an update on its way.
+type delivery struct {
+	proxy             *modelProxy
+	connection        *Connection
+	update            string
+	sentMs, appliedMs float64 // ms since the start
+}
+
+// modelFleet plays the proxies of one planner and the channel to them, which sends one update after another at
+// EntriesPerSecond; each then takes up to MaxPropagationMs. It implements Host.
+type modelFleet struct {
+	*Core
+	t             *testing.T
+	random        *rand.Rand
+	atMs          float64 // since the start
+	servers       []policy.Endpoint
+	notReadySince map[string]float64 // when the planner was notified
+	proxies       []*modelProxy
+	streams       map[*Connection]*modelProxy
+	deliveries    []delivery
+	channelFreeMs float64 // when all that waits will have left the channel
+	maxBacklog    float64 // entries
+	maxMessages   int     // to one proxy within MessageWindowMs
+	worstPickMs   float64 // latest pick of a server that is not ready, after the notification
+	violations    map[string]bool
+}
+
+func newModelFleet(t *testing.T, site simulator.Settings, servers int, seed int64) *modelFleet {
+	t.Helper()
+	f := &modelFleet{
+		Core:          NewCore(site, seed, testOriginMs),
+		t:             t,
+		random:        rand.New(rand.NewSource(seed)),
+		servers:       testEndpoints(servers, policy.Ready),
+		notReadySince: map[string]float64{},
+		streams:       map[*Connection]*modelProxy{},
+		violations:    map[string]bool{},
+	}
+	f.UpdateEndpoints(policy.RestoredUpdate, f.servers)
+	for id := range site.Policy.Proxies {
+		f.proxies = append(f.proxies, newModelProxy(id, site.Classes))
+	}
+	return f
+}
+
+// Send puts an update into the channel.
+func (f *modelFleet) Send(connection *Connection, update []byte) {
+	p := f.streams[connection]
+	limits := f.settings.Policy
+	entries := float64(wireEntries(string(update))) + limits.MessageOverhead
+	f.channelFreeMs = max(f.channelFreeMs, f.atMs) + entries/limits.EntriesPerSecond*millisecondsPerSecond
+	f.maxBacklog = max(f.maxBacklog, (f.channelFreeMs-f.atMs)*limits.EntriesPerSecond/millisecondsPerSecond)
+	p.lastArrivalMs = max(p.lastArrivalMs, f.channelFreeMs+f.random.Float64()*limits.MaxPropagationMs)
+	f.deliveries = append(f.deliveries, delivery{p, connection, string(update), f.atMs, p.lastArrivalMs})
+	p.sentMs = slices.DeleteFunc(append(p.sentMs, f.atMs), func(atMs float64) bool { return atMs <= f.atMs-limits.MessageWindowMs })
+	f.maxMessages = max(f.maxMessages, len(p.sentMs))
+}
+
+func (f *modelFleet) CloseConnection(_ *Connection, reason CloseReason, err error) {
+	f.t.Errorf("a stream was closed: %v, %v", reason, err)
+}
+
+func (f *modelFleet) SetTimer(float64) {}
+
+// join opens a proxy's stream; inherits says that the proxy has tables of another planner.
+func (f *modelFleet) join(p *modelProxy, inherits bool) {
+	fresh := 1
+	if inherits {
+		fresh = 0
+	}
+	p.connection = &Connection{}
+	p.assigned = false
+	p.sentMs = nil
+	f.streams[p.connection] = p
+	f.HandleConnect(p.connection)
+	f.HandleData(p.connection, fmt.Appendf(nil, "joined id=%d site=%s rps=8 new=%d\r\n", p.id, zoneNames[p.id%2], fresh))
+}
+
+func (f *modelFleet) leave(p *modelProxy) {
+	f.HandleDisconnect(p.connection)
+	p.connection = nil
+}
+
+// drain notifies the planner that servers drain, and that every third of them is gone.
+func (f *modelFleet) drain(servers []policy.Endpoint) {
+	for index := range servers {
+		servers[index].State = policy.Draining
+		if index%3 == 0 {
+			servers[index].State = policy.Removed
+		}
+		f.notReadySince[servers[index].Server] = f.atMs
+	}
+	f.UpdateEndpoints(policy.DeltaUpdate, servers)
+}
+
+// deliver has proxies apply and acknowledge what has arrived. What was sent on an earlier stream is lost.
+func (f *modelFleet) deliver() {
+	slices.SortStableFunc(f.deliveries, func(a, b delivery) int { return cmp.Compare(a.appliedMs, b.appliedMs) })
+	for len(f.deliveries) > 0 && f.deliveries[0].appliedMs <= f.atMs {
+		d := f.deliveries[0]
+		f.deliveries = f.deliveries[1:]
+		if d.connection != d.proxy.connection {
+			continue
+		}
+		for _, stamp := range d.proxy.apply(d.update) {
+			f.HandleData(d.connection, fmt.Appendf(nil, "applied id=%d seq=%s ms=%.0f\r\n", d.proxy.id, stamp, d.appliedMs-d.sentMs))
+		}
+	}
+}
+
+// step lets a short time pass, and checks each proxy at its end.
+func (f *modelFleet) step() {
+	f.atMs += testStepMs
+	f.SetTime(testOriginMs + f.atMs)
+	f.deliver()
+	for f.Next(f) {
+		continue
+	}
+	for _, p := range f.proxies {
+		if p.connection != nil {
+			f.checkPicks(p)
+		}
+	}
+}
+
+// checkPicks checks that a proxy picks no server beyond the grace after the planner was notified, or the proxy came back,
+// and that it can pick one that is ready.
+func (f *modelFleet) checkPicks(p *modelProxy) {
+	for _, class := range f.settings.Classes {
+		ready := false
+		for server := range p.pickable(class) {
+			sinceMs, notReady := f.notReadySince[server]
+			ready = ready || !notReady
+			if !notReady {
+				continue
+			}
+			lateMs := f.atMs - max(sinceMs, p.rejoinedMs)
+			f.worstPickMs = max(f.worstPickMs, lateMs)
+			if lateMs > f.settings.Policy.DrainGraceMs+graceSlackMs {
+				f.violations[fmt.Sprintf("proxy %d picks %s", p.id, server)] = true
+			}
+		}
+		if p.assigned && !ready {
+			f.violations[fmt.Sprintf("proxy %d has no ready server", p.id)] = true
+		}
+	}
+}
+
+// checkComplete checks that each proxy holds all that the planner has decided for it. Only entries of servers that are
+// ejected may still be omitted from its table.
+func (f *modelFleet) checkComplete() {
+	f.t.Helper()
+	for _, p := range f.proxies {
+		for class, name := range f.settings.Classes {
+			table := p.connection.proxy.tables[class]
+			if table == nil {
+				f.t.Errorf("proxy %d was assigned no table", p.id)
+				continue
+			}
+			decided := map[string]float64{}
+			for _, entry := range table.Entries {
+				ejected := f.publisher.registry.Ejected[entry.Server]
+				if _, held := p.weights[name][entry.Server]; held && p.ejected[entry.Server] != ejected {
+					f.t.Errorf("proxy %d has ejected %s: %t", p.id, entry.Server, !ejected)
+				} else if held || !ejected {
+					decided[entry.Server] = entry.Weight
+				}
+			}
+			if !maps.Equal(decided, p.weights[name]) {
+				f.t.Errorf("proxy %d has table %v, where %v was decided", p.id, p.weights[name], decided)
+			}
+		}
+	}
+}
