--- a/internal/planner/connection.go
+++ b/internal/planner/connection.go
@@ -87,12 +87,12 @@
 	goroutines.Go(func() { s.watch(ctx, c) })
 	goroutines.Wait()
 	closeQuietly(conn)
+	s.loop.submit(ctx, func(core *Core) { core.HandleDisconnect(c.stream, c.closeCause) })
 	s.Log.LogAttrs(ctx, closeLogLevel(c.closeCause.Reason), "stream closed",
 		slog.String(logKeyProxy, c.proxyName),
 		slog.Any(logKeyFrom, from),
 		slog.String(logKeyReason, string(c.closeCause.Reason)),
 		slog.String(logKeyDetail, c.closeCause.Detail))
-	s.loop.submit(ctx, func(core *Core) { core.HandleDisconnect(c.stream, c.closeCause) })
 }
 
 // watch waits until the connection is to end, and then interrupts its reader. When the planner stops, the core's farewell
--- a/internal/planner/eventloop.go
+++ b/internal/planner/eventloop.go
@@ -66,6 +66,7 @@
 	for {
 		in, running := l.await(ctx)
 		if !running {
+			l.takeInputs() // streams that have ended are counted
 			l.publishStatus(true)
 			l.sayFarewell()
 			return nil
--- a/internal/platform/rush_test.go
+++ b/internal/platform/takeover_test.go
@@ -43,6 +43,9 @@
 	{"joins over 2 s", 40, 180, -settledMs, 2000, []float64{0, 2000}, 0},
 	{"a planner that just started", 0, 240, 0, joinIntervalMs, []float64{1000}, 0},
 	{"proxies that leave and come back", 40, 200, -settledMs, joinIntervalMs, []float64{0, 2000}, 40},
+	{"a planner that just started, while servers drain", 0, 240, 0, joinIntervalMs, []float64{0}, 0},
+	{"a planner that just started, two batches of drains", 0, 160, 0, joinIntervalMs, []float64{0, 2000}, 0},
+	{"few proxies that have tables", 10, 190, -settledMs, joinIntervalMs, []float64{0, 2000}, 0},
 }
 
 // Proxies of planners that ended join another while servers drain. Each server must be ejected, or replaced with the
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -31,6 +31,7 @@
 	minTableEntries          = 8      // a table keeps most of its servers when a fifth fails
 	minEntries               = 3      // of a client; two may be lost at once before a table is empty
 	essentialWeight          = 0.8    // part of a table's weight that a proxy is sent at once in a takeover
+	maxTableWaitMs           = 1000.0 // ms from its joining until a table that a takeover waits for has entries
 	minWeightChange          = 0.25   // part of a weight, or of an average one; less is noise
 	minWarmingShare          = 4      // times smaller that an entry of a warming server may be
 	balanceRounds            = 20     // of scaling weights to shares, as many as of ADMM
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -188,8 +188,8 @@
 	if len(waiting) == 0 || !slices.ContainsFunc(p.servers, p.inGrace) {
 		return false
 	}
-	withoutTable := func(proxy *proxy) bool { return !p.hasTables(proxy) } // there is nothing to wait for
-	return !slices.ContainsFunc(waiting, withoutTable)
+	stuck := func(proxy *proxy) bool { return !p.hasTables(proxy) && p.nowMs > proxy.joinedMs+maxTableWaitMs }
+	return slices.ContainsFunc(waiting, p.hasTables) && !slices.ContainsFunc(waiting, stuck)
 }
 
 // urgentDrains are the ejections that go before first tables in a takeover: of the oldest notification, as
--- /dev/null
+++ b/policy/takeover_test.go
@@ -0,0 +1,232 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+const (
+	takeoverServers   = 120
+	takeoverOwn       = 60   // proxies that joined long before: enough to use each table
+	takeoverInherited = 200  // proxies that join with tables of other planners
+	takeoverDrains    = 20   // servers that begin to drain at once
+	evaluationMs      = 200  // between two times that the policy is given the time
+	acknowledgeEvery  = 5    // evaluations until requests for an acknowledgement are answered
+	assignedWithinMs  = 3500 // until all have tables: of the channel they take 2.5 s, and the drains 0.5 s
+	restoredWithinMs  = 15000
+)
+
+type decisionKind int
+
+const (
+	ejection decisionKind = iota
+	assignment
+	restoring
+)
+
+// takeoverDecision is what the policy had its host do, of the kinds that matter in a takeover.
+type takeoverDecision struct {
+	kind              decisionKind
+	atMs              float64 // since the joins
+	proxy             int
+	servers           []string // ejected, omitted or restored
+	includeUnassigned bool
+}
+
+// takeoverHost is a fake that keeps decisions in their order.
+type takeoverHost struct {
+	*fakeHost
+	joinedMs    float64
+	evaluations int
+	decisions   []takeoverDecision
+}
+
+func (h *takeoverHost) add(d takeoverDecision) {
+	d.atMs = h.nowMs - h.joinedMs
+	h.decisions = append(h.decisions, d)
+}
+
+func (h *takeoverHost) SetEjected(server string, ejected, includeUnassigned bool) {
+	h.fakeHost.SetEjected(server, ejected, includeUnassigned)
+	if ejected {
+		h.add(takeoverDecision{kind: ejection, servers: []string{server}, includeUnassigned: includeUnassigned})
+	}
+}
+
+func (h *takeoverHost) AssignTable(proxy, table int, classes []int, omitted []string) {
+	h.fakeHost.AssignTable(proxy, table, classes, omitted)
+	h.add(takeoverDecision{kind: assignment, proxy: proxy, servers: omitted})
+}
+
+func (h *takeoverHost) RestoreServers(proxy int, servers []string) {
+	h.add(takeoverDecision{kind: restoring, proxy: proxy, servers: servers})
+}
+
+// advance lets time pass. Requests for an acknowledgement are answered once a second, as a channel in use would.
+func (h *takeoverHost) advance(ms int) {
+	for range ms / evaluationMs {
+		h.evaluate()
+		h.nowMs += evaluationMs
+		h.planner.SetTime(h.nowMs)
+		if h.evaluations++; h.evaluations%acknowledgeEvery == 0 {
+			h.answer()
+		}
+	}
+	h.evaluate()
+}
+
+func (h *takeoverHost) evaluate() {
+	for h.planner.Next(h) {
+		continue
+	}
+}
+
+// startTakeover starts a planner with proxies of its own, which others then join with tables of another.
+func startTakeover(t *testing.T, drains ...Endpoint) *takeoverHost {
+	t.Helper()
+	set := testSettings()
+	set.OmitsEntries = true
+	set.ReadmitByWeight = true
+	set.Proxies = takeoverOwn + takeoverInherited
+	h := &takeoverHost{fakeHost: startPlanner(set)}
+	h.planner.UpdateEndpoints(RestoredUpdate, readyServers(takeoverServers))
+	for id := range takeoverOwn {
+		h.planner.AddProxy(id, id%2, 10)
+	}
+	h.advance(10000)
+	h.joinedMs = h.nowMs
+	h.decisions = nil
+	h.planner.UpdateEndpoints(DeltaUpdate, drains)
+	for id := takeoverOwn; id < takeoverOwn+takeoverInherited; id++ {
+		h.planner.AddProxy(id, id%2, 10)
+		h.planner.ExpectInheritedEjections(id)
+	}
+	return h
+}
+
+// drained lists servers that began to drain: of each run of servers one, as neighbors share a table.
+func drained(batch int) []Endpoint {
+	var list []Endpoint
+	for index, endpoint := range readyServers(takeoverServers) {
+		if index%(takeoverServers/takeoverDrains) == batch {
+			endpoint.State = Draining
+			list = append(list, endpoint)
+		}
+	}
+	return list
+}
+
+func (h *takeoverHost) of(kind decisionKind) []takeoverDecision {
+	return filter(h.decisions, func(d takeoverDecision) bool { return d.kind == kind })
+}
+
+// restored are the servers that a proxy had restored, by the decisions so far.
+func (h *takeoverHost) restored(proxy int) []string {
+	var servers []string
+	for _, d := range h.of(restoring) {
+		if d.proxy == proxy {
+			servers = append(servers, d.servers...)
+		}
+	}
+	return servers
+}
+
+func (h *takeoverHost) checkAssigned(t *testing.T) {
+	t.Helper()
+	assignments := h.of(assignment)
+	if len(assignments) != takeoverInherited {
+		t.Fatalf("%d of %d proxies were assigned a table", len(assignments), takeoverInherited)
+	}
+	last := assignments[len(assignments)-1]
+	t.Logf("the last proxy was assigned a table after %.0f ms", last.atMs)
+	if last.atMs > assignedWithinMs {
+		t.Errorf("the last proxy was assigned a table %.0f ms after it joined", last.atMs)
+	}
+}
+
+// TestTakeover states what goes first while servers drain and proxies join that may hold them in tables of another planner.
+func TestTakeover(t *testing.T) {
+	h := startTakeover(t, drained(0)...)
+	h.advance(400)
+	h.planner.UpdateEndpoints(DeltaUpdate, drained(1))
+	h.advance(restoredWithinMs)
+	t.Run("drained servers are ejected first, at proxies with our tables alone", h.checkEjections)
+	t.Run("ejections of later drains do not starve assignments", h.checkAssigned)
+	t.Run("what was omitted is restored later, but for ejected servers", h.checkOmitted)
+	t.Run("few servers are restored until all are assigned", h.checkRestoredLast)
+}
+
+func (h *takeoverHost) checkEjections(t *testing.T) {
+	ejections := h.of(ejection)
+	if len(ejections) != 2*takeoverDrains {
+		t.Errorf("%d servers were ejected", len(ejections))
+	}
+	for _, d := range ejections {
+		if d.includeUnassigned {
+			t.Errorf("%s is ejected at proxies without a table, %.0f ms after the joins", d.servers[0], d.atMs)
+		}
+	}
+	isAssignment := func(d takeoverDecision) bool { return d.kind == assignment }
+	if first := slices.IndexFunc(h.decisions, isAssignment); first != takeoverDrains {
+		t.Errorf("%d ejections before the first assignment", first)
+	}
+}
+
+func (h *takeoverHost) checkOmitted(t *testing.T) {
+	omittedReady := false
+	for _, d := range h.of(assignment) {
+		restored := h.restored(d.proxy)
+		if len(restored) < minEntries {
+			t.Errorf("proxy %d had %d servers restored", d.proxy, len(restored))
+		}
+		for _, server := range d.servers {
+			omittedReady = omittedReady || !h.ejected[server]
+			if !slices.Contains(restored, server) && !h.ejected[server] {
+				t.Errorf("proxy %d is never sent the entry of %s", d.proxy, server)
+			}
+		}
+	}
+	if !omittedReady {
+		t.Error("no light entries were omitted")
+	}
+}
+
+func (h *takeoverHost) checkRestoredLast(t *testing.T) {
+	assigned := 0
+	for _, d := range h.decisions {
+		if d.kind == assignment {
+			assigned++
+		}
+		if d.kind == restoring && assigned < takeoverInherited && len(d.servers) > minEntries {
+			t.Errorf("%d servers at proxy %d, %.0f ms after the joins", len(d.servers), d.proxy, d.atMs)
+		}
+	}
+}
+
+// TestNoTakeover states that a joined proxy gets everything at once where no server drains, or only such that all were notified of.
+func TestNoTakeover(t *testing.T) {
+	old := drained(0)
+	for _, drains := range [][]Endpoint{nil, old} {
+		t.Run(fmt.Sprintf("%d drained before", len(drains)), func(t *testing.T) {
+			h := startTakeover(t)
+			for _, proxy := range slices.Clone(h.planner.proxies[takeoverOwn:]) {
+				h.planner.RemoveProxy(proxy.id)
+			}
+			h.planner.UpdateEndpoints(DeltaUpdate, drains)
+			h.advance(int(h.planner.settings.DrainGraceMs) + restoredWithinMs)
+			h.decisions = nil
+			h.planner.AddProxy(takeoverOwn, 0, 10)
+			h.planner.ExpectInheritedEjections(takeoverOwn)
+			h.advance(evaluationMs)
+			assignments := h.of(assignment)
+			if len(assignments) != 1 || len(assignments[0].servers) > 0 {
+				t.Fatalf("%+v", assignments)
+			}
+			entries := filter(h.planner.byID[takeoverOwn].tables[0].entries, (*entry).inUse)
+			if restored := h.restored(takeoverOwn); len(restored) != len(entries) || h.decisions[1].kind != restoring {
+				t.Errorf("%d of %d servers were restored at once", len(restored), len(entries))
+			}
+		})
+	}
+}
