--- a/internal/platform/policyhost.go
+++ b/internal/platform/policyhost.go
@@ -57,7 +57,11 @@
 		}
 		ejected := publisher.registry.Ejected[entry.Server]
 		notified := e.notified.contains(proxyID)
-		omitted := slices.Contains(omittedServers, entry.Server)
+		// A server that another table of the proxy holds is never omitted: the proxy would not be notified of its ejection.
+		omitted := slices.Contains(omittedServers, entry.Server) && !p.usesElsewhere(entry.Server, table)
+		if !omitted && e.omitted.contains(proxyID) {
+			publisher.sendOmitted(p, e)
+		}
 		e.omitted.set(proxyID, omitted)
 		if !omitted && (ejected || notified) {
 			publisher.alignEjection(p, e)
@@ -109,6 +113,13 @@
 	}
 }
 
+// usesElsewhere says whether a table of a proxy other than this one holds a server.
+func (p *proxy) usesElsewhere(server string, except *weighttable.Table[*proxy]) bool {
+	return slices.ContainsFunc(p.tables, func(table *weighttable.Table[*proxy]) bool {
+		return table != nil && table != except && table.Index(server) >= 0
+	})
+}
+
 // mayHold says whether a table of a proxy holds a server or, with includeUnassigned, is not known.
 func (p *proxy) mayHold(server string, includeUnassigned bool) bool {
 	return slices.ContainsFunc(p.tables, func(table *weighttable.Table[*proxy]) bool {
--- a/policy/records.go
+++ b/policy/records.go
@@ -78,13 +78,15 @@
 
 // expectRestorations records what a proxy has yet to be sent after an assignment.
 func (p *proxy) expectRestorations(inherited, omitted []*entry) {
+	var added []restoration // before what an earlier table left, as its heaviest are restored with it
 	for _, entry := range inherited {
 		pending := restoration{server: entry.server, entries: 1}
 		if slices.Contains(omitted, entry) {
 			pending.entries++
 		}
-		p.unrestored = append(p.unrestored, pending)
+		added = append(added, pending)
 	}
+	p.unrestored = append(added, p.unrestored...)
 }
 
 // hasTables says whether there is something to assign to a proxy in each part of its zone.
--- a/policy/takeover_test.go
+++ b/policy/takeover_test.go
@@ -29,7 +29,7 @@
 type takeoverDecision struct {
 	kind              decisionKind
 	atMs              float64 // since the joins
-	proxy             int
+	proxy, table      int
 	servers           []string // ejected, omitted or restored
 	includeUnassigned bool
 }
@@ -56,7 +56,7 @@
 
 func (h *takeoverHost) AssignTable(proxy, table int, classes []int, omitted []string) {
 	h.fakeHost.AssignTable(proxy, table, classes, omitted)
-	h.add(takeoverDecision{kind: assignment, proxy: proxy, servers: omitted})
+	h.add(takeoverDecision{kind: assignment, proxy: proxy, table: table, servers: omitted})
 }
 
 func (h *takeoverHost) RestoreServers(proxy int, servers []string) {
@@ -85,7 +85,11 @@
 // startTakeover starts a planner with proxies of its own, which others then join with tables of another.
 func startTakeover(t *testing.T, drains ...Endpoint) *takeoverHost {
 	t.Helper()
-	set := testSettings()
+	return startTakeoverOf(t, testSettings(), drains...)
+}
+
+func startTakeoverOf(t *testing.T, set Settings, drains ...Endpoint) *takeoverHost {
+	t.Helper()
 	set.OmitsEntries = true
 	set.ReadmitByWeight = true
 	set.Proxies = takeoverOwn + takeoverInherited
@@ -230,3 +234,27 @@
 		})
 	}
 }
+
+// TestTakeoverRestoresOfEachTable states that a proxy with two tables has the heaviest servers of each restored with it. What
+// the first one left stood before those of the second, so that this had none to pick for certain.
+func TestTakeoverRestoresOfEachTable(t *testing.T) {
+	set := testSettings()
+	set.Classes[1].SameZoneOnly = true
+	h := startTakeoverOf(t, set, drained(0)...)
+	h.advance(assignedWithinMs)
+	for index, d := range h.decisions[:len(h.decisions)-1] {
+		if d.kind != assignment {
+			continue
+		}
+		restored := h.decisions[index+1]
+		if restored.kind != restoring || restored.proxy != d.proxy {
+			t.Errorf("nothing is restored at proxy %d with its table", d.proxy)
+		}
+		for _, server := range restored.servers {
+			holds := func(entry *entry) bool { return entry.server.Server == server }
+			if !slices.ContainsFunc(h.planner.tables[d.table].entries, holds) {
+				t.Errorf("%s, of another table of proxy %d, is restored with table %d", server, d.proxy, d.table)
+			}
+		}
+	}
+}
