--- a/internal/platform/takeover_test.go
+++ b/internal/platform/takeover_test.go
@@ -129,3 +129,19 @@
 	}
 	return events
 }
+
+// A server that one of a proxy's tables holds is sent with the other one too: an ejection is not sent where it is omitted.
+func TestServerOfTwoTablesIsNotOmitted(t *testing.T) {
+	const proxyID, first, second = 1, 90, 91
+	h := startCore(t)
+	h.connect("joined id=1 site=a rps=2 new=0")
+	host := policyHost{h.Core}
+	host.SetWeight(first, "s-1", 1)
+	host.SetWeight(second, "s-1", 1)
+	host.AssignTable(proxyID, first, []int{0}, nil)
+	host.AssignTable(proxyID, second, []int{1}, []string{"s-1"})
+	host.SetEjected("s-1", true, false)
+	if !h.endpoints.byName["s-1"].notified.contains(proxyID) {
+		t.Error("the proxy is not notified of the ejection")
+	}
+}
