--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -53,10 +53,10 @@
 	AddProxy(id, zone int, expectedRate float64, sentMs ...float64)
 	// RemoveProxy ends the command of a proxy.
 	RemoveProxy(id int)
-	// RecordReport takes in attempts of a zone's proxies at a server, with the mean latency of those that succeeded.
-	RecordReport(server string, zone, count, failed int, latencyMs, coversMs float64)
-	// RecordDemand takes in a proxy's requests of a traffic class.
-	RecordDemand(id, class, count, failed int, coversMs float64)
+	// RecordLoadReport takes in attempts of a zone's proxies at a server, with the mean latency of those that succeeded.
+	RecordLoadReport(server string, zone, count, failed int, latencyMs, coversMs float64)
+	// RecordDemandReport takes in a proxy's requests of a traffic class.
+	RecordDemandReport(id, class, count, failed int, coversMs float64)
 	// Acknowledge takes in that a proxy gave an acknowledgement, some time after it was decided to ask for it.
 	Acknowledge(id, number int, tookMs float64)
 	// SetLagging says whether the planner lags: deferrable decisions rest then.
--- a/internal/planner/loadreports.go
+++ b/internal/planner/loadreports.go
@@ -79,9 +79,9 @@
 	}
 	sample := load.take()
 	if load.proxy != nil {
-		c.policy.RecordDemand(load.proxy.id, load.class, sample.count, sample.failed, load.coversMs)
+		c.policy.RecordDemandReport(load.proxy.id, load.class, sample.count, sample.failed, load.coversMs)
 	} else {
-		c.policy.RecordReport(load.server, load.zone, sample.count, sample.failed, sample.meanLatencyMs(), load.coversMs)
+		c.policy.RecordLoadReport(load.server, load.zone, sample.count, sample.failed, sample.meanLatencyMs(), load.coversMs)
 	}
 	c.Counts.Shed = uint64(c.intake.shed)
 	return true
--- a/internal/planner/server_fixture_test.go
+++ b/internal/planner/server_fixture_test.go
@@ -320,9 +320,9 @@
 	defer s.gate.Unlock()
 }
 
-func (s *stallingPolicy) RecordReport(server string, zone, count, failed int, latency, covers float64) {
+func (s *stallingPolicy) RecordLoadReport(server string, zone, count, failed int, latency, covers float64) {
 	s.attempts.Add(int64(count))
-	s.Decider.RecordReport(server, zone, count, failed, latency, covers)
+	s.Decider.RecordLoadReport(server, zone, count, failed, latency, covers)
 }
 
 func (s *stallingPolicy) SetLagging(on bool) {
--- a/internal/platform/reports.go
+++ b/internal/platform/reports.go
@@ -27,7 +27,7 @@
 	e.failed += float64(report.Failed)
 	e.latencySumMs += report.MeanMs * float64(report.Requests-report.Failed)
 	c.Counts.LoadReports++
-	c.policy.RecordReport(report.Server, zone, report.Requests, report.Failed, report.MeanMs, report.SpanMs)
+	c.policy.RecordLoadReport(report.Server, zone, report.Requests, report.Failed, report.MeanMs, report.SpanMs)
 	return nil
 }
 
@@ -48,6 +48,6 @@
 		return errOtherProxy
 	}
 	c.Counts.DemandReports++
-	c.policy.RecordDemand(report.ProxyID, class, report.Requests, report.Failed, report.SpanMs)
+	c.policy.RecordDemandReport(report.ProxyID, class, report.Requests, report.Failed, report.SpanMs)
 	return nil
 }
--- a/internal/scenario/baseline.go
+++ b/internal/scenario/baseline.go
@@ -68,11 +68,11 @@
 	b.unassigned = slices.DeleteFunc(b.unassigned, func(queued int) bool { return queued == proxyID })
 }
 
-// RecordReport does nothing: a baseline ignores load reports.
-func (b *baselineDecider) RecordReport(string, int, int, int, float64, float64) {}
+// RecordLoadReport does nothing: a baseline ignores load reports.
+func (b *baselineDecider) RecordLoadReport(string, int, int, int, float64, float64) {}
 
-// RecordDemand does nothing: a baseline ignores demand.
-func (b *baselineDecider) RecordDemand(int, int, int, int, float64) {}
+// RecordDemandReport does nothing: a baseline ignores demand.
+func (b *baselineDecider) RecordDemandReport(int, int, int, int, float64) {}
 
 // Acknowledge does nothing: a baseline waits for no acknowledgement.
 func (b *baselineDecider) Acknowledge(int, int, float64) {}
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -117,7 +117,7 @@
 }
 
 func (m *wireLoadReport) apply(target *policy.Policy) {
-	target.RecordReport(m.Server, m.Hall, m.Count, m.Failed, m.TookMs, m.CoversMs)
+	target.RecordLoadReport(m.Server, m.Hall, m.Count, m.Failed, m.TookMs, m.CoversMs)
 }
 
 // wireDemandReport is what one proxy met of one traffic class.
@@ -130,7 +130,7 @@
 }
 
 func (m *wireDemandReport) apply(target *policy.Policy) {
-	target.RecordDemand(m.Proxy, m.Service, m.Count, m.Failed, m.CoversMs)
+	target.RecordDemandReport(m.Proxy, m.Service, m.Count, m.Failed, m.CoversMs)
 }
 
 // wireAcknowledgement tells that a proxy applied what it was sent.
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -428,14 +428,14 @@
 	for zone, requests := range load {
 		count := int(requests*s.periodMs()/1000 + s.random.Float64())
 		failures := min(count, int(float64(count)*failed+s.random.Float64()*0.9))
-		s.planner.RecordReport(server.Server, zone, count, failures, math.Round(latencyMs), s.periodMs())
+		s.planner.RecordLoadReport(server.Server, zone, count, failures, math.Round(latencyMs), s.periodMs())
 	}
 }
 
 func (s *simulation) reportDemand(proxy *simProxy) {
 	for class := range s.settings.Classes {
 		count := int(s.demand(proxy)*s.periodMs()/1000 + s.random.Float64())
-		s.planner.RecordDemand(proxy.id, class, count, s.random.Intn(2)*count/10, s.periodMs())
+		s.planner.RecordDemandReport(proxy.id, class, count, s.random.Intn(2)*count/10, s.periodMs())
 	}
 }
 
@@ -603,11 +603,11 @@
 
 // noise is input that must change nothing: about servers, proxies, zones and traffic classes that there are not.
 func (s *simulation) noise() {
-	s.planner.RecordReport("nobody", 0, 5, 1, 100, 1000)
-	s.planner.RecordReport(s.servers[0].Server, -1, 5, 1, 100, 1000)
-	s.planner.RecordReport(s.servers[0].Server, 0, 0, 0, 0, 1000)
-	s.planner.RecordDemand(999, 0, 5, 0, 1000)
-	s.planner.RecordDemand(0, 99, 5, 0, 1000)
+	s.planner.RecordLoadReport("nobody", 0, 5, 1, 100, 1000)
+	s.planner.RecordLoadReport(s.servers[0].Server, -1, 5, 1, 100, 1000)
+	s.planner.RecordLoadReport(s.servers[0].Server, 0, 0, 0, 0, 1000)
+	s.planner.RecordDemandReport(999, 0, 5, 0, 1000)
+	s.planner.RecordDemandReport(0, 99, 5, 0, 1000)
 	s.planner.Acknowledge(999, 1, 100)
 	s.planner.ExpectInheritedEjections(999)
 	s.planner.RemoveProxy(999)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -9,7 +9,7 @@
 // New starts a planner. Whenever something happens, its owner
 //
 //  1. calls SetTime,
-//  2. calls the inputs that tell what happened: UpdateEndpoints, AddProxy and RemoveProxy, RecordReport and RecordDemand,
+//  2. calls the inputs that tell what happened: UpdateEndpoints, AddProxy and RemoveProxy, RecordLoadReport and RecordDemandReport,
 //     Acknowledge, SetLagging; they only update what is known, and ignore what is of no known server, proxy or zone,
 //  3. calls Next until it says false. Each call makes at most one decision, by one call on the Host.
 //
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -132,15 +132,15 @@
 	for _, server := range f.planner.servers {
 		count, failed, latencyMs := reports(server.Server)
 		if count > 0 {
-			f.planner.RecordReport(server.Server, server.Zone, count, failed, latencyMs, 1000)
+			f.planner.RecordLoadReport(server.Server, server.Zone, count, failed, latencyMs, 1000)
 		}
 	}
 }
 
 func (f *fakeHost) reportDemand() {
 	for proxy := range 4 {
-		f.planner.RecordDemand(proxy, 0, 5, 0, 1000)
-		f.planner.RecordDemand(proxy, 1, 5, 0, 1000)
+		f.planner.RecordDemandReport(proxy, 0, 5, 0, 1000)
+		f.planner.RecordDemandReport(proxy, 1, 5, 0, 1000)
 	}
 }
 
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -176,9 +176,9 @@
 	p.proxies = filter(p.proxies, func(proxy *proxy) bool { return proxy != leaving })
 }
 
-// RecordReport records a server's load report: of the attempts that came from a zone within coversMs, how many failed,
+// RecordLoadReport records a server's load report: of the attempts that came from a zone within coversMs, how many failed,
 // and the mean latency in ms of those that succeeded. One of an unknown server or zone, or of no attempt, is ignored.
-func (p *Policy) RecordReport(name string, zone, count, failed int, latencyMs, coversMs float64) {
+func (p *Policy) RecordLoadReport(name string, zone, count, failed int, latencyMs, coversMs float64) {
 	server := p.byName[name]
 	if server == nil || count <= 0 || zone < 0 || zone >= p.settings.Zones {
 		return
@@ -198,9 +198,9 @@
 	server.samples = appendBounded(server.samples, report, maxSamples*min(p.settings.Zones, maxSampleZones))
 }
 
-// RecordDemand records a proxy's demand report: the requests of a traffic class that came to it within coversMs, and how
+// RecordDemandReport records a proxy's demand report: the requests of a traffic class that came to it within coversMs, and how
 // many of them failed. One of an unknown proxy or class is ignored.
-func (p *Policy) RecordDemand(id, class, count, failed int, coversMs float64) {
+func (p *Policy) RecordDemandReport(id, class, count, failed int, coversMs float64) {
 	proxy := p.byID[id]
 	if proxy == nil || class < 0 || class >= len(proxy.demand) {
 		return
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -67,7 +67,7 @@
 		for range 8 { // a round of load reports takes four seconds where the intake is small
 			f.run(3, nil)
 			for _, server := range f.planner.servers {
-				f.planner.RecordReport(server.Server, server.Zone, 20, 0, 100, 4000)
+				f.planner.RecordLoadReport(server.Server, server.Zone, 20, 0, 100, 4000)
 			}
 			f.run(1, nil)
 		}
--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -70,7 +70,7 @@
 		f := startFleet(settings, 6)
 		for range 20 {
 			for _, server := range f.planner.servers {
-				f.planner.RecordReport(server.Server, server.Zone, 5, 0, 100, coversMs)
+				f.planner.RecordLoadReport(server.Server, server.Zone, 5, 0, 100, coversMs)
 			}
 			f.run(1, nil)
 		}
@@ -214,7 +214,7 @@
 		}
 		for index, server := range f.planner.servers {
 			latencyMs := float64(90 + (index+second)%40)
-			f.planner.RecordReport(server.Server, server.Zone, 8, 0, latencyMs, 2000)
+			f.planner.RecordLoadReport(server.Server, server.Zone, 8, 0, latencyMs, 2000)
 		}
 		f.orders = nil
 	}
