--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -27,7 +27,7 @@
 	Seed           int64
 	Cores          float64
 	MemoryMB       int               // limit of the process in MiB; 0 where none is stated
-	Sockets        int               // descriptors that the process may have; 0 where no limit is stated
+	MaxDescriptors int               // descriptors that the process may have; 0 where no limit is stated
 	KnownVersion   int64             // of KnownEndpoints
 	KnownEndpoints []policy.Endpoint // as last known, perhaps outdated
 	Settings       simulator.Settings
@@ -105,7 +105,7 @@
 		Seed:           int64(seed),
 		Cores:          document.Limits.Cores,
 		MemoryMB:       document.Limits.MemoryMB,
-		Sockets:        document.Limits.Sockets,
+		MaxDescriptors: document.Limits.Sockets,
 		KnownVersion:   known.version,
 		KnownEndpoints: known.entries,
 		Settings:       site,
--- a/internal/platform/dispatch.go
+++ b/internal/platform/dispatch.go
@@ -31,7 +31,7 @@
 	if err == nil {
 		err = c.dispatch(connection, m)
 	}
-	if err != nil && connection.Unauthenticated() {
+	if err != nil && connection.Unjoined() {
 		c.startClosing(connection, CloseInvalidFirstMessage, err)
 		return
 	}
@@ -58,7 +58,7 @@
 	case kindCollector:
 		return c.handleCollector(connection, m)
 	}
-	if connection.Unauthenticated() {
+	if connection.Unjoined() {
 		return errNotJoined
 	}
 	switch {
@@ -82,7 +82,7 @@
 }
 
 func (c *Core) handleJoin(connection *Connection, m *message) error {
-	if !connection.Unauthenticated() {
+	if !connection.Unjoined() {
 		return errAlreadyJoined
 	}
 	join, err := m.join()
@@ -106,7 +106,7 @@
 }
 
 func (c *Core) handleCollector(connection *Connection, m *message) error {
-	if !connection.Unauthenticated() {
+	if !connection.Unjoined() {
 		return errAlreadyJoined
 	}
 	collector, err := m.collector()
--- a/internal/platform/runtime.go
+++ b/internal/platform/runtime.go
@@ -108,8 +108,8 @@
 		work:                make(chan struct{}, 1),
 		streams:             map[*Connection]*stream{},
 	}
-	if config.Sockets > 0 {
-		s.maxConnections = max(config.Sockets-reservedDescriptors, minConnections)
+	if config.MaxDescriptors > 0 {
+		s.maxConnections = max(config.MaxDescriptors-reservedDescriptors, minConnections)
 	}
 	s.core = NewCore(config.Settings, config.Seed, s.nowMs())
 	s.core.MaxPartialBytes = max(memoryBytes/partialMemoryPart, maxMessageBytes)
@@ -130,7 +130,7 @@
 		keyProxies, config.Settings.Policy.Proxies,
 		keyCores, config.Cores,
 		keyMemoryMB, config.MemoryMB,
-		keyMaxDescriptors, config.Sockets,
+		keyMaxDescriptors, config.MaxDescriptors,
 	)
 }
 
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -49,12 +49,12 @@
 	replyQueued  bool // is in the queue of those that are owed something
 }
 
-// Unauthenticated says whether the connection has joined neither as a proxy's stream nor as a collector.
-func (c *Connection) Unauthenticated() bool { return c.role == roleNone }
+// Unjoined says whether the connection has joined neither as a proxy's stream nor as a collector.
+func (c *Connection) Unjoined() bool { return c.role == roleNone }
 
 // messageLimit is the limit of the next message, in bytes.
 func (c *Connection) messageLimit() int {
-	if c.Unauthenticated() {
+	if c.Unjoined() {
 		return maxFirstMessageBytes
 	}
 	return maxMessageBytes
@@ -211,7 +211,7 @@
 
 // startClosing has a connection sent what it is owed, and then closed. An unauthenticated one is refused.
 func (c *Core) startClosing(connection *Connection, reason CloseReason, cause error) {
-	if connection.Unauthenticated() && !connection.peerFinished {
+	if connection.Unjoined() && !connection.peerFinished {
 		c.Counts.Refusals++
 	}
 	connection.phase = phaseClosing
@@ -238,7 +238,7 @@
 }
 
 func (c *Core) close(host Host, connection *Connection) {
-	if connection.Unauthenticated() && !connection.peerFinished {
+	if connection.Unjoined() && !connection.peerFinished {
 		c.buffer = appendRefusal(c.buffer[:0])
 		host.Send(connection, c.buffer)
 	}
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -160,7 +160,7 @@
 			h.advance(100)
 		}
 		held := len(connection.reader.partial)
-		if connection.Unauthenticated() && held > maxFirstMessageBytes+len(lineEnd) {
+		if connection.Unjoined() && held > maxFirstMessageBytes+len(lineEnd) {
 			t.Errorf("an unjoined connection holds %d bytes", held)
 		}
 		if len(h.sent[connection]) > 1<<16 {
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -149,7 +149,7 @@
 }
 
 func (s *serverRuntime) logClose(connection *Connection, reason CloseReason, cause error) {
-	attributes := []any{keyReason, reason, keyJoined, !connection.Unauthenticated()}
+	attributes := []any{keyReason, reason, keyJoined, !connection.Unjoined()}
 	if cause != nil {
 		attributes = append(attributes, keyError, cause)
 	}
