--- a/internal/lease/constants.go
+++ b/internal/lease/constants.go
@@ -5,14 +5,14 @@
 	// DurationMs is how long a lease lasts from its grant, in ms. It bounds the time that a proxy has no commander after one
 	// died, apart from a request's way.
 	DurationMs = 2000.0
-	// ReachableMs is the time without a frame, in ms, after which a proxy no longer names a controller reachable. It takes
+	// UnreachableAfterMs is the time without a frame, in ms, after which a proxy no longer names a controller reachable. It takes
 	// three lost heartbeats.
-	ReachableMs = 1200.0
-	// HeartbeatMs is the longest time between two frames of a controller to a proxy, in ms.
-	HeartbeatMs = 400.0
-	// DrainMemoryMs is how long a controller honours a drain that it knows from a proxy's earlier commander, in ms, while its
+	UnreachableAfterMs = 1200.0
+	// HeartbeatIntervalMs is the longest time between two frames of a controller to a proxy, in ms.
+	HeartbeatIntervalMs = 400.0
+	// DrainRetentionMs is how long a controller honours a drain that it knows from a proxy's earlier commander, in ms, while its
 	// own endpoint list does not show it.
-	DrainMemoryMs = 30000.0
+	DrainRetentionMs = 30000.0
 )
 
 // Validity of a lease at its holder.
--- a/internal/lease/decisions.go
+++ b/internal/lease/decisions.go
@@ -19,8 +19,8 @@
 	// ReserveEpochs writes to stable storage that epochs up to upTo may be used, and answers by Manager.EpochsReserved or
 	// Manager.ReservationFailed, at once or later.
 	ReserveEpochs(upTo uint64)
-	// SetOpen notifies all proxies whether this controller is open to proxies.
-	SetOpen(open bool)
+	// SetAcceptsLeases notifies all proxies whether this controller is open to proxies.
+	SetAcceptsLeases(open bool)
 	// SetTimer has the host call Manager.SetTime and Next at a time, in ms of the controller's clock. It replaces the last.
 	SetTimer(atMs float64)
 }
@@ -30,7 +30,7 @@
 func (m *Manager) Next(host Host) bool {
 	if !m.openAnnounced {
 		m.openAnnounced = true
-		host.SetOpen(m.Open())
+		host.SetAcceptsLeases(m.AcceptsLeases())
 		return true
 	}
 	// Guards against staying closed for good: while nothing can be requested, nothing else would try the store again.
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -117,7 +117,7 @@
 	p.manager.EpochsReserved(upTo)
 }
 
-func (p *simulatedPlanner) SetOpen(open bool) {
+func (p *simulatedPlanner) SetAcceptsLeases(open bool) {
 	p.log("is open: %t", open)
 	p.open = open
 	for _, proxy := range p.simulation.proxies {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -22,7 +22,7 @@
 	reservationRetryMs float64 // no write before that time
 
 	draining       bool
-	openAnnounced  bool    // whether proxies know the present value of Open
+	openAnnounced  bool    // whether proxies know the present value of AcceptsLeases
 	lastTransferMs float64 // minus infinity: never
 	timerMs        float64 // of the last Host.SetTimer
 
@@ -148,8 +148,8 @@
 	return proxy.epoch, true
 }
 
-// Open reports whether this controller takes proxies.
-func (m *Manager) Open() bool { return !m.draining && !m.reservationFailed }
+// AcceptsLeases reports whether this controller takes proxies.
+func (m *Manager) AcceptsLeases() bool { return !m.draining && !m.reservationFailed }
 
 // CountHeld counts the proxies whose lease this controller holds, and all that are connected.
 func (m *Manager) CountHeld() (held, connected int) {
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -157,7 +157,7 @@
 	c.manager.EpochsReserved(upTo)
 }
 
-func (c *testController) SetOpen(open bool) {
+func (c *testController) SetAcceptsLeases(open bool) {
 	c.open = open
 	for _, proxy := range c.world.proxies {
 		proxy.broadcast()
--- a/internal/planner/leases.go
+++ b/internal/planner/leases.go
@@ -116,7 +116,7 @@
 
 // controllerStatus tells proxies whether this planner takes leases.
 func (c *Core) controllerStatus() *order.Standing {
-	return &order.Standing{Controller: c.configuration.Name, Incarnation: c.incarnation, Open: c.leases.manager.Open()}
+	return &order.Standing{Controller: c.configuration.Name, Incarnation: c.incarnation, Open: c.leases.manager.AcceptsLeases()}
 }
 
 // leaseHost carries out the decisions of package lease. Decisions about proxies that left meanwhile are ignored.
@@ -179,7 +179,7 @@
 	p.inheritedUntilMs = map[string]float64{}
 	for _, server := range p.inheritedDrains {
 		if c.endpoints.isReady(server) {
-			p.inheritedUntilMs[server] = c.nowMs + lease.DrainMemoryMs
+			p.inheritedUntilMs[server] = c.nowMs + lease.DrainRetentionMs
 		}
 	}
 	if len(p.inheritedUntilMs) > 0 && !slices.Contains(c.leases.inheritors, p) {
@@ -198,8 +198,8 @@
 // ReserveEpochs has the host's store record epochs.
 func (h leaseHost) ReserveEpochs(upTo uint64) { h.host.ReserveEpochs(upTo) }
 
-// SetOpen tells all proxies whether this planner takes leases.
-func (h leaseHost) SetOpen(bool) {
+// SetAcceptsLeases tells all proxies whether this planner takes leases.
+func (h leaseHost) SetAcceptsLeases(bool) {
 	status := h.core.controllerStatus()
 	for p := range h.core.proxies.all() {
 		h.host.Send(p.stream, controlstream.FrameControllerStatus, status)
--- a/internal/planner/status.go
+++ b/internal/planner/status.go
@@ -112,6 +112,6 @@
 		s.Takeovers = c.leases.manager.Takeovers
 		s.Transferred = c.leases.manager.Transferred
 		s.Expired = c.leases.manager.Expired
-		s.ClosedToLeases = !c.leases.manager.Open()
+		s.ClosedToLeases = !c.leases.manager.AcceptsLeases()
 	}
 }
--- a/internal/planner/streamwriter.go
+++ b/internal/planner/streamwriter.go
@@ -30,7 +30,7 @@
 func newStreamWriter(c *connection, s *server) *streamWriter {
 	heartbeatMs := s.limits.HeartbeatTimeoutMs / heartbeatsPerTimeout
 	if s.epochs != nil { // a proxy states to each planner which others it is connected to
-		heartbeatMs = min(heartbeatMs, lease.HeartbeatMs)
+		heartbeatMs = min(heartbeatMs, lease.HeartbeatIntervalMs)
 	}
 	return &streamWriter{
 		connection:  c,
--- a/internal/proxy/controlclient.go
+++ b/internal/proxy/controlclient.go
@@ -189,7 +189,7 @@
 // must be held.
 func (c *ControlClient) reachable(nowMs float64) (controllers []string) {
 	for _, session := range c.sessions {
-		if session.takesLeases && nowMs-session.lastBytesMs < lease.ReachableMs {
+		if session.takesLeases && nowMs-session.lastBytesMs < lease.UnreachableAfterMs {
 			controllers = append(controllers, session.controller)
 		}
 	}
