--- a/internal/controlstream/closereason.go
+++ b/internal/controlstream/closereason.go
@@ -20,7 +20,7 @@
 const (
 	ReasonBadBody          CloseReason = "body"    // does not decode, or holds values out of range
 	ReasonUnexpectedFrame  CloseReason = "state"   // a kind that the peer may not send, or not now
-	ReasonJoinTimeout      CloseReason = "no join" // no handshake within Limits.HandshakeTimeoutMs
+	ReasonHandshakeTimeout CloseReason = "no join" // no handshake within Limits.HandshakeTimeoutMs
 	ReasonHeartbeatTimeout CloseReason = "silent"  // no frame for Limits.HeartbeatTimeoutMs
 	ReasonPeerClosed       CloseReason = "left"    // the peer sent FrameClose
 )
--- a/internal/controlstream/helpers_test.go
+++ b/internal/controlstream/helpers_test.go
@@ -13,7 +13,7 @@
 
 // recorder is a host of both ends that notes each call as a text.
 type recorder struct {
-	SingleController
+	NoopLeaseHandler
 	calls []string
 }
 
--- a/internal/controlstream/plannersession_test.go
+++ b/internal/controlstream/plannersession_test.go
@@ -43,7 +43,7 @@
 		"a frame that only planners send":      {afterJoin(FrameOrders, &order.Orders{}), 0, ReasonUnexpectedFrame},
 		"a second join":                        {afterJoin(FrameJoin, testJoin()), 0, ReasonUnexpectedFrame},
 		"a frame sent twice":                   {concatenate(joined, joined), 0, ReasonBadSequence},
-		"half a join":                          {joined[:len(joined)/2], 1000, ReasonJoinTimeout},
+		"half a join":                          {joined[:len(joined)/2], 1000, ReasonHandshakeTimeout},
 		"silence after the join":               {joined, 5000, ReasonHeartbeatTimeout},
 		"a value that is not a number":         {encode(t, testFrame{FrameJoin, notANumber}), 0, ReasonBadBody},
 		"a join without a name":                {encode(t, testFrame{FrameJoin, &order.Join{}}), 0, ReasonBadBody},
--- a/internal/controlstream/proxysession.go
+++ b/internal/controlstream/proxysession.go
@@ -16,18 +16,18 @@
 	OnControllerStatus(*order.Standing)
 }
 
-// SingleController implements the part of a ProxyHost that is needed only where several controllers share a fleet. Its
+// NoopLeaseHandler implements the part of a ProxyHost that is needed only where several controllers share a fleet. Its
 // methods do nothing; embed it in a host of one planner.
-type SingleController struct{}
+type NoopLeaseHandler struct{}
 
 // OnLeaseRequest does nothing.
-func (SingleController) OnLeaseRequest(*order.Claim) {}
+func (NoopLeaseHandler) OnLeaseRequest(*order.Claim) {}
 
 // OnLeaseRelease does nothing.
-func (SingleController) OnLeaseRelease(*order.Release) {}
+func (NoopLeaseHandler) OnLeaseRelease(*order.Release) {}
 
 // OnControllerStatus does nothing.
-func (SingleController) OnControllerStatus(*order.Standing) {}
+func (NoopLeaseHandler) OnControllerStatus(*order.Standing) {}
 
 // ProxySession is a proxy's end of a stream to a planner. It is used by one goroutine at a time, but for Append.
 type ProxySession struct{ session }
--- a/internal/controlstream/sendqueue.go
+++ b/internal/controlstream/sendqueue.go
@@ -33,10 +33,10 @@
 
 // Message is what one proxy is sent at one time.
 type Message[T any] struct {
-	To        *MessageWindow
-	Entries   float64 // overhead included
-	DecidedMs float64 // when it was queued
-	Payload   T
+	To       *MessageWindow
+	Entries  float64 // overhead included
+	QueuedMs float64 // when it was queued
+	Payload  T
 }
 
 // SendQueue holds messages until their entries have been sent at the stated rate, first in, first out, and rejects what
@@ -75,7 +75,7 @@
 		// An idle queue saves up nothing: the message starts to leave now.
 		q.freeMs = max(q.freeMs, nowMs)
 	}
-	q.queue = append(q.queue, Message[T]{To: to, Entries: entries, DecidedMs: nowMs, Payload: payload})
+	q.queue = append(q.queue, Message[T]{To: to, Entries: entries, QueuedMs: nowMs, Payload: payload})
 	q.backlog += entries
 	q.peak = max(q.peak, q.backlog)
 	return nil
--- a/internal/controlstream/session.go
+++ b/internal/controlstream/session.go
@@ -104,7 +104,7 @@
 		return newCloseError(ReasonHeartbeatTimeout, "no frame for %g ms; %d bytes of one",
 			s.limits.HeartbeatTimeoutMs, s.decoder.Buffered())
 	default:
-		return newCloseError(ReasonJoinTimeout, "no frame within %g ms; %d bytes of one",
+		return newCloseError(ReasonHandshakeTimeout, "no frame within %g ms; %d bytes of one",
 			s.limits.HandshakeTimeoutMs, s.decoder.Buffered())
 	}
 }
--- a/internal/planner/server_fixture_test.go
+++ b/internal/planner/server_fixture_test.go
@@ -152,7 +152,7 @@
 
 // testProxy is a proxy's end of a stream: it acknowledges what it is sent and records the orders.
 type testProxy struct {
-	controlstream.SingleController
+	controlstream.NoopLeaseHandler
 	conn    net.Conn
 	session *controlstream.ProxySession // its reading half is the reader's, its writing half guarded by writing
 	writing sync.Mutex
--- a/internal/planner/server_test.go
+++ b/internal/planner/server_test.go
@@ -51,8 +51,8 @@
 		reason controlstream.CloseReason
 	}{
 		"garbage":                   {[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), controlstream.ReasonBadMagic},
-		"half a frame":              {encodeFrame(t, controlstream.FrameJoin, &order.Join{Proxy: "y"})[:15], controlstream.ReasonJoinTimeout},
-		"nothing":                   {nil, controlstream.ReasonJoinTimeout},
+		"half a frame":              {encodeFrame(t, controlstream.FrameJoin, &order.Join{Proxy: "y"})[:15], controlstream.ReasonHandshakeTimeout},
+		"nothing":                   {nil, controlstream.ReasonHandshakeTimeout},
 		"a join from another zone":  {encodeFrame(t, controlstream.FrameJoin, &order.Join{Proxy: "y", Zone: "mars", Groups: 2}), controlstream.ReasonUnknownPeer},
 		"a report before its join":  {encodeFrame(t, controlstream.FrameLoadReport, &order.Sums{}), controlstream.ReasonUnexpectedFrame},
 		"a huge size in its header": {[]byte{'L', 'P', 1, 1, 0xff, 0xff, 0xff, 0xff}, controlstream.ReasonBadSize},
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -147,7 +147,7 @@
 		message.Orders = append(message.Orders, c.randomOrder())
 	}
 	c.log("obeys %t", c.core.AcceptsOrders(c.nowMs, "planner-1", message))
-	c.core.RecordMessage(c.nowMs)
+	c.core.RecordOrders(c.nowMs)
 	c.log("receipts %v", c.core.ApplyOrders(message))
 }
 
--- a/internal/proxy/leasestate.go
+++ b/internal/proxy/leasestate.go
@@ -38,9 +38,9 @@
 	return c.grantor.Controller == controller && c.grantor.Incarnation == incarnation
 }
 
-// RecordMessage remembers that a message of orders came, whoever sent it and whether it is applied: each counts in the
+// RecordOrders remembers that a message of orders came, whoever sent it and whether it is applied: each counts in the
 // window that limits messages to the proxy.
-func (c *Core) RecordMessage(nowMs float64) {
+func (c *Core) RecordOrders(nowMs float64) {
 	c.recentOrdersMs = append(c.recentOrdersMs, nowMs)
 	for c.recentOrdersMs[0] <= nowMs-recentOrdersMs || len(c.recentOrdersMs) > maxRecentOrders {
 		c.recentOrdersMs = c.recentOrdersMs[1:]
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -94,7 +94,7 @@
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	nowMs := client.Clock.Monotonic()
-	client.core.RecordMessage(nowMs)
+	client.core.RecordOrders(nowMs)
 	if client.Settings.Sharing && !client.core.AcceptsOrders(nowMs, s.controller, message) && !client.DisableFencing {
 		s.send(controlstream.FrameAck, &order.Applied{Number: message.Number, Refused: true, Epoch: client.core.grantor.Epoch})
 		return
