--- a/internal/planner/acceptor.go
+++ b/internal/planner/acceptor.go
@@ -29,30 +29,30 @@
 // acceptor accepts connections of proxies, admits them by address, number and pace, and has each served on goroutines of its
 // own. Its methods belong to the goroutine in run; open and rejected may be read by any.
 type acceptor struct {
-	clock    clock.Clock
-	log      *slog.Logger
-	status   *statusPublisher
-	serve    func(context.Context, net.Conn, netip.Addr) // runs one connection to its end
-	allowed  *bart.Table[struct{}]                       // by prefix; nil: all addresses
-	maxOpen  int64
-	pace     *rate.Limiter
-	lagging  *rate.Limiter // pace while the core lags
-	open     atomic.Int64  // connections now
-	rejected atomic.Uint64 // connections closed by address or number since the start
+	clock       clock.Clock
+	log         *slog.Logger
+	status      *statusPublisher
+	serve       func(context.Context, net.Conn, netip.Addr) // runs one connection to its end
+	allowed     *bart.Table[struct{}]                       // by prefix; nil: all addresses
+	maxOpen     int64
+	pace        *rate.Limiter
+	laggingPace *rate.Limiter // pace while the core lags
+	open        atomic.Int64  // connections now
+	rejected    atomic.Uint64 // connections closed by address or number since the start
 }
 
 // newAcceptor makes an acceptor by checked settings. It has serve run each connection that it admits.
 func newAcceptor(o Options, status *statusPublisher, serve func(context.Context, net.Conn, netip.Addr)) *acceptor {
 	perSecond := settings.PerSecond(o.Settings.Streams.Accepts)
 	return &acceptor{
-		clock:   o.Clock,
-		log:     o.Log,
-		status:  status,
-		serve:   serve,
-		allowed: allowedPrefixes(o.Settings),
-		maxOpen: int64(o.Settings.Streams.GetMost()),
-		pace:    rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond/acceptBurstDivisor), 1)),
-		lagging: rate.NewLimiter(rate.Limit(perSecond*laggingJoinFraction), 1),
+		clock:       o.Clock,
+		log:         o.Log,
+		status:      status,
+		serve:       serve,
+		allowed:     allowedPrefixes(o.Settings),
+		maxOpen:     int64(o.Settings.Streams.GetMost()),
+		pace:        rate.NewLimiter(rate.Limit(perSecond), max(int(perSecond/acceptBurstDivisor), 1)),
+		laggingPace: rate.NewLimiter(rate.Limit(perSecond*laggingJoinFraction), 1),
 	}
 }
 
@@ -114,7 +114,7 @@
 		a.log.Debug("connection rejected", slog.Any(logKeyFrom, from), slog.Int64(logKeyStreams, open))
 		return false
 	}
-	for a.status.load().Lagging && !a.lagging.Allow() { // drains and joined proxies pass first
+	for a.status.load().Lagging && !a.laggingPace.Allow() { // drains and joined proxies pass first
 		if clock.Sleep(ctx, a.clock, laggingJoinPollMs) != nil {
 			return false
 		}
--- a/internal/planner/acknowledgements.go
+++ b/internal/planner/acknowledgements.go
@@ -42,9 +42,9 @@
 type ackTracker struct {
 	timeoutMs      float64 // for every message
 	drainTimeoutMs float64 // for one that ejects a server which drains
-	// earliestMs is a lower bound of all proxies' deadlines: acknowledgements only move deadlines back. It spares a scan of
+	// earliestDeadlineMs is a lower bound of all proxies' deadlines: acknowledgements only move deadlines back. It spares a scan of
 	// all proxies at each decision.
-	earliestMs float64
+	earliestDeadlineMs float64
 }
 
 // newAckTracker makes a tracker by checked settings.
@@ -58,7 +58,7 @@
 // add has a message to a proxy acknowledged in time.
 func (t *ackTracker) add(p *joinedProxy, u sentUpdate) {
 	p.unacknowledged = append(p.unacknowledged, u)
-	t.earliestMs = min(t.earliestMs, t.deadline(p))
+	t.earliestDeadlineMs = min(t.earliestDeadlineMs, t.deadline(p))
 }
 
 // deadline is when a proxy that owes acknowledgements must have sent the first of them, in ms. A server that drains must not
@@ -75,20 +75,20 @@
 
 // findLate returns a proxy whose deadline has passed; nil if there is none.
 func (t *ackTracker) findLate(nowMs float64, proxies *proxyTable) *joinedProxy {
-	if nowMs < t.earliestMs {
+	if nowMs < t.earliestDeadlineMs {
 		return nil
 	}
-	t.earliestMs = math.Inf(1)
+	t.earliestDeadlineMs = math.Inf(1)
 	for p := range proxies.all() {
 		if len(p.unacknowledged) == 0 {
 			continue
 		}
 		deadline := t.deadline(p)
 		if nowMs >= deadline {
-			t.earliestMs = nowMs // there may be more
+			t.earliestDeadlineMs = nowMs // there may be more
 			return p
 		}
-		t.earliestMs = min(t.earliestMs, deadline)
+		t.earliestDeadlineMs = min(t.earliestDeadlineMs, deadline)
 	}
 	return nil
 }
--- a/internal/planner/coalesce.go
+++ b/internal/planner/coalesce.go
@@ -30,7 +30,7 @@
 // coalescedReport is what waits of one connection. The zero value is empty.
 type coalescedReport struct {
 	report      *order.Sums    // nil: nothing waits
-	sinceMs     float64        // when the first one came
+	receivedMs  float64        // when the first one came
 	serverIndex map[string]int // of servers in the report; nil until a second one comes
 }
 
@@ -38,7 +38,7 @@
 func (r *coalescedReports) add(c *connection, report *order.Sums, nowMs float64) {
 	r.mu.Lock()
 	if c.coalesced.report == nil {
-		c.coalesced = coalescedReport{report: report, sinceMs: nowMs}
+		c.coalesced = coalescedReport{report: report, receivedMs: nowMs}
 		r.queue = append(r.queue, c)
 	} else {
 		r.merged++
@@ -57,7 +57,7 @@
 }
 
 // take removes the report that has waited longest. The connection is nil if none waits.
-func (r *coalescedReports) take() (c *connection, report *order.Sums, sinceMs float64) {
+func (r *coalescedReports) take() (c *connection, report *order.Sums, receivedMs float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.queue) == 0 {
@@ -67,9 +67,9 @@
 	c = r.queue[0]
 	r.queue = r.queue[1:]
 	report = c.coalesced.report
-	sinceMs = c.coalesced.sinceMs
+	receivedMs = c.coalesced.receivedMs
 	c.coalesced = coalescedReport{}
-	return c, report, sinceMs
+	return c, report, receivedMs
 }
 
 // counts returns the reports merged and the samples lost since the start.
--- a/internal/planner/coalesce_test.go
+++ b/internal/planner/coalesce_test.go
@@ -29,9 +29,9 @@
 	reports.add(second, newTestReport("s", 1, 0, 10), 6)
 	reports.add(first, newTestReport("s", 2, 1, 50), 7)
 	reports.add(first, newTestReport("z", 1, 1, 0), 8)
-	from, report, sinceMs := reports.take()
-	if from != first || sinceMs != 5 || report.CoversMs != 300 || len(report.Servers) != 2 {
-		t.Errorf("%v since %g", report, sinceMs)
+	from, report, receivedMs := reports.take()
+	if from != first || receivedMs != 5 || report.CoversMs != 300 || len(report.Servers) != 2 {
+		t.Errorf("%v since %g", report, receivedMs)
 	}
 	if sum := report.Servers[0]; sum.Tries != 6 || sum.Dropped != 2 || sum.LatencyMs != 20 {
 		t.Errorf("server %v", sum)
--- a/internal/planner/connection.go
+++ b/internal/planner/connection.go
@@ -15,8 +15,8 @@
 
 // Limits of one connection.
 const (
-	farewellMs   = 200.0 // that the last frames of a stream may take
-	outboxFrames = 256   // frames that wait for one connection; a window's messages are far fewer
+	closeTimeoutMs = 200.0 // that the last frames of a stream may take
+	outboxFrames   = 256   // frames that wait for one connection; a window's messages are far fewer
 )
 
 // outgoingFrame is a frame to be encoded and sent.
@@ -101,7 +101,7 @@
 	select {
 	case <-c.closed:
 	case <-ctx.Done():
-		expired, stop := s.Clock.NewTimer(farewellMs)
+		expired, stop := s.Clock.NewTimer(closeTimeoutMs)
 		defer stop()
 		select {
 		case <-c.closed:
--- a/internal/planner/connection_test.go
+++ b/internal/planner/connection_test.go
@@ -12,9 +12,9 @@
 	"lichenpick/proto/order"
 )
 
-// writtenAtClose runs a stream's writer with leases to release in its outbox, whose connection is closed for a reason, and
+// framesWrittenAtClose runs a stream's writer with leases to release in its outbox, whose connection is closed for a reason, and
 // returns the kinds of the frames that the peer is sent.
-func writtenAtClose(t *testing.T, reason controlstream.CloseReason, releases int) []controlstream.FrameKind {
+func framesWrittenAtClose(t *testing.T, reason controlstream.CloseReason, releases int) []controlstream.FrameKind {
 	t.Helper()
 	peer, conn := net.Pipe()
 	limits := controlstream.Limits{MaxFrameBytes: 1 << 16, HandshakeTimeoutMs: 60000, HeartbeatTimeoutMs: 60000}
@@ -45,23 +45,23 @@
 	}
 }
 
-func TestFarewell(t *testing.T) {
+func TestLastFrames(t *testing.T) {
 	const releases = 20
 	t.Run("a planner that stops sends what is queued before its close frame", func(t *testing.T) {
-		kinds := writtenAtClose(t, controlstream.ReasonShutdown, releases)
+		kinds := framesWrittenAtClose(t, controlstream.ReasonShutdown, releases)
 		expected := append(slices.Repeat([]controlstream.FrameKind{controlstream.FrameLeaseRelease}, releases), controlstream.FrameClose)
 		if !slices.Equal(kinds, expected) {
 			t.Errorf("%v", kinds)
 		}
 	})
 	t.Run("a stream that is closed for another reason ends with its close frame", func(t *testing.T) {
-		kinds := writtenAtClose(t, controlstream.ReasonSuperseded, 0)
+		kinds := framesWrittenAtClose(t, controlstream.ReasonSuperseded, 0)
 		if !slices.Equal(kinds, []controlstream.FrameKind{controlstream.FrameClose}) {
 			t.Errorf("%v", kinds)
 		}
 	})
 	t.Run("a peer that does not read is sent nothing more", func(t *testing.T) {
-		kinds := writtenAtClose(t, controlstream.ReasonSlowReader, 0)
+		kinds := framesWrittenAtClose(t, controlstream.ReasonSlowReader, 0)
 		if len(kinds) != 0 {
 			t.Errorf("%v", kinds)
 		}
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -83,7 +83,7 @@
 	configuration *pb.Planner
 	policy        Decider
 	nowMs         float64
-	wall          time.Time // date at now; only shown and sent along
+	wallTime      time.Time // date at now; only shown and sent along
 	incarnation   uint64
 
 	zones         zoneTable
@@ -135,9 +135,9 @@
 
 // SetTime sets the time, in ms of a clock that never jumps, and the date. What is decided until the next call leaves in one
 // message per proxy.
-func (c *Core) SetTime(nowMs float64, wall time.Time) {
+func (c *Core) SetTime(nowMs float64, wallTime time.Time) {
 	c.nowMs = nowMs
-	c.wall = wall
+	c.wallTime = wallTime
 	c.policy.SetTime(policyOriginMs + nowMs)
 	c.endpoints.tracker.SetTime(policyOriginMs + nowMs)
 	c.intake.setTime(nowMs)
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -56,17 +56,17 @@
 
 // What decides runs on one goroutine, whatever runs beside it.
 func TestSameInputsGiveSameOrdersOnAnyNumberOfCores(t *testing.T) {
-	expected := digestOfRecordedDay(t, 1)
+	expected := digestOfScriptedRun(t, 1)
 	for _, cores := range []int{1, 2, 4} {
-		digest := digestOfRecordedDay(t, cores)
+		digest := digestOfScriptedRun(t, cores)
 		if digest != expected {
 			t.Errorf("%d cores: %s, before %s", cores, digest, expected)
 		}
 	}
 }
 
-// digestOfRecordedDay runs 30 s of a fleet on some cores and digests all orders of the proxies that are joined at the end.
-func digestOfRecordedDay(t *testing.T, cores int) string {
+// digestOfScriptedRun runs 30 s of a fleet on some cores and digests all orders of the proxies that are joined at the end.
+func digestOfScriptedRun(t *testing.T, cores int) string {
 	t.Helper()
 	const proxies, joinsPerSecond, seconds = 40, 4, 30
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
@@ -84,15 +84,15 @@
 			host.HandleDisconnect(host.proxies.byName["x7"].stream, &controlstream.CloseError{Reason: controlstream.ReasonConnectionLost})
 		}
 		for number := range proxies {
-			reportOfRecordedDay(host, number, second)
+			sendScriptedReport(host, number, second)
 		}
 		host.run(float64(second)*1000, float64(second)*1000+950)
 	}
 	return digestOfOrders(t, host)
 }
 
-// reportOfRecordedDay sends one proxy's load report of a second, if it is joined.
-func reportOfRecordedDay(host *recordingHost, proxyNumber, second int) {
+// sendScriptedReport sends one proxy's load report of a second, if it is joined.
+func sendScriptedReport(host *recordingHost, proxyNumber, second int) {
 	p := host.proxies.byName[fmt.Sprint("x", proxyNumber)]
 	if p == nil {
 		return
--- a/internal/planner/ejections.go
+++ b/internal/planner/ejections.go
@@ -37,7 +37,7 @@
 }
 
 // inheritsDrain reports whether the last planner of a proxy knew of a drain that our list does not show yet.
-func (p *joinedProxy) inheritsDrain(server string) bool { return p.inheritedUntilMs[server] > 0 }
+func (p *joinedProxy) inheritsDrain(server string) bool { return p.inheritedDrainUntilMs[server] > 0 }
 
 // usesServer reports whether a proxy goes by a table with a server: one that this stream assigned, or, for classes without
 // one, a table that it brought along.
@@ -58,16 +58,16 @@
 // endInheritedDrain ends at most one drain that only a proxy's last planner knew of and that our list never came to show,
 // and reports whether it did anything.
 func (c *Core) endInheritedDrain() bool {
-	for index, p := range c.leases.inheritors {
-		if len(p.inheritedUntilMs) == 0 || !c.proxies.isJoined(p) {
-			c.leases.inheritors = slices.Delete(c.leases.inheritors, index, index+1)
+	for index, p := range c.leases.drainInheritors {
+		if len(p.inheritedDrainUntilMs) == 0 || !c.proxies.isJoined(p) {
+			c.leases.drainInheritors = slices.Delete(c.leases.drainInheritors, index, index+1)
 			return true
 		}
-		for _, server := range slices.Sorted(maps.Keys(p.inheritedUntilMs)) { // sorted: the same inputs give the same orders
-			if c.nowMs < p.inheritedUntilMs[server] {
+		for _, server := range slices.Sorted(maps.Keys(p.inheritedDrainUntilMs)) { // sorted: the same inputs give the same orders
+			if c.nowMs < p.inheritedDrainUntilMs[server] {
 				continue
 			}
-			delete(p.inheritedUntilMs, server)
+			delete(p.inheritedDrainUntilMs, server)
 			if p.ejections[server] && !c.registry.Ejected[server] {
 				c.setEjected(p, server, false)
 			}
--- a/internal/planner/ejections_test.go
+++ b/internal/planner/ejections_test.go
@@ -85,7 +85,7 @@
 	}
 	host.run(8050, 10500) // half of the grace
 	for _, stream := range established {
-		if host.received(stream, usesServer("s2")) && !host.received(stream, stopsServer("s2")) {
+		if host.received(stream, assignsServer("s2")) && !host.received(stream, endsUseOfServer("s2")) {
 			t.Fatalf("%s was not told of the drain within half the grace", stream.Name())
 		}
 	}
@@ -100,16 +100,16 @@
 	}
 }
 
-// usesServer matches a table or an entry with a server.
-func usesServer(server string) func(*order.Order) bool {
+// assignsServer matches a table or an entry with a server.
+func assignsServer(server string) func(*order.Order) bool {
 	return func(o *order.Order) bool {
 		assigned := slices.ContainsFunc(o.GetBind().GetLines(), func(entry *order.Line) bool { return entry.Server == server })
 		return assigned || o.GetLine().GetLine().GetServer() == server
 	}
 }
 
-// stopsServer matches a server's ejection, or the removal of its entry.
-func stopsServer(server string) func(*order.Order) bool {
+// endsUseOfServer matches a server's ejection, or the removal of its entry.
+func endsUseOfServer(server string) func(*order.Order) bool {
 	return func(o *order.Order) bool {
 		removed := o.GetLine().GetLine().GetServer() == server && o.GetLine().Line.Weight == 0
 		return removed || o.GetWithdraw().GetServer() == server
--- a/internal/planner/endpoints.go
+++ b/internal/planner/endpoints.go
@@ -10,9 +10,9 @@
 
 // endpointState is a server as the endpoint list last stated it.
 type endpointState struct {
-	state   policy.State
-	sinceMs float64        // when the list last stated it
-	loads   []*pendingLoad // by zone of the reporting proxies; nil until the first report
+	state        policy.State
+	lastListedMs float64        // when the list last stated it
+	loads        []*pendingLoad // by zone of the reporting proxies; nil until the first report
 }
 
 // endpointRegistry is what is known of servers.
@@ -42,7 +42,7 @@
 		r.byServer[server] = endpoint
 	}
 	endpoint.state = state
-	endpoint.sinceMs = nowMs
+	endpoint.lastListedMs = nowMs
 }
 
 // isLeaving reports whether a server is listed and drains or is removed.
@@ -60,19 +60,19 @@
 // forgetRemoved forgets servers that were removed long ago. It guards against names that pile up with each release.
 func (r *endpointRegistry) forgetRemoved(nowMs float64, ejected map[string]bool) {
 	for server, endpoint := range r.byServer {
-		if endpoint.state == policy.Removed && nowMs-endpoint.sinceMs > discovery.RemovedRetentionMs && !ejected[server] {
+		if endpoint.state == policy.Removed && nowMs-endpoint.lastListedMs > discovery.RemovedRetentionMs && !ejected[server] {
 			delete(r.byServer, server)
 		}
 	}
 }
 
 // takeSnapshot returns the list to save, if it changed since the last call; nil if not.
-func (r *endpointRegistry) takeSnapshot(wall time.Time) *pb.List {
+func (r *endpointRegistry) takeSnapshot(wallTime time.Time) *pb.List {
 	if !r.changed {
 		return nil
 	}
 	r.changed = false
-	return r.tracker.Snapshot(uint64(wall.UnixMilli()))
+	return r.tracker.Snapshot(uint64(wallTime.UnixMilli()))
 }
 
 // endpointUpdater passes what the tracker believes of the list on to the policy. It is the tracker's host.
@@ -83,11 +83,11 @@
 	c := u.core
 	for _, endpoint := range endpoints {
 		c.endpoints.record(endpoint.Server, endpoint.State, c.nowMs)
-		startedLately := endpoint.StartedMs > c.nowMs+policyOriginMs-c.warmUpMs
-		if endpoint.State != policy.Ready || startedLately {
+		startedRecently := endpoint.StartedMs > c.nowMs+policyOriginMs-c.warmUpMs
+		if endpoint.State != policy.Ready || startedRecently {
 			// Our list shows the drain by now, or the server has started anew since.
 			for p := range c.proxies.all() {
-				delete(p.inheritedUntilMs, endpoint.Server)
+				delete(p.inheritedDrainUntilMs, endpoint.Server)
 			}
 		}
 	}
--- a/internal/planner/epochwriter.go
+++ b/internal/planner/epochwriter.go
@@ -30,14 +30,14 @@
 			return nil
 		case upTo := <-w.requests:
 			err := w.store.ReserveEpochs(upTo)
-			w.logChange(err)
+			w.logNewFailure(err)
 			w.loop.submit(ctx, func(c *Core) { c.EpochsReserved(upTo, err) })
 		}
 	}
 }
 
-// logChange logs a failure unless it is the same as the last one.
-func (w *epochWriter) logChange(err error) {
+// logNewFailure logs a failure unless it is the same as the last one.
+func (w *epochWriter) logNewFailure(err error) {
 	if err == nil {
 		w.lastError = ""
 		return
--- a/internal/planner/eventloop.go
+++ b/internal/planner/eventloop.go
@@ -17,10 +17,10 @@
 
 // Bounds of one evaluation of the core.
 const (
-	inputBacklog   = 1024   // inputs that wait for the core; then streams are read no further, and writes of peers wait
-	maxInputBatch  = 512    // inputs taken in before the core decides; so many take a few ms
-	maxReportBatch = 256    // load reports taken in before it decides, after all other inputs
-	saveIntervalMs = 1000.0 // between writes of the endpoint list
+	inputQueueCapacity = 1024   // inputs that wait for the core; then streams are read no further, and writes of peers wait
+	maxInputBatch      = 512    // inputs taken in before the core decides; so many take a few ms
+	maxReportBatch     = 256    // load reports taken in before it decides, after all other inputs
+	saveIntervalMs     = 1000.0 // between writes of the endpoint list
 )
 
 // input is something that happened, passed to the core on its goroutine.
@@ -59,24 +59,24 @@
 	defer func() {
 		cause := recover()
 		if cause != nil {
-			l.reportFailure(cause, debug.Stack())
+			l.handlePanic(cause, debug.Stack())
 			err = fmt.Errorf("%w: %v", ErrCoreFailed, cause)
 		}
 	}()
 	for {
-		in, running := l.await(ctx)
+		in, running := l.awaitWork(ctx)
 		if !running {
-			l.takeInputs() // streams that have ended are counted
+			l.handleQueuedInputs() // streams that have ended are counted
 			l.publishStatus(true)
-			l.sayFarewell()
+			l.releaseProxies()
 			return nil
 		}
 		l.evaluate(in)
 	}
 }
 
-// await waits until there is something to do. The input is nil if that is not an input: the timer or load reports.
-func (l *eventLoop) await(ctx context.Context) (in input, running bool) {
+// awaitWork waits until there is something to do. The input is nil if that is not an input: the timer or load reports.
+func (l *eventLoop) awaitWork(ctx context.Context) (in input, running bool) {
 	fired, stop := l.Clock.NewTimer(l.timerAtMs - l.Clock.Monotonic())
 	defer stop()
 	select {
@@ -95,16 +95,16 @@
 	if first != nil {
 		first(l.core)
 	}
-	l.takeInputs()
-	l.takeReports()
+	l.handleQueuedInputs()
+	l.handleQueuedReports()
 	for l.core.Next(l) {
 	}
 	l.publishStatus(false)
 	l.saveEndpoints()
 }
 
-// takeInputs passes the inputs that wait to the core, up to a bound.
-func (l *eventLoop) takeInputs() {
+// handleQueuedInputs passes the inputs that wait to the core, up to a bound.
+func (l *eventLoop) handleQueuedInputs() {
 	for range maxInputBatch {
 		select {
 		case in := <-l.inputs:
@@ -115,24 +115,24 @@
 	}
 }
 
-// takeReports passes the load reports that wait to the core, up to a bound; the rest has its turn once the core has decided.
-func (l *eventLoop) takeReports() {
+// handleQueuedReports passes the load reports that wait to the core, up to a bound; the rest has its turn once the core has decided.
+func (l *eventLoop) handleQueuedReports() {
 	lagMs := 0.0
 	for range maxReportBatch {
-		c, report, sinceMs := l.reports.take()
+		c, report, receivedMs := l.reports.take()
 		if c == nil {
 			l.core.RecordLag(lagMs)
 			return
 		}
-		lagMs = max(lagMs, l.Clock.Monotonic()-sinceMs)
+		lagMs = max(lagMs, l.Clock.Monotonic()-receivedMs)
 		l.core.HandleLoadReport(c.stream, report)
 	}
 	l.core.RecordLag(lagMs)
 	l.reports.signal()
 }
 
-// reportFailure logs a panic of the core and writes its last inputs to the file that the settings name.
-func (l *eventLoop) reportFailure(cause any, stack []byte) {
+// handlePanic logs a panic of the core and writes its last inputs to the file that the settings name.
+func (l *eventLoop) handlePanic(cause any, stack []byte) {
 	l.Log.Error("planner core failed", slog.Any(logKeyCause, cause), slog.String(logKeyStack, string(stack)))
 	path := l.Settings.Dump
 	if path == "" {
@@ -176,9 +176,9 @@
 	}
 }
 
-// sayFarewell tells all proxies that this planner stops; they go on with the tables that they hold and dial elsewhere. Leases are given back
+// releaseProxies tells all proxies that this planner stops; they go on with the tables that they hold and dial elsewhere. Leases are given back
 // first, so that another planner can take the proxies over at once.
-func (l *eventLoop) sayFarewell() {
+func (l *eventLoop) releaseProxies() {
 	for p := range l.core.proxies.all() {
 		if p.commanded && l.core.leases.enabled() {
 			l.Send(p.stream, controlstream.FrameLeaseRelease, &order.Release{Epoch: p.epoch})
@@ -190,16 +190,16 @@
 
 // publishStatus publishes what the planner knows of itself, a few times a second, or at once.
 func (l *eventLoop) publishStatus(atOnce bool) {
-	if !atOnce && !l.status.due(l.core.wall) {
+	if !atOnce && !l.status.due(l.core.wallTime) {
 		return
 	}
 	status := &Status{
 		Planner:       l.Settings.Name,
-		AtUnixMs:      l.core.wall.UnixMilli(),
+		AtUnixMs:      l.core.wallTime.UnixMilli(),
 		Streams:       int(l.acceptor.open.Load()),
 		RejectedDials: l.acceptor.rejected.Load(),
 	}
-	l.core.describe(status)
+	l.core.fillStatus(status)
 	status.Merged, status.Lost = l.reports.counts()
 	l.status.publish(status)
 }
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -22,25 +22,25 @@
 )
 
 const (
-	stepMs           = 25.0
-	conversationMs   = 30_000.0
-	digestMs         = 1000.0 // one line of a golden file
-	reportMs         = 1000.0
-	unixOriginMs     = 1_790_000_000_000
-	randomSeed       = 20261202
-	proxyCount       = 12
-	serverCount      = 14
-	classCount       = 3
-	redialSteps      = 20 // after a stream ended
-	idleSteps        = 40 // before the first proxy joins
-	joinSteps        = 8  // from one proxy's joining to the next one's
-	rivalName        = "planner-2"
-	plannerName      = "planner-1"
-	rivalIncarnation = 99
-	firstProcess     = 5 // incarnation of each proxy at the start
+	stepMs                  = 25.0
+	simulatedMs             = 30_000.0
+	digestIntervalMs        = 1000.0 // one line of a golden file
+	reportIntervalMs        = 1000.0
+	unixOriginMs            = 1_790_000_000_000
+	randomSeed              = 20261202
+	proxyCount              = 12
+	serverCount             = 14
+	classCount              = 3
+	redialSteps             = 20 // after a stream ended
+	idleSteps               = 40 // before the first proxy joins
+	joinSteps               = 8  // from one proxy's joining to the next one's
+	otherPlannerName        = "planner-2"
+	plannerName             = "planner-1"
+	otherPlannerIncarnation = 99
+	initialIncarnation      = 5 // incarnation of each proxy at the start
 )
 
-const conversationSettings = `name: "planner-1" listen: "127.0.0.1:0"
+const goldenSettings = `name: "planner-1" listen: "127.0.0.1:0"
 zones { name: "a" prefixes: "127.1.0.0/16" } zones { name: "b" prefixes: "127.2.0.0/16" }
 groups { name: "check" latency_budget: "600ms" expiry: "1.5s" utility: 3 repeat: RETRIABLE }
 groups { name: "start" latency_budget: "1s" expiry: "2.5s" repeat: DEDUPED }
@@ -66,16 +66,16 @@
 	incarnation  uint64
 	lease        lease.Grantor
 	stream       *planner.Stream // nil: it has none
-	streams      uint64          // so far
-	redialAt     int             // step
+	streamCount  uint64          // so far
+	redialStep   int             // step
 	inbox        []proto.Message // of the current stream, to be answered in the next step
 	unresponsive bool            // answers nothing
 	silent       bool            // sends nothing at all
 }
 
-// conversation is a planner core, its proxies and a list source in simulated time. All that the core decides goes into the
+// simulation is a planner core, its proxies and a list source in simulated time. All that the core decides goes into the
 // digest, byte for byte.
-type conversation struct {
+type simulation struct {
 	t        *testing.T
 	core     *planner.Core
 	digest   *golden.Digest
@@ -85,24 +85,24 @@
 	proxies  []*fakeProxy
 	servers  []discovery.Endpoint
 	slow     map[string]float64 // factor of a server's latency
-	broken   map[string]bool    // servers whose requests fail
+	failing  map[string]bool    // servers whose requests fail
 	diskFull bool               // the store cannot be written
 }
 
-func newConversation(t *testing.T, name, more string, shared bool) *conversation {
+func newSimulation(t *testing.T, name, more string, shared bool) *simulation {
 	t.Helper()
 	configuration := &pb.Planner{}
-	if err := settings.Parse(name, []byte(conversationSettings+more), configuration); err != nil {
+	if err := settings.Parse(name, []byte(goldenSettings+more), configuration); err != nil {
 		t.Fatal(err)
 	}
-	c := &conversation{
-		t:      t,
-		core:   planner.NewCore(configuration, planner.NewPolicy(configuration), 1, 0),
-		digest: golden.NewDigest(name, digestMs),
-		random: rand.New(rand.NewSource(randomSeed)),
-		shared: shared,
-		slow:   map[string]float64{},
-		broken: map[string]bool{},
+	c := &simulation{
+		t:       t,
+		core:    planner.NewCore(configuration, planner.NewPolicy(configuration), 1, 0),
+		digest:  golden.NewDigest(name, digestIntervalMs),
+		random:  rand.New(rand.NewSource(randomSeed)),
+		shared:  shared,
+		slow:    map[string]float64{},
+		failing: map[string]bool{},
 	}
 	if shared {
 		c.core.EnableLeases(0)
@@ -112,16 +112,16 @@
 	}
 	for number := range proxyCount {
 		proxy := &fakeProxy{
-			name: fmt.Sprint("edge-", number), zone: number % 2, incarnation: firstProcess, redialAt: idleSteps + number*joinSteps,
+			name: fmt.Sprint("edge-", number), zone: number % 2, incarnation: initialIncarnation, redialStep: idleSteps + number*joinSteps,
 		}
 		c.proxies = append(c.proxies, proxy)
 	}
 	return c
 }
 
-func (c *conversation) now() float64 { return float64(c.step) * stepMs }
+func (c *simulation) now() float64 { return float64(c.step) * stepMs }
 
-func (c *conversation) proxyOf(stream *planner.Stream) *fakeProxy {
+func (c *simulation) proxyOf(stream *planner.Stream) *fakeProxy {
 	proxy, ok := stream.Transport.(*fakeProxy)
 	if !ok {
 		c.t.Fatal("a stream of no proxy")
@@ -129,7 +129,7 @@
 	return proxy
 }
 
-func (c *conversation) Send(stream *planner.Stream, kind controlstream.FrameKind, message proto.Message) {
+func (c *simulation) Send(stream *planner.Stream, kind controlstream.FrameKind, message proto.Message) {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
 		c.t.Fatal(err)
@@ -141,7 +141,7 @@
 	}
 }
 
-func (c *conversation) Close(stream *planner.Stream, why *controlstream.CloseError) {
+func (c *simulation) Close(stream *planner.Stream, why *controlstream.CloseError) {
 	reason, known := reasonNames[why.Reason]
 	if !known {
 		c.t.Fatalf("a stream ended for a reason that the test has no name for: %v", why)
@@ -153,9 +153,9 @@
 	}
 }
 
-func (c *conversation) SetTimer(atMs float64) { c.digest.Add(c.now(), "wake at %g", atMs) }
+func (c *simulation) SetTimer(atMs float64) { c.digest.Add(c.now(), "wake at %g", atMs) }
 
-func (c *conversation) ReserveEpochs(upTo uint64) {
+func (c *simulation) ReserveEpochs(upTo uint64) {
 	c.digest.Add(c.now(), "reserve %d", upTo)
 	var err error
 	if c.diskFull {
@@ -167,7 +167,7 @@
 func (p *fakeProxy) disconnect(step int) {
 	p.stream, p.inbox = nil, nil
 	p.unresponsive, p.silent = false, false
-	p.redialAt = step + redialSteps
+	p.redialStep = step + redialSteps
 }
 
 // leaseState is what a proxy says of its lease.
@@ -177,23 +177,23 @@
 		Controller:  p.lease.Controller,
 		Incarnation: p.lease.Incarnation,
 		LeftMs:      p.lease.RemainingMs(),
-		Reachable:   []string{plannerName, rivalName},
+		Reachable:   []string{plannerName, otherPlannerName},
 		Controllers: 2,
 	}
 }
 
-func (c *conversation) connect(proxy *fakeProxy) {
-	proxy.streams++
+func (c *simulation) connect(proxy *fakeProxy) {
+	proxy.streamCount++
 	proxy.silent = false
 	proxy.stream = c.join(proxy, proxy.incarnation)
 }
 
 // join opens a stream under a proxy's name, by its process or by another one.
-func (c *conversation) join(proxy *fakeProxy, incarnation uint64) *planner.Stream {
+func (c *simulation) join(proxy *fakeProxy, incarnation uint64) *planner.Stream {
 	address := netip.MustParseAddr([]string{"127.1.0.9", "127.2.0.9"}[proxy.zone])
 	stream := &planner.Stream{Address: address, Transport: proxy}
 	join := &order.Join{
-		Proxy: proxy.name, UsualPerS: 10, Incarnation: incarnation, Stream: proxy.streams, Groups: classCount,
+		Proxy: proxy.name, UsualPerS: 10, Incarnation: incarnation, Stream: proxy.streamCount, Groups: classCount,
 		Holds: []*order.Holding{{
 			Groups: []uint32{0, 1, 2},
 			Lines:  []*order.Line{{Server: c.servers[proxy.zone].Server, Weight: 0.5}, {Server: c.servers[2].Server, Weight: 0.5}},
@@ -207,7 +207,7 @@
 }
 
 // answer has a proxy react to all that it was sent in the step before.
-func (c *conversation) answer(proxy *fakeProxy) {
+func (c *simulation) answer(proxy *fakeProxy) {
 	inbox := proxy.inbox
 	proxy.inbox = nil
 	if proxy.unresponsive {
@@ -236,7 +236,7 @@
 	}
 }
 
-func (c *conversation) acknowledge(proxy *fakeProxy, message *order.Orders) *order.Applied {
+func (c *simulation) acknowledge(proxy *fakeProxy, message *order.Orders) *order.Applied {
 	acknowledgement := &order.Applied{Number: message.Number}
 	if c.shared {
 		acknowledgement.Epoch = proxy.lease.Epoch
@@ -251,8 +251,8 @@
 }
 
 // report sends a proxy's load report, with latencies and failures that go by the server.
-func (c *conversation) report(proxy *fakeProxy) {
-	report := &order.Sums{CoversMs: reportMs}
+func (c *simulation) report(proxy *fakeProxy) {
+	report := &order.Sums{CoversMs: reportIntervalMs}
 	for class := range classCount {
 		report.Groups = append(report.Groups, &order.GroupSum{Group: uint32(class), Came: uint32(c.random.Intn(12)), Dropped: 0})
 	}
@@ -262,7 +262,7 @@
 		if factor := c.slow[server]; factor > 0 {
 			sample.LatencyMs *= factor
 		}
-		if c.broken[server] {
+		if c.failing[server] {
 			sample.Dropped, sample.LatencyMs = sample.Tries, 0
 		}
 		report.Servers = append(report.Servers, sample)
@@ -270,60 +270,60 @@
 	c.core.HandleLoadReport(proxy.stream, report)
 }
 
-func (c *conversation) sendFullList(version uint64) {
+func (c *simulation) sendFullList(version uint64) {
 	c.core.UpdateEndpoints(discovery.Update{Kind: policy.FullUpdate, AsOfMs: unixOriginMs + uint64(c.now()), Version: version, Endpoints: c.servers})
 }
 
-func (c *conversation) changeState(number int, state policy.State) {
+func (c *simulation) changeState(number int, state policy.State) {
 	c.servers[number].State = state
 	changed := c.servers[number : number+1]
 	c.core.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: unixOriginMs + uint64(c.now()), Version: 2, Endpoints: changed})
 }
 
 // faults are what goes wrong, by second.
-var faults = map[int]func(*conversation){
-	5: func(c *conversation) { c.broken[c.servers[3].Server] = true },
-	7: func(c *conversation) { c.changeState(0, policy.Draining) },
-	9: func(c *conversation) {
+var faults = map[int]func(*simulation){
+	5: func(c *simulation) { c.failing[c.servers[3].Server] = true },
+	7: func(c *simulation) { c.changeState(0, policy.Draining) },
+	9: func(c *simulation) {
 		c.slow[c.servers[4].Server] = 20
 		c.proxies[1].unresponsive = true
 	},
-	10: func(c *conversation) {
+	10: func(c *simulation) {
 		c.changeState(0, policy.Removed)
 		c.changeState(5, policy.Draining) // the unresponsive proxy does not acknowledge that
 	},
-	12: func(c *conversation) {
+	12: func(c *simulation) {
 		c.core.UpdateEndpoints(discovery.Update{Kind: policy.FailedUpdate, Fault: "no answer"})
-		delete(c.broken, c.servers[3].Server)
+		delete(c.failing, c.servers[3].Server)
 	},
-	13: func(c *conversation) {
+	13: func(c *simulation) {
 		c.breakConnection(c.proxies[4])
 		c.breakConnection(c.proxies[5])
 	},
-	14: func(c *conversation) { c.core.RecordLag(1500) },
-	15: func(c *conversation) {
+	14: func(c *simulation) { c.core.RecordLag(1500) },
+	15: func(c *simulation) {
 		c.core.RecordLag(10)
 		c.servers = append(c.servers, discovery.Endpoint{Server: "10.0.1.1:80", Zone: "a", RelativeCapacity: 2, StartedUnixMs: unixOriginMs + uint64(c.now()) - 500})
 		c.sendFullList(3)
 	},
-	16: func(c *conversation) { c.diskFull = true },
-	18: func(c *conversation) { c.connect(c.proxies[6]) }, // a newer stream while the older one is up
-	20: func(c *conversation) { c.core.SetDraining(true) },
-	21: func(c *conversation) { c.diskFull = false },
-	23: func(c *conversation) {
+	16: func(c *simulation) { c.diskFull = true },
+	18: func(c *simulation) { c.connect(c.proxies[6]) }, // a newer stream while the older one is up
+	20: func(c *simulation) { c.core.SetDraining(true) },
+	21: func(c *simulation) { c.diskFull = false },
+	23: func(c *simulation) {
 		c.core.SetDraining(false)
 		c.proxies[8].silent = true
 		c.servers = c.servers[:6]
 		c.sendFullList(4) // most servers are missing at once
 	},
-	25: func(c *conversation) { c.join(c.proxies[8], firstProcess+1) }, // too early: its first process may be alive
-	26: func(c *conversation) {
+	25: func(c *simulation) { c.join(c.proxies[8], initialIncarnation+1) }, // too early: its first process may be alive
+	26: func(c *simulation) {
 		c.proxies[8].incarnation++ // its first process has been silent for long
 		c.connect(c.proxies[8])
 	},
 }
 
-func (c *conversation) breakConnection(proxy *fakeProxy) {
+func (c *simulation) breakConnection(proxy *fakeProxy) {
 	if proxy.stream == nil {
 		return
 	}
@@ -331,18 +331,18 @@
 	proxy.disconnect(c.step)
 }
 
-// rival has another planner take free proxies now and then, until its leases run out.
-func (c *conversation) rival(proxy *fakeProxy) {
+// grantToOtherPlanner has another planner take free proxies now and then, until its leases run out.
+func (c *simulation) grantToOtherPlanner(proxy *fakeProxy) {
 	const chance, leaseMs = 0.01, 1500
 	expired := proxy.lease.SetTime(c.now())
 	taken := proxy.lease.Controller == "" && c.random.Float64() < chance &&
-		proxy.lease.Grant(rivalName, rivalIncarnation, proxy.lease.Epoch+1, leaseMs)
+		proxy.lease.Grant(otherPlannerName, otherPlannerIncarnation, proxy.lease.Epoch+1, leaseMs)
 	if (expired || taken) && proxy.stream != nil {
 		c.core.HandleLease(proxy.stream, proxy.leaseState())
 	}
 }
 
-func (c *conversation) advance() {
+func (c *simulation) advance() {
 	const stepsPerSecond = 1000 / stepMs
 	c.core.SetTime(c.now(), time.UnixMilli(unixOriginMs+int64(c.now())))
 	if c.step == 0 {
@@ -355,9 +355,9 @@
 	}
 	for number, proxy := range c.proxies {
 		if c.shared {
-			c.rival(proxy)
+			c.grantToOtherPlanner(proxy)
 		}
-		if proxy.stream == nil && c.step >= proxy.redialAt {
+		if proxy.stream == nil && c.step >= proxy.redialStep {
 			c.connect(proxy)
 		}
 		if proxy.stream == nil || proxy.silent {
@@ -386,18 +386,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := newConversation(t, name, variant.more, variant.shared)
-			for c.now() < conversationMs {
+			c := newSimulation(t, name, variant.more, variant.shared)
+			for c.now() < simulatedMs {
 				c.advance()
 			}
-			golden.Check(t, "testdata/core-"+name+".golden.txt", c.digest.Finish(conversationMs))
+			golden.Check(t, "testdata/core-"+name+".golden.txt", c.digest.Finish(simulatedMs))
 			checkCoverage(t, c)
 		})
 	}
 }
 
 // checkCoverage guards against a conversation in which nothing is decided any more.
-func checkCoverage(t *testing.T, c *conversation) {
+func checkCoverage(t *testing.T, c *simulation) {
 	t.Helper()
 	counts := c.core.Counts
 	if counts.Messages < 50 || counts.Entries < 500 || counts.LoadReports < 100 {
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -66,19 +66,19 @@
 }
 
 // add adds another sample.
-func (f *loadSample) add(other loadSample) {
-	f.count += other.count
-	f.failed += other.failed
-	f.latencyMs += other.latencyMs
+func (s *loadSample) add(other loadSample) {
+	s.count += other.count
+	s.failed += other.failed
+	s.latencyMs += other.latencyMs
 }
 
 // meanLatencyMs is 0 if none succeeded.
-func (f *loadSample) meanLatencyMs() float64 {
-	succeeded := f.count - f.failed
+func (s *loadSample) meanLatencyMs() float64 {
+	succeeded := s.count - s.failed
 	if succeeded <= 0 {
 		return 0
 	}
-	return f.latencyMs / float64(succeeded)
+	return s.latencyMs / float64(succeeded)
 }
 
 // newReportIntake starts the first period at a time, in ms.
--- a/internal/planner/leases.go
+++ b/internal/planner/leases.go
@@ -11,9 +11,9 @@
 // leaseState is this planner's part where several share a fleet. Package lease decides who commands which proxy; the core
 // carries that out and remembers what a proxy's last planner knew.
 type leaseState struct {
-	manager    *lease.Manager // nil: planners share nothing
-	settled    bool           // the manager has nothing more to decide before the next SetTime
-	inheritors []*joinedProxy // with drains that only their last planner knew of
+	manager         *lease.Manager // nil: planners share nothing
+	settled         bool           // the manager has nothing more to decide before the next SetTime
+	drainInheritors []*joinedProxy // with drains that only their last planner knew of
 }
 
 // enabled reports whether planners share the fleet.
@@ -74,13 +74,13 @@
 		return
 	}
 	if state.Granted && len(state.Holds) > 0 {
-		c.inherit(p, state)
+		c.inheritState(p, state)
 	}
 	c.leases.manager.HandleAnswer(p.name, state.Nonce, state.Granted, proxyViewOf(state))
 }
 
-// inherit takes over what a proxy's last planner left at it.
-func (c *Core) inherit(p *joinedProxy, state *order.Lease) {
+// inheritState takes over what a proxy's last planner left at it.
+func (c *Core) inheritState(p *joinedProxy, state *order.Lease) {
 	p.reportedTables = state.Holds
 	p.inheritedDrains = state.Going
 	p.sentByOthersMs = nil
@@ -176,14 +176,14 @@
 // inheritDrains keeps the drains that a proxy's last planner knew of and our list does not show.
 func (h leaseHost) inheritDrains(p *joinedProxy) {
 	c := h.core
-	p.inheritedUntilMs = map[string]float64{}
+	p.inheritedDrainUntilMs = map[string]float64{}
 	for _, server := range p.inheritedDrains {
 		if c.endpoints.isReady(server) {
-			p.inheritedUntilMs[server] = c.nowMs + lease.DrainMemoryMs
+			p.inheritedDrainUntilMs[server] = c.nowMs + lease.DrainMemoryMs
 		}
 	}
-	if len(p.inheritedUntilMs) > 0 && !slices.Contains(c.leases.inheritors, p) {
-		c.leases.inheritors = append(c.leases.inheritors, p)
+	if len(p.inheritedDrainUntilMs) > 0 && !slices.Contains(c.leases.drainInheritors, p) {
+		c.leases.drainInheritors = append(c.leases.drainInheritors, p)
 	}
 }
 
--- a/internal/planner/leases_test.go
+++ b/internal/planner/leases_test.go
@@ -40,9 +40,9 @@
 // newFreeLease is a proxy's statement that reaches this planner and has granted no lease.
 func newFreeLease() *order.Lease { return &order.Lease{Reachable: []string{testPlannerName}} }
 
-// grant answers the lease requests that a stream was sent from a message on, with a statement that it fills in. It returns
+// grantRequests answers the lease requests that a stream was sent from a message on, with a statement that it fills in. It returns
 // the number of messages so far.
-func (h *recordingHost) grant(s *Stream, fromMessage int, statement *order.Lease) int {
+func (h *recordingHost) grantRequests(s *Stream, fromMessage int, statement *order.Lease) int {
 	for _, message := range h.sent[s][fromMessage:] {
 		request, ok := message.(*order.Claim)
 		if !ok {
@@ -66,7 +66,7 @@
 	h.t.Helper()
 	for nowMs := fromMs; nowMs <= toMs; nowMs += testStepMs {
 		h.run(nowMs, nowMs)
-		fromMessage = h.grant(s, fromMessage, newFreeLease())
+		fromMessage = h.grantRequests(s, fromMessage, newFreeLease())
 	}
 	return fromMessage
 }
@@ -103,7 +103,7 @@
 	}
 	statement := newFreeLease()
 	statement.Holds = tablesWith("s0")
-	messages := host.grant(stream, 0, statement)
+	messages := host.grantRequests(stream, 0, statement)
 	host.runRenewing(stream, 3050, 5000, messages)
 	orders := host.sent[stream][host.expectAssignment(stream)].(*order.Orders)
 	epoch, held := host.leases.manager.HoldsLease("x")
@@ -119,7 +119,7 @@
 	statement := newFreeLease()
 	statement.Holds = tablesWith("s0", "s1")
 	statement.Going = []string{"s0"}
-	messages := host.grant(stream, 0, statement)
+	messages := host.grantRequests(stream, 0, statement)
 	messages = host.runRenewing(stream, 50, 3000, messages)
 	assignment := host.sent[stream][host.expectAssignment(stream)].(*order.Orders).Orders[0].GetBind()
 	for _, entry := range assignment.Lines {
@@ -145,7 +145,7 @@
 	for number := range inheritedMessages {
 		statement.MessagesAgoMs = append(statement.MessagesAgoMs, float64(100*number))
 	}
-	messages := host.grant(stream, 0, statement)
+	messages := host.grantRequests(stream, 0, statement)
 	for round := range 12 { // a list that gives much to order
 		beginMs := 500 * float64(round)
 		messages = host.runRenewing(stream, beginMs+50, beginMs+500, messages)
@@ -168,7 +168,7 @@
 	host, stream := newLeasingHost(t)
 	statement := newFreeLease()
 	statement.Holds = tablesWith("s0")
-	messages := host.grant(stream, 0, statement)
+	messages := host.grantRequests(stream, 0, statement)
 	messages = host.runRenewing(stream, 50, 3000, messages)
 	nowMs := 6000.0 // the lease has expired
 	if refused {
@@ -176,7 +176,7 @@
 		host.HandleAck(stream, &order.Applied{Number: 1, Refused: true})
 	}
 	host.UpdateEndpoints(stateChange("s0", policy.Draining))
-	host.SetTime(nowMs, host.wall)
+	host.SetTime(nowMs, host.wallTime)
 	for host.Next(host) {
 	}
 	for _, message := range host.sent[stream][messages:] {
--- a/internal/planner/proxies.go
+++ b/internal/planner/proxies.go
@@ -48,10 +48,10 @@
 	commanded       bool           // the policy knows it; always, where planners share nothing
 	epoch           uint64         // under which it is commanded
 	inheritedDrains []string       // servers that its last planner ejected as they drain or are removed
-	// inheritedUntilMs are those of inheritedDrains that our endpoint list shows as ready. They stay ejected until then, as
+	// inheritedDrainUntilMs are those of inheritedDrains that our endpoint list shows as ready. They stay ejected until then, as
 	// the list may just be late.
-	inheritedUntilMs map[string]float64
-	sentByOthersMs   []float64 // times of messages that other planners sent it, oldest first
+	inheritedDrainUntilMs map[string]float64
+	sentByOthersMs        []float64 // times of messages that other planners sent it, oldest first
 }
 
 // proxyTable holds the joined proxies by name and by their number at the policy. Numbers of proxies that left are given out
--- a/internal/planner/publisher.go
+++ b/internal/planner/publisher.go
@@ -52,13 +52,13 @@
 }
 
 // add adds an order of some entries to a proxy's update. The date is that of the evaluation.
-func (pub *publisher) add(p *joinedProxy, wall time.Time, entries float64, o *order.Order) {
+func (pub *publisher) add(p *joinedProxy, wallTime time.Time, entries float64, o *order.Order) {
 	update := &p.update
 	if update.orders == nil {
 		update.orders = &order.Orders{
 			Planner:       pub.planner,
 			Incarnation:   pub.incarnation,
-			DecidedUnixUs: uint64(max(wall.UnixMicro(), 0)), // a date before 1970 is none
+			DecidedUnixUs: uint64(max(wallTime.UnixMicro(), 0)), // a date before 1970 is none
 		}
 		pub.dirty = append(pub.dirty, p)
 	}
@@ -95,7 +95,7 @@
 
 // addOrder adds an order of some entries to what this evaluation decided for a proxy.
 func (c *Core) addOrder(p *joinedProxy, entries float64, o *order.Order) {
-	c.publisher.add(p, c.wall, entries, o)
+	c.publisher.add(p, c.wallTime, entries, o)
 }
 
 // nextUpdate queues the update of one proxy and reports whether there was one.
--- a/internal/planner/publisher_test.go
+++ b/internal/planner/publisher_test.go
@@ -18,7 +18,7 @@
 	for number := range messagesBefore {
 		statement.MessagesAgoMs = append(statement.MessagesAgoMs, float64(number))
 	}
-	host.grant(stream, 0, statement)
+	host.grantRequests(stream, 0, statement)
 	if !host.leases.manager.Next(leaseHost{core: host.Core, host: host}) || !host.proxies.byName["x"].commanded {
 		t.Fatal("the proxy is not commanded")
 	}
@@ -42,12 +42,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			host, stream := newCommandingHost(t, 0)
-			host.policyEjects("s0", host.proxies.byName["x"])
+			host.ejectByPolicy("s0", host.proxies.byName["x"])
 			if !host.nextUpdate() {
 				t.Fatal("nothing to send")
 			}
 			variant.end(host, stream)
-			host.SetTime(1000, host.wall)
+			host.SetTime(1000, host.wallTime)
 			if !host.nextDeparture(host) {
 				t.Fatal("no message left the queue")
 			}
@@ -59,8 +59,8 @@
 	}
 }
 
-// policyEjects has a proxy notified of an ejection, as the policy's host does.
-func (h *recordingHost) policyEjects(server string, p *joinedProxy) {
+// ejectByPolicy has a proxy notified of an ejection, as the policy's host does.
+func (h *recordingHost) ejectByPolicy(server string, p *joinedProxy) {
 	h.registry.SetEjected(server, true)
 	h.setEjected(p, server, true)
 }
@@ -77,7 +77,7 @@
 		t.Run(name, func(t *testing.T) {
 			host, _ := newCommandingHost(t, variant.before)
 			p := host.proxies.byName["x"]
-			host.policyEjects("s0", p)
+			host.ejectByPolicy("s0", p)
 			_, _, refusal := host.publisher.enqueue(host.nowMs)
 			refused := refusal != nil && refusal.Reason == controlstream.ReasonLimitExceeded
 			if refused != variant.refused || refusal != nil && !refused {
@@ -94,7 +94,7 @@
 	host.evaluate(50)
 	p := host.proxies.byName["x"]
 	for range 2 {
-		host.policyEjects("s0", p)
+		host.ejectByPolicy("s0", p)
 		host.evaluate(100)
 	}
 	if host.closed[stream] != controlstream.ReasonLimitExceeded {
@@ -107,12 +107,12 @@
 	host := newRecordingHost(t, "proxies: 4", 4)
 	host.join("x", 1, 1)
 	p := host.proxies.byName["x"]
-	host.policyEjects("s1", p)
+	host.ejectByPolicy("s1", p)
 	if p.update.urgent {
 		t.Error("the ejection of a server that is ready is urgent")
 	}
 	host.endpoints.record("s0", policy.Draining, 0)
-	host.policyEjects("s0", p)
+	host.ejectByPolicy("s0", p)
 	if !p.update.urgent || p.update.entries != 2 {
 		t.Errorf("%+v", p.update)
 	}
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -101,7 +101,7 @@
 	s.loop = &eventLoop{
 		Options:  o,
 		core:     core,
-		inputs:   make(chan input, inputBacklog),
+		inputs:   make(chan input, inputQueueCapacity),
 		reports:  s.reports,
 		acceptor: s.acceptor,
 		status:   s.status,
--- a/internal/planner/server_fixture_test.go
+++ b/internal/planner/server_fixture_test.go
@@ -112,7 +112,7 @@
 		defer close(s.done)
 		s.err = Run(ctx, options)
 	}()
-	t.Cleanup(s.wait)
+	t.Cleanup(s.cancelAndWait)
 	select {
 	case s.address = <-ready:
 	case <-s.done:
@@ -124,8 +124,8 @@
 	return s
 }
 
-// wait ends the planner and waits for it.
-func (s *testServer) wait() {
+// cancelAndWait ends the planner and waits for it.
+func (s *testServer) cancelAndWait() {
 	s.t.Helper()
 	s.cancel()
 	select {
@@ -138,7 +138,7 @@
 // stop ends the planner, which must not fail, and returns its last status.
 func (s *testServer) stop() *Status {
 	s.t.Helper()
-	s.wait()
+	s.cancelAndWait()
 	select {
 	case <-s.done:
 	default:
@@ -154,8 +154,8 @@
 type testProxy struct {
 	controlstream.SingleController
 	conn    net.Conn
-	session *controlstream.ProxySession // its reading half is the reader's, its writing half guarded by writing
-	writing sync.Mutex
+	session *controlstream.ProxySession // its reading half is the reader's, its writing half guarded by writeMu
+	writeMu sync.Mutex
 	paused  atomic.Bool   // reads no more
 	done    chan struct{} // closed when its stream has ended
 
@@ -227,8 +227,8 @@
 
 // send sends a frame. A stream that has ended is noticed by read.
 func (p *testProxy) send(kind controlstream.FrameKind, message proto.Message) {
-	p.writing.Lock()
-	defer p.writing.Unlock()
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
 	frame, err := p.session.Append(nil, kind, message)
 	if err == nil {
 		_, _ = p.conn.Write(frame)
@@ -295,12 +295,12 @@
 	return encoded
 }
 
-// failingPolicy panics when a proxy joins.
-type failingPolicy struct{ Decider }
+// panickingPolicy panics when a proxy joins.
+type panickingPolicy struct{ Decider }
 
-var errFailingPolicy = errors.New("policy fails on purpose")
+var errPolicyPanic = errors.New("policy fails on purpose")
 
-func (failingPolicy) AddProxy(int, int, float64, ...float64) { panic(errFailingPolicy) }
+func (panickingPolicy) AddProxy(int, int, float64, ...float64) { panic(errPolicyPanic) }
 
 // stallingPolicy stands still while its gate is held, and counts the attempts in the reports that it records.
 type stallingPolicy struct {
--- a/internal/planner/server_test.go
+++ b/internal/planner/server_test.go
@@ -176,11 +176,11 @@
 	t.Parallel()
 	set := parseTestSettings(t, "proxies: 4")
 	set.Dump = filepath.Join(t.TempDir(), "dump")
-	server := startServer(t, set, failingPolicy{NewPolicy(set)}, 4)
+	server := startServer(t, set, panickingPolicy{NewPolicy(set)}, 4)
 	server.join("x", 1, 1)
 	eventually(t, "the failure", func() bool { return server.log.count("core failed") > 0 })
-	server.wait()
-	if !errors.Is(server.err, ErrCoreFailed) || !strings.Contains(server.err.Error(), errFailingPolicy.Error()) {
+	server.cancelAndWait()
+	if !errors.Is(server.err, ErrCoreFailed) || !strings.Contains(server.err.Error(), errPolicyPanic.Error()) {
 		t.Errorf("%v", server.err)
 	}
 	dump, err := os.ReadFile(set.Dump)
--- a/internal/planner/status.go
+++ b/internal/planner/status.go
@@ -68,12 +68,12 @@
 func (p *statusPublisher) load() *Status { return p.current.Load() }
 
 // due reports whether the last status is old. A date that was set back makes it due.
-func (p *statusPublisher) due(wall time.Time) bool {
+func (p *statusPublisher) due(wallTime time.Time) bool {
 	last := p.load()
 	if last == nil {
 		return true
 	}
-	age := wall.UnixMilli() - last.AtUnixMs
+	age := wallTime.UnixMilli() - last.AtUnixMs
 	return age < 0 || age >= statusInterval.Milliseconds()
 }
 
@@ -87,8 +87,8 @@
 	p.current.Store(s)
 }
 
-// describe fills in what the core knows. The peak of the backlog starts anew with each call.
-func (c *Core) describe(s *Status) {
+// fillStatus fills in what the core knows. The peak of the backlog starts anew with each call.
+func (c *Core) fillStatus(s *Status) {
 	s.Proxies = len(c.proxies.byName)
 	s.Ready, s.Draining, s.Removed = c.endpoints.tracker.CountByState()
 	s.Unverified = c.endpoints.tracker.Unverified
--- a/internal/planner/streamreader.go
+++ b/internal/planner/streamreader.go
@@ -30,8 +30,8 @@
 	for r.armDeadline() {
 		count, err := r.conn.Read(buffer)
 		r.session.Feed(r.clock.Monotonic(), buffer[:count])
-		submitted := r.takeFrames(ctx)
-		r.closeIfOver(submitted, err)
+		submitted := r.submitFrames(ctx)
+		r.closeIfEnded(submitted, err)
 		if count > 0 {
 			r.loop.submit(ctx, func(core *Core) { core.HandleHeartbeat(r.stream) })
 		}
@@ -47,8 +47,8 @@
 	return !r.isClosed()
 }
 
-// takeFrames passes all whole frames on, and reports whether the core took them.
-func (r *streamReader) takeFrames(ctx context.Context) bool {
+// submitFrames passes all whole frames on, and reports whether the core took them.
+func (r *streamReader) submitFrames(ctx context.Context) bool {
 	for r.session.Next(r) {
 		if !r.submitPending(ctx) {
 			return false
@@ -67,9 +67,9 @@
 	return r.loop.submit(ctx, in)
 }
 
-// closeIfOver closes the connection if the session ended, the planner stops, or the read failed. A timeout alone is no
+// closeIfEnded closes the connection if the session ended, the planner stops, or the read failed. A timeout alone is no
 // reason: the session has judged it, or the connection is closed already.
-func (r *streamReader) closeIfOver(submitted bool, readError error) {
+func (r *streamReader) closeIfEnded(submitted bool, readError error) {
 	var networkError net.Error
 	switch {
 	case r.session.CloseCause() != nil:
--- a/internal/planner/streamwriter.go
+++ b/internal/planner/streamwriter.go
@@ -49,7 +49,7 @@
 		select {
 		case <-w.closed:
 			stop()
-			w.sayFarewell()
+			w.writeLastFrames()
 			return
 		case frame := <-w.outbox:
 			stop()
@@ -92,9 +92,9 @@
 	return controlstream.ReasonConnectionLost
 }
 
-// sayFarewell sends what is left when the planner stops, as the release of the lease is among it, and why the stream ends,
+// writeLastFrames sends what is left when the planner stops, as the release of the lease is among it, and why the stream ends,
 // unless the proxy cannot receive that.
-func (w *streamWriter) sayFarewell() {
+func (w *streamWriter) writeLastFrames() {
 	reason := w.closeCause.Reason
 	if reason == controlstream.ReasonShutdown {
 		w.writeOutbox()
@@ -102,7 +102,7 @@
 	if reason == controlstream.ReasonConnectionLost || reason == controlstream.ReasonSlowReader {
 		return
 	}
-	w.timeoutMs = farewellMs
+	w.timeoutMs = closeTimeoutMs
 	w.write(controlstream.FrameClose, &order.Bye{Reason: string(reason)})
 }
 
