--- a/internal/planner/acceptor.go
+++ b/internal/planner/acceptor.go
@@ -18,30 +18,30 @@
 	pb "lichenpick/proto/settings"
 )
 
-// How connections are paced.
+// Pacing of new connections.
 const (
-	acceptRetryMs       = 100.0 // after an accept failed, which may be for want of file descriptors
-	acceptBurstDivisor  = 10    // the accepts of one second, divided by this, may come at once
-	laggingJoinFraction = 0.1   // of the pace of accepts while the core lags; each join costs a whole table
-	laggingJoinPollMs   = 20.0  // between attempts to admit one then
+	acceptRetryMs       = 100.0 // delay after a failed accept, which may be due to a lack of file descriptors
+	acceptBurstDivisor  = 10    // the accept rate per second divided by this is the burst
+	laggingJoinFraction = 0.1   // fraction of the accept rate while the core lags, because each join costs sending whole tables
+	laggingJoinPollMs   = 20.0  // interval of attempts to admit a connection while the core lags
 )
 
-// acceptor accepts connections of proxies, admits them by address, number and pace, and has each served on goroutines of its
-// own. Its methods belong to the goroutine in run; open and rejected may be read by any.
+// acceptor accepts connections from proxies, limits them by address, number and rate, and serves each on goroutines of
+// its own. Its methods must be called by the goroutine in run; any goroutine may read open and rejected.
 type acceptor struct {
 	clock       clock.Clock
 	log         *slog.Logger
 	status      *statusPublisher
-	serve       func(context.Context, net.Conn, netip.Addr) // runs one connection to its end
-	allowed     *bart.Table[struct{}]                       // by prefix; nil: all addresses
-	maxOpen     int64
-	pace        *rate.Limiter
-	laggingPace *rate.Limiter // pace while the core lags
-	open        atomic.Int64  // connections now
-	rejected    atomic.Uint64 // connections closed by address or number since the start
+	serve       func(context.Context, net.Conn, netip.Addr) // serves one connection and returns when it has ended
+	allowed     *bart.Table[struct{}]                       // allowed prefixes; nil: all addresses
+	maxOpen     int64                                       // most connections open at once
+	pace        *rate.Limiter                               // rate of accepts
+	laggingPace *rate.Limiter                               // further limit while the core lags
+	open        atomic.Int64                                // connections open now
+	rejected    atomic.Uint64                               // connections rejected by address or number since the start
 }
 
-// newAcceptor makes an acceptor by checked settings. It has serve run each connection that it admits.
+// newAcceptor returns an acceptor with the limits of checked settings. It calls serve for each connection that it admits.
 func newAcceptor(o Options, status *statusPublisher, serve func(context.Context, net.Conn, netip.Addr)) *acceptor {
 	perSecond := settings.PerSecond(o.Settings.Streams.Accepts)
 	return &acceptor{
@@ -56,7 +56,7 @@
 	}
 }
 
-// allowedPrefixes returns the prefixes from which proxies may connect; nil if all addresses may.
+// allowedPrefixes returns the prefixes from which proxies may connect; nil if they may connect from any address.
 func allowedPrefixes(set *pb.Planner) *bart.Table[struct{}] {
 	if set.Allow == nil {
 		return nil
@@ -68,7 +68,7 @@
 	return allowed
 }
 
-// run accepts connections until the context ends, and returns when all of them have ended.
+// run accepts connections until the context ends or the listener is closed. It returns when all connections have ended.
 func (a *acceptor) run(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { closeQuietly(listener) })
 	defer stop()
@@ -105,7 +105,7 @@
 	}
 }
 
-// admit reports whether a connection may be served, once its turn has come.
+// admit reports whether a connection may be served. It waits until the rate of accepts allows it.
 func (a *acceptor) admit(ctx context.Context, from netip.Addr) bool {
 	open := a.open.Load()
 	forbidden := a.allowed != nil && !a.allowed.Contains(from)
@@ -114,7 +114,7 @@
 		a.log.Debug("connection rejected", slog.Any(logKeyFrom, from), slog.Int64(logKeyStreams, open))
 		return false
 	}
-	for a.status.load().Lagging && !a.laggingPace.Allow() { // drains and joined proxies pass first
+	for a.status.load().Lagging && !a.laggingPace.Allow() { // ejections and joined proxies have priority over new ones
 		if clock.Sleep(ctx, a.clock, laggingJoinPollMs) != nil {
 			return false
 		}
@@ -122,7 +122,7 @@
 	return a.pace.Wait(ctx) == nil
 }
 
-// peerAddress is the zero address for a connection that has no IP address.
+// peerAddress returns the remote IP address of a connection, and the zero address if it is not a TCP connection.
 func peerAddress(conn net.Conn) netip.Addr {
 	address, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if !ok {
--- a/internal/planner/acknowledgements.go
+++ b/internal/planner/acknowledgements.go
@@ -10,19 +10,19 @@
 	pb "lichenpick/proto/settings"
 )
 
-// drainAckFraction is the part of the drain grace within which a proxy must acknowledge the ejection of a server that drains.
-// The policy takes the rest for its decision.
+// drainAckFraction is the fraction of the drain grace within which a proxy must acknowledge the ejection of a draining
+// server. The rest of the grace is left for the policy to decide on the ejection.
 const drainAckFraction = 0.5
 
-// sentUpdate is a message that was not acknowledged yet.
+// sentUpdate is a message that the proxy has not acknowledged yet.
 type sentUpdate struct {
-	number    uint64 // of the message; 0: the welcome
-	decidedMs float64
-	urgent    bool            // holds an ejection of a server that drains or is removed
-	requested map[uint32]bool // acknowledgements that the policy asked for; nil: none
+	number    uint64          // of the message; 0: the welcome
+	decidedMs float64         // time of the decision
+	urgent    bool            // contains the ejection of a server that drains or is removed
+	requested map[uint32]bool // numbers of the acknowledgements that the policy requested; nil: none
 }
 
-// requestedAcknowledgements returns those that a message asks for; nil if it asks for none.
+// requestedAcknowledgements returns the numbers of the acknowledgements that a message requests; nil if there are none.
 func requestedAcknowledgements(orders *order.Orders) map[uint32]bool {
 	var requested map[uint32]bool
 	for _, o := range orders.Orders {
@@ -38,16 +38,16 @@
 	return requested
 }
 
-// ackTracker knows by when proxies must have acknowledged what they were sent.
+// ackTracker finds proxies that do not acknowledge their messages in time.
 type ackTracker struct {
 	timeoutMs      float64 // for every message
-	drainTimeoutMs float64 // for one that ejects a server which drains
-	// earliestDeadlineMs is a lower bound of all proxies' deadlines: acknowledgements only move deadlines back. It spares a scan of
-	// all proxies at each decision.
+	drainTimeoutMs float64 // for urgent messages: those that eject a server which drains or is removed
+	// earliestDeadlineMs is a lower bound of all proxies' deadlines. It saves scanning all proxies at each decision, and stays
+	// valid when acknowledgements come, as these only move deadlines later.
 	earliestDeadlineMs float64
 }
 
-// newAckTracker makes a tracker by checked settings.
+// newAckTracker returns a tracker with the timeouts of checked settings.
 func newAckTracker(set *pb.Planner) ackTracker {
 	return ackTracker{
 		timeoutMs:      settings.Milliseconds(set.Streams.SilentAfter),
@@ -55,14 +55,15 @@
 	}
 }
 
-// add has a message to a proxy acknowledged in time.
+// add starts waiting for a proxy's acknowledgement of a message.
 func (t *ackTracker) add(p *joinedProxy, u sentUpdate) {
 	p.unacknowledged = append(p.unacknowledged, u)
 	t.earliestDeadlineMs = min(t.earliestDeadlineMs, t.deadline(p))
 }
 
-// deadline is when a proxy that owes acknowledgements must have sent the first of them, in ms. A server that drains must not
-// be sent anything after its grace: a proxy that may not know of the drain is better off without a planner, and dials again.
+// deadline returns when a proxy with unacknowledged messages must have acknowledged the first of them, in ms. An urgent
+// message moves it forward, as a draining server must not get requests after its drain grace. The stream of a proxy that
+// may not know of the drain is therefore closed in time, so that the proxy dials again.
 func (t *ackTracker) deadline(p *joinedProxy) float64 {
 	deadline := p.unacknowledged[0].decidedMs + t.timeoutMs
 	for _, u := range p.unacknowledged {
@@ -85,7 +86,7 @@
 		}
 		deadline := t.deadline(p)
 		if nowMs >= deadline {
-			t.earliestDeadlineMs = nowMs // there may be more
+			t.earliestDeadlineMs = nowMs // other proxies may be late too
 			return p
 		}
 		t.earliestDeadlineMs = min(t.earliestDeadlineMs, deadline)
@@ -93,7 +94,8 @@
 	return nil
 }
 
-// HandleAck takes in that a proxy applied a message and all before it, or refused one that was decided under another epoch.
+// HandleAck handles an acknowledgement: the proxy applied a message and all before it, or rejected one that was decided
+// under another epoch.
 func (c *Core) HandleAck(s *Stream, ack *order.Applied) {
 	c.logInput(inputAck, s, ack)
 	p := s.proxy
@@ -112,11 +114,11 @@
 	}
 }
 
-// acknowledge takes the latency of one message, and tells the policy of the acknowledgements that it asked for.
+// acknowledge records the latency of one message, and passes the acknowledgements that the policy requested to the policy.
 func (c *Core) acknowledge(p *joinedProxy, update sentUpdate, acknowledged []uint32) {
 	tookMs := c.nowMs - update.decidedMs
 	if update.number > 0 {
-		// A latency over the histogram's upper bound is not recorded: its stream has long been closed for it.
+		// RecordValue fails for latencies above the histogram's upper bound. A stream is closed long before it gets that late.
 		_ = c.OrderLatency.RecordValue(max(int64(tookMs*microsPerMilli), minOrderLatencyUs))
 	}
 	for _, number := range acknowledged {
--- a/internal/planner/coalesce.go
+++ b/internal/planner/coalesce.go
@@ -6,35 +6,35 @@
 	"lichenpick/proto/order"
 )
 
-// maxCoalescedSamples bounds the servers, and the traffic classes, of a coalesced report; tables hold far fewer.
+// maxCoalescedSamples bounds the servers, and the traffic classes, of a coalesced report. Tables have far fewer entries.
 const maxCoalescedSamples = 4096
 
-// coalescedReports holds the load reports that the core has not taken yet: one per connection, to which the connection's
-// reader adds later ones. A core that lags takes the same samples less often, readers never wait for it, and memory stays
-// within one report per connection. It guards against readers that stop: writes of proxies would time out then, and all
-// proxies would dial anew at once. It is safe for use by several goroutines.
+// coalescedReports holds the load reports that the core has not taken yet, at most one per connection. The connection's
+// reader merges later reports into the one that waits. So a lagging core takes the same samples in fewer reports, readers
+// never wait for it, and memory is bounded by one report per connection. If readers stopped reading instead, the writes
+// of all proxies would time out, and all of them would dial again at once. It is safe for concurrent use.
 type coalescedReports struct {
 	available chan struct{} // of capacity 1; holds a token after each add
 
 	mu     sync.Mutex
-	queue  []*connection // with a report, oldest first; guarded by mu, as are their reports
-	merged uint64        // reports added to one that waited; guarded by mu
-	lost   uint64        // samples of servers dropped as their report was full; guarded by mu
+	queue  []*connection // connections with a waiting report, oldest first; mu guards them and their reports
+	merged uint64        // reports merged into a waiting one; guarded by mu
+	lost   uint64        // server samples dropped because the waiting report was full; guarded by mu
 }
 
-// newCoalescedReports makes one that is empty.
+// newCoalescedReports returns an empty set of reports.
 func newCoalescedReports() *coalescedReports {
 	return &coalescedReports{available: make(chan struct{}, 1)}
 }
 
-// coalescedReport is what waits of one connection. The zero value is empty.
+// coalescedReport is the waiting load report of one connection. The zero value is empty.
 type coalescedReport struct {
-	report      *order.Sums    // nil: nothing waits
-	receivedMs  float64        // when the first one came
-	serverIndex map[string]int // of servers in the report; nil until a second one comes
+	report      *order.Sums    // nil: none waits
+	receivedMs  float64        // when the first of the merged reports was received
+	serverIndex map[string]int // index in report.Servers by server; nil until a second report is merged
 }
 
-// add adds a report that came at a time, in ms. It does not wait for the core.
+// add adds a report that was received at nowMs. It does not wait for the core.
 func (r *coalescedReports) add(c *connection, report *order.Sums, nowMs float64) {
 	r.mu.Lock()
 	if c.coalesced.report == nil {
@@ -48,20 +48,21 @@
 	r.signal()
 }
 
-// signal has the core's goroutine take reports.
+// signal notifies the core's goroutine that reports wait.
 func (r *coalescedReports) signal() {
 	select {
 	case r.available <- struct{}{}:
-	default: // it has been signalled already
+	default: // a signal is pending already
 	}
 }
 
-// take removes the report that has waited longest. The connection is nil if none waits.
+// take removes and returns the report that has waited longest, with its connection and the time when its first part was
+// received, in ms. The connection is nil if no report waits.
 func (r *coalescedReports) take() (c *connection, report *order.Sums, receivedMs float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.queue) == 0 {
-		r.queue = nil // releases what the array still refers to
+		r.queue = nil // releases the connections that the backing array still refers to
 		return nil, nil, 0
 	}
 	c = r.queue[0]
@@ -72,14 +73,14 @@
 	return c, report, receivedMs
 }
 
-// counts returns the reports merged and the samples lost since the start.
+// counts returns how many reports were merged and how many server samples were lost since the start.
 func (r *coalescedReports) counts() (merged, lost uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.merged, r.lost
 }
 
-// merge adds a later report and returns how many samples of servers it had to drop.
+// merge adds a later report to the waiting one and returns how many server samples it had to drop.
 func (c *coalescedReport) merge(later *order.Sums) (lost uint64) {
 	if c.serverIndex == nil {
 		c.indexServers()
@@ -96,7 +97,7 @@
 	return lost
 }
 
-// indexServers prepares for merging; most reports are taken before a second one comes.
+// indexServers builds serverIndex. It is called at the first merge only, because most reports are taken before that.
 func (c *coalescedReport) indexServers() {
 	c.serverIndex = map[string]int{}
 	for index, sample := range c.report.Servers {
@@ -104,7 +105,7 @@
 	}
 }
 
-// mergeServer adds a sample of a server and reports whether there was room for it.
+// mergeServer adds a server's sample to the waiting report and reports whether there was room for it.
 func (c *coalescedReport) mergeServer(sample *order.ServerSum) bool {
 	index, known := c.serverIndex[sample.Server]
 	if !known {
@@ -126,12 +127,14 @@
 	return true
 }
 
-// succeededAttempts counts those of a sample; a peer may state more failures than attempts.
+// succeededAttempts returns the number of successful attempts in a sample. It is never negative, although a faulty peer may
+// report more failures than attempts.
 func succeededAttempts(sample *order.ServerSum) float64 {
 	return float64(sample.Tries - min(sample.Dropped, sample.Tries))
 }
 
-// mergeClass adds a sample of a traffic class. Beyond the bound it drops it uncounted: no honest proxy reports so many.
+// mergeClass adds a traffic class's sample to the waiting report. Samples above maxCoalescedSamples are dropped without
+// being counted, as no correct proxy has so many classes.
 func (c *coalescedReport) mergeClass(sample *order.GroupSum) {
 	found := false
 	for _, sum := range c.report.Groups {
--- a/internal/planner/connection.go
+++ b/internal/planner/connection.go
@@ -15,33 +15,33 @@
 
 // Limits of one connection.
 const (
-	closeTimeoutMs = 200.0 // that the last frames of a stream may take
-	outboxFrames   = 256   // frames that wait for one connection; a window's messages are far fewer
+	closeTimeoutMs = 200.0 // longest time for the core to close a stream at shutdown, and for writing the close frame
+	outboxFrames   = 256   // frames that may wait for the writer; the message window allows far fewer messages
 )
 
-// outgoingFrame is a frame to be encoded and sent.
+// outgoingFrame is a frame that the writer has yet to encode and send.
 type outgoingFrame struct {
 	kind    controlstream.FrameKind
 	message proto.Message
 }
 
-// connection is a proxy's connection. Three goroutines serve it: a streamReader, a streamWriter and watch. Fields do not
-// change once made, unless they say otherwise.
+// connection is a proxy's connection. Three goroutines serve it: a streamReader, a streamWriter and server.watch. Fields are
+// constant after newConnection, unless noted otherwise.
 type connection struct {
-	stream  *Stream // the core's; only its goroutine reads it
+	stream  *Stream // owned by the core's goroutine
 	conn    net.Conn
 	outbox  chan outgoingFrame // from the core to the writer
 	session *controlstream.PlannerSession
 
 	closeOnce  sync.Once
 	closed     chan struct{}             // closed by the first call of close
-	closeCause *controlstream.CloseError // valid once closed is closed
+	closeCause *controlstream.CloseError // valid after closed is closed
 
-	proxyName string          // empty until it joins; the reader's, and anybody's when it has ended
-	coalesced coalescedReport // guarded by the lock of coalescedReports
+	proxyName string          // empty until the proxy joins; owned by the reader, and readable by others after it has ended
+	coalesced coalescedReport // guarded by coalescedReports.mu
 }
 
-// newConnection makes a connection and the core's stream of it.
+// newConnection returns a connection with a new Stream for the core.
 func newConnection(conn net.Conn, from netip.Addr, session *controlstream.PlannerSession) *connection {
 	c := &connection{
 		stream:  &Stream{Address: from},
@@ -54,10 +54,11 @@
 	return c
 }
 
-// connectionOf returns the connection of a stream, which this package's server made.
+// connectionOf returns the connection of a stream that newConnection created.
 func connectionOf(s *Stream) *connection { return s.Transport.(*connection) }
 
-// close has the connection end for a reason; the first one counts. It may be called from any goroutine, and does not wait.
+// close starts closing the connection for a cause. Only the first call has an effect. Any goroutine may call it; it does not
+// wait for the connection to end.
 func (c *connection) close(cause *controlstream.CloseError) {
 	c.closeOnce.Do(func() {
 		c.closeCause = cause
@@ -75,7 +76,7 @@
 	}
 }
 
-// serveConnection runs one connection to its end and tells the core of that.
+// serveConnection serves one connection until it has ended, and then notifies the core.
 func (s *server) serveConnection(ctx context.Context, conn net.Conn, from netip.Addr) {
 	session := controlstream.NewPlannerSession(s.limits, s.Clock.Monotonic())
 	c := newConnection(conn, from, session)
@@ -95,8 +96,8 @@
 		slog.String(logKeyDetail, c.closeCause.Detail))
 }
 
-// watch waits until the connection is to end, and then interrupts its reader. When the planner stops, the core's farewell
-// comes first; the time limit guards against a core that no longer says it.
+// watch waits until the connection is being closed, and then interrupts its reader. When the planner stops, it waits for the
+// core to close the connection, and closes it itself after closeTimeoutMs, because the core may have panicked.
 func (s *server) watch(ctx context.Context, c *connection) {
 	select {
 	case <-c.closed:
@@ -109,11 +110,12 @@
 			c.close(&controlstream.CloseError{Reason: controlstream.ReasonShutdown})
 		}
 	}
-	// It fails only for a connection that is broken, which the reader notices by itself.
+	// SetReadDeadline fails only for a broken connection, which the reader notices by itself.
 	_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// closeLogLevel is Info for ends that are ordinary in a fleet, and Warn for those that an operator should investigate.
+// closeLogLevel returns Info for close reasons that are normal in operation, and Warn for those that an operator should
+// investigate.
 func closeLogLevel(reason controlstream.CloseReason) slog.Level {
 	switch reason {
 	case controlstream.ReasonPeerClosed, controlstream.ReasonConnectionLost, controlstream.ReasonShutdown:
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -16,50 +16,53 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Scales of time.
+// Time origin and units.
 const (
-	// policyOriginMs is the policy's time when the planner's clock shows 0. Start times of servers some days before the
-	// planner stay above 0, which the policy takes for "long past".
+	// policyOriginMs is added to the planner's clock to get the policy's time. It keeps the start times of servers that
+	// started days before the planner above 0, because the policy reads a start time of 0 as "long ago".
 	policyOriginMs = 1e9
 
-	// Bounds and precision of the histogram of order latencies, in microseconds.
+	// Bounds, in microseconds, and significant digits of the order latency histogram.
 	minOrderLatencyUs  = 1
 	maxOrderLatencyUs  = 600e6
 	orderLatencyDigits = 3
 	microsPerMilli     = 1000
 )
 
-// Host carries out what the core decides. Each method is one decision; the core calls them from within Next only.
+// Host carries out the core's decisions, one per call. The core calls it from within Next only.
 type Host interface {
 	// Send sends a frame on a stream. It must not block.
 	Send(s *Stream, kind controlstream.FrameKind, m proto.Message)
-	// Close ends a stream. The core forgets the stream before it calls this.
+	// Close closes a stream. The core has already dropped its state of the stream when it calls this.
 	Close(s *Stream, why *controlstream.CloseError)
-	// SetTimer asks for a call of SetTime and Next at a time, in ms of the clock that SetTime goes by. It replaces the
-	// timer set before.
+	// SetTimer asks the host to call SetTime and Next at atMs, in ms of the clock that SetTime uses. It replaces the
+	// previous timer.
 	SetTimer(atMs float64)
-	// ReserveEpochs has the store record that epochs up to this one may be used; the host reports the outcome by
-	// EpochsReserved. It is called only where planners share a fleet, and once at a time.
+	// ReserveEpochs has the epoch store record that epochs up to and including upTo may be used. The host reports the
+	// outcome by EpochsReserved. It is called only if planners share a fleet, and not again before that outcome.
 	ReserveEpochs(upTo uint64)
 }
 
-// Decider decides: the policy, or a baseline to compare it with. Its methods are those of policy.Policy.
+// Decider makes the decisions about tables, ejections and admission rates: the policy, or a baseline that is compared with
+// it. Its methods are those of policy.Policy.
 type Decider interface {
-	// SetTime sets the time, in ms from policyOriginMs on.
+	// SetTime sets the time, in ms. It starts at policyOriginMs when the planner's clock shows 0.
 	SetTime(nowMs float64)
-	// UpdateEndpoints takes in a list of servers, or changes of one.
+	// UpdateEndpoints records an endpoint list, or changes to the current one.
 	UpdateEndpoints(kind policy.UpdateKind, list []policy.Endpoint)
-	// AddProxy begins the command of a proxy that expects some requests per second and was sent messages at these times.
+	// AddProxy adds a proxy to command. It expects expectedRate requests per second, and planners sent it messages at the
+	// times sentMs.
 	AddProxy(id, zone int, expectedRate float64, sentMs ...float64)
-	// RemoveProxy ends the command of a proxy.
+	// RemoveProxy removes a proxy, which is commanded no longer.
 	RemoveProxy(id int)
-	// RecordReport takes in attempts of a zone's proxies at a server, with the mean latency of those that succeeded.
+	// RecordReport records the attempts that a zone's proxies sent to a server within coversMs, with the mean latency of the
+	// successful ones.
 	RecordReport(server string, zone, count, failed int, latencyMs, coversMs float64)
-	// RecordDemand takes in a proxy's requests of a traffic class.
+	// RecordDemand records the requests of a traffic class that a proxy received within coversMs.
 	RecordDemand(id, class, count, failed int, coversMs float64)
-	// Acknowledge takes in that a proxy gave an acknowledgement, some time after it was decided to ask for it.
+	// Acknowledge records a proxy's acknowledgement, tookMs after the policy decided to request it.
 	Acknowledge(id, number int, tookMs float64)
-	// SetLagging says whether the planner lags: deferrable decisions rest then.
+	// SetLagging sets whether the planner lags. Deferrable decisions are held back while it does.
 	SetLagging(on bool)
 	// Next carries out at most one decision and reports whether it did.
 	Next(h policy.Host) bool
@@ -70,20 +73,20 @@
 	Joins             uint64                               // streams that joined
 	Messages          uint64                               // order messages sent
 	Entries           uint64                               // entries sent in them, message overhead included
-	LoadReports       uint64                               // samples of servers taken in
-	Ignored           uint64                               // samples of servers that were never listed, or without attempts
-	Shed              uint64                               // entries dropped as too many waited for the policy
+	LoadReports       uint64                               // server samples accepted from load reports
+	Ignored           uint64                               // server samples without attempts, or of servers never listed
+	Shed              uint64                               // loads dropped because too many waited for the policy
 	EpochReservations uint64                               // successful writes to the epoch store
-	Closes            map[controlstream.CloseReason]uint64 // streams ended, by reason
+	Closes            map[controlstream.CloseReason]uint64 // ended streams, by reason
 }
 
-// Core is one planner without I/O. It is owned by one goroutine, which calls SetTime, then input methods (those that take
-// in what happened), then Next until it returns false. All times are in ms of a clock that never jumps.
+// Core is a planner without I/O. The goroutine that owns it calls SetTime, then input methods, which report what happened,
+// and then Next until it returns false. All times are in ms of a monotonic clock.
 type Core struct {
 	configuration *pb.Planner
 	policy        Decider
 	nowMs         float64
-	wallTime      time.Time // date at now; only shown and sent along
+	wallTime      time.Time // at nowMs; for the status and the decision times in messages, never for decisions
 	incarnation   uint64
 
 	zones         zoneTable
@@ -96,20 +99,20 @@
 	leases        leaseState
 	timers        timers
 	recentInputs  inputLog
-	actions       []func(Host) // decided already; carried out before anything new is decided
-	reportLagMs   float64      // that load reports waited for the core last
+	actions       []func(Host) // scheduled by input methods; carried out before any new decision
+	reportLagMs   float64      // longest time that a load report of the last batch waited for the core
 	lagging       bool
-	warmUpMs      float64 // after its start, for which a server is warming up
-	reportEveryMs uint32
+	warmUpMs      float64 // how long a server warms up after its start
+	reportEveryMs uint32  // interval of the proxies' load reports
 
 	// Counts are totals since the start.
 	Counts Counts
-	// OrderLatency is the time from a decision to its acknowledgement, in microseconds.
+	// OrderLatency holds the times from decisions to their acknowledgements, in microseconds.
 	OrderLatency *hdrhistogram.Histogram
 }
 
-// NewCore starts a planner at a time in ms of the host's clock. The incarnation tells this process from earlier ones of the
-// same name. The settings must have been checked by package settings; the core only reads them.
+// NewCore returns a planner that starts at nowMs of the host's clock. The incarnation identifies this process among all that
+// ran under the same name. The settings must have been checked by package settings; the core does not modify them.
 func NewCore(set *pb.Planner, decider Decider, incarnation uint64, nowMs float64) *Core {
 	c := &Core{
 		configuration: set,
@@ -133,8 +136,8 @@
 	return c
 }
 
-// SetTime sets the time, in ms of a clock that never jumps, and the date. What is decided until the next call leaves in one
-// message per proxy.
+// SetTime sets the time, in ms of a monotonic clock, and the wall-clock time. Orders that are decided before the next call
+// are sent in one message per proxy.
 func (c *Core) SetTime(nowMs float64, wallTime time.Time) {
 	c.nowMs = nowMs
 	c.wallTime = wallTime
@@ -144,23 +147,26 @@
 	c.leases.setTime(nowMs)
 }
 
-// DumpInputs writes the last inputs, oldest first, one per line.
+// DumpInputs writes the most recent inputs, oldest first, one per line.
 func (c *Core) DumpInputs(w io.Writer) error { return c.recentInputs.writeTo(w) }
 
-// UpdateEndpoints takes in an update of the endpoint source.
+// UpdateEndpoints records an update from the endpoint source.
 func (c *Core) UpdateEndpoints(u discovery.Update) {
 	c.logInput(inputEndpoints, nil, newUpdateSummary(u))
 	c.endpoints.tracker.RecordUpdate(u)
 }
 
-// logInput logs an input for a later dump. The stream is nil if it has not joined, the content if there is none.
+// logInput records an input for a later dump. The stream is nil if the input belongs to no joined stream; content may be
+// nil.
 func (c *Core) logInput(kind inputKind, s *Stream, content fmt.Stringer) {
 	c.recentInputs.add(loggedInput{atMs: c.nowMs, kind: kind, stream: s, content: content})
 }
 
-// Next carries out at most one decision and reports whether it did. The host calls it until it returns false. What is known
-// already goes first, then news for the policy, so that the policy decides on all of it, then what follows from its decisions:
-// an update is queued only when the policy has nothing to add to it.
+// Next carries out at most one decision and reports whether it did. The host calls it until it returns false.
+//
+// Scheduled actions and lease decisions go first. Next come the inputs of the policy, so that it decides on all of them,
+// then the policy's decisions, and last the messages that result from them: an update is queued only when the policy has no
+// more orders to add to it.
 func (c *Core) Next(h Host) bool {
 	if c.nextAction(h) || c.nextLeaseDecision(h) {
 		return true
@@ -188,5 +194,5 @@
 	return true
 }
 
-// schedule has an action carried out by a later call of Next, as input methods have no host.
+// schedule adds an action for a later call of Next, because input methods cannot call the host.
 func (c *Core) schedule(action func(Host)) { c.actions = append(c.actions, action) }
--- a/internal/planner/ejections.go
+++ b/internal/planner/ejections.go
@@ -7,10 +7,11 @@
 	"lichenpick/proto/order"
 )
 
-// entriesPerOrder is what an order costs of the control stream's rate, other than the assignment of a table.
+// entriesPerOrder is how many entries an order counts as, except the assignment of a table. The rate at which messages are
+// sent is limited in entries.
 const entriesPerOrder = 1
 
-// setEjected has a proxy notified that a server is ejected, or is so no longer.
+// setEjected adds an order that tells a proxy that a server is ejected, or readmitted.
 func (c *Core) setEjected(p *joinedProxy, server string, ejected bool) {
 	leaving := ejected && c.isLeaving(p, server)
 	c.addOrder(p, entriesPerOrder, &order.Order{What: &order.Order_Withdraw{
@@ -26,21 +27,23 @@
 	}
 }
 
-// isEjected reports whether a proxy must not use a server: for the whole fleet, or by what its last planner knew.
+// isEjected reports whether a server is ejected for a proxy, either fleet-wide or because of an inherited drain.
 func (c *Core) isEjected(p *joinedProxy, server string) bool {
 	return c.registry.Ejected[server] || p.inheritsDrain(server)
 }
 
-// isLeaving reports whether a server drains or is removed as a proxy should see it: by our list, or by its last planner's.
+// isLeaving reports whether a server drains or is removed, according to this planner's endpoint list or to the proxy's
+// previous planner.
 func (c *Core) isLeaving(p *joinedProxy, server string) bool {
 	return c.endpoints.isLeaving(server) || p.inheritsDrain(server)
 }
 
-// inheritsDrain reports whether the last planner of a proxy knew of a drain that our list does not show yet.
+// inheritsDrain reports whether the proxy's previous planner knew that a server drains, which this planner's endpoint
+// list does not show yet.
 func (p *joinedProxy) inheritsDrain(server string) bool { return p.inheritedDrainUntilMs[server] > 0 }
 
-// usesServer reports whether a proxy goes by a table with a server: one that this stream assigned, or, for classes without
-// one, a table that it brought along.
+// usesServer reports whether a proxy uses a table that contains a server. For traffic classes that this stream has
+// assigned no table, it checks the tables that the proxy reported when it joined or granted a lease.
 func (p *joinedProxy) usesServer(server string) bool {
 	unassigned := false
 	for _, table := range p.tables {
@@ -55,15 +58,15 @@
 	})
 }
 
-// endInheritedDrain ends at most one drain that only a proxy's last planner knew of and that our list never came to show,
-// and reports whether it did anything.
+// endInheritedDrain ends at most one inherited drain that this planner's endpoint list has not shown in time, or removes one
+// proxy that has none left. It reports whether it did either.
 func (c *Core) endInheritedDrain() bool {
 	for index, p := range c.leases.drainInheritors {
 		if len(p.inheritedDrainUntilMs) == 0 || !c.proxies.isJoined(p) {
 			c.leases.drainInheritors = slices.Delete(c.leases.drainInheritors, index, index+1)
 			return true
 		}
-		for _, server := range slices.Sorted(maps.Keys(p.inheritedDrainUntilMs)) { // sorted: the same inputs give the same orders
+		for _, server := range slices.Sorted(maps.Keys(p.inheritedDrainUntilMs)) { // sorted, so that orders are deterministic
 			if c.nowMs < p.inheritedDrainUntilMs[server] {
 				continue
 			}
--- a/internal/planner/endpoints.go
+++ b/internal/planner/endpoints.go
@@ -8,21 +8,21 @@
 	pb "lichenpick/proto/settings"
 )
 
-// endpointState is a server as the endpoint list last stated it.
+// endpointState is a server's last known state and its pending loads.
 type endpointState struct {
 	state        policy.State
-	lastListedMs float64        // when the list last stated it
+	lastUpdateMs float64        // when the tracker last reported the server
 	loads        []*pendingLoad // by zone of the reporting proxies; nil until the first report
 }
 
-// endpointRegistry is what is known of servers.
+// endpointRegistry holds the servers of the endpoint list.
 type endpointRegistry struct {
 	tracker  *discovery.Tracker
 	byServer map[string]*endpointState
 	changed  bool // since the list was last saved
 }
 
-// newEndpointRegistry makes one that knows no servers, by checked settings.
+// newEndpointRegistry returns a registry without servers, for checked settings.
 func newEndpointRegistry(set *pb.Planner) endpointRegistry {
 	var zones []string
 	for _, zone := range set.Zones {
@@ -34,7 +34,7 @@
 	}
 }
 
-// record takes over a server's state.
+// record sets a server's state, and adds the server if it is new.
 func (r *endpointRegistry) record(server string, state policy.State, nowMs float64) {
 	endpoint := r.byServer[server]
 	if endpoint == nil {
@@ -42,7 +42,7 @@
 		r.byServer[server] = endpoint
 	}
 	endpoint.state = state
-	endpoint.lastListedMs = nowMs
+	endpoint.lastUpdateMs = nowMs
 }
 
 // isLeaving reports whether a server is listed and drains or is removed.
@@ -57,10 +57,11 @@
 	return endpoint != nil && endpoint.state == policy.Ready
 }
 
-// forgetRemoved forgets servers that were removed long ago. It guards against names that pile up with each release.
+// forgetRemoved deletes servers that were removed more than discovery.RemovedRetentionMs ago and are not ejected.
+// Otherwise each deployment, which replaces servers, would use more memory.
 func (r *endpointRegistry) forgetRemoved(nowMs float64, ejected map[string]bool) {
 	for server, endpoint := range r.byServer {
-		if endpoint.state == policy.Removed && nowMs-endpoint.lastListedMs > discovery.RemovedRetentionMs && !ejected[server] {
+		if endpoint.state == policy.Removed && nowMs-endpoint.lastUpdateMs > discovery.RemovedRetentionMs && !ejected[server] {
 			delete(r.byServer, server)
 		}
 	}
@@ -75,17 +76,18 @@
 	return r.tracker.Snapshot(uint64(wallTime.UnixMilli()))
 }
 
-// endpointUpdater passes what the tracker believes of the list on to the policy. It is the tracker's host.
+// endpointUpdater is the tracker's host: it passes the endpoints that the tracker has accepted to the registry and the
+// policy.
 type endpointUpdater struct{ core *Core }
 
-// UpdateEndpoints takes over a list, or changes of one, and tells the policy.
+// UpdateEndpoints records an endpoint list, or changes to the current one, and passes it to the policy.
 func (u endpointUpdater) UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint) {
 	c := u.core
 	for _, endpoint := range endpoints {
 		c.endpoints.record(endpoint.Server, endpoint.State, c.nowMs)
 		startedRecently := endpoint.StartedMs > c.nowMs+policyOriginMs-c.warmUpMs
 		if endpoint.State != policy.Ready || startedRecently {
-			// Our list shows the drain by now, or the server has started anew since.
+			// An inherited drain of this server ends: the list shows the drain by now, or the server has restarted since.
 			for p := range c.proxies.all() {
 				delete(p.inheritedDrainUntilMs, endpoint.Server)
 			}
--- a/internal/planner/epochwriter.go
+++ b/internal/planner/epochwriter.go
@@ -7,17 +7,17 @@
 	"lichenpick/internal/store"
 )
 
-// epochWriter records epochs in the store away from the core's goroutine: a sync takes milliseconds, or seconds on a busy
-// disk. It is owned by the goroutine in run.
+// epochWriter reserves epochs in the store. It does so outside the core's goroutine, because syncing to disk takes
+// milliseconds, or seconds on a busy disk. It is owned by the goroutine in run.
 type epochWriter struct {
 	store     *store.Store
-	requests  chan uint64 // epochs to reserve up to; of capacity 1, as the core has one request under way at a time
+	requests  chan uint64 // highest epoch to reserve; of capacity 1, as the core has at most one request pending
 	loop      *eventLoop
 	log       *slog.Logger
-	lastError string // of the last write; empty: it succeeded. Each failure is logged once
+	lastError string // of the last write, so that a repeated failure is logged once; empty: the write succeeded
 }
 
-// newEpochWriter makes a writer to an open store, which the caller closes once run has returned.
+// newEpochWriter returns a writer to an open store, which the caller must close after run has returned.
 func newEpochWriter(epochStore *store.Store, loop *eventLoop, log *slog.Logger) *epochWriter {
 	return &epochWriter{store: epochStore, requests: make(chan uint64, 1), loop: loop, log: log}
 }
@@ -36,7 +36,7 @@
 	}
 }
 
-// logNewFailure logs a failure unless it is the same as the last one.
+// logNewFailure logs a failed write unless the previous write failed with the same error.
 func (w *epochWriter) logNewFailure(err error) {
 	if err == nil {
 		w.lastError = ""
--- a/internal/planner/eventloop.go
+++ b/internal/planner/eventloop.go
@@ -15,19 +15,19 @@
 	"lichenpick/proto/order"
 )
 
-// Bounds of one evaluation of the core.
+// Bounds of the event loop.
 const (
-	inputQueueCapacity = 1024   // inputs that wait for the core; then streams are read no further, and writes of peers wait
-	maxInputBatch      = 512    // inputs taken in before the core decides; so many take a few ms
-	maxReportBatch     = 256    // load reports taken in before it decides, after all other inputs
-	saveIntervalMs     = 1000.0 // between writes of the endpoint list
+	inputQueueCapacity = 1024   // inputs that wait for the core; while it is full, streams are not read and peers' writes wait
+	maxInputBatch      = 512    // inputs handled before the core decides; they take a few ms
+	maxReportBatch     = 256    // load reports handled before the core decides, after the other inputs
+	saveIntervalMs     = 1000.0 // shortest time between writes of the endpoint list
 )
 
-// input is something that happened, passed to the core on its goroutine.
+// input calls an input method of the core. It runs on the core's goroutine.
 type input func(*Core)
 
-// eventLoop owns the core: the goroutine in run is the only one that touches it, and calls the Host methods from within.
-// Before run starts, the goroutine that made the loop owns the core. Other goroutines use submit only.
+// eventLoop owns the core. Only the goroutine in run uses the core, and the core calls the Host methods on that goroutine.
+// Until run starts, the core is owned by the goroutine that created the loop. Other goroutines may call submit only.
 type eventLoop struct {
 	Options
 	core     *Core
@@ -35,7 +35,7 @@
 	reports  *coalescedReports
 	acceptor *acceptor
 	status   *statusPublisher
-	epochs   chan<- uint64 // nil: planners share nothing
+	epochs   chan<- uint64 // to the epoch writer; nil: planners do not share the fleet
 
 	timerAtMs float64 // when the core asked to be called again
 	savedAtMs float64 // when the endpoint list was last saved
@@ -43,7 +43,7 @@
 
 var _ Host = (*eventLoop)(nil)
 
-// submit hands the core an input. It waits while the backlog is full, and reports false if the context ended first.
+// submit queues an input for the core. It waits while the queue is full, and returns false if the context ends first.
 func (l *eventLoop) submit(ctx context.Context, in input) bool {
 	select {
 	case l.inputs <- in:
@@ -53,8 +53,9 @@
 	}
 }
 
-// run lets the core decide whenever something happened, until the context ends. The recover guards against a fault of the
-// core: what led to it is written down, proxies go on with their tables, and a supervisor starts the planner anew.
+// run evaluates the core whenever something has happened, until the context ends. If the core panics, run logs the panic,
+// dumps the inputs that led to it, and returns an error, so that a supervisor restarts the planner. Proxies continue with
+// their tables meanwhile.
 func (l *eventLoop) run(ctx context.Context) (err error) {
 	defer func() {
 		cause := recover()
@@ -66,7 +67,7 @@
 	for {
 		in, running := l.awaitWork(ctx)
 		if !running {
-			l.handleQueuedInputs() // streams that have ended are counted
+			l.handleQueuedInputs() // so that the last status counts streams that have just ended
 			l.publishStatus(true)
 			l.releaseProxies()
 			return nil
@@ -75,7 +76,8 @@
 	}
 }
 
-// awaitWork waits until there is something to do. The input is nil if that is not an input: the timer or load reports.
+// awaitWork waits for an input, load reports, the timer, or the end of the context, for which running is false. The returned
+// input is nil except in the first case.
 func (l *eventLoop) awaitWork(ctx context.Context) (in input, running bool) {
 	fired, stop := l.Clock.NewTimer(l.timerAtMs - l.Clock.Monotonic())
 	defer stop()
@@ -89,7 +91,7 @@
 	return in, true
 }
 
-// evaluate tells the core what happened and carries out its decisions.
+// evaluate passes all that happened to the core and carries out its decisions.
 func (l *eventLoop) evaluate(first input) {
 	l.core.SetTime(l.Clock.Monotonic(), l.Clock.WallTime())
 	if first != nil {
@@ -103,7 +105,7 @@
 	l.saveEndpoints()
 }
 
-// handleQueuedInputs passes the inputs that wait to the core, up to a bound.
+// handleQueuedInputs passes at most maxInputBatch queued inputs to the core.
 func (l *eventLoop) handleQueuedInputs() {
 	for range maxInputBatch {
 		select {
@@ -115,7 +117,8 @@
 	}
 }
 
-// handleQueuedReports passes the load reports that wait to the core, up to a bound; the rest has its turn once the core has decided.
+// handleQueuedReports passes at most maxReportBatch queued load reports to the core. If it reaches that number it signals
+// another evaluation for the rest.
 func (l *eventLoop) handleQueuedReports() {
 	lagMs := 0.0
 	for range maxReportBatch {
@@ -131,7 +134,7 @@
 	l.reports.signal()
 }
 
-// handlePanic logs a panic of the core and writes its last inputs to the file that the settings name.
+// handlePanic logs a panic of the core and dumps its last inputs to the file that the settings name, if any.
 func (l *eventLoop) handlePanic(cause any, stack []byte) {
 	l.Log.Error("planner core failed", slog.Any(logKeyCause, cause), slog.String(logKeyStack, string(stack)))
 	path := l.Settings.Dump
@@ -144,11 +147,11 @@
 	}
 }
 
-// writeDump writes the cause of a panic, its stack and the core's last inputs.
+// writeDump writes the cause of a panic, its stack trace and the core's last inputs to a file.
 func (l *eventLoop) writeDump(path string, cause any, stack []byte) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
-		return err // names the operation and the path
+		return err // an *os.PathError, which names the operation and the path
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
 	_, err = fmt.Fprintf(file, "%v\n%s\n", cause, stack)
@@ -158,7 +161,7 @@
 	return l.core.DumpInputs(file)
 }
 
-// saveEndpoints writes the endpoint list down, at most once a second: a restart may begin from it.
+// saveEndpoints saves the endpoint list if it changed, at most once per saveIntervalMs. A restarted planner starts from it.
 func (l *eventLoop) saveEndpoints() {
 	path := l.Settings.List.Keep
 	now := l.Clock.Monotonic()
@@ -176,8 +179,8 @@
 	}
 }
 
-// releaseProxies tells all proxies that this planner stops; they go on with the tables that they hold and dial elsewhere. Leases are given back
-// first, so that another planner can take the proxies over at once.
+// releaseProxies closes the streams of all proxies because the planner stops. They continue with their tables and dial
+// another planner. Their leases are released first, so that another planner can take them over at once.
 func (l *eventLoop) releaseProxies() {
 	for p := range l.core.proxies.all() {
 		if p.commanded && l.core.leases.enabled() {
@@ -185,10 +188,10 @@
 		}
 		l.Close(p.stream, &controlstream.CloseError{Reason: controlstream.ReasonShutdown})
 	}
-	l.Log.Info("planner leaves its proxies", slog.Int(logKeyProxies, len(l.core.proxies.byName)))
+	l.Log.Info("planner closes the streams of its proxies", slog.Int(logKeyProxies, len(l.core.proxies.byName)))
 }
 
-// publishStatus publishes what the planner knows of itself, a few times a second, or at once.
+// publishStatus publishes the planner's status if the last one is older than statusInterval or atOnce is set.
 func (l *eventLoop) publishStatus(atOnce bool) {
 	if !atOnce && !l.status.due(l.core.wallTime) {
 		return
@@ -204,23 +207,23 @@
 	l.status.publish(status)
 }
 
-// SetTimer has the core called at a time of the clock, in ms.
+// SetTimer schedules the next evaluation of the core, in ms of the clock.
 func (l *eventLoop) SetTimer(atMs float64) { l.timerAtMs = atMs }
 
-// ReserveEpochs hands a reservation to the epoch writer. It does not block: one is under way at a time.
+// ReserveEpochs passes a reservation to the epoch writer. It does not block, because the core has at most one pending.
 func (l *eventLoop) ReserveEpochs(upTo uint64) { l.epochs <- upTo }
 
-// Send queues a frame for a connection. It must not wait, as one slow proxy would hold up all others: a connection whose
-// queue is full is closed.
+// Send queues a frame for a connection. It must not wait, because one slow proxy would delay all others, so it closes a
+// connection whose outbox is full.
 func (l *eventLoop) Send(s *Stream, kind controlstream.FrameKind, m proto.Message) {
 	c := connectionOf(s)
 	select {
 	case c.outbox <- outgoingFrame{kind: kind, message: m}:
 	default:
-		detail := fmt.Sprintf("%d frames wait", outboxFrames)
+		detail := fmt.Sprintf("outbox full with %d frames", outboxFrames)
 		c.close(&controlstream.CloseError{Reason: controlstream.ReasonSlowReader, Detail: detail})
 	}
 }
 
-// Close ends a connection.
+// Close closes a stream's connection.
 func (l *eventLoop) Close(s *Stream, why *controlstream.CloseError) { connectionOf(s).close(why) }
--- a/internal/planner/inputlog.go
+++ b/internal/planner/inputlog.go
@@ -9,13 +9,13 @@
 	"lichenpick/internal/discovery"
 )
 
-// recentInputCount is how many inputs are logged for a dump: some seconds of a large fleet.
+// recentInputCount is how many inputs are kept for a dump: those of a few seconds in a large fleet.
 const recentInputCount = 4096
 
-// inputKind is the kind of a logged input.
+// inputKind identifies the input method that was called.
 type inputKind uint8
 
-// Kinds of inputs, one for each input method that is logged.
+// Kinds of inputs. Only the input methods that call Core.logInput have one.
 const (
 	inputEndpoints inputKind = iota
 	inputJoin
@@ -25,69 +25,69 @@
 	inputLease
 )
 
-// String is the kind's name in a dump.
+// String returns the kind's name as it appears in a dump.
 func (k inputKind) String() string {
 	return [...]string{"endpoints", "join", "disconnect", "load report", "acknowledgement", "lease"}[k]
 }
 
-// loggedInput is an input as it came. It is formatted only when a dump is written, as most never are.
+// loggedInput is a recorded input. It is formatted only when a dump is written, because most inputs are never dumped.
 type loggedInput struct {
 	atMs    float64
-	stream  *Stream      // nil: of no stream that joined
+	stream  *Stream      // nil: the input belongs to no joined stream
 	content fmt.Stringer // nil: none
 	kind    inputKind
 }
 
-// String gives the input as one line of a dump, without its end.
+// String formats the input as one line of a dump, without the line break.
 func (in *loggedInput) String() string {
 	text := fmt.Sprintf("%.3f %s", in.atMs, in.kind)
 	if in.stream != nil {
 		text += " " + in.stream.Name()
 	}
 	if in.content != nil {
-		text += " " + strings.Join(strings.Fields(in.content.String()), " ") // the spaces of protobuf's text vary
+		text += " " + strings.Join(strings.Fields(in.content.String()), " ") // protobuf's text format varies its spaces
 	}
 	return text
 }
 
-// updateSummary is what a dump says of an endpoint update, whose list may be long.
+// updateSummary is the content of a logged endpoint update. It replaces the endpoints, which may be many, by their number.
 type updateSummary struct {
 	update  discovery.Update // without its endpoints
-	entries int
+	entries int              // number of endpoints
 }
 
-// newUpdateSummary summarises an update.
+// newUpdateSummary returns the summary of an update.
 func newUpdateSummary(u discovery.Update) *updateSummary {
 	summary := &updateSummary{update: u, entries: len(u.Endpoints)}
 	summary.update.Endpoints = nil
 	return summary
 }
 
-// String states the form of the update and why it failed, if it did.
+// String formats the update's kind, version, time and number of endpoints, and why it failed, if it did.
 func (s *updateSummary) String() string {
 	u := &s.update
 	return fmt.Sprintf("kind=%d version=%d as_of=%d entries=%d %s", u.Kind, u.Version, u.AsOfMs, s.entries, u.Fault)
 }
 
-// disconnectCause makes the reason of a disconnect content of a logged input.
+// disconnectCause is the content of a logged disconnect: a CloseError as a fmt.Stringer.
 type disconnectCause struct{ *controlstream.CloseError }
 
-// String gives the reason with its detail.
+// String returns the close reason with its detail.
 func (d disconnectCause) String() string { return d.Error() }
 
-// inputLog is a ring of the last inputs. The zero value is empty.
+// inputLog is a ring buffer of the most recent inputs. The zero value is empty.
 type inputLog struct {
 	entries [recentInputCount]loggedInput
-	count   int // of all inputs since the start
+	count   int // inputs added since the start, including overwritten ones
 }
 
-// add logs an input in place of the oldest one.
+// add records an input; once the buffer is full it overwrites the oldest one.
 func (l *inputLog) add(in loggedInput) {
 	l.entries[l.count%recentInputCount] = in
 	l.count++
 }
 
-// writeTo writes the logged inputs, oldest first, one per line.
+// writeTo writes the recorded inputs, oldest first, one per line.
 func (l *inputLog) writeTo(w io.Writer) error {
 	for number := max(0, l.count-recentInputCount); number < l.count; number++ {
 		in := &l.entries[number%recentInputCount]
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -7,20 +7,20 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Scales of the intake's rate.
+// Burst size and unit of the intake's rate.
 const (
-	intakeBurstsPerSecond = 5 // the rate of one second, divided by this, may pass at once
+	intakeBurstsPerSecond = 5 // the rate per second divided by this is the burst: the most loads that may pass at once
 	millisPerSecond       = 1000
 )
 
-// intakeLimits bound how much of load reports the policy receives.
+// intakeLimits bounds how many loads the policy receives.
 type intakeLimits struct {
-	periodMs  float64 // for which samples are summed up
-	perSecond float64 // loads that may pass to the policy
-	maxQueued int     // loads that wait; beyond it the oldest is shed
+	periodMs  float64 // length of the periods over which reports are aggregated
+	perSecond float64 // loads passed to the policy per second
+	maxQueued int     // most loads that wait; above it the oldest is shed
 }
 
-// intakeLimitsOf translates checked settings.
+// intakeLimitsOf returns the limits of checked settings.
 func intakeLimitsOf(set *pb.Reports) intakeLimits {
 	return intakeLimits{
 		periodMs:  settings.Milliseconds(set.Every),
@@ -29,50 +29,52 @@
 	}
 }
 
-// reportIntake adds load reports up, per server and zone, and per proxy and traffic class, and passes a limited number of
-// loads per second to the policy, oldest first. What waits keeps growing in place: each load is queued once at most.
+// reportIntake aggregates load reports into loads, one per server and reporting zone and one per proxy and traffic class. It
+// passes a limited number of loads per second to the policy, oldest first. Samples of a load that already waits are added to
+// it, so each load is in the queue at most once.
 type reportIntake struct {
 	intakeLimits
 	periodStartMs float64
-	current       []*pendingLoad // with samples in this period, in order of their first
-	queue         []*pendingLoad // of closed periods, oldest first
-	removed       int            // of the queue: those whose owner is gone
+	current       []*pendingLoad // loads with samples in the current period, by when the first came
+	queue         []*pendingLoad // loads with samples from closed periods, oldest first
+	removed       int            // loads in the queue whose owner has left
 	tokens        float64        // loads that may pass now
 	nowMs         float64
 	shed          int // loads dropped from the queue since the start
 }
 
-// pendingLoad is what is known and not yet passed on of a server in a zone, or of a proxy in a traffic class. Its owner (an
-// endpointState or a joinedProxy) holds on to it, so that a report costs neither a search nor an allocation.
+// pendingLoad is the load of a server from a zone, or the demand of a proxy in a traffic class, that was not passed to the
+// policy yet. Its owner, an endpointState or a joinedProxy, keeps a pointer to it, so that adding a report needs neither a
+// lookup nor an allocation.
 type pendingLoad struct {
-	server string // empty: it is demand of a proxy
-	zone   int
-	proxy  *joinedProxy
-	class  int
+	server string       // empty for the demand of a proxy
+	zone   int          // of the reporting proxies; for a server only
+	proxy  *joinedProxy // nil for a server
+	class  int          // for a proxy only
 
 	current   loadSample // of the current period
 	queued    loadSample // of earlier periods
-	coversMs  float64    // length of these
-	isCurrent bool       // listed in reportIntake.current
-	isQueued  bool       // listed in reportIntake.queue
-	removed   bool       // its owner is gone
+	coversMs  float64    // total length of these periods
+	isCurrent bool       // in reportIntake.current
+	isQueued  bool       // in reportIntake.queue
+	removed   bool       // the owner has left
 }
 
-// loadSample is a number of attempts or requests.
+// loadSample counts attempts at a server, or requests of a traffic class.
 type loadSample struct {
 	count     int
-	failed    int
-	latencyMs float64 // sum over those that succeeded
+	failed    int     // of count
+	latencyMs float64 // sum over the successful ones
 }
 
-// add adds another sample.
+// add adds another sample to this one.
 func (s *loadSample) add(other loadSample) {
 	s.count += other.count
 	s.failed += other.failed
 	s.latencyMs += other.latencyMs
 }
 
-// meanLatencyMs is 0 if none succeeded.
+// meanLatencyMs returns the mean latency of the successful ones, and 0 if there are none.
 func (s *loadSample) meanLatencyMs() float64 {
 	succeeded := s.count - s.failed
 	if succeeded <= 0 {
@@ -81,12 +83,12 @@
 	return s.latencyMs / float64(succeeded)
 }
 
-// newReportIntake starts the first period at a time, in ms.
+// newReportIntake returns an empty intake whose first period starts at nowMs.
 func newReportIntake(limits intakeLimits, nowMs float64) *reportIntake {
 	return &reportIntake{intakeLimits: limits, periodStartMs: nowMs, nowMs: nowMs}
 }
 
-// add adds a report to a load. The latency is the mean of those that succeeded, in ms.
+// add adds a sample to a load. meanLatencyMs is the mean over the successful attempts.
 func (in *reportIntake) add(load *pendingLoad, count, failed int, meanLatencyMs float64) {
 	if !load.isCurrent {
 		load.isCurrent = true
@@ -95,7 +97,7 @@
 	load.current.add(loadSample{count: count, failed: failed, latencyMs: meanLatencyMs * float64(count-failed)})
 }
 
-// setTime adds to what may pass, and closes the period if it is over.
+// setTime sets the time, in ms. It refills the tokens and closes the current period if that is over.
 func (in *reportIntake) setTime(nowMs float64) {
 	burst := math.Max(in.perSecond/intakeBurstsPerSecond, 1)
 	in.tokens = math.Min(in.tokens+(nowMs-in.nowMs)/millisPerSecond*in.perSecond, burst)
@@ -105,12 +107,12 @@
 	}
 }
 
-// closePeriod queues what came in the current period and starts the next one.
+// closePeriod moves the samples of the current period to the queue and starts the next period.
 func (in *reportIntake) closePeriod() {
 	coversMs := in.nowMs - in.periodStartMs
 	in.periodStartMs = in.nowMs
 	in.compact()
-	for _, load := range in.queue { // covers this period too, even if nothing came
+	for _, load := range in.queue { // a queued load covers this period too, even without samples in it
 		load.coversMs += coversMs
 	}
 	for _, load := range in.current {
@@ -127,8 +129,8 @@
 	in.current = in.current[:0]
 }
 
-// enqueue queues a load. If too many wait it sheds the oldest: the newer is the better news, and
-// the next load of the shed one's owner states the longer time that it covers.
+// enqueue queues a load. If the queue is full it sheds the oldest load, whose samples are the most outdated. These are lost
+// together with the time that they cover, so rates computed from the same owner's later loads stay correct.
 func (in *reportIntake) enqueue(load *pendingLoad, coversMs float64) {
 	if len(in.queue) >= in.maxQueued {
 		oldest := in.queue[0]
@@ -142,8 +144,8 @@
 	in.queue = append(in.queue, load)
 }
 
-// next removes the oldest load from the queue, if one may pass now; nil if none may. The caller takes its sample before
-// anything is added to it.
+// next removes the oldest load from the queue and returns it; nil if the queue is empty or the rate allows none now. The
+// caller must take the load's sample before anything is added to the load.
 func (in *reportIntake) next() *pendingLoad {
 	for len(in.queue) > 0 && in.queue[0].removed {
 		in.queue = in.queue[1:]
@@ -159,14 +161,15 @@
 	return load
 }
 
-// take returns what was queued and empties it.
+// take returns the queued sample and resets it.
 func (load *pendingLoad) take() loadSample {
 	sample := load.queued
 	load.queued = loadSample{}
 	return sample
 }
 
-// deadline is when the next load may pass, in ms; infinite if nothing waits.
+// deadline returns when to call next again, in ms: when the rate allows the next load, or when the current period ends.
+// It is infinite if nothing waits.
 func (in *reportIntake) deadline() float64 {
 	switch {
 	case len(in.queue) > in.removed:
@@ -178,7 +181,7 @@
 	}
 }
 
-// remove ends loads whose owner is gone. They stay queued and are skipped in their turn.
+// remove marks loads whose owner has left. They stay in the queue, and next skips them.
 func (in *reportIntake) remove(loads []*pendingLoad) {
 	for _, load := range loads {
 		load.removed = true
@@ -188,7 +191,7 @@
 	}
 }
 
-// compact takes removed loads out of the queue, so that they use up no place.
+// compact deletes removed loads from the queue, so that they do not count towards maxQueued.
 func (in *reportIntake) compact() {
 	if in.removed == 0 {
 		return
--- a/internal/planner/leases.go
+++ b/internal/planner/leases.go
@@ -8,18 +8,18 @@
 	"lichenpick/proto/order"
 )
 
-// leaseState is this planner's part where several share a fleet. Package lease decides who commands which proxy; the core
-// carries that out and remembers what a proxy's last planner knew.
+// leaseState is the state of a planner that shares its fleet with others. Package lease decides which planner commands which
+// proxy. The core carries that out, and keeps the drains that a proxy's previous planner knew of.
 type leaseState struct {
-	manager         *lease.Manager // nil: planners share nothing
-	settled         bool           // the manager has nothing more to decide before the next SetTime
-	drainInheritors []*joinedProxy // with drains that only their last planner knew of
+	manager         *lease.Manager // nil: planners do not share the fleet
+	settled         bool           // no lease decision is left before the next SetTime
+	drainInheritors []*joinedProxy // proxies with inherited drains: those that only their previous planner knew of
 }
 
 // enabled reports whether planners share the fleet.
 func (l *leaseState) enabled() bool { return l.manager != nil }
 
-// setTime sets the time, in ms; it may bring leases new decisions.
+// setTime sets the time, in ms. Lease decisions may become due by it.
 func (l *leaseState) setTime(nowMs float64) {
 	if l.enabled() {
 		l.manager.SetTime(nowMs)
@@ -27,7 +27,7 @@
 	}
 }
 
-// countHeld counts the proxies that this planner commands, of those that are joined.
+// countHeld returns how many proxies this planner commands: all joined ones if planners do not share the fleet.
 func (l *leaseState) countHeld(joined int) int {
 	if !l.enabled() {
 		return joined
@@ -36,13 +36,14 @@
 	return held
 }
 
-// EnableLeases makes the planner one of several that share a fleet. It must be called before any other method. Epochs up to
-// reserved may have been used by earlier processes, as the epoch store states.
+// EnableLeases makes the planner one of several that share a fleet. It must be called before any other method. The epoch
+// store states that earlier processes may have used epochs up to reserved.
 func (c *Core) EnableLeases(reserved uint64) {
 	c.leases.manager = lease.NewManager(c.configuration.Name, c.incarnation, reserved, c.nowMs)
 }
 
-// EpochsReserved takes in whether the epoch store recorded that epochs up to this one may be used.
+// EpochsReserved handles the outcome of Host.ReserveEpochs: whether the epoch store recorded that epochs up to upTo may be
+// used.
 func (c *Core) EpochsReserved(upTo uint64, err error) {
 	if err != nil {
 		c.leases.manager.ReservationFailed()
@@ -52,16 +53,16 @@
 	c.leases.manager.EpochsReserved(upTo)
 }
 
-// SetDraining makes this planner transfer its proxies to others, or take part again. It does nothing where planners share
-// nothing.
+// SetDraining makes this planner transfer its proxies to others, or accept proxies again. It does nothing if planners do not
+// share the fleet.
 func (c *Core) SetDraining(on bool) {
 	if c.leases.enabled() {
 		c.leases.manager.SetDraining(on)
 	}
 }
 
-// HandleLease takes in a proxy's statement of who commands it, unasked or in answer to a lease request. A proxy that grants a
-// new lease states what it holds.
+// HandleLease handles a proxy's lease state: sent unasked, with nonce 0, or in answer to a lease request. A proxy that
+// grants a new lease also reports its tables, the drains that it knows of, and when it was last sent messages.
 func (c *Core) HandleLease(s *Stream, state *order.Lease) {
 	c.logInput(inputLease, s, state)
 	p := s.proxy
@@ -79,7 +80,7 @@
 	c.leases.manager.HandleAnswer(p.name, state.Nonce, state.Granted, proxyViewOf(state))
 }
 
-// inheritState takes over what a proxy's last planner left at it.
+// inheritState records what a proxy reports about its previous planner: the tables, the drains, and the times of messages.
 func (c *Core) inheritState(p *joinedProxy, state *order.Lease) {
 	p.reportedTables = state.Holds
 	p.inheritedDrains = state.Going
@@ -90,7 +91,7 @@
 	slices.Sort(p.sentByOthersMs)
 }
 
-// nextLeaseDecision carries out one decision about leases and what they leave behind, and reports whether there was one.
+// nextLeaseDecision carries out one decision about leases or inherited drains, and reports whether there was one.
 func (c *Core) nextLeaseDecision(h Host) bool {
 	if !c.leases.enabled() || c.leases.settled {
 		return false
@@ -102,7 +103,7 @@
 	return false
 }
 
-// proxyViewOf translates a proxy's statement.
+// proxyViewOf translates a proxy's lease state for package lease.
 func proxyViewOf(state *order.Lease) lease.ProxyView {
 	return lease.ProxyView{
 		Epoch:             state.Epoch,
@@ -114,12 +115,12 @@
 	}
 }
 
-// controllerStatus tells proxies whether this planner takes leases.
+// controllerStatus returns the message that tells proxies whether this planner accepts leases.
 func (c *Core) controllerStatus() *order.Standing {
 	return &order.Standing{Controller: c.configuration.Name, Incarnation: c.incarnation, Open: c.leases.manager.Open()}
 }
 
-// leaseHost carries out the decisions of package lease. Decisions about proxies that left meanwhile are ignored.
+// leaseHost carries out the decisions of package lease. It ignores decisions about proxies that have left in the meantime.
 type leaseHost struct {
 	core *Core
 	host Host
@@ -127,7 +128,7 @@
 
 var _ lease.Host = leaseHost{}
 
-// RequestLease asks a proxy for a lease, or for its renewal.
+// RequestLease sends a proxy a request for a new lease or a renewal.
 func (h leaseHost) RequestLease(proxy string, nonce, epoch uint64, leaseMs float64) {
 	p := h.core.proxies.byName[proxy]
 	if p == nil {
@@ -142,7 +143,7 @@
 	})
 }
 
-// ReleaseLease gives a lease back to its proxy.
+// ReleaseLease tells a proxy that its lease is released.
 func (h leaseHost) ReleaseLease(proxy string, epoch uint64) {
 	p := h.core.proxies.byName[proxy]
 	if p != nil {
@@ -150,8 +151,8 @@
 	}
 }
 
-// StartCommand has the policy command a proxy. Messages that other planners sent it count in its window, and drains that
-// only its last planner knew of stay in force for a while.
+// StartCommand has the policy command a proxy. Messages that other planners sent to it count towards its message window, and
+// drains that only its previous planner knew of stay in force for lease.DrainMemoryMs.
 func (h leaseHost) StartCommand(proxy string, epoch uint64) {
 	c := h.core
 	p := c.proxies.byName[proxy]
@@ -173,7 +174,7 @@
 	c.policy.AddProxy(p.id, p.zone, p.expectedRate, sentMs...)
 }
 
-// inheritDrains keeps the drains that a proxy's last planner knew of and our list does not show.
+// inheritDrains keeps the drains that a proxy's previous planner knew of, for servers that are ready in this planner's list.
 func (h leaseHost) inheritDrains(p *joinedProxy) {
 	c := h.core
 	p.inheritedDrainUntilMs = map[string]float64{}
@@ -187,7 +188,7 @@
 	}
 }
 
-// StopCommand ends the command of a proxy; its stream goes on.
+// StopCommand stops commanding a proxy. Its stream stays open.
 func (h leaseHost) StopCommand(proxy string) {
 	p := h.core.proxies.byName[proxy]
 	if p != nil && p.commanded {
@@ -195,10 +196,10 @@
 	}
 }
 
-// ReserveEpochs has the host's store record epochs.
+// ReserveEpochs has the epoch store record that epochs up to upTo may be used.
 func (h leaseHost) ReserveEpochs(upTo uint64) { h.host.ReserveEpochs(upTo) }
 
-// SetOpen tells all proxies whether this planner takes leases.
+// SetOpen tells all joined proxies whether this planner accepts leases.
 func (h leaseHost) SetOpen(bool) {
 	status := h.core.controllerStatus()
 	for p := range h.core.proxies.all() {
@@ -206,5 +207,5 @@
 	}
 }
 
-// SetTimer has the lease manager asked again at a time, in ms.
+// SetTimer schedules the next call of the lease manager, at a time in ms.
 func (h leaseHost) SetTimer(atMs float64) { h.core.timers.leaseAtMs = max(atMs, h.core.nowMs) }
--- a/internal/planner/loadreports.go
+++ b/internal/planner/loadreports.go
@@ -2,13 +2,14 @@
 
 import "lichenpick/proto/order"
 
-// When the planner lags. Between the two times it stays as it is, so that it does not change its mind with each report.
+// Thresholds of lagging, with hysteresis so that the state does not flip with each report. Times are how long a load report
+// waits for the core.
 const (
-	laggingMs  = 1000.0 // that a report may wait; beyond it decisions go by old reports, and the planner lags
-	caughtUpMs = 100.0  // that it waits once the planner lags no longer
+	laggingMs  = 1000.0 // above it decisions would use outdated reports, and the planner lags
+	caughtUpMs = 100.0  // below it the planner lags no longer
 )
 
-// HandleLoadReport takes in a proxy's load report. Samples of servers that were never listed are ignored.
+// HandleLoadReport handles a proxy's load report. Samples of servers that were never listed are ignored.
 func (c *Core) HandleLoadReport(s *Stream, report *order.Sums) {
 	c.logInput(inputLoadReport, s, report)
 	p := s.proxy
@@ -26,13 +27,13 @@
 		p.demand = c.newDemand(p)
 	}
 	for _, sample := range report.Groups {
-		if int(sample.Group) < len(p.demand) { // a proxy may name any class
+		if int(sample.Group) < len(p.demand) { // the class comes from the proxy and is not checked before
 			c.intake.add(p.demand[sample.Group], int(sample.Came), int(sample.Dropped), 0)
 		}
 	}
 }
 
-// addServerSample adds a proxy's sample of a server to the load of the server in the proxy's zone.
+// addServerSample adds a proxy's sample of a server to the server's pending load from the proxy's zone.
 func (c *Core) addServerSample(p *joinedProxy, sample *order.ServerSum) {
 	endpoint := c.endpoints.byServer[sample.Server]
 	if endpoint == nil || sample.Tries == 0 {
@@ -51,7 +52,7 @@
 	c.intake.add(load, int(sample.Tries), int(sample.Dropped), sample.LatencyMs)
 }
 
-// newDemand makes a proxy's loads, one for each traffic class.
+// newDemand returns empty pending loads for a proxy, one for each traffic class.
 func (c *Core) newDemand(p *joinedProxy) []*pendingLoad {
 	demand := make([]*pendingLoad, len(c.registry.Admission))
 	for class := range demand {
@@ -60,7 +61,8 @@
 	return demand
 }
 
-// RecordLag takes in how long load reports waited for the core, in ms.
+// RecordLag records how long load reports waited for the core, in ms, and notifies the policy when the planner starts or
+// stops lagging.
 func (c *Core) RecordLag(ms float64) {
 	c.reportLagMs = ms
 	begins := !c.lagging && ms > laggingMs
@@ -71,7 +73,7 @@
 	}
 }
 
-// nextLoad tells the policy one load, if one may pass, and reports whether it did.
+// nextLoad passes one load to the policy, if the intake's rate allows it, and reports whether it did.
 func (c *Core) nextLoad() bool {
 	load := c.intake.next()
 	if load == nil {
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -2,17 +2,17 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metricPrefix begins the name of each metric.
+// metricPrefix is the common prefix of all metric names.
 const metricPrefix = "lichenpick_"
 
-// metric is one number of the status. Names are an interface and do not change.
+// metric is one exported value of the status. Dashboards and alerts use the names, so they must not change.
 type metric struct {
-	name  string // without the prefix
-	help  string // with the unit
+	name  string // without metricPrefix
+	help  string // names the unit
 	value func(*Status) float64
 }
 
-// metrics are all that a planner exports. Totals are exported as gauges too, as they always were.
+// metrics lists all exported metrics. Totals stay gauges like the others, because the type is part of a metric's interface.
 var metrics = []metric{
 	{"proxies", "Number of proxies joined.", func(s *Status) float64 { return float64(s.Proxies) }},
 	{"commanded", "Number of proxies commanded by this planner.", func(s *Status) float64 { return float64(s.LeasesHeld) }},
@@ -31,7 +31,7 @@
 	{"order_ms_p99", "Time from a decision to its acknowledgement, 99th percentile, in milliseconds.", func(s *Status) float64 { return s.OrderMsP99 }},
 }
 
-// newMetricsRegistry registers all metrics; they read the last status when they are scraped.
+// newMetricsRegistry returns a registry of all metrics. Each scrape reads the last status.
 func newMetricsRegistry(status *statusPublisher) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	for _, m := range metrics {
--- a/internal/planner/policyhost.go
+++ b/internal/planner/policyhost.go
@@ -6,13 +6,13 @@
 	"lichenpick/proto/order"
 )
 
-// policyHost carries out the policy's decisions: it records what the tables hold and has proxies notified.
+// policyHost carries out the policy's decisions: it records them in the registry and adds orders for the proxies concerned.
 type policyHost struct{ core *Core }
 
 var _ policy.Host = policyHost{}
 
-// SetWeight sets a server's weight in a table. Weight 0 removes the entry, and ends the server's ejection at proxies that use
-// it in no other table: ejections would otherwise pile up with each release.
+// SetWeight sets a server's weight in a table. Weight 0 removes the entry, and also ends the server's ejection at the
+// proxies that use it in no other table. Otherwise each deployment, which replaces servers, would leave ejections behind.
 func (h policyHost) SetWeight(tableNumber int, server string, weight float64) {
 	c := h.core
 	table := c.registry.Table(tableNumber)
@@ -22,7 +22,7 @@
 		if endsEjection {
 			delete(p.ejections, server)
 		}
-		// An ejection holds for all proxies, but one that used the server in no table was not notified.
+		// Ejections are fleet-wide, but a proxy whose tables did not contain the server was not notified of its ejection.
 		if weight > 0 && c.isEjected(p, server) && !p.ejections[server] {
 			c.setEjected(p, server, true)
 		}
@@ -34,7 +34,8 @@
 	}
 }
 
-// AssignTable has a proxy use a table for some traffic classes. It does nothing for a proxy that left meanwhile.
+// AssignTable has a proxy use a table for some traffic classes. It does nothing if the proxy has left since the policy
+// decided.
 func (h policyHost) AssignTable(proxyID, tableNumber int, classes []int, _ []string) {
 	c := h.core
 	p := c.proxies.byID[proxyID]
@@ -48,8 +49,8 @@
 	c.addOrder(p, float64(entries), &order.Order{What: &order.Order_Bind{Bind: assignment}})
 }
 
-// newAssignment makes the order of a whole table, with the ejections and admission rates that concern it, and records that
-// the proxy is notified of the ejections.
+// newAssignment returns the order that assigns a whole table, including the ejections of its servers and all admission
+// rates. It records that the proxy is notified of these ejections.
 func (h policyHost) newAssignment(p *joinedProxy, table *weighttable.Table[*joinedProxy], classes []int) *order.Bind {
 	c := h.core
 	assignment := &order.Bind{Table: uint32(table.Number), Lines: make([]*order.Line, 0, len(table.Entries))}
@@ -75,13 +76,14 @@
 	return assignment
 }
 
-// newAdmission makes the message of a traffic class's admission rate.
+// newAdmission returns the order that sets a traffic class's admission rate.
 func newAdmission(class int, rate weighttable.AdmissionRate) *order.Level {
 	return &order.Level{Group: uint32(class), Share: rate.Fraction, Retry: uint32(rate.Retry)}
 }
 
-// SetEjected ejects a server for the fleet, or ends that. Proxies that it concerns are notified: of an ejection those that
-// use the server, of its end those that were notified of the ejection, unless their last planner knew of a drain.
+// SetEjected ejects a server for the whole fleet, or readmits it. Of an ejection it notifies the proxies that use the
+// server. Of a readmission it notifies those that were notified of the ejection, except where an inherited drain keeps
+// the server ejected.
 func (h policyHost) SetEjected(server string, ejected, _ bool) {
 	c := h.core
 	c.registry.SetEjected(server, ejected)
@@ -96,11 +98,12 @@
 	}
 }
 
-// RestoreServers does nothing: a joining proxy states what it has ejected, and no entry is omitted from an assignment here.
+// RestoreServers does nothing: a joining proxy reports its ejections by itself, and AssignTable omits no entries.
 func (h policyHost) RestoreServers(int, []string) {}
 
-// SetAdmission sets the fraction of a traffic class that all proxies admit, and how they retry. It panics for a single table,
-// which the control stream cannot express: that is a fault of the policy, and the server ends with the inputs that led to it.
+// SetAdmission sets the fraction of a traffic class's requests that all proxies admit, and their retry mode. It panics if
+// the rate is for a single table, because the control stream cannot express that. This would be a bug of the policy; the
+// server then stops and dumps the inputs that led to it.
 func (h policyHost) SetAdmission(tableNumber, class int, fraction float64, retry int) {
 	if tableNumber != policy.AllTables {
 		panic("the policy set the admission rate of a single table, which the control stream cannot express")
@@ -113,7 +116,7 @@
 	}
 }
 
-// RequestAcknowledgement asks all proxies that this evaluation has orders for to acknowledge them under a number.
+// RequestAcknowledgement asks each proxy that gets orders in this evaluation to acknowledge them with a number.
 func (h policyHost) RequestAcknowledgement(number int) {
 	for _, p := range h.core.publisher.dirty {
 		h.core.addOrder(p, entriesPerOrder, &order.Order{What: &order.Order_Receipt{Receipt: uint32(number)}})
@@ -123,5 +126,5 @@
 // WatchEndpoints does nothing: endpoint sources push or poll without being asked.
 func (policyHost) WatchEndpoints() {}
 
-// SetTimer has the policy asked again after some ms.
+// SetTimer schedules the next call of the policy, in ms from now.
 func (h policyHost) SetTimer(inMs float64) { h.core.timers.policyAtMs = h.core.nowMs + inMs }
--- a/internal/planner/policysettings.go
+++ b/internal/planner/policysettings.go
@@ -6,17 +6,17 @@
 	pb "lichenpick/proto/settings"
 )
 
-// idempotencyOf translates the settings' kinds of repetition.
+// idempotencyOf maps the repeat setting of a traffic class to the policy's idempotency.
 var idempotencyOf = map[pb.Repeat]policy.Idempotency{
 	pb.Repeat_NON_RETRIABLE: policy.NonIdempotent,
 	pb.Repeat_DEDUPED:       policy.Deduplicated,
 	pb.Repeat_RETRIABLE:     policy.Idempotent,
 }
 
-// NewPolicy makes the policy for checked settings.
+// NewPolicy returns a policy for settings that were checked by package settings.
 func NewPolicy(set *pb.Planner) Decider { return policy.New(policySettings(set), int64(set.GetSeed())) }
 
-// policySettings translates checked settings into the policy's.
+// policySettings translates checked planner settings into those of the policy.
 func policySettings(set *pb.Planner) policy.Settings {
 	translated := policy.Settings{
 		Zones:                len(set.Zones),
--- a/internal/planner/profiling.go
+++ b/internal/planner/profiling.go
@@ -5,7 +5,7 @@
 	"net/http/pprof"
 )
 
-// handleProfiles serves the runtime's profiles, for questions about a running planner's CPU time and memory.
+// handleProfiles adds the routes of the runtime profiles, which show where a running planner spends CPU time and memory.
 func handleProfiles(mux *http.ServeMux) {
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
--- a/internal/planner/proxies.go
+++ b/internal/planner/proxies.go
@@ -9,17 +9,17 @@
 	"lichenpick/proto/order"
 )
 
-// Stream is one connection of a proxy, as the core knows it. The host makes one for each connection; the core owns it from
+// Stream is the core's view of one connection of a proxy. The host creates one for each connection; the core owns it from
 // HandleJoin on.
 type Stream struct {
-	Address   netip.Addr // of the proxy; tells its zone if it names none
-	Transport any        // the host's own; the core never uses it
+	Address   netip.Addr // of the proxy; determines its zone if the join names none
+	Transport any        // for use by the host; the core never reads it
 
 	proxy *joinedProxy // nil until it has joined
 	ended bool
 }
 
-// Name is the proxy's name; empty until it has joined.
+// Name returns the proxy's name, which is empty until it has joined.
 func (s *Stream) Name() string {
 	if s.proxy == nil {
 		return ""
@@ -27,45 +27,44 @@
 	return s.proxy.name
 }
 
-// joinedProxy is a proxy with a stream. It lasts as long as the stream: a proxy that dials again becomes another one.
+// joinedProxy is a proxy with a stream. It exists as long as the stream: a proxy that dials again gets a new joinedProxy.
 type joinedProxy struct {
 	name            string
-	id              int // by which the policy knows it
-	zone            int
+	id              int // by which the policy identifies it
+	zone            int // index in the settings' zones
 	stream          *Stream
 	incarnation     uint64  // of its process
-	streamNumber    uint64  // of this stream, as its process counts them
-	expectedRate    float64 // requests per second, as it stated at the join
-	lastFrameMs     float64
+	streamNumber    uint64  // counter of streams that its process sent in the join
+	expectedRate    float64 // requests per second that it stated in the join
+	lastFrameMs     float64 // when a frame last came from it
 	window          *controlstream.MessageWindow
-	tables          []*weighttable.Table[*joinedProxy] // by traffic class; nil where this stream assigned none
-	reportedTables  []*order.Holding                   // as it stated, from earlier streams
+	tables          []*weighttable.Table[*joinedProxy] // by traffic class; nil if this stream assigned none for the class
+	reportedTables  []*order.Holding                   // tables from earlier streams, as it reported them
 	ejections       map[string]bool                    // ejected servers that it was notified of
 	unacknowledged  []sentUpdate                       // oldest first
-	messageCount    uint64                             // messages decided on for this stream; the number of the last
+	messageCount    uint64                             // messages created for this stream, which is the number of the last one
 	update          pendingUpdate
 	demand          []*pendingLoad // by traffic class; nil until its first report
-	commanded       bool           // the policy knows it; always, where planners share nothing
-	epoch           uint64         // under which it is commanded
-	inheritedDrains []string       // servers that its last planner ejected as they drain or are removed
-	// inheritedDrainUntilMs are those of inheritedDrains that our endpoint list shows as ready. They stay ejected until then, as
-	// the list may just be late.
+	commanded       bool           // it is added to the policy; always true if planners do not share the fleet
+	epoch           uint64         // under which it is commanded; 0 if planners do not share the fleet
+	inheritedDrains []string       // servers that drain or are removed, as its previous planner knew
+	// inheritedDrainUntilMs holds those of inheritedDrains that are ready in this planner's endpoint list, which may be
+	// late, and until when they stay ejected.
 	inheritedDrainUntilMs map[string]float64
-	sentByOthersMs        []float64 // times of messages that other planners sent it, oldest first
+	sentByOthersMs        []float64 // when other planners sent it messages, oldest first
 }
 
-// proxyTable holds the joined proxies by name and by their number at the policy. Numbers of proxies that left are given out
-// again, last one first.
+// proxyTable holds the joined proxies by name and by id. The ids of proxies that left are reused, the last freed one first.
 type proxyTable struct {
 	byName  map[string]*joinedProxy
-	byID    []*joinedProxy // nil where one left
+	byID    []*joinedProxy // nil for free ids
 	freeIDs []int
 }
 
-// newProxyTable makes one that is empty.
+// newProxyTable returns an empty table.
 func newProxyTable() proxyTable { return proxyTable{byName: map[string]*joinedProxy{}} }
 
-// add gives a proxy its number and makes it the one of its name.
+// add assigns a proxy its id and makes it the current one of its name.
 func (t *proxyTable) add(p *joinedProxy) {
 	if last := len(t.freeIDs) - 1; last >= 0 {
 		p.id = t.freeIDs[last]
@@ -78,16 +77,16 @@
 	t.byName[p.name] = p
 }
 
-// freeID has a proxy's number given out again.
+// freeID releases a proxy's id for reuse.
 func (t *proxyTable) freeID(p *joinedProxy) {
 	t.byID[p.id] = nil
 	t.freeIDs = append(t.freeIDs, p.id)
 }
 
-// isJoined reports whether a proxy still is the one of its name.
+// isJoined reports whether a proxy is still the current one of its name.
 func (t *proxyTable) isJoined(p *joinedProxy) bool { return t.byName[p.name] == p }
 
-// all yields the joined proxies by number.
+// all yields the joined proxies in the order of their ids.
 func (t *proxyTable) all() iter.Seq[*joinedProxy] {
 	return func(yield func(*joinedProxy) bool) {
 		for _, p := range t.byID {
@@ -98,7 +97,7 @@
 	}
 }
 
-// commanded yields the proxies that the policy knows, by number.
+// commanded yields the proxies that the policy commands, in the order of their ids.
 func (t *proxyTable) commanded() iter.Seq[*joinedProxy] {
 	return func(yield func(*joinedProxy) bool) {
 		for p := range t.all() {
--- a/internal/planner/publisher.go
+++ b/internal/planner/publisher.go
@@ -10,21 +10,22 @@
 	pb "lichenpick/proto/settings"
 )
 
-// publisher gathers what is decided for each proxy and paces the messages that carry it. All orders of one evaluation leave
-// in one message per proxy, as each message costs its overhead and counts in the proxy's window.
+// publisher collects the orders for each proxy and paces the messages that contain them. All orders of one evaluation are
+// sent in one message per proxy, because each message costs overhead and counts towards the limit of the proxy's message
+// window.
 type publisher struct {
-	planner         string // name
+	planner         string // name of this planner
 	incarnation     uint64
-	messageOverhead float64                                  // entries that a message costs beside its orders
+	messageOverhead float64                                  // entries that a message counts as, in addition to its orders
 	queue           *controlstream.SendQueue[*queuedMessage] // messages that wait to be sent
-	dirty           []*joinedProxy                           // with an update, in the order in which they got it
+	dirty           []*joinedProxy                           // proxies with a pending update, by when the update was begun
 }
 
-// pendingUpdate is what this evaluation decided for one proxy so far.
+// pendingUpdate holds the orders for one proxy that the current evaluation has decided so far.
 type pendingUpdate struct {
-	orders  *order.Orders // nil: nothing
-	entries float64       // without the message's overhead
-	urgent  bool          // holds an ejection of a server that drains or is removed
+	orders  *order.Orders // nil: none
+	entries float64       // of all orders, without the message overhead
+	urgent  bool          // contains the ejection of a server that drains or is removed
 }
 
 // queuedMessage is a message that waits to be sent.
@@ -33,7 +34,7 @@
 	orders *order.Orders
 }
 
-// newPublisher makes a publisher by checked settings.
+// newPublisher returns a publisher with the limits of checked settings.
 func newPublisher(set *pb.Planner, incarnation uint64) publisher {
 	overhead := set.Channel.GetHeadLines()
 	limits := controlstream.SendQueueLimits{
@@ -51,14 +52,14 @@
 	}
 }
 
-// add adds an order of some entries to a proxy's update. The date is that of the evaluation.
+// add adds an order, which counts as some entries, to a proxy's update. wallTime is that of the evaluation.
 func (pub *publisher) add(p *joinedProxy, wallTime time.Time, entries float64, o *order.Order) {
 	update := &p.update
 	if update.orders == nil {
 		update.orders = &order.Orders{
 			Planner:       pub.planner,
 			Incarnation:   pub.incarnation,
-			DecidedUnixUs: uint64(max(wallTime.UnixMicro(), 0)), // a date before 1970 is none
+			DecidedUnixUs: uint64(max(wallTime.UnixMicro(), 0)), // times before 1970 are sent as 0
 		}
 		pub.dirty = append(pub.dirty, p)
 	}
@@ -66,8 +67,9 @@
 	update.entries += entries
 }
 
-// enqueue queues the update of the proxy that got one first, as one message. The caller has it acknowledged, or closes the
-// proxy's stream if a limit stands in the way: a proxy that missed a message would go by a table that nobody knows.
+// enqueue queues the oldest pending update as one message. The caller then waits for its acknowledgement. If a limit
+// rejects the message, the caller must close the proxy's stream: a proxy that misses a message would use tables that
+// differ from those that the planner has recorded.
 func (pub *publisher) enqueue(nowMs float64) (*joinedProxy, sentUpdate, *controlstream.CloseError) {
 	p := pub.dirty[0]
 	pub.dirty = pub.dirty[1:]
@@ -86,19 +88,19 @@
 	return p, sent, refusal
 }
 
-// remove forgets what was decided for a proxy and not sent yet.
+// remove drops a proxy's queued messages and its pending update.
 func (pub *publisher) remove(p *joinedProxy) {
 	pub.queue.Remove(p.window)
 	pub.dirty = slices.DeleteFunc(pub.dirty, func(other *joinedProxy) bool { return other == p })
 	p.update = pendingUpdate{}
 }
 
-// addOrder adds an order of some entries to what this evaluation decided for a proxy.
+// addOrder adds an order, which counts as some entries, to a proxy's pending update.
 func (c *Core) addOrder(p *joinedProxy, entries float64, o *order.Order) {
 	c.publisher.add(p, c.wallTime, entries, o)
 }
 
-// nextUpdate queues the update of one proxy and reports whether there was one.
+// nextUpdate queues one proxy's pending update as a message and reports whether there was one.
 func (c *Core) nextUpdate() bool {
 	if len(c.publisher.dirty) == 0 {
 		return false
@@ -112,7 +114,8 @@
 	return true
 }
 
-// nextDeparture sends one message whose time has come and reports whether there was one.
+// nextDeparture takes one message that is due from the queue and reports whether there was one. It sends the message
+// unless the lease under which it was decided is no longer held.
 func (c *Core) nextDeparture(h Host) bool {
 	departure, ok := c.publisher.queue.Pop(c.nowMs)
 	if !ok {
@@ -122,7 +125,7 @@
 	if c.leases.enabled() {
 		epoch, held := c.leases.manager.HoldsLease(message.to.name)
 		if !held || epoch != message.to.epoch {
-			return true // the proxy is commanded by another planner; the lease manager notices in a moment
+			return true // the lease has ended; the lease manager stops the command of the proxy at its next decision
 		}
 		message.orders.Epoch = epoch
 	}
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -20,10 +20,11 @@
 	pb "lichenpick/proto/settings"
 )
 
-// ErrCoreFailed is returned, wrapped, by Run if the core panicked. It means a fault of the program, not of its surroundings.
+// ErrCoreFailed is wrapped by the error that Run returns if the core panicked. That is a bug in the planner, not a
+// failure of its environment.
 var ErrCoreFailed = errors.New("planner core failed")
 
-// Options are what a planner runs on. Fields are required unless they say otherwise.
+// Options configure Run. Fields are required unless they say otherwise.
 type Options struct {
 	Settings *pb.Planner // checked by package settings
 	Clock    clock.Clock
@@ -31,12 +32,12 @@
 	Source   discovery.Source // of the endpoint list
 	Log      *slog.Logger
 	Ready    func(addr net.Addr) // called once, when the planner accepts proxies; nil: not called
-	Decider  Decider             // nil: the policy, by NewPolicy
-	Status   func(*Status)       // called with the last status before Run returns, unless it failed at its start; nil: not called
+	Decider  Decider             // nil: the policy that NewPolicy returns
+	Status   func(*Status)       // called with the last status before Run returns, unless Run failed to start; nil: not called
 }
 
-// server is a running planner: goroutines for the listener, the core, the endpoint source, the epoch store and the status
-// page, and three for each connection. All end before Run returns.
+// server is a running planner. It has one goroutine each for the listener, the core, the endpoint source, the epoch store
+// and the status server, and three for each connection. All of them end before Run returns.
 type server struct {
 	Options
 	limits   controlstream.Limits
@@ -44,11 +45,12 @@
 	acceptor *acceptor
 	status   *statusPublisher
 	reports  *coalescedReports
-	epochs   *epochWriter // nil: planners share nothing
+	epochs   *epochWriter // nil: planners do not share the fleet
 }
 
-// Run runs a planner until the context ends, and then leaves proxies with the tables that they hold. It returns nil when
-// the context ended, an error that wraps ErrCoreFailed if the core panicked, and otherwise why it could not start or go on.
+// Run runs a planner until the context ends, and then closes the streams of its proxies, which keep their tables. It returns
+// nil if the context ended, an error that wraps ErrCoreFailed if the core panicked, and otherwise the reason why the planner
+// could not start or continue.
 func Run(ctx context.Context, o Options) error {
 	listener, err := o.Network.Listen(ctx, o.Settings.Listen)
 	if err != nil {
@@ -56,10 +58,10 @@
 	}
 	defer closeQuietly(listener)
 	s := newServer(o)
-	if o.Settings.Sharing != nil { // a planner must not command proxies of a shared fleet without its store
+	if o.Settings.Sharing != nil { // without its epoch store a planner must not command proxies of a shared fleet
 		epochStore, err := store.Open(o.Settings.Sharing.Store, o.Settings.Name)
 		if err != nil {
-			return fmt.Errorf("sharing refused: %w", err)
+			return fmt.Errorf("opening the epoch store: %w", err)
 		}
 		defer closeQuietly(epochStore)
 		s.shareFleet(epochStore)
@@ -81,7 +83,7 @@
 	return err
 }
 
-// newServer makes a server whose core knows nothing yet.
+// newServer returns a server that is not running. Its core has no endpoints and no proxies.
 func newServer(o Options) *server {
 	if o.Decider == nil {
 		o.Decider = NewPolicy(o.Settings)
@@ -116,7 +118,7 @@
 	s.loop.core.EnableLeases(epochStore.ReservedEpoch())
 }
 
-// restoreEndpoints starts from the endpoint list that an earlier process saved, if there is one.
+// restoreEndpoints passes the endpoint list that an earlier process saved to the core, if there is one.
 func (s *server) restoreEndpoints() {
 	path := s.Settings.List.Keep
 	if path == "" {
@@ -132,8 +134,8 @@
 	}
 }
 
-// run starts the server's goroutines and waits for them. Connections have a group of their own in the acceptor: each ends by
-// itself, and none may end the planner.
+// run starts the server's goroutines and waits for them. The acceptor waits for those of the connections: a connection that
+// fails must not stop the planner.
 func (s *server) run(ctx context.Context, listener, statusListener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.acceptor.run(ctx, listener) })
@@ -164,12 +166,14 @@
 	})
 }
 
-// newIncarnation draws a number, never 0, that tells this process from any other of its name, now or before.
+// newIncarnation returns a random number other than 0, which identifies this process among all that run, or ran, under
+// the same name.
 func newIncarnation() uint64 {
 	var number [8]byte
 	rand.Read(number[:])
 	return binary.BigEndian.Uint64(number[:]) | 1
 }
 
-// closeQuietly closes what is of no use any more. An error of that is no news: whoever used it has seen it end.
+// closeQuietly closes a listener or connection that is no longer used. It ignores the error, because there is nothing
+// left to do about it.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/planner/sessions.go
+++ b/internal/planner/sessions.go
@@ -8,11 +8,11 @@
 	"lichenpick/proto/order"
 )
 
-// nameReservedMs is how long after its last frame a proxy's name is reserved for its process. It guards against two proxies
-// that are set up with one name and would otherwise replace each other without end.
+// nameReservedMs is how long a proxy's name stays reserved for its process after the last frame from it. Without that, two
+// proxies configured with the same name would replace each other's streams endlessly.
 const nameReservedMs = 2500.0
 
-// HandleJoin takes in the first frame of a stream. The stream is welcomed or closed by the next calls of Next.
+// HandleJoin handles the first frame of a stream. Subsequent calls of Next welcome the proxy or close the stream.
 func (c *Core) HandleJoin(s *Stream, join *order.Join) {
 	c.logInput(inputJoin, nil, join)
 	if s.ended {
@@ -49,27 +49,27 @@
 	}
 }
 
-// checkJoin finds the zone of a proxy, or why it cannot join.
+// checkJoin returns the zone of a joining proxy, or why it cannot join.
 func (c *Core) checkJoin(s *Stream, join *order.Join) (zone int, refusal *controlstream.CloseError) {
 	zone, known := c.zones.find(join.Zone, s.Address)
 	classes := len(c.configuration.Groups)
 	detail := ""
 	switch {
 	case !known:
-		detail = fmt.Sprintf("no zone %q, and none of %s", join.Zone, s.Address)
+		detail = fmt.Sprintf("no zone found for name %q and address %s", join.Zone, s.Address)
 	case int(join.Groups) != classes:
-		detail = fmt.Sprintf("%d traffic classes; %d here", join.Groups, classes)
+		detail = fmt.Sprintf("the proxy has %d traffic classes, the planner has %d", join.Groups, classes)
 	case (join.Lease != nil) != c.leases.enabled():
-		detail = "'sharing' is set at one side only"
+		detail = "'sharing' is set on only one of proxy and planner"
 	default:
 		return zone, nil
 	}
 	return 0, &controlstream.CloseError{Reason: controlstream.ReasonUnknownPeer, Detail: detail}
 }
 
-// supersede closes the older stream of a joining proxy's name, or returns why the new one cannot have the name. The same
-// process with a newer stream has lost the older one, even if nobody noticed yet. Another process may have the name once the
-// first one is silent.
+// supersede closes the current stream under a joining proxy's name, if there is one, or returns why the new stream cannot
+// use the name. A newer stream of the same process always replaces the old one, which is broken even if this side has not
+// noticed yet. Another process gets the name only after the first has been silent for nameReservedMs.
 func (c *Core) supersede(s *Stream, join *order.Join) *controlstream.CloseError {
 	old := c.proxies.byName[join.Proxy]
 	if old == nil {
@@ -77,15 +77,15 @@
 	}
 	newer := old.incarnation == join.Incarnation && join.Stream > old.streamNumber
 	if !newer && c.nowMs-old.lastFrameMs < nameReservedMs {
-		detail := fmt.Sprintf("%q is joined from %s", join.Proxy, old.stream.Address)
+		detail := fmt.Sprintf("proxy %q is already connected from %s", join.Proxy, old.stream.Address)
 		return &controlstream.CloseError{Reason: controlstream.ReasonNameInUse, Detail: detail}
 	}
-	detail := fmt.Sprintf("by a stream from %s", s.Address)
+	detail := fmt.Sprintf("newer stream from %s", s.Address)
 	c.closeStream(old.stream, &controlstream.CloseError{Reason: controlstream.ReasonSuperseded, Detail: detail})
 	return nil
 }
 
-// newWelcome makes the answer to a join.
+// newWelcome returns the answer to a join, without ejections.
 func (c *Core) newWelcome() *order.Welcome {
 	return &order.Welcome{
 		Planner:       c.configuration.Name,
@@ -95,8 +95,8 @@
 	}
 }
 
-// welcome answers a join and has the policy command the proxy. Ejections are in force from the first moment on, also for
-// tables that earlier planners assigned.
+// welcome answers a join and has the policy command the proxy. The answer lists the ejected servers in the tables that the
+// proxy still uses from earlier streams, so that ejections apply before it is assigned a new table.
 func (c *Core) welcome(p *joinedProxy) {
 	welcome := c.newWelcome()
 	for _, table := range p.reportedTables {
@@ -113,7 +113,7 @@
 	c.schedule(func(h Host) { h.Send(p.stream, controlstream.FrameWelcome, welcome) })
 }
 
-// welcomeShared answers a join where planners share a fleet: the proxy is commanded only once it grants a lease.
+// welcomeShared answers a join if planners share a fleet. The proxy is commanded only after it has granted a lease.
 func (c *Core) welcomeShared(p *joinedProxy, state *order.Lease) {
 	welcome := c.newWelcome()
 	c.schedule(func(h Host) {
@@ -123,14 +123,14 @@
 	c.leases.manager.AddProxy(p.name, proxyViewOf(state))
 }
 
-// HandleHeartbeat takes in that a proxy sent something.
+// HandleHeartbeat records that a proxy has sent something.
 func (c *Core) HandleHeartbeat(s *Stream) {
 	if s.proxy != nil {
 		s.proxy.lastFrameMs = c.nowMs
 	}
 }
 
-// HandleDisconnect takes in that a stream ended, by whichever side. The host calls it once for each stream.
+// HandleDisconnect records that a stream ended, whichever side closed it. The host calls it once for each stream.
 func (c *Core) HandleDisconnect(s *Stream, why *controlstream.CloseError) {
 	c.logInput(inputDisconnect, s, disconnectCause{why})
 	if !s.ended {
@@ -139,7 +139,7 @@
 	c.detach(s)
 }
 
-// closeStream ends a stream from this side.
+// closeStream closes a stream from the planner's side.
 func (c *Core) closeStream(s *Stream, why *controlstream.CloseError) {
 	if s.ended {
 		return
@@ -149,7 +149,7 @@
 	c.schedule(func(h Host) { h.Close(s, why) })
 }
 
-// detach forgets a stream, and its proxy if that has no newer one.
+// detach drops the state of a stream, and that of its proxy unless the proxy has a newer stream.
 func (c *Core) detach(s *Stream) {
 	s.ended = true
 	p := s.proxy
@@ -166,7 +166,8 @@
 	c.proxies.freeID(p)
 }
 
-// stopCommand forgets what was decided for a proxy, which the policy commands no longer. Its stream may go on.
+// stopCommand removes a proxy from the policy and drops its pending orders, acknowledgements and demand. Its stream may stay
+// open.
 func (c *Core) stopCommand(p *joinedProxy) {
 	p.commanded = false
 	c.publisher.remove(p)
--- a/internal/planner/status.go
+++ b/internal/planner/status.go
@@ -8,31 +8,31 @@
 	"lichenpick/internal/controlstream"
 )
 
-// How often a status is published, and what it says of latencies.
+// Interval of statuses, and the latency percentiles that they contain.
 const (
-	// statusInterval is the shortest time between two statuses, by the date.
+	// statusInterval is the shortest wall-clock time between two published statuses.
 	statusInterval = 200 * time.Millisecond
 
 	medianPercentile = 50
 	tailPercentile   = 99
 )
 
-// Status is what a planner knows of itself. Its JSON form is an interface: keys keep their names.
+// Status describes the state of a planner. Its JSON form is read by operators' tools, so the keys must not change.
 type Status struct {
-	Planner  string // name
-	AtUnixMs int64  // date of this status
-	Proxies  int    // joined
+	Planner  string // name of the planner
+	AtUnixMs int64  // wall-clock time of this status
+	Proxies  int    // joined proxies
 	Streams  int    // open connections
 
 	Ready      int `json:"Ready"`    // servers listed as ready
 	Draining   int `json:"Draining"` // servers listed as draining
 	Removed    int `json:"Gone"`     // servers listed as removed
-	Unverified int `json:"Doubted"`  // servers missing from the list that are not taken for removed yet
-	Rejected   int `json:"Refused"`  // entries of the list that were not taken since the start
+	Unverified int `json:"Doubted"`  // servers that are missing from the list and not considered removed yet
+	Rejected   int `json:"Refused"`  // list entries rejected since the start: over the limit, or of unknown zones
 
 	Backlog     float64 `json:"LinesWaiting"` // entries that wait to be sent, message overhead included
-	PeakBacklog float64 `json:"LinesPeak"`    // most of these since the last status
-	MaxBacklog  float64 `json:"LinesMost"`    // most of these since the start
+	PeakBacklog float64 `json:"LinesPeak"`    // highest backlog since the last status
+	MaxBacklog  float64 `json:"LinesMost"`    // highest backlog since the start
 
 	Joins       uint64 `json:"Joins"`    // as in Counts
 	Messages    uint64 `json:"Messages"` // as in Counts
@@ -41,33 +41,33 @@
 	Ignored     uint64 `json:"Unheard"`  // as in Counts
 	Shed        uint64 `json:"Shed"`     // as in Counts
 
-	Lagging bool    `json:"Behind"` // load reports wait too long: deferrable work rests
-	LagMs   float64 // that the last load reports waited
-	Merged  uint64  // load reports added to one that waited, since the start
-	Lost    uint64  // samples of servers left out of these, since the start
+	Lagging bool    `json:"Behind"` // load reports wait too long, so deferrable decisions are held back
+	LagMs   float64 // longest time that a load report of the last batch waited for the core
+	Merged  uint64  // load reports merged into a waiting one since the start
+	Lost    uint64  // server samples dropped in these merges since the start
 
-	LeasesHeld        int    `json:"Commanded"` // proxies commanded; all that are joined where planners share nothing
-	Takeovers         int    `json:"Takeovers"` // proxies taken over from other planners since the start
-	Transferred       int    `json:"Handed"`    // proxies handed to other planners since the start
-	Expired           int    `json:"Expired"`   // leases that expired since the start
+	LeasesHeld        int    `json:"Commanded"` // proxies commanded; all joined ones if planners do not share the fleet
+	Takeovers         int    `json:"Takeovers"` // leases gained since the start
+	Transferred       int    `json:"Handed"`    // proxies transferred to other planners since the start
+	Expired           int    `json:"Expired"`   // leases that expired or were granted to another planner since the start
 	EpochReservations uint64 `json:"Marks"`     // as in Counts
-	ClosedToLeases    bool   `json:"Claimless"` // it drains, or its store cannot be written
+	ClosedToLeases    bool   `json:"Claimless"` // the planner accepts no new leases: it drains, or its store cannot be written
 
 	Closes        map[controlstream.CloseReason]uint64 `json:"Endings"` // as in Counts
 	OrderMsP50    float64                              // median time from a decision to its acknowledgement
-	OrderMsP99    float64                              // 99th percentile of the same
-	RejectedDials uint64                               `json:"RefusedDials"` // connections closed by address or number since the start
+	OrderMsP99    float64                              // 99th percentile of that time
+	RejectedDials uint64                               `json:"RefusedDials"` // connections rejected by address or number since the start
 }
 
-// statusPublisher holds the last status. Only the core's goroutine publishes; any goroutine may load.
+// statusPublisher holds the last published status. Only the core's goroutine may publish; any goroutine may load.
 type statusPublisher struct {
 	current atomic.Pointer[Status]
 }
 
-// load returns the last status, which must not be changed; nil before the first.
+// load returns the last status, which the caller must not modify; nil before the first one.
 func (p *statusPublisher) load() *Status { return p.current.Load() }
 
-// due reports whether the last status is old. A date that was set back makes it due.
+// due reports whether the last status is at least statusInterval old, or in the future because the wall clock was set back.
 func (p *statusPublisher) due(wallTime time.Time) bool {
 	last := p.load()
 	if last == nil {
@@ -77,7 +77,7 @@
 	return age < 0 || age >= statusInterval.Milliseconds()
 }
 
-// publish replaces the last status.
+// publish replaces the last status, and sets the new one's MaxBacklog.
 func (p *statusPublisher) publish(s *Status) {
 	s.MaxBacklog = s.PeakBacklog
 	last := p.load()
@@ -87,7 +87,7 @@
 	p.current.Store(s)
 }
 
-// fillStatus fills in what the core knows. The peak of the backlog starts anew with each call.
+// fillStatus sets the fields of a status that come from the core. Each call resets the peak backlog.
 func (c *Core) fillStatus(s *Status) {
 	s.Proxies = len(c.proxies.byName)
 	s.Ready, s.Draining, s.Removed = c.endpoints.tracker.CountByState()
--- a/internal/planner/statusclient.go
+++ b/internal/planner/statusclient.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// fetchTimeout is how long a planner may take to answer for its status.
+// fetchTimeout bounds the time for fetching a status.
 const fetchTimeout = time.Second
 
-// FetchStatus asks the planner with a status page at an address for its status. It fails if the context ends, or if there is
-// no answer within a second.
+// FetchStatus requests the status of the planner whose status server listens on an address. It fails if the context ends, or
+// if there is no answer within a second.
 func FetchStatus(ctx context.Context, address string) (status *Status, err error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
--- a/internal/planner/statusserver.go
+++ b/internal/planner/statusserver.go
@@ -14,18 +14,18 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// readHeaderTimeout bounds how long a client of the status server may take for its request's head.
+// readHeaderTimeout bounds the time that a client of the status server may take to send its request header.
 const readHeaderTimeout = 2 * time.Second
 
-// statusServer serves the status, metrics and profiles over HTTP, and takes the order to drain.
+// statusServer serves the status, metrics and profiles over HTTP, and lets operators drain the planner.
 type statusServer struct {
 	status *statusPublisher
 	loop   *eventLoop
-	shared bool // planners share the fleet: this one can be drained
+	shared bool // planners share the fleet, so this one can be drained
 	log    *slog.Logger
 }
 
-// run serves a listener until the context ends, and closes it.
+// run serves HTTP on a listener until the context ends, and then closes the listener.
 func (s *statusServer) run(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{Handler: s.handler(), ReadHeaderTimeout: readHeaderTimeout}
 	group, ctx := errgroup.WithContext(ctx)
@@ -43,7 +43,7 @@
 	return group.Wait()
 }
 
-// handler routes requests to the pages.
+// handler returns the handler of all routes.
 func (s *statusServer) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(newMetricsRegistry(s.status), promhttp.HandlerOpts{}))
@@ -57,16 +57,16 @@
 func (s *statusServer) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	err := json.NewEncoder(w).Encode(s.status.load())
-	if err != nil { // most likely the client went away
+	if err != nil { // most likely the client closed the connection
 		s.log.Debug("status not written", slog.Any(logKeyError, err))
 	}
 }
 
-// serveDrain has the planner transfer its proxies to others, or take part again.
+// serveDrain makes the planner transfer its proxies to others (?on=true), or accept proxies again (?on=false).
 func (s *statusServer) serveDrain(w http.ResponseWriter, r *http.Request) {
 	on := r.URL.Query().Get("on")
 	if !s.shared || on != "true" && on != "false" {
-		http.Error(w, "wants ?on=true or ?on=false, at a planner that shares its fleet", http.StatusBadRequest)
+		http.Error(w, "expected ?on=true or ?on=false, on a planner that shares its fleet", http.StatusBadRequest)
 		return
 	}
 	s.loop.submit(r.Context(), func(c *Core) { c.SetDraining(on == "true") })
--- a/internal/planner/streamreader.go
+++ b/internal/planner/streamreader.go
@@ -10,21 +10,21 @@
 	"lichenpick/proto/order"
 )
 
-// readBufferBytes is the size of each connection's buffer; most frames are far smaller.
+// readBufferBytes is the size of each connection's read buffer. Most frames are far smaller.
 const readBufferBytes = 4 << 10
 
-// streamReader decodes what a proxy sends and passes it to the core. It is owned by the goroutine in run.
+// streamReader decodes the frames that a proxy sends and submits them to the core. It is owned by the goroutine in run.
 type streamReader struct {
 	*connection
 	loop    *eventLoop
 	reports *coalescedReports
 	clock   clock.Clock
-	pending input // of the last frame, to be submitted; nil: none
+	pending input // from the last frame, not submitted yet; nil: none
 }
 
 var _ controlstream.PlannerHost = (*streamReader)(nil)
 
-// run reads until the connection is closed, by itself or by others.
+// run reads until the connection is closed, by this or another goroutine.
 func (r *streamReader) run(ctx context.Context) {
 	buffer := make([]byte, readBufferBytes)
 	for r.armDeadline() {
@@ -38,16 +38,16 @@
 	}
 }
 
-// armDeadline lets the next read wait until the stream must say something, and reports whether the connection is still open.
-// The check comes after the deadline is set: close would otherwise find its interruption overwritten.
+// armDeadline sets the deadline of the next read to the session's, and reports whether the connection is still open. It
+// checks that after setting the deadline: otherwise it could overwrite the deadline by which watch interrupts the reader.
 func (r *streamReader) armDeadline() bool {
 	inMs := max(r.session.Deadline()-r.clock.Monotonic(), 1)
-	// It fails only for a broken connection; the read then fails too.
+	// SetReadDeadline fails only for a broken connection; the read then fails too.
 	_ = r.conn.SetReadDeadline(r.clock.Deadline(inMs))
 	return !r.isClosed()
 }
 
-// submitFrames passes all whole frames on, and reports whether the core took them.
+// submitFrames submits all complete frames that were received, and returns false if the planner stops first.
 func (r *streamReader) submitFrames(ctx context.Context) bool {
 	for r.session.Next(r) {
 		if !r.submitPending(ctx) {
@@ -57,7 +57,7 @@
 	return r.submitPending(ctx)
 }
 
-// submitPending passes the last frame to the core, if it is for the core.
+// submitPending submits the input of the last frame, if there is one, and returns false if the planner stops first.
 func (r *streamReader) submitPending(ctx context.Context) bool {
 	if r.pending == nil {
 		return true
@@ -67,8 +67,9 @@
 	return r.loop.submit(ctx, in)
 }
 
-// closeIfEnded closes the connection if the session ended, the planner stops, or the read failed. A timeout alone is no
-// reason: the session has judged it, or the connection is closed already.
+// closeIfEnded closes the connection if the session has ended, the planner stops, or the read failed. A timed-out read
+// alone is no failure: the session checks for timeouts itself, and watch interrupts reads only after the connection is
+// closed.
 func (r *streamReader) closeIfEnded(submitted bool, readError error) {
 	var networkError net.Error
 	switch {
@@ -83,23 +84,24 @@
 	}
 }
 
-// OnJoin passes a join on.
+// OnJoin prepares a join for submission.
 func (r *streamReader) OnJoin(m *order.Join) {
 	r.proxyName = m.Proxy
 	r.pending = func(core *Core) { core.HandleJoin(r.stream, m) }
 }
 
-// OnLoadReport adds a report to those that wait; it does not go through the backlog of inputs, which one proxy could fill.
+// OnLoadReport coalesces a report with those that wait. It bypasses the input queue, which the reports of one proxy could
+// fill.
 func (r *streamReader) OnLoadReport(m *order.Sums) {
 	r.reports.add(r.connection, m, r.clock.Monotonic())
 }
 
-// OnLease passes the proxy's statement of who commands it on.
+// OnLease prepares the proxy's lease state for submission.
 func (r *streamReader) OnLease(m *order.Lease) {
 	r.pending = func(core *Core) { core.HandleLease(r.stream, m) }
 }
 
-// OnAck passes an acknowledgement on.
+// OnAck prepares an acknowledgement for submission.
 func (r *streamReader) OnAck(m *order.Applied) {
 	r.pending = func(core *Core) { core.HandleAck(r.stream, m) }
 }
--- a/internal/planner/streamwriter.go
+++ b/internal/planner/streamwriter.go
@@ -13,23 +13,23 @@
 	"lichenpick/proto/order"
 )
 
-// heartbeatsPerTimeout is how many heartbeats fit into the time after which a silent peer is given up.
+// heartbeatsPerTimeout is how many heartbeats are sent within the time after which a silent stream is closed.
 const heartbeatsPerTimeout = 4
 
-// streamWriter encodes and sends what the core has for a proxy, and heartbeats while there is nothing else, so that the proxy
-// knows that it has a planner. It is owned by the goroutine in run.
+// streamWriter encodes and sends the core's frames to a proxy. While there are none it sends heartbeats, so that the
+// proxy does not close the stream as silent. It is owned by the goroutine in run.
 type streamWriter struct {
 	*connection
 	clock       clock.Clock
 	timeoutMs   float64 // for each write
 	heartbeatMs float64
-	buffer      []byte // of the last frame, used again
+	buffer      []byte // encoded last frame, reused for the next one
 }
 
-// newStreamWriter makes the writer of a connection, by the server's settings.
+// newStreamWriter returns the writer of a connection, with the timeouts of the server's settings.
 func newStreamWriter(c *connection, s *server) *streamWriter {
 	heartbeatMs := s.limits.HeartbeatTimeoutMs / heartbeatsPerTimeout
-	if s.epochs != nil { // a proxy states to each planner which others it is connected to
+	if s.epochs != nil { // planners share the fleet: proxies report a planner as reachable only with heartbeats this frequent
 		heartbeatMs = min(heartbeatMs, lease.HeartbeatMs)
 	}
 	return &streamWriter{
@@ -40,10 +40,10 @@
 	}
 }
 
-// run writes until the connection is closed or a write fails, and closes the socket.
+// run writes frames until the connection is closed or a write fails, and then closes the socket.
 func (w *streamWriter) run() {
 	defer closeQuietly(w.conn)
-	welcomed := false // heartbeats come after the first frame only
+	welcomed := false // heartbeats are allowed only after the first frame
 	for {
 		expired, stop := w.clock.NewTimer(w.heartbeatMs)
 		select {
@@ -65,7 +65,7 @@
 	}
 }
 
-// write sends one frame and reports whether it could; if not, the connection is closed.
+// write sends one frame and reports whether that succeeded; if not, it closes the connection.
 func (w *streamWriter) write(kind controlstream.FrameKind, message proto.Message) bool {
 	frame, err := w.session.Append(w.buffer[:0], kind, message)
 	if err != nil {
@@ -73,7 +73,7 @@
 		return false
 	}
 	w.buffer = frame
-	// It fails only for a broken connection; the write then fails too.
+	// SetWriteDeadline fails only for a broken connection; the write then fails too.
 	_ = w.conn.SetWriteDeadline(w.clock.Deadline(w.timeoutMs))
 	_, err = w.conn.Write(frame)
 	if err != nil {
@@ -83,7 +83,8 @@
 	return true
 }
 
-// writeFailureReason tells a proxy that does not read from a connection that broke.
+// writeFailureReason returns ReasonSlowReader if a write timed out because the proxy does not read, and
+// ReasonConnectionLost for any other failure.
 func writeFailureReason(err error) controlstream.CloseReason {
 	var networkError net.Error
 	if errors.As(err, &networkError) && networkError.Timeout() {
@@ -92,8 +93,8 @@
 	return controlstream.ReasonConnectionLost
 }
 
-// writeLastFrames sends what is left when the planner stops, as the release of the lease is among it, and why the stream ends,
-// unless the proxy cannot receive that.
+// writeLastFrames sends the close frame with the reason, unless the proxy cannot receive it. When the planner stops it first
+// sends all queued frames, because the release of the lease is among them.
 func (w *streamWriter) writeLastFrames() {
 	reason := w.closeCause.Reason
 	if reason == controlstream.ReasonShutdown {
@@ -106,7 +107,7 @@
 	w.write(controlstream.FrameClose, &order.Bye{Reason: string(reason)})
 }
 
-// writeOutbox sends what is queued now, until a write fails.
+// writeOutbox sends the queued frames until none is left or a write fails.
 func (w *streamWriter) writeOutbox() {
 	for len(w.outbox) > 0 {
 		frame := <-w.outbox
--- a/internal/planner/timers.go
+++ b/internal/planner/timers.go
@@ -2,21 +2,22 @@
 
 import "math"
 
-// maxTimerMs is the longest time between evaluations: late acknowledgements and silent streams are noticed this late at most.
+// maxTimerMs is the longest time between evaluations. Late acknowledgements and the ends of inherited drains have no
+// timer of their own; they are noticed with at most this delay.
 const maxTimerMs = 250.0
 
-// timers are the times, in ms, at which the policy and the lease manager want to be asked again, and the
-// time for which the host's one timer was last set.
+// timers holds the times, in ms, of the next calls that the policy and the lease manager have asked for, and the time for
+// which the host's single timer is set.
 type timers struct {
 	policyAtMs float64
 	leaseAtMs  float64 // infinite: none
-	setForMs   float64 // infinite: never set
+	setForMs   float64 // infinite: not set yet
 }
 
-// newTimers makes timers of which none is set but the policy's: it is asked at once.
+// newTimers returns timers of which only the policy's is set, and is due at once.
 func newTimers() timers { return timers{leaseAtMs: math.Inf(1), setForMs: math.Inf(1)} }
 
-// updateTimer sets the host's timer for the next time at which something is due, and reports whether that changed.
+// updateTimer sets the host's timer to the earliest time at which something is due, and reports whether that has changed.
 func (c *Core) updateTimer(h Host) bool {
 	due := min(c.timers.policyAtMs, c.timers.leaseAtMs, c.intake.deadline(), c.endpoints.tracker.Deadline()-policyOriginMs)
 	if c.publisher.queue.Len() > 0 {
--- a/internal/planner/zones.go
+++ b/internal/planner/zones.go
@@ -8,14 +8,15 @@
 	pb "lichenpick/proto/settings"
 )
 
-// zoneTable finds a proxy's zone, by name or by address. It does not change once made.
+// zoneTable maps names and addresses to zones. A zone is a number: its index in the settings. The table is immutable.
 type zoneTable struct {
-	names     []string // by number
+	names     []string // by zone
 	byName    map[string]int
 	byAddress *bart.Table[int]
 }
 
-// newZoneTable makes the table of checked settings: their prefixes are known to parse.
+// newZoneTable returns a table of the zones of checked settings. It panics if a prefix cannot be parsed, which the check has
+// ruled out.
 func newZoneTable(zones []*pb.Zone) zoneTable {
 	table := zoneTable{byName: map[string]int{}, byAddress: &bart.Table[int]{}}
 	for number, zone := range zones {
@@ -28,7 +29,7 @@
 	return table
 }
 
-// find returns the number of a zone by its name, or by an address if the name is empty.
+// find returns the zone with a name, or the one that contains an address if the name is empty.
 func (t *zoneTable) find(name string, address netip.Addr) (number int, known bool) {
 	if name == "" {
 		return t.byAddress.Lookup(address.Unmap())
