--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	evaluationsPerSecond = 200 // at these sizes the core hardly sleeps
+	evaluationsPerSecond = 200 // a core under this load is evaluated almost continuously
 	serversPerReport     = 5
-	settlingSeconds      = 4
+	settlingSeconds      = 4 // simulated time before a measurement begins
 )
 
-// loadedCore is a core under proxies that report once a second, each about some of its servers, and acknowledge at the next
+// loadedCore is a core with proxies that each report on some servers once a second, and acknowledge messages at the next
 // evaluation.
 type loadedCore struct {
 	*Core
@@ -32,10 +32,10 @@
 	streams          []*Stream
 	reports          []*order.Sums // by stream
 	acknowledgements []pendingAck
-	orders           int // sent
+	orders           int // orders sent
 }
 
-// pendingAck is an acknowledgement to be given at the next evaluation.
+// pendingAck is an acknowledgement for the next evaluation.
 type pendingAck struct {
 	stream *Stream
 	ack    *order.Applied
@@ -88,19 +88,19 @@
 	return l
 }
 
-// originalServer names a server of the first list.
+// originalServer returns the name of a server in the first endpoint list.
 func originalServer(number int) string {
 	return fmt.Sprintf("127.9.%d.%d:8000", number/250, number%250+1)
 }
 
-// runSeconds lets some seconds pass.
+// runSeconds simulates some seconds.
 func (l *loadedCore) runSeconds(count int) {
 	for range count {
 		l.runSecond()
 	}
 }
 
-// runSecond lets one second pass, in which each proxy reports once.
+// runSecond simulates one second, in which each proxy reports once.
 func (l *loadedCore) runSecond() {
 	nextReport := 0
 	for evaluation := range evaluationsPerSecond {
@@ -117,7 +117,7 @@
 	l.SetTime(nowMs, time.UnixMilli(int64(testUnixOriginMs+nowMs)))
 }
 
-// evaluate gives the acknowledgements that are due and carries out all decisions.
+// evaluate passes the pending acknowledgements to the core and carries out all decisions.
 func (l *loadedCore) evaluate() {
 	acknowledgements := l.acknowledgements
 	l.acknowledgements = nil
@@ -128,7 +128,7 @@
 	}
 }
 
-// BenchmarkPlannerSecond is one second of the core's goroutine: what it takes of one CPU core, without sockets.
+// BenchmarkPlannerSecond measures the CPU time that the core's goroutine takes for one second of operation, without sockets.
 func BenchmarkPlannerSecond(b *testing.B) {
 	for _, size := range []struct{ proxies, servers int }{{171, 81}, {500, 500}, {2000, 500}, {5000, 1000}} {
 		b.Run(fmt.Sprintf("%dx%d", size.proxies, size.servers), func(b *testing.B) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// BenchmarkAfterReleases is a second of the core after twenty releases that each replaced four fifths of the servers, twelve
-// minutes apart: removed servers must cost nothing any more.
+// BenchmarkAfterReleases measures one second of the core after 20 releases, about 12 minutes apart, which each replaced
+// 80 % of the servers. Removed servers must not cost time or memory any more.
 func BenchmarkAfterReleases(b *testing.B) {
 	const servers, replaced = 500, 400
 	for _, releases := range []int{0, 20} {
@@ -171,7 +171,7 @@
 	}
 }
 
-// release replaces the current servers by others, numbered from first on, and lets about twelve minutes pass.
+// release replaces the current servers by new ones, numbered from first on, and simulates about 12 minutes.
 func (l *loadedCore) release(current []string, first int) {
 	const releaseSeconds, quietMs = 20, 7e5
 	update := discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: testUnixOriginMs + uint64(l.nowMs)}
@@ -200,8 +200,8 @@
 	}
 }
 
-// BenchmarkPlannerReports is how fast reports are taken in, from the bytes of a stream to the samples that the policy records:
-// decoding and merging on as many CPU cores as there are, and one that owns the rest. Each report has ten servers.
+// BenchmarkPlannerReports measures the throughput of load reports with ten servers each, from the bytes of a stream to the
+// samples that the policy records. Decoding and merging run on all CPU cores, everything else on the goroutine of the core.
 func BenchmarkPlannerReports(b *testing.B) {
 	l := newLoadedCore(b, 500, 200)
 	reports := newCoalescedReports()
@@ -221,7 +221,7 @@
 	b.ReportMetric(float64(reports.merged)/float64(b.N), "merged/op")
 }
 
-// takeReportsUntil runs the core on real time until asked to stop, as the planner's goroutine does.
+// takeReportsUntil runs the core in real time, as the event loop does, until stopped is closed.
 func (l *loadedCore) takeReportsUntil(stopped <-chan struct{}, reports *coalescedReports) {
 	beginMs := l.nowMs
 	elapsed := clock.NewReal()
@@ -239,7 +239,7 @@
 	}
 }
 
-// sendReports encodes and decodes reports of one stream, which a reader adds to those that wait.
+// sendReports encodes and decodes the reports of one stream, and adds them to the coalesced reports as its reader would.
 func (l *loadedCore) sendReports(b *testing.B, pb *testing.PB, number int, reports *coalescedReports) {
 	const samples = 10
 	from := &connection{stream: l.streams[number]}
@@ -273,7 +273,7 @@
 	}
 }
 
-// reportReceiver takes load reports and ignores all other frames.
+// reportReceiver passes load reports on and ignores all other frames.
 type reportReceiver struct{ add func(*order.Sums) }
 
 func (r reportReceiver) OnJoin(*order.Join)              {}
--- a/internal/planner/coalesce_test.go
+++ b/internal/planner/coalesce_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestCoalescedReports(t *testing.T) {
-	t.Run("later reports of a connection are added to the one that waits", testReportsAreMerged)
-	t.Run("a waiting report is bounded, and samples beyond it are counted", testMergedReportIsBounded)
+	t.Run("later reports of a connection are merged into the one that waits", testReportsAreMerged)
+	t.Run("a waiting report is bounded, and samples beyond its bound are counted as lost", testMergedReportIsBounded)
 }
 
-// newTestReport is a report about one server and traffic class.
+// newTestReport returns a report with a sample of one server and one of a traffic class.
 func newTestReport(server string, attempts, failed uint32, latencyMs float64) *order.Sums {
 	return &order.Sums{
 		CoversMs: 100,
@@ -31,19 +31,19 @@
 	reports.add(first, newTestReport("z", 1, 1, 0), 8)
 	from, report, receivedMs := reports.take()
 	if from != first || receivedMs != 5 || report.CoversMs != 300 || len(report.Servers) != 2 {
-		t.Errorf("%v since %g", report, receivedMs)
+		t.Errorf("wrong merged report %v, received at %g ms", report, receivedMs)
 	}
 	if sum := report.Servers[0]; sum.Tries != 6 || sum.Dropped != 2 || sum.LatencyMs != 20 {
-		t.Errorf("server %v", sum)
+		t.Errorf("wrong sum of the server's samples: %v", sum)
 	}
 	if sum := report.Groups[0]; sum.Came != 7 || sum.Dropped != 3 {
-		t.Errorf("class %v", sum)
+		t.Errorf("wrong sum of the traffic class's samples: %v", sum)
 	}
 	if from, _, _ := reports.take(); from != second {
 		t.Error("the other connection's report is missing")
 	}
 	if from, _, _ := reports.take(); from != nil {
-		t.Error("one report too many")
+		t.Error("a third report is returned for two connections")
 	}
 }
 
@@ -57,6 +57,6 @@
 	_, report, _ := reports.take()
 	_, lost := reports.counts()
 	if len(report.Servers) != maxCoalescedSamples || lost != excess || report.Groups[0].Came != maxCoalescedSamples+excess {
-		t.Errorf("%d servers, %d lost, %d requests", len(report.Servers), lost, report.Groups[0].Came)
+		t.Errorf("merged report has %d servers, %d samples lost and %d requests", len(report.Servers), lost, report.Groups[0].Came)
 	}
 }
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestBacklog(t *testing.T) {
-	t.Run("200 proxies that join at once are all assigned a table, and the backlog stays short", func(t *testing.T) {
+	t.Run("200 proxies that join at once are all assigned a table with a bounded backlog", func(t *testing.T) {
 		const maxBacklog = 3500
 		host := newRecordingHost(t, "proxies: 200", 10)
 		var streams []*Stream
@@ -28,17 +28,17 @@
 		host.run(0, 15000)
 		for _, stream := range streams {
 			if !host.received(stream, isAssignment) || host.closed[stream] != "" {
-				t.Fatalf("%s: assigned %v, closed %q", stream.Name(), host.received(stream, isAssignment), host.closed[stream])
+				t.Fatalf("proxy %s: table assigned %v, close reason %q", stream.Name(), host.received(stream, isAssignment), host.closed[stream])
 			}
 		}
 		if peak := host.publisher.queue.PeakBacklog(); peak > maxBacklog {
-			t.Errorf("%g entries waited", peak)
+			t.Errorf("peak backlog of %g entries", peak)
 		}
 	})
 }
 
 func TestInputLog(t *testing.T) {
-	t.Run("the last inputs can be written out", func(t *testing.T) {
+	t.Run("a dump has one line for each of the last inputs", func(t *testing.T) {
 		host := newRecordingHost(t, "proxies: 4", 4)
 		stream := host.join("x", 1, 1)
 		for range recentInputCount {
@@ -49,23 +49,24 @@
 			t.Fatal(err)
 		}
 		if strings.Count(dump.String(), "\n") != recentInputCount || !strings.Contains(dump.String(), "load report x covers_ms:7") {
-			t.Errorf("%.300s", dump.String())
+			t.Errorf("wrong dump: %.300s", dump.String())
 		}
 	})
 }
 
-// What decides runs on one goroutine, whatever runs beside it.
+// Decisions must not depend on the number of CPU cores: all are made by one goroutine.
 func TestSameInputsGiveSameOrdersOnAnyNumberOfCores(t *testing.T) {
 	expected := digestOfScriptedRun(t, 1)
 	for _, cores := range []int{1, 2, 4} {
 		digest := digestOfScriptedRun(t, cores)
 		if digest != expected {
-			t.Errorf("%d cores: %s, before %s", cores, digest, expected)
+			t.Errorf("digest on %d cores is %s, expected %s", cores, digest, expected)
 		}
 	}
 }
 
-// digestOfScriptedRun runs 30 s of a fleet on some cores and digests all orders of the proxies that are joined at the end.
+// digestOfScriptedRun runs a core and its proxies through 30 s of a fixed script on some CPU cores. It returns a digest
+// of all messages to the proxies that are joined at the end.
 func digestOfScriptedRun(t *testing.T, cores int) string {
 	t.Helper()
 	const proxies, joinsPerSecond, seconds = 40, 4, 30
@@ -91,7 +92,7 @@
 	return digestOfOrders(t, host)
 }
 
-// sendScriptedReport sends one proxy's load report of a second, if it is joined.
+// sendScriptedReport passes a proxy's load report for one second to the core, if the proxy is joined.
 func sendScriptedReport(host *recordingHost, proxyNumber, second int) {
 	p := host.proxies.byName[fmt.Sprint("x", proxyNumber)]
 	if p == nil {
@@ -108,7 +109,7 @@
 	host.HandleLoadReport(p.stream, report)
 }
 
-// digestOfOrders digests what all joined proxies were sent, byte for byte.
+// digestOfOrders returns a digest of all messages to the joined proxies, byte for byte, after the number of proxies.
 func digestOfOrders(t *testing.T, host *recordingHost) string {
 	t.Helper()
 	digest := sha256.New()
--- a/internal/planner/ejections_test.go
+++ b/internal/planner/ejections_test.go
@@ -21,13 +21,14 @@
 		host.UpdateEndpoints(stateChange("s0", policy.Draining))
 		host.run(5050, 8000)
 		if !host.received(first, isEjectionOf("s0")) || !host.received(second, isEjectionOf("s0")) {
-			t.Error("not ejected")
+			t.Error("a proxy was not notified of the ejection")
 		}
 	})
 }
 
-// An ejection that outlives the server's last entry would stay for ever at both ends, one for each server that was ever
-// replaced; one that ends at one side only would keep the proxy off a server that the planner means it to use.
+// An ejection must end with the server's last table entry, at the planner and at the proxy. Ejections that stay would
+// accumulate with each replaced server. One that ends at the planner only would keep the proxy from using the server when
+// it is ready again.
 func TestEjectionEndsWithLastEntry(t *testing.T) {
 	host := newRecordingHost(t, "", 8)
 	stream := host.join("x", 1, 1)
@@ -35,20 +36,20 @@
 	host.UpdateEndpoints(stateChange("s2", policy.Draining))
 	host.run(8050, 30000)
 	if !host.received(stream, isEjectionOf("s2")) {
-		t.Fatal("the proxy was not told of the drain")
+		t.Fatal("the proxy was not notified of the drain")
 	}
 	p := host.proxies.byName["x"]
 	if len(p.ejections) != 0 || !host.registry.Ejected["s2"] {
-		t.Errorf("ejected at the proxy %v, in the fleet %v", p.ejections, host.registry.Ejected)
+		t.Errorf("ejections that the proxy was notified of: %v, fleet-wide ejections: %v", p.ejections, host.registry.Ejected)
 	}
 	host.UpdateEndpoints(stateChange("s2", policy.Ready))
 	host.run(30050, 60000)
 	if !replayAtProxy(t, host, stream).MayReceive("s2") {
-		t.Error("the proxy keeps off a server that is ready again")
+		t.Error("the proxy does not use a server that is ready again")
 	}
 }
 
-// replayAtProxy applies all that a stream was sent at a proxy's core.
+// replayAtProxy applies all messages of a stream to a new proxy core and returns that.
 func replayAtProxy(t *testing.T, host *recordingHost, stream *Stream) *proxy.Core {
 	t.Helper()
 	set := &pb.Proxy{}
@@ -69,8 +70,8 @@
 	return core
 }
 
-// Two thousand proxies join at once while a server drains: first tables are long, ejections short and due. It guards against a
-// drain that waits behind the joins; the joins wait instead, and nobody's stream is closed for it.
+// When 2000 proxies join while a server drains, their first tables fill the send queue, and the drain's ejections are due
+// within half the drain grace. They must not wait behind the tables. The tables may wait, but no stream may be closed.
 func TestDrainPrecedesManyJoins(t *testing.T) {
 	host := newRecordingHost(t, `proxies: 2100 channel { lines: "20000/s" most_waiting: 30000 } servers { drain_grace: "5s" }`, 20)
 	var established []*Stream
@@ -86,21 +87,21 @@
 	host.run(8050, 10500) // half of the grace
 	for _, stream := range established {
 		if host.received(stream, assignsServer("s2")) && !host.received(stream, endsUseOfServer("s2")) {
-			t.Fatalf("%s was not told of the drain within half the grace", stream.Name())
+			t.Fatalf("proxy %s was not notified of the drain within half the grace", stream.Name())
 		}
 	}
 	host.run(10550, 40000)
 	for _, stream := range joining {
 		if !host.received(stream, isAssignment) {
-			t.Fatalf("%s has no table", stream.Name())
+			t.Fatalf("proxy %s was assigned no table", stream.Name())
 		}
 	}
 	if len(host.closed) > 0 {
-		t.Errorf("%d streams closed", len(host.closed))
+		t.Errorf("%d streams closed, expected none", len(host.closed))
 	}
 }
 
-// assignsServer matches a table or an entry with a server.
+// assignsServer matches the assignment of a table that contains a server, and any change of the server's weight.
 func assignsServer(server string) func(*order.Order) bool {
 	return func(o *order.Order) bool {
 		assigned := slices.ContainsFunc(o.GetBind().GetLines(), func(entry *order.Line) bool { return entry.Server == server })
@@ -108,7 +109,7 @@
 	}
 }
 
-// endsUseOfServer matches a server's ejection, or the removal of its entry.
+// endsUseOfServer matches a server's ejection and the removal of its entry.
 func endsUseOfServer(server string) func(*order.Order) bool {
 	return func(o *order.Order) bool {
 		removed := o.GetLine().GetLine().GetServer() == server && o.GetLine().Line.Weight == 0
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -24,20 +24,20 @@
 const (
 	stepMs                  = 25.0
 	simulatedMs             = 30_000.0
-	digestIntervalMs        = 1000.0 // one line of a golden file
-	reportIntervalMs        = 1000.0
+	digestIntervalMs        = 1000.0 // time covered by one line of a golden file
+	reportIntervalMs        = 1000.0 // of each proxy's load reports
 	unixOriginMs            = 1_790_000_000_000
 	randomSeed              = 20261202
 	proxyCount              = 12
 	serverCount             = 14
 	classCount              = 3
-	redialSteps             = 20 // after a stream ended
-	idleSteps               = 40 // before the first proxy joins
-	joinSteps               = 8  // from one proxy's joining to the next one's
+	redialSteps             = 20 // from the end of a stream to the next dial
+	idleSteps               = 40 // until the first proxy joins
+	joinSteps               = 8  // between the joins of successive proxies
 	otherPlannerName        = "planner-2"
 	plannerName             = "planner-1"
 	otherPlannerIncarnation = 99
-	initialIncarnation      = 5 // incarnation of each proxy at the start
+	initialIncarnation      = 5 // of all proxies
 )
 
 const goldenSettings = `name: "planner-1" listen: "127.0.0.1:0"
@@ -50,7 +50,8 @@
 list { file { path: "x" } }
 `
 
-// reasonNames are the test's own, so that renamed reasons change no golden file.
+// reasonNames are the close reasons' names in golden files. They are separate from the reasons' texts, so that changing a
+// text changes no golden file.
 var reasonNames = map[controlstream.CloseReason]string{
 	controlstream.ReasonAckTimeout:    "unacknowledged",
 	controlstream.ReasonNameInUse:     "name in use",
@@ -59,22 +60,22 @@
 	controlstream.ReasonLimitExceeded: "full",
 }
 
-// fakeProxy is the other end of a stream.
+// fakeProxy is a simulated proxy.
 type fakeProxy struct {
 	name         string
 	zone         int
 	incarnation  uint64
 	lease        lease.Grantor
-	stream       *planner.Stream // nil: it has none
-	streamCount  uint64          // so far
-	redialStep   int             // step
-	inbox        []proto.Message // of the current stream, to be answered in the next step
-	unresponsive bool            // answers nothing
-	silent       bool            // sends nothing at all
+	stream       *planner.Stream // nil: not connected
+	streamCount  uint64          // streams opened so far
+	redialStep   int             // step of the next dial while it is not connected
+	inbox        []proto.Message // messages on the current stream that it answers in the next step
+	unresponsive bool            // it answers no messages
+	silent       bool            // it sends no frames at all
 }
 
-// simulation is a planner core, its proxies and a list source in simulated time. All that the core decides goes into the
-// digest, byte for byte.
+// simulation runs a planner core with simulated proxies and endpoint updates in simulated time. The digest covers all
+// decisions of the core, byte for byte.
 type simulation struct {
 	t        *testing.T
 	core     *planner.Core
@@ -84,9 +85,9 @@
 	step     int
 	proxies  []*fakeProxy
 	servers  []discovery.Endpoint
-	slow     map[string]float64 // factor of a server's latency
-	failing  map[string]bool    // servers whose requests fail
-	diskFull bool               // the store cannot be written
+	slow     map[string]float64 // factor on the latency, by server
+	failing  map[string]bool    // servers at which all attempts fail
+	diskFull bool               // writes to the epoch store fail
 }
 
 func newSimulation(t *testing.T, name, more string, shared bool) *simulation {
@@ -124,7 +125,7 @@
 func (c *simulation) proxyOf(stream *planner.Stream) *fakeProxy {
 	proxy, ok := stream.Transport.(*fakeProxy)
 	if !ok {
-		c.t.Fatal("a stream of no proxy")
+		c.t.Fatal("the stream belongs to no simulated proxy")
 	}
 	return proxy
 }
@@ -144,7 +145,7 @@
 func (c *simulation) Close(stream *planner.Stream, why *controlstream.CloseError) {
 	reason, known := reasonNames[why.Reason]
 	if !known {
-		c.t.Fatalf("a stream ended for a reason that the test has no name for: %v", why)
+		c.t.Fatalf("the planner closed a stream for a reason that is missing in reasonNames: %v", why)
 	}
 	proxy := c.proxyOf(stream)
 	c.digest.Add(c.now(), "end %s: %s", proxy.name, reason)
@@ -170,7 +171,7 @@
 	p.redialStep = step + redialSteps
 }
 
-// leaseState is what a proxy says of its lease.
+// leaseState returns the lease state that a proxy reports.
 func (p *fakeProxy) leaseState() *order.Lease {
 	return &order.Lease{
 		Epoch:       p.lease.Epoch,
@@ -188,7 +189,7 @@
 	proxy.stream = c.join(proxy, proxy.incarnation)
 }
 
-// join opens a stream under a proxy's name, by its process or by another one.
+// join opens a stream under a proxy's name for the process with an incarnation, which may differ from the proxy's.
 func (c *simulation) join(proxy *fakeProxy, incarnation uint64) *planner.Stream {
 	address := netip.MustParseAddr([]string{"127.1.0.9", "127.2.0.9"}[proxy.zone])
 	stream := &planner.Stream{Address: address, Transport: proxy}
@@ -206,7 +207,7 @@
 	return stream
 }
 
-// answer has a proxy react to all that it was sent in the step before.
+// answer sends a proxy's answers to the messages of the previous step.
 func (c *simulation) answer(proxy *fakeProxy) {
 	inbox := proxy.inbox
 	proxy.inbox = nil
@@ -250,7 +251,7 @@
 	return acknowledgement
 }
 
-// report sends a proxy's load report, with latencies and failures that go by the server.
+// report sends a proxy's load report, with the latencies and failures that are set for the servers.
 func (c *simulation) report(proxy *fakeProxy) {
 	report := &order.Sums{CoversMs: reportIntervalMs}
 	for class := range classCount {
@@ -280,7 +281,7 @@
 	c.core.UpdateEndpoints(discovery.Update{Kind: policy.DeltaUpdate, AsOfMs: unixOriginMs + uint64(c.now()), Version: 2, Endpoints: changed})
 }
 
-// faults are what goes wrong, by second.
+// faults are the scripted faults and endpoint updates, by the second in which they occur.
 var faults = map[int]func(*simulation){
 	5: func(c *simulation) { c.failing[c.servers[3].Server] = true },
 	7: func(c *simulation) { c.changeState(0, policy.Draining) },
@@ -290,7 +291,7 @@
 	},
 	10: func(c *simulation) {
 		c.changeState(0, policy.Removed)
-		c.changeState(5, policy.Draining) // the unresponsive proxy does not acknowledge that
+		c.changeState(5, policy.Draining) // not acknowledged by the unresponsive proxy
 	},
 	12: func(c *simulation) {
 		c.core.UpdateEndpoints(discovery.Update{Kind: policy.FailedUpdate, Fault: "no answer"})
@@ -307,18 +308,18 @@
 		c.sendFullList(3)
 	},
 	16: func(c *simulation) { c.diskFull = true },
-	18: func(c *simulation) { c.connect(c.proxies[6]) }, // a newer stream while the older one is up
+	18: func(c *simulation) { c.connect(c.proxies[6]) }, // a newer stream while the older one is open
 	20: func(c *simulation) { c.core.SetDraining(true) },
 	21: func(c *simulation) { c.diskFull = false },
 	23: func(c *simulation) {
 		c.core.SetDraining(false)
 		c.proxies[8].silent = true
 		c.servers = c.servers[:6]
-		c.sendFullList(4) // most servers are missing at once
+		c.sendFullList(4) // most servers are missing from the list
 	},
-	25: func(c *simulation) { c.join(c.proxies[8], initialIncarnation+1) }, // too early: its first process may be alive
+	25: func(c *simulation) { c.join(c.proxies[8], initialIncarnation+1) }, // rejected: the first process may still be alive
 	26: func(c *simulation) {
-		c.proxies[8].incarnation++ // its first process has been silent for long
+		c.proxies[8].incarnation++ // accepted: the first process has been silent for long enough
 		c.connect(c.proxies[8])
 	},
 }
@@ -331,7 +332,8 @@
 	proxy.disconnect(c.step)
 }
 
-// grantToOtherPlanner has another planner take free proxies now and then, until its leases run out.
+// grantToOtherPlanner has a proxy grant a lease to another planner at random while it is free, and report when that lease
+// begins or expires.
 func (c *simulation) grantToOtherPlanner(proxy *fakeProxy) {
 	const chance, leaseMs = 0.01, 1500
 	expired := proxy.lease.SetTime(c.now())
@@ -374,8 +376,8 @@
 	c.step++
 }
 
-// TestGoldenCore compares every decision of a planner core in two conversations: one that has its proxies to itself, and one
-// that shares them with another planner.
+// TestGoldenCore compares all decisions of a planner core with golden files in two simulations: one with a single
+// planner, and one with a planner that shares its fleet with another.
 func TestGoldenCore(t *testing.T) {
 	for name, variant := range map[string]struct {
 		more   string
@@ -396,17 +398,17 @@
 	}
 }
 
-// checkCoverage guards against a conversation in which nothing is decided any more.
+// checkCoverage checks that the simulation still leads to enough decisions and to the scripted closes of streams.
 func checkCoverage(t *testing.T, c *simulation) {
 	t.Helper()
 	counts := c.core.Counts
 	if counts.Messages < 50 || counts.Entries < 500 || counts.LoadReports < 100 {
-		t.Errorf("few decisions: %+v", counts)
+		t.Errorf("too few decisions: %+v", counts)
 	}
 	if c.shared && counts.EpochReservations == 0 {
 		t.Error("no epochs were reserved")
 	}
 	if !c.shared && (counts.Closes[controlstream.ReasonAckTimeout] == 0 || counts.Closes[controlstream.ReasonNameInUse] == 0 || counts.Closes[controlstream.ReasonSuperseded] < 2) {
-		t.Errorf("streams ended for other reasons than in the script: %v", counts.Closes)
+		t.Errorf("streams were not closed for the scripted reasons: %v", counts.Closes)
 	}
 }
--- a/internal/planner/host_test.go
+++ b/internal/planner/host_test.go
@@ -17,7 +17,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// testSettings are those of all tests, to which each may add.
+// testSettings are the common settings of the tests. Each test may append to them.
 const testSettings = `name: "p" listen: "127.0.0.1:0"
 zones { name: "a" prefixes: "127.1.0.0/16" } zones { name: "b" prefixes: "127.2.0.0/16" }
 groups { name: "check" latency_budget: "600ms" expiry: "1.5s" repeat: RETRIABLE }
@@ -28,8 +28,8 @@
 const (
 	testClassCount   = 2 // traffic classes in testSettings
 	testStepMs       = 50.0
-	testUnixOriginMs = 1e12 // date when the clock shows 0
-	maxDecisions     = 1e6  // in one evaluation; a core that does not come to rest is at fault
+	testUnixOriginMs = 1e12 // wall-clock time when the planner's clock shows 0
+	maxDecisions     = 1e6  // in one evaluation; above it the core is considered to loop endlessly
 )
 
 func parseTestSettings(t testing.TB, more string) *pb.Planner {
@@ -42,7 +42,7 @@
 	return set
 }
 
-// recordingHost is a core whose host records what each stream was sent and why it was closed.
+// recordingHost is a core with its host, which records the messages to each stream and why it was closed.
 type recordingHost struct {
 	*Core
 	t            testing.TB
@@ -51,7 +51,8 @@
 	unresponsive map[*Stream]bool // streams whose proxies acknowledge nothing
 }
 
-// newRecordingHost starts a core with settings added to testSettings and a list of servers, s0 and on.
+// newRecordingHost starts a core with some servers, named s0, s1 and so on. The settings in more are appended to
+// testSettings.
 func newRecordingHost(t testing.TB, more string, servers int) *recordingHost {
 	t.Helper()
 	host := newIdleHost(t, more)
@@ -60,7 +61,7 @@
 	return host
 }
 
-// newIdleHost starts a core that knows no servers and has not been asked for decisions.
+// newIdleHost starts a core without servers that has not been evaluated yet.
 func newIdleHost(t testing.TB, more string) *recordingHost {
 	t.Helper()
 	set := parseTestSettings(t, more)
@@ -89,12 +90,13 @@
 	h.SetTime(nowMs, time.UnixMilli(int64(testUnixOriginMs+nowMs)))
 	for decisions := 0; h.Next(h); decisions++ {
 		if decisions > maxDecisions {
-			h.t.Fatal("decisions without end")
+			h.t.Fatal("the core does not stop deciding")
 		}
 	}
 }
 
-// run lets time pass, in ms. Proxies that are responsive acknowledge all that they were sent, in each step.
+// run evaluates the core every testStepMs within a time span, in ms. Before each evaluation, responsive proxies
+// acknowledge all messages that they were sent.
 func (h *recordingHost) run(fromMs, toMs float64) {
 	h.t.Helper()
 	for nowMs := fromMs; nowMs <= toMs; nowMs += testStepMs {
@@ -121,7 +123,7 @@
 	}
 }
 
-// acknowledgementOf is what a proxy answers to orders that it applied.
+// acknowledgementOf returns the acknowledgement of a proxy that applied orders.
 func acknowledgementOf(orders *order.Orders) *order.Applied {
 	ack := &order.Applied{Number: orders.Number}
 	for _, o := range orders.Orders {
@@ -132,7 +134,7 @@
 	return ack
 }
 
-// join opens a stream of a proxy in zone a that holds tables with some servers.
+// join opens a stream of a proxy in zone a that reports a table with some servers.
 func (h *recordingHost) join(name string, incarnation, streamNumber uint64, servers ...string) *Stream {
 	stream := &Stream{Address: netip.MustParseAddr("127.1.0.9")}
 	h.sent[stream] = nil
@@ -147,7 +149,7 @@
 	return stream
 }
 
-// tablesWith is a table for all traffic classes, as a proxy reports it.
+// tablesWith returns a table of some servers for all traffic classes, as a proxy reports it.
 func tablesWith(servers ...string) []*order.Holding {
 	table := &order.Holding{Groups: []uint32{0, 1}}
 	for _, server := range servers {
@@ -156,7 +158,7 @@
 	return []*order.Holding{table}
 }
 
-// firstMessageWith returns the index of the first message on a stream with an order that matches; -1 if there is none.
+// firstMessageWith returns the index of the first message to a stream that contains a matching order; -1 if there is none.
 func (h *recordingHost) firstMessageWith(s *Stream, matches func(*order.Order) bool) int {
 	return slices.IndexFunc(h.sent[s], func(message proto.Message) bool {
 		orders, ok := message.(*order.Orders)
@@ -164,7 +166,7 @@
 	})
 }
 
-// received reports whether a stream was sent an order that matches.
+// received reports whether a stream was sent a matching order.
 func (h *recordingHost) received(s *Stream, matches func(*order.Order) bool) bool {
 	return h.firstMessageWith(s, matches) >= 0
 }
@@ -180,7 +182,7 @@
 	}
 }
 
-// endsEjectionOf matches the end of a server's ejection.
+// endsEjectionOf matches the readmission of a server.
 func endsEjectionOf(server string) func(*order.Order) bool {
 	return func(o *order.Order) bool {
 		ejection := o.GetWithdraw()
@@ -188,7 +190,7 @@
 	}
 }
 
-// endpointList is a list of servers, s0 and on, in both zones in turn.
+// endpointList returns a full update with some servers, named s0, s1 and so on, which alternate between both zones.
 func endpointList(count int) discovery.Update {
 	update := discovery.Update{Kind: policy.FullUpdate, AsOfMs: testUnixOriginMs}
 	for number := range count {
@@ -201,10 +203,10 @@
 	return update
 }
 
-// zoneOf spreads servers and proxies over the zones of testSettings.
+// zoneOf distributes servers and proxies evenly over the zones of testSettings.
 func zoneOf(number int) string { return []string{"a", "b"}[number%2] }
 
-// stateChange is an update of one server in zone a.
+// stateChange returns an update that sets the state of a server in zone a.
 func stateChange(server string, state policy.State) discovery.Update {
 	return discovery.Update{
 		Kind:      policy.DeltaUpdate,
@@ -213,7 +215,7 @@
 	}
 }
 
-// isOrders matches messages of orders.
+// isOrders matches messages that contain orders.
 func isOrders(message proto.Message) bool {
 	_, ok := message.(*order.Orders)
 	return ok
--- a/internal/planner/leases_test.go
+++ b/internal/planner/leases_test.go
@@ -16,7 +16,7 @@
 	testLeaseMs     = 2000
 )
 
-// newLeasingHost starts a planner of four servers that shares its fleet, with a proxy that may grant it a lease.
+// newLeasingHost starts a planner with four servers that shares its fleet, and a proxy that has joined and granted no lease.
 func newLeasingHost(t *testing.T) (*recordingHost, *Stream) {
 	t.Helper()
 	const servers = 4
@@ -37,11 +37,11 @@
 	return host, stream
 }
 
-// newFreeLease is a proxy's statement that reaches this planner and has granted no lease.
+// newFreeLease returns the lease state of a proxy that reaches this planner and has granted no lease.
 func newFreeLease() *order.Lease { return &order.Lease{Reachable: []string{testPlannerName}} }
 
-// grantRequests answers the lease requests that a stream was sent from a message on, with a statement that it fills in. It returns
-// the number of messages so far.
+// grantRequests grants all lease requests among the messages to a stream from an index on. The answers are statement,
+// completed with the lease. It returns the number of messages to the stream so far.
 func (h *recordingHost) grantRequests(s *Stream, fromMessage int, statement *order.Lease) int {
 	for _, message := range h.sent[s][fromMessage:] {
 		request, ok := message.(*order.Claim)
@@ -60,8 +60,8 @@
 	return len(h.sent[s])
 }
 
-// runRenewing lets time pass, in ms, and grants all renewals requested from a message on. It returns the number of messages
-// so far.
+// runRenewing evaluates the core every testStepMs within a time span, in ms, and grants all lease requests among the
+// messages from an index on. It returns the number of messages to the stream so far.
 func (h *recordingHost) runRenewing(s *Stream, fromMs, toMs float64, fromMessage int) int {
 	h.t.Helper()
 	for nowMs := fromMs; nowMs <= toMs; nowMs += testStepMs {
@@ -71,35 +71,35 @@
 	return fromMessage
 }
 
-// expectAssignment returns the index of the message that assigns a table.
+// expectAssignment returns the index of the first message that assigns a table, and fails the test if there is none.
 func (h *recordingHost) expectAssignment(s *Stream) int {
 	h.t.Helper()
 	index := h.firstMessageWith(s, isAssignment)
 	if index < 0 {
-		h.t.Fatal("no table assigned")
+		h.t.Fatal("the proxy was assigned no table")
 	}
 	return index
 }
 
 func TestLeases(t *testing.T) {
-	t.Run("nothing is ordered before the proxy grants a lease, and everything under its epoch", testOrdersNeedLease)
-	t.Run("a drain that only the predecessor knew is kept, until our list shows it or long after", func(t *testing.T) {
+	t.Run("no orders are sent before the proxy grants a lease, and then under the granted epoch", testOrdersNeedLease)
+	t.Run("a drain that only the previous planner knew stays in force until the list shows it or a time has passed", func(t *testing.T) {
 		testInheritedDrain(t, true)
 		testInheritedDrain(t, false)
 	})
-	t.Run("messages of the predecessor count in the window", testInheritedWindow)
-	t.Run("queued messages are not sent once the proxy refuses orders or its lease expires", func(t *testing.T) {
+	t.Run("messages of the previous planner count towards the message window", testInheritedWindow)
+	t.Run("queued messages are not sent after the proxy has rejected orders or the lease has expired", func(t *testing.T) {
 		testQueuedMessagesNeedLease(t, true)
 		testQueuedMessagesNeedLease(t, false)
 	})
-	t.Run("a proxy that does not share is rejected by a planner that does, and the reverse", testSharingMustMatch)
+	t.Run("a proxy without sharing is rejected by a planner with sharing, and the reverse", testSharingMustMatch)
 }
 
 func testOrdersNeedLease(t *testing.T) {
 	host, stream := newLeasingHost(t)
 	host.run(0, 3000)
 	if host.received(stream, func(*order.Order) bool { return true }) {
-		t.Errorf("%v", host.sent[stream])
+		t.Errorf("orders sent without a lease: %v", host.sent[stream])
 	}
 	statement := newFreeLease()
 	statement.Holds = tablesWith("s0")
@@ -108,11 +108,12 @@
 	orders := host.sent[stream][host.expectAssignment(stream)].(*order.Orders)
 	epoch, held := host.leases.manager.HoldsLease("x")
 	if !held || orders.Epoch != epoch || orders.Epoch == 0 {
-		t.Errorf("ordered under epoch %d, granted %d, held %v", orders.Epoch, epoch, held)
+		t.Errorf("orders sent under epoch %d, lease held under epoch %d: %v", orders.Epoch, epoch, held)
 	}
 }
 
-// testInheritedDrain takes over a proxy whose last planner knew that s0 drains, which our list shows later or never.
+// testInheritedDrain takes over a proxy whose previous planner knew that s0 drains. The endpoint list shows the drain
+// later if shown is set, and never otherwise.
 func testInheritedDrain(t *testing.T, shown bool) {
 	t.Helper()
 	host, stream := newLeasingHost(t)
@@ -124,7 +125,7 @@
 	assignment := host.sent[stream][host.expectAssignment(stream)].(*order.Orders).Orders[0].GetBind()
 	for _, entry := range assignment.Lines {
 		if entry.Server == "s0" && (len(assignment.Withdrawn) != 1 || len(assignment.Going) != 1) {
-			t.Errorf("assigned to a server that drains: %v", assignment)
+			t.Errorf("a draining server is assigned without its ejection: %v", assignment)
 		}
 	}
 	if shown {
@@ -133,7 +134,7 @@
 	host.runRenewing(stream, 3050, 40000, messages)
 	ended := host.received(stream, endsEjectionOf("s0"))
 	if ended == shown {
-		t.Errorf("drain shown %v: ejection ended %v", shown, ended)
+		t.Errorf("drain shown in the list: %v, server readmitted: %v", shown, ended)
 	}
 }
 
@@ -146,7 +147,7 @@
 		statement.MessagesAgoMs = append(statement.MessagesAgoMs, float64(100*number))
 	}
 	messages := host.grantRequests(stream, 0, statement)
-	for round := range 12 { // a list that gives much to order
+	for round := range 12 { // each change of the list causes orders
 		beginMs := 500 * float64(round)
 		messages = host.runRenewing(stream, beginMs+50, beginMs+500, messages)
 		host.UpdateEndpoints(stateChange("s0", policy.State(round%2)))
@@ -158,11 +159,12 @@
 		}
 	}
 	if count > maxFurtherMessages || host.closed[stream] != "" {
-		t.Errorf("%d messages after 18 within 10 s, of 20; closed %q", count, host.closed[stream])
+		t.Errorf("%d messages after 18 of the previous planner, with a limit of 20 in 10 s; close reason %q", count, host.closed[stream])
 	}
 }
 
-// testQueuedMessagesNeedLease ends a lease while orders are decided, by the proxy's refusal or by time.
+// testQueuedMessagesNeedLease ends a lease right before orders are decided: the proxy rejects a message if refused is
+// set, and otherwise the lease expires.
 func testQueuedMessagesNeedLease(t *testing.T, refused bool) {
 	t.Helper()
 	host, stream := newLeasingHost(t)
@@ -181,7 +183,7 @@
 	}
 	for _, message := range host.sent[stream][messages:] {
 		if orders, ok := message.(*order.Orders); ok {
-			t.Errorf("refused %v: sent %v", refused, orders)
+			t.Errorf("refused %v: orders sent without a lease: %v", refused, orders)
 		}
 	}
 	p := host.proxies.byName["x"]
@@ -199,6 +201,6 @@
 	alone.HandleJoin(withLease, &order.Join{Proxy: "z", Groups: testClassCount, Lease: &order.Lease{}})
 	alone.evaluate(50)
 	if sharing.closed[withoutLease] != controlstream.ReasonUnknownPeer || alone.closed[withLease] != controlstream.ReasonUnknownPeer {
-		t.Errorf("%q %q", sharing.closed[withoutLease], alone.closed[withLease])
+		t.Errorf("close reasons %q without and %q with a lease", sharing.closed[withoutLease], alone.closed[withLease])
 	}
 }
--- a/internal/planner/loadreports_test.go
+++ b/internal/planner/loadreports_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLoadReport(t *testing.T) {
-	t.Run("a report about a removed server changes nothing, one about a server never listed is ignored", func(t *testing.T) {
+	t.Run("a sample of a removed server has no effect, and one of a server that was never listed is ignored", func(t *testing.T) {
 		host := newRecordingHost(t, "proxies: 4", 4)
 		stream := host.join("x", 1, 1)
 		host.run(0, 3000)
@@ -25,28 +25,28 @@
 			for _, o := range message.(*order.Orders).Orders {
 				entry := o.GetLine().GetLine()
 				if entry.GetServer() == "s0" && entry.GetWeight() > 0 {
-					t.Errorf("assigned again: %v", o)
+					t.Errorf("the removed server got a weight again: %v", o)
 				}
 			}
 		}
 		if host.Counts.Ignored != 1 || !host.received(stream, isEjectionOf("s0")) {
-			t.Errorf("%d ignored", host.Counts.Ignored)
+			t.Errorf("%d samples ignored, expected 1, or the removed server was not ejected", host.Counts.Ignored)
 		}
 	})
 }
 
 func TestReportIntake(t *testing.T) {
-	t.Run("one load per server and period passes, oldest first, at the stated rate", testIntakeRate)
+	t.Run("one load per server and period passes, oldest first, at the configured rate", testIntakeRate)
 	t.Run("queued loads of a proxy that left are skipped", testIntakeSkipsRemoved)
-	t.Run("beyond the bound the oldest load is shed and counted", testIntakeSheds)
+	t.Run("if the queue is full the oldest load is shed and counted", testIntakeSheds)
 }
 
-// newTestIntake makes an intake with periods of 1 s that passes one load per second.
+// newTestIntake returns an intake with periods of 1 s that passes one load per second.
 func newTestIntake(maxQueued int) *reportIntake {
 	return newReportIntake(intakeLimits{periodMs: 1000, perSecond: 1, maxQueued: maxQueued}, 0)
 }
 
-// expectLoad takes the next load and checks what it holds.
+// expectLoad takes the next load, checks it and returns its sample.
 func expectLoad(t *testing.T, intake *reportIntake, expected *pendingLoad, count int, coversMs float64) loadSample {
 	t.Helper()
 	load := intake.next()
@@ -70,7 +70,7 @@
 	intake.setTime(1000)
 	sample := expectLoad(t, intake, first, 10, 1000)
 	if sample != (loadSample{count: 10, failed: 1, latencyMs: 140}) {
-		t.Errorf("%+v", sample)
+		t.Errorf("wrong sample %+v", sample)
 	}
 	if intake.next() != nil {
 		t.Error("two loads passed within a second")
@@ -80,10 +80,10 @@
 	expectLoad(t, intake, second, 3, 2000)
 	intake.add(second, 2, 0, 10)
 	intake.setTime(3000)
-	expectLoad(t, intake, second, 2, 1000) // what was taken does not count again
+	expectLoad(t, intake, second, 2, 1000) // without the samples that were taken before
 }
 
-// Loads of a proxy that left must not reach the policy, nor take up the rate or the place of others.
+// Loads of a proxy that left must not reach the policy, and must not use up the rate or the queue space of others.
 func testIntakeSkipsRemoved(t *testing.T) {
 	removed := &pendingLoad{proxy: &joinedProxy{}}
 	other := &pendingLoad{server: "b"}
@@ -93,10 +93,10 @@
 	intake.setTime(1000)
 	intake.remove([]*pendingLoad{removed})
 	if load := intake.next(); load != other {
-		t.Errorf("%+v", load)
+		t.Errorf("next load is %+v, expected that of the server", load)
 	}
 	if load := intake.next(); load != nil {
-		t.Errorf("%+v passed too", load)
+		t.Errorf("next load is %+v, expected none", load)
 	}
 	if deadline := intake.deadline(); !math.IsInf(deadline, 1) {
 		t.Errorf("deadline %g although nothing waits", deadline)
@@ -112,6 +112,6 @@
 	intake.setTime(1000)
 	load := intake.next()
 	if load != newest || intake.shed != 1 || oldest.isQueued || oldest.queued.count != 0 {
-		t.Errorf("%+v, %d shed, oldest %+v", load, intake.shed, oldest)
+		t.Errorf("next load is %+v, %d loads shed, the oldest is %+v", load, intake.shed, oldest)
 	}
 }
--- a/internal/planner/proxies_test.go
+++ b/internal/planner/proxies_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestProxyTable(t *testing.T) {
-	t.Run("the number of a proxy that left is given out again", func(t *testing.T) {
+	t.Run("the id of a proxy that left is reused", func(t *testing.T) {
 		table := newProxyTable()
 		first := &joinedProxy{name: "a"}
 		second := &joinedProxy{name: "b"}
@@ -18,30 +18,30 @@
 		table.add(second)
 		table.freeID(first)
 		if all := slices.Collect(table.all()); !slices.Equal(all, []*joinedProxy{second}) {
-			t.Errorf("%v", all)
+			t.Errorf("wrong joined proxies: %v", all)
 		}
 		table.add(successor)
 		if successor.id != first.id || second.id != 1 {
-			t.Errorf("numbers %d, %d", successor.id, second.id)
+			t.Errorf("the new proxy has id %d, the second one %d", successor.id, second.id)
 		}
 	})
-	t.Run("a proxy is joined while it is the one of its name", func(t *testing.T) {
+	t.Run("a proxy is joined until a newer one has its name", func(t *testing.T) {
 		table := newProxyTable()
 		old := &joinedProxy{name: "a"}
 		successor := &joinedProxy{name: "a"}
 		table.add(old)
 		table.add(successor)
 		if table.isJoined(old) || !table.isJoined(successor) {
-			t.Error("the older stream holds the name")
+			t.Error("the older proxy is still the current one of its name")
 		}
 	})
-	t.Run("commanded proxies are those that the policy knows", func(t *testing.T) {
+	t.Run("only proxies that are commanded are listed as such", func(t *testing.T) {
 		table := newProxyTable()
 		commanded := &joinedProxy{name: "a", commanded: true}
 		table.add(&joinedProxy{name: "b"})
 		table.add(commanded)
 		if all := slices.Collect(table.commanded()); !slices.Equal(all, []*joinedProxy{commanded}) {
-			t.Errorf("%v", all)
+			t.Errorf("wrong commanded proxies: %v", all)
 		}
 	})
 }
@@ -54,16 +54,16 @@
 		number  int
 		known   bool
 	}{
-		"a name goes before the address":           {"b", "127.1.0.1", 1, true},
-		"an address tells the zone without a name": {"", "127.2.0.1", 1, true},
-		"an IPv4 address in IPv6 form is the same": {"", "::ffff:127.2.0.1", 1, true},
-		"an unknown name is not made up for":       {"c", "127.1.0.1", 0, false},
-		"an address of no prefix has no zone":      {"", "10.0.0.1", 0, false},
+		"a name takes precedence over the address":        {"b", "127.1.0.1", 1, true},
+		"an address determines the zone without a name":   {"", "127.2.0.1", 1, true},
+		"an IPv4-mapped IPv6 address is the same as IPv4": {"", "::ffff:127.2.0.1", 1, true},
+		"an unknown name is not replaced by the address":  {"c", "127.1.0.1", 0, false},
+		"an address outside all prefixes has no zone":     {"", "10.0.0.1", 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			number, known := table.find(variant.zone, netip.MustParseAddr(variant.address))
 			if known != variant.known || number != variant.number {
-				t.Errorf("zone %d, known %v", number, known)
+				t.Errorf("found zone %d, known %v", number, known)
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 			t.Error("not late at its deadline")
 		}
 	})
-	t.Run("an urgent message shortens the deadline of those before it", func(t *testing.T) {
+	t.Run("an urgent message moves the deadline of earlier messages forward", func(t *testing.T) {
 		tracker, proxies, p := newTracker()
 		tracker.add(p, sentUpdate{number: 1, decidedMs: 0})
 		if late := tracker.findLate(0, proxies); late != nil {
@@ -103,7 +103,7 @@
 		tracker.add(p, sentUpdate{number: 1, decidedMs: 0})
 		p.unacknowledged = nil
 		if late := tracker.findLate(1e6, proxies); late != nil {
-			t.Error("late without a message")
+			t.Error("late without an unacknowledged message")
 		}
 	})
 }
--- a/internal/planner/publisher_test.go
+++ b/internal/planner/publisher_test.go
@@ -9,7 +9,8 @@
 	"lichenpick/proto/order"
 )
 
-// newCommandingHost is a planner that shares its fleet and commands a proxy which was sent some messages just before.
+// newCommandingHost starts a planner that shares its fleet and commands a proxy, to which other planners have just sent some
+// messages.
 func newCommandingHost(t *testing.T, messagesBefore int) (*recordingHost, *Stream) {
 	t.Helper()
 	host, stream := newLeasingHost(t)
@@ -25,18 +26,18 @@
 	return host, stream
 }
 
-// The lease manager decides once a time step: until then only the check at departure stands between an expired lease and the
-// orders that were decided under it.
+// The lease manager decides only at the beginning of an evaluation. Until then, the check when a message leaves the queue
+// is all that prevents sending orders whose lease has ended.
 func TestDepartureNeedsLease(t *testing.T) {
 	for name, variant := range map[string]struct {
 		end  func(*recordingHost, *Stream)
 		sent bool
 	}{
-		"a message leaves while the lease is held": {func(*recordingHost, *Stream) {}, true},
-		"none leaves once the proxy refused orders": {func(host *recordingHost, stream *Stream) {
+		"a message is sent while the lease is held": {func(*recordingHost, *Stream) {}, true},
+		"no message is sent after the proxy has rejected orders": {func(host *recordingHost, stream *Stream) {
 			host.HandleAck(stream, &order.Applied{Number: 1, Refused: true})
 		}, false},
-		"none leaves under an epoch before the last": {func(host *recordingHost, _ *Stream) {
+		"no message is sent under an epoch other than the granted one": {func(host *recordingHost, _ *Stream) {
 			host.proxies.byName["x"].epoch--
 		}, false},
 	} {
@@ -44,7 +45,7 @@
 			host, stream := newCommandingHost(t, 0)
 			host.ejectByPolicy("s0", host.proxies.byName["x"])
 			if !host.nextUpdate() {
-				t.Fatal("nothing to send")
+				t.Fatal("no update was queued")
 			}
 			variant.end(host, stream)
 			host.SetTime(1000, host.wallTime)
@@ -53,13 +54,13 @@
 			}
 			sent := slices.ContainsFunc(host.sent[stream], isOrders)
 			if sent != variant.sent {
-				t.Errorf("sent %v, expected %v", sent, variant.sent)
+				t.Errorf("orders sent: %v, expected %v", sent, variant.sent)
 			}
 		})
 	}
 }
 
-// ejectByPolicy has a proxy notified of an ejection, as the policy's host does.
+// ejectByPolicy ejects a server and has a proxy notified, as policyHost does.
 func (h *recordingHost) ejectByPolicy(server string, p *joinedProxy) {
 	h.registry.SetEjected(server, true)
 	h.setEjected(p, server, true)
@@ -71,8 +72,8 @@
 		before  int
 		refused bool
 	}{
-		"a last message fits into a window that is not full":    {maxMessages - 1, false},
-		"none fits into a window that others' messages fill up": {maxMessages, true},
+		"a message is accepted while the window is not full":                 {maxMessages - 1, false},
+		"no message is accepted if other planners' messages fill the window": {maxMessages, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			host, _ := newCommandingHost(t, variant.before)
@@ -81,13 +82,14 @@
 			_, _, refusal := host.publisher.enqueue(host.nowMs)
 			refused := refusal != nil && refusal.Reason == controlstream.ReasonLimitExceeded
 			if refused != variant.refused || refusal != nil && !refused {
-				t.Errorf("refused for %v", refusal)
+				t.Errorf("rejection %v is not the expected one", refusal)
 			}
 		})
 	}
 }
 
-// A message that a limit refuses would leave the proxy on a table that nobody knows.
+// If a limit rejects a message, the proxy's stream must be closed: the proxy would otherwise use tables that differ from
+// those that the planner has recorded.
 func TestRefusedUpdateClosesStream(t *testing.T) {
 	host := newRecordingHost(t, "proxies: 4 channel { most_messages: 1 }", 4)
 	stream := host.join("x", 1, 1)
@@ -98,11 +100,11 @@
 		host.evaluate(100)
 	}
 	if host.closed[stream] != controlstream.ReasonLimitExceeded {
-		t.Errorf("closed %q", host.closed[stream])
+		t.Errorf("close reason %q, expected an exceeded limit", host.closed[stream])
 	}
 }
 
-// An update holds the ejection of a server that drains, so that its acknowledgement is urgent, and others do not.
+// Only an update that ejects a draining server is urgent: its acknowledgement is due within the drain grace.
 func TestUrgencyOfUpdates(t *testing.T) {
 	host := newRecordingHost(t, "proxies: 4", 4)
 	host.join("x", 1, 1)
@@ -114,6 +116,6 @@
 	host.endpoints.record("s0", policy.Draining, 0)
 	host.ejectByPolicy("s0", p)
 	if !p.update.urgent || p.update.entries != 2 {
-		t.Errorf("%+v", p.update)
+		t.Errorf("expected an urgent update of 2 entries, got %+v", p.update)
 	}
 }
--- a/internal/planner/server_fixture_test.go
+++ b/internal/planner/server_fixture_test.go
@@ -23,15 +23,15 @@
 
 const (
 	stopTimeout       = 10 * time.Second
-	eventuallyTimeout = 20 * time.Second // far over what anything here takes
+	eventuallyTimeout = 20 * time.Second // far longer than any condition takes
 	eventuallyPoll    = 2 * time.Millisecond
 	pausePoll         = 5 * time.Millisecond
 )
 
-// pushSource is an endpoint source that a test pushes updates to.
+// pushSource is an endpoint source to which a test pushes updates.
 type pushSource chan discovery.Update
 
-// Run passes updates on until the context ends.
+// Run delivers updates until the context ends.
 func (p pushSource) Run(ctx context.Context, deliver func(discovery.Update)) error {
 	for {
 		select {
@@ -43,17 +43,17 @@
 	}
 }
 
-// steppedClock is the machine's clock with a date that a test can step.
+// steppedClock is the real clock with a wall-clock time that a test can step.
 type steppedClock struct {
 	*clock.Real
-	offset atomic.Int64 // a time.Duration
+	offset atomic.Int64 // added to the wall-clock time; a time.Duration
 }
 
 func (s *steppedClock) WallTime() time.Time {
 	return s.Real.WallTime().Add(time.Duration(s.offset.Load()))
 }
 
-// logBuffer keeps what is logged.
+// logBuffer collects the log output.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -65,14 +65,14 @@
 	return l.text.Write(p)
 }
 
-// count counts a text in all that was logged.
+// count returns how often a text occurs in the log output.
 func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), text)
 }
 
-// testServer is a planner under Run, on loopback.
+// testServer is a planner that Run runs on a loopback address.
 type testServer struct {
 	t       *testing.T
 	address string
@@ -81,11 +81,12 @@
 	log     *logBuffer
 	cancel  context.CancelFunc
 	done    chan struct{} // closed when Run has returned
-	err     error         // what Run returned; valid once done is closed
-	last    *Status       // valid once done is closed
+	err     error         // the result of Run; valid after done is closed
+	last    *Status       // the last status; valid after done is closed
 }
 
-// startServer runs a planner until the test ends, and tells it of some servers. A nil decider is the policy.
+// startServer runs a planner until the test ends, with an endpoint list of some servers. If decider is nil, the policy
+// decides.
 func startServer(t *testing.T, set *pb.Planner, decider Decider, servers int) *testServer {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -116,7 +117,7 @@
 	select {
 	case s.address = <-ready:
 	case <-s.done:
-		t.Fatal("planner did not start: ", s.err)
+		t.Fatal("the planner did not start: ", s.err)
 	}
 	if servers > 0 {
 		s.source <- endpointList(servers)
@@ -124,18 +125,18 @@
 	return s
 }
 
-// cancelAndWait ends the planner and waits for it.
+// cancelAndWait cancels the planner's context and waits until Run has returned.
 func (s *testServer) cancelAndWait() {
 	s.t.Helper()
 	s.cancel()
 	select {
 	case <-s.done:
 	case <-time.After(stopTimeout):
-		s.t.Error("the planner does not end")
+		s.t.Error("the planner did not stop in time")
 	}
 }
 
-// stop ends the planner, which must not fail, and returns its last status.
+// stop stops the planner, checks that Run returned no error, and returns the last status.
 func (s *testServer) stop() *Status {
 	s.t.Helper()
 	s.cancelAndWait()
@@ -150,21 +151,21 @@
 	return s.last
 }
 
-// testProxy is a proxy's end of a stream: it acknowledges what it is sent and records the orders.
+// testProxy is a proxy's end of a stream. It acknowledges all messages and records the orders.
 type testProxy struct {
 	controlstream.SingleController
 	conn    net.Conn
-	session *controlstream.ProxySession // its reading half is the reader's, its writing half guarded by writeMu
+	session *controlstream.ProxySession // the goroutine in read owns the reading half; writeMu guards the writing half
 	writeMu sync.Mutex
-	paused  atomic.Bool   // reads no more
-	done    chan struct{} // closed when its stream has ended
+	paused  atomic.Bool   // while set, the proxy reads nothing
+	done    chan struct{} // closed when the stream has ended
 
 	mu     sync.Mutex
-	orders []*order.Orders
-	cause  *controlstream.CloseError // nil until the stream ended
+	orders []*order.Orders           // all received; guarded by mu
+	cause  *controlstream.CloseError // nil until the stream has ended; guarded by mu
 }
 
-// connect opens a stream without joining.
+// connect opens a stream and does not join.
 func (s *testServer) connect() *testProxy {
 	s.t.Helper()
 	conn, err := clock.TCP{}.Dial(s.t.Context(), netip.MustParseAddr("127.1.0.9"), s.address)
@@ -196,15 +197,15 @@
 	return p
 }
 
-// joinAndAwaitTable joins and waits until a table is assigned.
+// joinAndAwaitTable opens a stream, joins, and waits until a table is assigned.
 func (s *testServer) joinAndAwaitTable(name string, incarnation, streamNumber uint64) *testProxy {
 	s.t.Helper()
 	p := s.join(name, incarnation, streamNumber)
-	eventually(s.t, "a table of "+name, func() bool { return p.received(isAssignment) })
+	eventually(s.t, "the assignment of a table to "+name, func() bool { return p.received(isAssignment) })
 	return p
 }
 
-// read takes in what the planner sends until the stream ends.
+// read handles the frames from the planner until the stream ends.
 func (p *testProxy) read() {
 	defer close(p.done)
 	buffer := make([]byte, 8192)
@@ -225,7 +226,7 @@
 	}
 }
 
-// send sends a frame. A stream that has ended is noticed by read.
+// send sends a frame. It ignores errors, because read notices that the stream has ended.
 func (p *testProxy) send(kind controlstream.FrameKind, message proto.Message) {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
@@ -246,7 +247,7 @@
 	p.send(controlstream.FrameAck, acknowledgementOf(orders))
 }
 
-// received reports whether the proxy was sent an order that matches.
+// received reports whether the proxy has received a matching order.
 func (p *testProxy) received(matches func(*order.Order) bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -260,32 +261,32 @@
 	return false
 }
 
-// closeCause is why the stream ended; nil while it goes on, or if the connection broke without a reason.
+// closeCause returns why the stream ended; nil while it is open, or if the connection ended without a close frame.
 func (p *testProxy) closeCause() *controlstream.CloseError {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cause
 }
 
-// isClosedFor reports whether the planner closed the stream for a reason.
+// isClosedFor reports whether the planner sent a close frame with a reason.
 func (p *testProxy) isClosedFor(reason controlstream.CloseReason) bool {
 	cause := p.closeCause()
 	return cause != nil && cause.Reason == controlstream.ReasonPeerClosed && cause.Detail == string(reason)
 }
 
-// eventually waits for something that must come.
+// eventually waits until a condition holds, and fails the test if it does not within eventuallyTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(eventuallyTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not seen: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 		time.Sleep(eventuallyPoll)
 	}
 }
 
-// encodeFrame is a stream's first frame.
+// encodeFrame returns an encoded frame that is the first of its stream.
 func encodeFrame(t *testing.T, kind controlstream.FrameKind, message proto.Message) []byte {
 	t.Helper()
 	encoded, err := controlstream.AppendFrame(nil, kind, 1, message)
@@ -298,16 +299,16 @@
 // panickingPolicy panics when a proxy joins.
 type panickingPolicy struct{ Decider }
 
-var errPolicyPanic = errors.New("policy fails on purpose")
+var errPolicyPanic = errors.New("intended panic of the test policy")
 
 func (panickingPolicy) AddProxy(int, int, float64, ...float64) { panic(errPolicyPanic) }
 
-// stallingPolicy stands still while its gate is held, and counts the attempts in the reports that it records.
+// stallingPolicy blocks the core while a test holds its gate, and counts the attempts that it records.
 type stallingPolicy struct {
 	Decider
 	gate     sync.Mutex
 	attempts atomic.Int64
-	lagging  chan bool // each change
+	lagging  chan bool // receives the argument of each call of SetLagging
 }
 
 func (s *stallingPolicy) SetTime(now float64) {
--- a/internal/planner/server_test.go
+++ b/internal/planner/server_test.go
@@ -18,13 +18,13 @@
 )
 
 func TestRun(t *testing.T) {
-	t.Run("200 proxies that join within 100 ms are assigned tables with a short backlog", testManyJoins)
-	t.Run("a proxy that stops reading while its server drains loses its stream within the grace", testStoppedReader)
+	t.Run("200 proxies that join at once are assigned tables with a bounded backlog", testManyJoins)
+	t.Run("the stream of a proxy that stops reading is closed within the grace of a drain", testStoppedReader)
 	t.Run("a proxy that dials again replaces its half-open stream", testRedial)
-	t.Run("a date that is stepped by an hour and back changes nothing", testSteppedDate)
-	t.Run("asked to stop amid joins and reports it ends at once and notifies its proxies", testShutdownUnderLoad)
-	t.Run("a policy that panics ends its planner with an error and the last inputs", testPolicyFailure)
-	t.Run("a planner that starts again begins from its saved endpoint list", testSavedEndpoints)
+	t.Run("a wall clock that is stepped by an hour forward and back has no effect", testSteppedDate)
+	t.Run("a planner that is stopped during joins and reports ends in time and closes its streams", testShutdownUnderLoad)
+	t.Run("a policy that panics makes the planner dump its last inputs and return an error", testPolicyFailure)
+	t.Run("a restarted planner starts from its saved endpoint list", testSavedEndpoints)
 }
 
 func testManyJoins(t *testing.T) {
@@ -36,15 +36,16 @@
 		all = append(all, server.join(fmt.Sprint("x", number), 1, 1))
 	}
 	for _, p := range all {
-		eventually(t, "a table", func() bool { return p.received(isAssignment) })
+		eventually(t, "the assignment of a table to each proxy", func() bool { return p.received(isAssignment) })
 	}
 	last := server.stop()
 	if last.MaxBacklog > maxBacklog || last.Joins != proxies || len(last.Closes) != 0 {
-		t.Errorf("%+v", last)
+		t.Errorf("wrong backlog, joins or closes in the last status: %+v", last)
 	}
 }
 
-// Each faulty peer's stream is closed for one reason, logged once and counted; a sound proxy beside it goes on.
+// The stream of each faulty peer must be closed for one reason, which is logged once and counted, without affecting a sound
+// proxy.
 func TestFaultyPeer(t *testing.T) {
 	for name, variant := range map[string]struct {
 		bytes  []byte
@@ -75,17 +76,17 @@
 		t.Fatal(err)
 	}
 	<-faulty.done
-	eventually(t, "a log record", func() bool {
+	eventually(t, "one log record with the close reason", func() bool {
 		return server.log.count("reason=\""+string(reason)+"\"")+server.log.count("reason="+string(reason)+" ") == 1
 	})
 	select {
 	case <-sound.done:
-		t.Error("the sound proxy lost its stream")
+		t.Error("the stream of the sound proxy was closed")
 	default:
 	}
 	last := server.stop()
 	if last.Closes[reason] != 1 {
-		t.Errorf("%v", last.Closes)
+		t.Errorf("wrong number of closes by reason: %v", last.Closes)
 	}
 }
 
@@ -99,10 +100,10 @@
 	stopped.paused.Store(true)
 	begun := time.Now()
 	server.source <- stateChange("s0", policy.Draining)
-	eventually(t, "the drain", func() bool { return sound.received(isEjectionOf("s0")) })
-	eventually(t, "the end of the stopped stream", func() bool { return server.log.count("reason=answer") == 1 })
+	eventually(t, "the ejection at the sound proxy", func() bool { return sound.received(isEjectionOf("s0")) })
+	eventually(t, "the log record of the closed stream", func() bool { return server.log.count("reason=answer") == 1 })
 	if took := time.Since(begun); took > drainGrace {
-		t.Errorf("after %v; the grace is %v", took, drainGrace)
+		t.Errorf("the stream was closed after %v, the drain grace is %v", took, drainGrace)
 	}
 	stopped.paused.Store(false)
 	<-stopped.done
@@ -113,7 +114,7 @@
 	server := startServer(t, parseTestSettings(t, "proxies: 4"), nil, 4)
 	first := server.joinAndAwaitTable("x", 7, 1)
 	server.joinAndAwaitTable("x", 7, 2)
-	eventually(t, "the end of the first stream", func() bool { return first.isClosedFor(controlstream.ReasonSuperseded) })
+	eventually(t, "the close frame on the first stream", func() bool { return first.isClosedFor(controlstream.ReasonSuperseded) })
 }
 
 func testSteppedDate(t *testing.T) {
@@ -142,7 +143,7 @@
 	}
 	last := server.stop()
 	if len(last.Closes) != 0 || last.Ready != 4 {
-		t.Errorf("%+v", last)
+		t.Errorf("wrong closes or number of ready servers in the last status: %+v", last)
 	}
 }
 
@@ -161,12 +162,12 @@
 			}
 		})
 	}
-	eventually(t, "some tables", func() bool { return all[0].received(isAssignment) })
+	eventually(t, "the assignment of a table to the first proxy", func() bool { return all[0].received(isAssignment) })
 	server.stop()
 	for number, p := range all {
 		<-p.done
 		if p.closeCause() != nil && !p.isClosedFor(controlstream.ReasonShutdown) {
-			t.Errorf("stream %d: %v", number, p.closeCause())
+			t.Errorf("stream %d was closed for another reason: %v", number, p.closeCause())
 		}
 	}
 	reporting.Wait()
@@ -178,14 +179,14 @@
 	set.Dump = filepath.Join(t.TempDir(), "dump")
 	server := startServer(t, set, panickingPolicy{NewPolicy(set)}, 4)
 	server.join("x", 1, 1)
-	eventually(t, "the failure", func() bool { return server.log.count("core failed") > 0 })
+	eventually(t, "the log record of the panic", func() bool { return server.log.count("core failed") > 0 })
 	server.cancelAndWait()
 	if !errors.Is(server.err, ErrCoreFailed) || !strings.Contains(server.err.Error(), errPolicyPanic.Error()) {
-		t.Errorf("%v", server.err)
+		t.Errorf("wrong error of Run: %v", server.err)
 	}
 	dump, err := os.ReadFile(set.Dump)
 	if err != nil || !strings.Contains(string(dump), "join proxy:\"x\"") {
-		t.Errorf("%v, %.300s", err, dump)
+		t.Errorf("wrong dump, error %v: %.300s", err, dump)
 	}
 }
 
@@ -195,18 +196,17 @@
 	set.List.Keep = filepath.Join(t.TempDir(), "saved")
 	first := startServer(t, set, nil, 4)
 	first.joinAndAwaitTable("x", 1, 1)
-	eventually(t, "the saved list", func() bool {
+	eventually(t, "a saved endpoint list", func() bool {
 		_, err := os.ReadFile(set.List.Keep)
 		return err == nil
 	})
 	first.stop()
-	second := startServer(t, set, nil, 0) // its source is silent
+	second := startServer(t, set, nil, 0) // its source sends no list
 	second.joinAndAwaitTable("x", 1, 2)
 }
 
-// A core that stands still for two seconds under reports without end. It guards against readers that wait for it, as proxies
-// would end their streams and dial anew together, and against a queue that grows: each stream may leave one report, and no
-// attempt is lost.
+// When the core stalls for 2 s under load reports, readers must not wait for it, because all proxies would then close their
+// streams and dial again at once. The waiting reports must not grow beyond one per stream, and no attempt may be lost.
 func TestStalledCore(t *testing.T) {
 	t.Parallel()
 	const proxies, reports, attempts, stallMs = 8, 1500, 2, 2000
@@ -226,21 +226,21 @@
 			}
 		})
 	}
-	sending.Wait() // it ends although nobody takes anything
+	sending.Wait() // returns although the core takes no reports
 	err := clock.Sleep(t.Context(), server.clock, stallMs)
 	stalling.gate.Unlock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "every attempt", func() bool { return stalling.attempts.Load() == attempts*proxies*reports })
-	eventually(t, "the planner to lag and to catch up", func() bool { return len(stalling.lagging) >= 2 })
+	eventually(t, "the record of every attempt", func() bool { return stalling.attempts.Load() == attempts*proxies*reports })
+	eventually(t, "the start and the end of lagging", func() bool { return len(stalling.lagging) >= 2 })
 	begins := <-stalling.lagging
 	ends := <-stalling.lagging
 	if !begins || ends {
-		t.Errorf("lagging %v, then %v", begins, ends)
+		t.Errorf("lagging is set to %v, then to %v", begins, ends)
 	}
 	last := server.stop()
 	if last.Merged < proxies*reports/2 || last.Lost != 0 || len(last.Closes) != 0 {
-		t.Errorf("%+v", last)
+		t.Errorf("wrong counts of merged reports, lost samples or closes in the last status: %+v", last)
 	}
 }
--- a/internal/planner/status_test.go
+++ b/internal/planner/status_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// newTestStatusServer is the status server of a planner that shares nothing, with a status.
+// newTestStatusServer starts the status server of a planner that does not share its fleet, with one published status.
 func newTestStatusServer(t *testing.T, status *Status) *httptest.Server {
 	t.Helper()
 	publisher := &statusPublisher{}
@@ -23,7 +23,7 @@
 	return server
 }
 
-// fetch returns the body of a page, which must be there.
+// fetch returns the body of a page, and fails the test unless the status code is 200.
 func fetch(t *testing.T, address string) []byte {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, address, nil)
@@ -42,9 +42,9 @@
 	return body
 }
 
-// Operators' tools read the status page and the metrics: their keys and names must not change with the code's.
+// Operators' tools read the status page and the metrics, so a rename in the code must not change a key or a metric name.
 func TestStatusServer(t *testing.T) {
-	t.Run("the status has the keys that operators know", func(t *testing.T) {
+	t.Run("the status has exactly the expected keys", func(t *testing.T) {
 		server := newTestStatusServer(t, &Status{Planner: "p", Backlog: 3})
 		fields := map[string]json.RawMessage{}
 		if err := json.Unmarshal(fetch(t, server.URL+"/status"), &fields); err != nil {
@@ -55,14 +55,14 @@
 			RefusedDials Shed Streams Sums Takeovers Unheard`)
 		for _, key := range expected {
 			if _, known := fields[key]; !known {
-				t.Errorf("no key %q", key)
+				t.Errorf("the status has no key %q", key)
 			}
 		}
 		if len(fields) != len(expected) || string(fields["LinesWaiting"]) != "3" {
 			t.Errorf("%d keys, expected %d: %s", len(fields), len(expected), fields)
 		}
 	})
-	t.Run("metrics have the names that operators know, and a help text", func(t *testing.T) {
+	t.Run("the metrics have exactly the expected names, each with a help text", func(t *testing.T) {
 		server := newTestStatusServer(t, &Status{Proxies: 7})
 		expected := strings.Fields(`commanded dials_refused lag_ms lines_sent lines_waiting messages_sent order_ms_p50 order_ms_p99
 			proxies reports_merged servers_doubted servers_ready streams sums_shed takeovers`)
@@ -74,10 +74,10 @@
 			}
 		}
 		if !slices.Equal(names, expected) {
-			t.Errorf("%v, expected %v", names, expected)
+			t.Errorf("metric names %v, expected %v", names, expected)
 		}
 	})
-	t.Run("a planner that shares nothing cannot be drained", func(t *testing.T) {
+	t.Run("a planner that does not share its fleet cannot be drained", func(t *testing.T) {
 		server := newTestStatusServer(t, &Status{})
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, server.URL+"/drain?on=true", nil)
 		if err != nil {
@@ -89,13 +89,13 @@
 		}
 		closeQuietly(response.Body)
 		if response.StatusCode != http.StatusBadRequest {
-			t.Errorf("%s", response.Status)
+			t.Errorf("response status %s, expected 400", response.Status)
 		}
 	})
 }
 
 func TestStatusPublisher(t *testing.T) {
-	t.Run("a status is due after its interval, or when the date was set back", func(t *testing.T) {
+	t.Run("a status is due after its interval, or if the wall clock was set back", func(t *testing.T) {
 		publisher := &statusPublisher{}
 		published := time.UnixMilli(1000)
 		if !publisher.due(published) {
@@ -104,21 +104,21 @@
 		publisher.publish(&Status{AtUnixMs: published.UnixMilli()})
 		for _, age := range []time.Duration{-time.Hour, -time.Millisecond, statusInterval} {
 			if !publisher.due(published.Add(age)) {
-				t.Errorf("not due at %v", age)
+				t.Errorf("not due at age %v", age)
 			}
 		}
 		for _, age := range []time.Duration{0, statusInterval - time.Millisecond} {
 			if publisher.due(published.Add(age)) {
-				t.Errorf("due at %v", age)
+				t.Errorf("due at age %v", age)
 			}
 		}
 	})
-	t.Run("the greatest backlog is that since the start", func(t *testing.T) {
+	t.Run("the maximum backlog is the highest peak since the start", func(t *testing.T) {
 		publisher := &statusPublisher{}
 		publisher.publish(&Status{PeakBacklog: 5})
 		publisher.publish(&Status{PeakBacklog: 2})
 		if last := publisher.load(); last.MaxBacklog != 5 || last.PeakBacklog != 2 {
-			t.Errorf("%+v", last)
+			t.Errorf("wrong maximum or peak backlog: %+v", last)
 		}
 	})
 }
--- a/internal/planner/statusclient_test.go
+++ b/internal/planner/statusclient_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestFetchStatus(t *testing.T) {
-	t.Run("a status is read as it was published", func(t *testing.T) {
+	t.Run("the published status is returned", func(t *testing.T) {
 		published := &Status{
 			Proxies: 3,
 			Closes:  map[controlstream.CloseReason]uint64{controlstream.ReasonConnectionLost: 2},
@@ -23,19 +23,19 @@
 			t.Errorf("status %+v, want that of 3 proxies and 2 lost streams", status)
 		}
 	})
-	t.Run("an answer that is no status is an error", func(t *testing.T) {
+	t.Run("a response that is not a status is an error", func(t *testing.T) {
 		server := httptest.NewServer(http.NotFoundHandler())
 		t.Cleanup(server.Close)
 		if _, err := FetchStatus(t.Context(), server.Listener.Addr().String()); err == nil {
-			t.Error("no error")
+			t.Error("no error for a response that is not a status")
 		}
 	})
-	t.Run("a planner that does not listen is an error", func(t *testing.T) {
+	t.Run("an address on which nothing listens is an error", func(t *testing.T) {
 		server := httptest.NewServer(http.NotFoundHandler())
 		address := server.Listener.Addr().String()
 		server.Close()
 		if _, err := FetchStatus(t.Context(), address); err == nil {
-			t.Error("no error")
+			t.Error("no error for an address on which nothing listens")
 		}
 	})
 }
