--- a/internal/planner/eventloop.go
+++ b/internal/planner/eventloop.go
@@ -18,7 +18,7 @@
 // Bounds of the event loop.
 const (
 	inputQueueCapacity = 1024   // inputs that wait for the core; while it is full, streams are not read and peers' writes wait
-	maxInputBatch      = 512    // inputs handled before the core decides; they take a few ms
+	maxInputBatch      = 512    // inputs handled before the core decides; a full batch takes a few ms
 	maxReportBatch     = 256    // load reports handled before the core decides, after the other inputs
 	saveIntervalMs     = 1000.0 // shortest time between writes of the endpoint list
 )
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -174,6 +174,5 @@
 	return binary.BigEndian.Uint64(number[:]) | 1
 }
 
-// closeQuietly closes a listener or connection that is no longer used. It ignores the error, because there is nothing
-// left to do about it.
+// closeQuietly closes something that is no longer used. It ignores the error, because there is nothing left to do about it.
 func closeQuietly(c io.Closer) { _ = c.Close() }
