--- a/policy/admission.go
+++ b/policy/admission.go
@@ -30,8 +30,8 @@
 
 // overloaded says whether requests wait. Failures without a wait are servers that reject us, no full fleet.
 func (l fleetLoad) overloaded() bool {
-	late := l.latency > recoveryThreshold
-	return l.latency > overloadThreshold || late && l.failureShare > overloadFailureShare
+	late := l.latencyRatio > recoveryThreshold
+	return l.latencyRatio > overloadThreshold || late && l.failureShare > overloadFailureShare
 }
 
 // updateAdmissionIfDue moves the part of all requests that is admitted, down in an overload and up after it.
@@ -50,13 +50,13 @@
 	case load.overloaded():
 		// What succeeded is what the fleet can do; admitting less drains the overload. The next step waits
 		// longer, as a second cut before this one shows would be too deep.
-		p.capacityRate = math.Max(load.succeededRate, minCapacityKept*p.capacityRate)
-		p.admissionMs = p.nowMs + admissionRestMs
+		p.capacityRate = math.Max(load.succeededRate, capacityRetention*p.capacityRate)
+		p.admissionMs = p.nowMs + admissionCutPauseMs
 		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*recoveryAdmission/demand))
-	case load.wait < recoveryThreshold && load.failureShare < overloadFailureShare:
+	case load.waitRatio < recoveryThreshold && load.failureShare < overloadFailureShare:
 		// What succeeded before is admitted again at once.
 		p.capacityRate = math.Max(p.capacityRate, load.succeededRate)
-		increased := share * (1 + admissionIncrease*(1-load.wait/recoveryThreshold))
+		increased := share * (1 + admissionIncrease*(1-load.waitRatio/recoveryThreshold))
 		share = math.Max(increased, math.Min(p.capacityRate*recoveryAdmission/demand, 1))
 	}
 	p.shed(math.Max(1-share, 0) * demand)
--- a/policy/collections.go
+++ b/policy/collections.go
@@ -5,15 +5,15 @@
 // General helpers on slices; none of them decides anything.
 
 // filter gives a new list of the elements that fit.
-func filter[T any](list []T, fits func(T) bool) []T {
-	return slices.DeleteFunc(slices.Clone(list), func(x T) bool { return !fits(x) })
+func filter[T any](list []T, keep func(T) bool) []T {
+	return slices.DeleteFunc(slices.Clone(list), func(x T) bool { return !keep(x) })
 }
 
 // sumBy adds up a figure of all elements, in their order.
-func sumBy[T any](list []T, of func(T) float64) float64 {
+func sumBy[T any](list []T, value func(T) float64) float64 {
 	total := 0.0
 	for _, x := range list {
-		total += of(x)
+		total += value(x)
 	}
 	return total
 }
@@ -27,16 +27,16 @@
 }
 
 // median gives the middle of some figures, the upper of two, and 0 of none.
-func median[T any](list []T, of func(T) float64) float64 {
+func median[T any](list []T, value func(T) float64) float64 {
 	if len(list) == 0 {
 		return 0
 	}
-	figures := make([]float64, len(list))
+	values := make([]float64, len(list))
 	for index, x := range list {
-		figures[index] = of(x)
+		values[index] = value(x)
 	}
-	slices.Sort(figures)
-	return figures[len(list)/2]
+	slices.Sort(values)
+	return values[len(list)/2]
 }
 
 // serverNames are the names of the servers of some entries.
@@ -56,5 +56,5 @@
 	return names
 }
 
-// only is a list of one recipient.
-func only(recipient *proxy) []*proxy { return []*proxy{recipient} }
+// single is a list of one recipient.
+func single(recipient *proxy) []*proxy { return []*proxy{recipient} }
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -12,50 +12,50 @@
 )
 
 const (
-	startMs       = 1e6     // policy time at which a scenario begins
-	stepMs        = 250.0   // between two times that the policy is given
-	quietStepMs   = 2000.0  // the same from quietFromMs to quietUntilMs, in which nothing but time is waited for
-	scenarioMs    = 825e3   // longer than a removed server is remembered, 600 s, after the drain at drainAtMs
-	digestMs      = 30e3    // of a line of the digest
-	reportEveryMs = 1000.0  // between load reports of a server, and of a proxy
-	lateReportMs  = 6000.0  // the same of a scenario with late reports
-	churnEveryMs  = 12e3    // mean time between random events
-	mostDecisions = 100_000 // at one time; more are decisions without end
+	startMs                = 1e6     // policy time at which a scenario begins
+	stepMs                 = 250.0   // between two times that the policy is given
+	quietStepMs            = 2000.0  // the same from quietFromMs to quietUntilMs, in which nothing but time is waited for
+	scenarioMs             = 825e3   // longer than a removed server is remembered, 600 s, after the drain at drainAtMs
+	digestMs               = 30e3    // of a line of the digest
+	reportEveryMs          = 1000.0  // between load reports of a server, and of a proxy
+	lateReportMs           = 6000.0  // the same of a scenario with late reports
+	randomChangeIntervalMs = 12e3    // mean time between random events
+	maxDecisions           = 100_000 // at one time; more are decisions without end
 )
 
 // Times of a scenario's phases, in ms from its start. What else happens is drawn from the scenario's seed.
 const (
-	listAtMs         = 2e3   // the first complete list from discovery
-	failAtMs         = 30e3  // a warm server fails every request for failForMs
-	failForMs        = 20e3  //
-	slowAtMs         = 55e3  // a server is slowerBy times slower for slowForMs
-	slowForMs        = 15e3  //
-	slowerBy         = 6.0   //
-	earlyRestartMs   = 72e3  // the planner restarts here, or at lateRestartMs
-	coldAtMs         = 80e3  // a cold server joins
-	unknownAtMs      = 85e3  // a server joins that gives no start time, and fails every request
-	surgeAtMs        = 100e3 // demand is surgeBy times as high for surgeForMs
-	surgeForMs       = 30e3  //
-	surgeBy          = 2.6   //
-	drainAtMs        = 140e3 // a server drains, and is gone goneAfterMs later
-	goneAfterMs      = 5e3   //
-	missingAtMs      = 150e3 // a complete list leaves a server out
-	takeOverAtMs     = 160e3 // proxies come over from another planner
-	zoneShiftAtMs    = 170e3 // demand moves to zone 0 for zoneShiftForMs
-	zoneShiftForMs   = 20e3  //
-	slowChannelAtMs  = 195e3 // acknowledgements take seconds for slowChannelForMs
-	slowChannelForMs = 25e3  //
-	lagAtMs          = 225e3 // load reports are late for lagForMs
-	lagForMs         = 10e3  //
-	drainSomeAtMs    = 200e3 // a third of the servers drain, one each drainNextMs, until drainSomeForMs later
-	drainNextMs      = 750.0 //
-	drainSomeForMs   = 12e3  //
-	failedListsAtMs  = 240e3 // calls for the list fail
-	coldRestartsAtMs = 250e3 // all but four servers restart under their old names
-	quietFromMs      = 262e3 // nothing happens but churn, until the servers that are gone are forgotten
-	quietUntilMs     = 740e3 //
-	returnAtMs       = 780e3 // a server that was forgotten comes back
-	lateRestartMs    = 795e3 //
+	listAtMs               = 2e3   // the first complete list from discovery
+	failAtMs               = 30e3  // a warm server fails every request for failForMs
+	failForMs              = 20e3  //
+	slowAtMs               = 55e3  // a server is slowerBy times slower for slowForMs
+	slowForMs              = 15e3  //
+	slowdownFactor         = 6.0   //
+	earlyRestartMs         = 72e3  // the planner restarts here, or at lateRestartMs
+	coldAtMs               = 80e3  // a cold server joins
+	unknownAtMs            = 85e3  // a server joins that gives no start time, and fails every request
+	surgeAtMs              = 100e3 // demand is surgeBy times as high for surgeForMs
+	surgeForMs             = 30e3  //
+	surgeFactor            = 2.6   //
+	drainAtMs              = 140e3 // a server drains, and is gone goneAfterMs later
+	goneAfterMs            = 5e3   //
+	unlistAtMs             = 150e3 // a complete list leaves a server out
+	takeOverAtMs           = 160e3 // proxies come over from another planner
+	zoneShiftAtMs          = 170e3 // demand moves to zone 0 for zoneShiftForMs
+	zoneShiftForMs         = 20e3  //
+	slowChannelAtMs        = 195e3 // acknowledgements take seconds for slowChannelForMs
+	slowChannelForMs       = 25e3  //
+	lagAtMs                = 225e3 // load reports are late for lagForMs
+	lagForMs               = 10e3  //
+	rollingDrainAtMs       = 200e3 // a third of the servers drain, one each rollingDrainIntervalMs, until rollingDrainForMs later
+	rollingDrainIntervalMs = 750.0 //
+	rollingDrainForMs      = 12e3  //
+	failedListsAtMs        = 240e3 // calls for the list fail
+	coldRestartsAtMs       = 250e3 // all but four servers restart under their old names
+	quietFromMs            = 262e3 // nothing happens but random changes, until the servers that are gone are forgotten
+	quietUntilMs           = 740e3 //
+	returnAtMs             = 780e3 // a server that was forgotten comes back
+	lateRestartMs          = 795e3 //
 )
 
 // scenario is one seeded fleet and what its planner is configured with.
@@ -64,7 +64,7 @@
 	seed         int64
 	serverCount  int
 	proxyCount   int
-	requests     float64 // per second and proxy, without a surge
+	requestRate  float64 // per second and proxy, without a surge
 	earlyRestart bool
 	lateReports  bool // load reports come rarely, and cover lateReportMs
 	settings     policy.Settings
@@ -92,12 +92,12 @@
 	narrow.MaxBacklog = 130
 	narrow.EntriesPerSecond = 50
 	return []scenario{
-		{name: "two zones", seed: 1, serverCount: 8, proxyCount: 6, requests: 20, settings: small},
-		{name: "three zones, one traffic class stays in its zone", seed: 2, serverCount: 12, proxyCount: 9, requests: 15, settings: wide},
-		{name: "short tables", seed: 3, serverCount: 22, proxyCount: 12, requests: 12, settings: many},
-		{name: "half the proxies of two planners", seed: 4, serverCount: 14, proxyCount: 8, requests: 18, earlyRestart: true, lateReports: true, settings: shared},
-		{name: "narrow channel and few messages", seed: 5, serverCount: 10, proxyCount: 8, requests: 25, settings: tight},
-		{name: "narrow channel", seed: 6, serverCount: 10, proxyCount: 8, requests: 25, settings: narrow},
+		{name: "two zones", seed: 1, serverCount: 8, proxyCount: 6, requestRate: 20, settings: small},
+		{name: "three zones, one traffic class stays in its zone", seed: 2, serverCount: 12, proxyCount: 9, requestRate: 15, settings: wide},
+		{name: "short tables", seed: 3, serverCount: 22, proxyCount: 12, requestRate: 12, settings: many},
+		{name: "half the proxies of two planners", seed: 4, serverCount: 14, proxyCount: 8, requestRate: 18, earlyRestart: true, lateReports: true, settings: shared},
+		{name: "narrow channel and few messages", seed: 5, serverCount: 10, proxyCount: 8, requestRate: 25, settings: tight},
+		{name: "narrow channel", seed: 6, serverCount: 10, proxyCount: 8, requestRate: 25, settings: narrow},
 	}
 }
 
@@ -143,10 +143,10 @@
 
 // simProxy is a joined proxy of the model.
 type simProxy struct {
-	id, zone int
-	tables   []map[string]float64 // by traffic class; nil where it holds none
-	pushes   []float64            // policy times of its last messages
-	joined   bool
+	id, zone     int
+	tables       []map[string]float64 // by traffic class; nil where it holds none
+	messageTimes []float64            // policy times of its last messages
+	joined       bool
 }
 
 type acknowledgement struct {
@@ -156,32 +156,32 @@
 
 // observed counts what a scenario must contain for its digest to cover it.
 type observed struct {
-	ejections, returns     int // of warm servers that are ready in the list
-	slowStarts             int // weights of a cold server that were at least twice its first
-	admissionCuts, restore int
-	overloads              int // reports of servers that got more than they can serve
-	drains, forgotten      int
-	assignments, requests  int
-	polls                  int
-	busiest                int // decisions at one time
+	ejections, readmissions              int // of warm servers that are ready in the list
+	slowStarts                           int // weights of a cold server that were at least twice its first
+	admissionCuts, admissionRaises       int
+	overloads                            int // reports of servers that got more than they can serve
+	drains, forgotten                    int
+	assignments, acknowledgementRequests int
+	polls                                int
+	maxDecisionsAtOnce                   int // decisions at one time
 }
 
 // simulation drives a planner with a closed loop and records each of its decisions.
 type simulation struct {
 	scenario
-	planner     *policy.Policy
-	random      *rand.Rand // of the model alone
-	nowMs       float64    // policy time
-	servers     []*simServer
-	proxies     []*simProxy
-	tables      map[int]map[string]float64 // of the planner since its last start
-	ejected     map[string]bool
-	admission   []float64
-	answers     []acknowledgement
-	asked       bool // the list was asked for
-	slowChannel bool
-	digest      *golden.Digest
-	observed    observed
+	planner       *policy.Policy
+	random        *rand.Rand // of the model alone
+	nowMs         float64    // policy time
+	servers       []*simServer
+	proxies       []*simProxy
+	tables        map[int]map[string]float64 // of the planner since its last start
+	ejected       map[string]bool
+	admission     []float64
+	answers       []acknowledgement
+	listRequested bool // the list was asked for
+	slowChannel   bool
+	digest        *golden.Digest
+	observed      observed
 }
 
 func newSimulation(s scenario) *simulation {
@@ -205,7 +205,7 @@
 // newServer makes one of random size. Without a surge the fleet has some 1.6 times the capacity that its demand needs.
 func (s *simulation) newServer(name string, zone int) *simServer {
 	size := 0.6 + 0.8*s.random.Float64()
-	demand := s.requests * float64(s.proxyCount) / float64(s.serverCount)
+	demand := s.requestRate * float64(s.proxyCount) / float64(s.serverCount)
 	return &simServer{
 		Endpoint: policy.Endpoint{Server: name, Zone: zone, RelativeCapacity: size},
 		baseMs:   60 + 60*s.random.Float64(),
@@ -295,7 +295,7 @@
 	for _, class := range classes {
 		s.proxies[proxy].tables[class] = s.tables[table]
 	}
-	s.proxies[proxy].pushes = append(s.proxies[proxy].pushes, s.nowMs)
+	s.proxies[proxy].messageTimes = append(s.proxies[proxy].messageTimes, s.nowMs)
 	s.observed.assignments++
 }
 
@@ -310,7 +310,7 @@
 	case ejected && server.State != policy.Ready:
 		s.observed.drains++
 	case !ejected && server.State == policy.Ready:
-		s.observed.returns++
+		s.observed.readmissions++
 	case !ejected && server.State == policy.Removed:
 		s.observed.forgotten++
 	}
@@ -322,7 +322,7 @@
 		s.observed.admissionCuts++
 	}
 	if share > s.admission[class] {
-		s.observed.restore++
+		s.observed.admissionRaises++
 	}
 	s.admission[class] = share
 }
@@ -330,7 +330,7 @@
 // RequestAcknowledgement has every joined proxy acknowledge, as the host does not say who got a message. Some answers are lost.
 func (s *simulation) RequestAcknowledgement(number int) {
 	s.record("acknowledge %d", number)
-	s.observed.requests++
+	s.observed.acknowledgementRequests++
 	for _, proxy := range s.proxies {
 		tookMs := 100 + 500*s.random.Float64()
 		if s.slowChannel {
@@ -350,7 +350,7 @@
 func (s *simulation) WatchEndpoints() {
 	s.record("follow")
 	s.observed.polls++
-	s.asked = true
+	s.listRequested = true
 }
 
 func (s *simulation) SetTimer(inMs float64) { s.record("wake %g", inMs) }
@@ -373,9 +373,9 @@
 
 // demand is what clients ask of a proxy in each traffic class, in requests per second.
 func (s *simulation) demand(proxy *simProxy) float64 {
-	demand := s.requests / float64(len(s.settings.Classes))
+	demand := s.requestRate / float64(len(s.settings.Classes))
 	if within(s.elapsed(), surgeAtMs, surgeForMs) {
-		demand *= surgeBy
+		demand *= surgeFactor
 	}
 	if within(s.elapsed(), zoneShiftAtMs, zoneShiftForMs) {
 		if proxy.zone == 0 {
@@ -390,7 +390,7 @@
 func within(at, from, span float64) bool { return at >= from && at < from+span }
 
 // spread adds the requests of a proxy and traffic class to the load, by the weights of its table.
-func (s *simulation) spread(load [][]float64, zone int, table map[string]float64, requests float64) {
+func (s *simulation) spread(load [][]float64, zone int, table map[string]float64, rate float64) {
 	weights := make([]float64, len(s.servers))
 	total := 0.0
 	for index, server := range s.servers {
@@ -403,7 +403,7 @@
 		return
 	}
 	for index, weight := range weights {
-		load[index][zone] += requests * weight / total
+		load[index][zone] += rate * weight / total
 	}
 }
 
@@ -413,14 +413,14 @@
 	for _, requests := range load {
 		total += requests
 	}
-	used := total / server.capacity
-	if used > 1 {
+	utilization := total / server.capacity
+	if utilization > 1 {
 		s.observed.overloads++
 	}
-	failed := math.Max(0, 1-1/math.Max(used, 1))
-	latencyMs := server.baseMs / (1 - math.Min(used, 0.92)) * (0.9 + 0.2*s.random.Float64())
+	failed := math.Max(0, 1-1/math.Max(utilization, 1))
+	latencyMs := server.baseMs / (1 - math.Min(utilization, 0.92)) * (0.9 + 0.2*s.random.Float64())
 	if s.nowMs < server.slowUntilMs {
-		latencyMs *= slowerBy
+		latencyMs *= slowdownFactor
 	}
 	if s.nowMs < server.failUntilMs || server.State == policy.Removed {
 		failed = 1
@@ -439,12 +439,12 @@
 	}
 }
 
-func (s *simulation) join(proxy *simProxy, pushes ...float64) {
+func (s *simulation) join(proxy *simProxy, messageTimes ...float64) {
 	proxy.joined = true
 	if proxy.tables == nil {
 		proxy.tables = make([]map[string]float64, len(s.settings.Classes))
 	}
-	s.planner.AddProxy(proxy.id, proxy.zone, s.requests, pushes...)
+	s.planner.AddProxy(proxy.id, proxy.zone, s.requestRate, messageTimes...)
 }
 
 func (s *simulation) leave(proxy *simProxy) {
@@ -453,8 +453,8 @@
 	s.planner.RemoveProxy(proxy.id)
 }
 
-// change records what became of a server.
-func (s *simulation) change(server *simServer) {
+// sendUpdate records what became of a server.
+func (s *simulation) sendUpdate(server *simServer) {
 	s.planner.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{server.Endpoint})
 }
 
@@ -462,14 +462,14 @@
 	server := s.newServer(name, s.random.Intn(s.settings.Zones))
 	server.StartedMs = startedMs
 	s.servers = append(s.servers, server)
-	s.change(server)
+	s.sendUpdate(server)
 }
 
 func (s *simulation) restartServer(server *simServer) {
 	server.StartedMs = s.nowMs
 	server.State = policy.Ready
 	server.firstWeight = 0
-	s.change(server)
+	s.sendUpdate(server)
 }
 
 func (s *simulation) restartPlanner() {
@@ -478,7 +478,7 @@
 		if !proxy.joined {
 			continue
 		}
-		recent := slices.DeleteFunc(slices.Clone(proxy.pushes), func(at float64) bool { return at < s.nowMs-s.settings.MessageWindowMs })
+		recent := slices.DeleteFunc(slices.Clone(proxy.messageTimes), func(at float64) bool { return at < s.nowMs-s.settings.MessageWindowMs })
 		s.join(proxy, recent...)
 		s.planner.ExpectInheritedEjections(proxy.id)
 	}
@@ -490,30 +490,30 @@
 	s.serverPhases()
 	s.listPhases()
 	s.plannerPhases()
-	s.drainSome()
+	s.rollingDrain()
 	s.slowChannel = within(s.elapsed(), slowChannelAtMs, slowChannelForMs)
 }
 
-// reached says whether a phase begins with this step.
-func (s *simulation) reached(atMs float64) bool { return within(s.elapsed(), atMs, stepMs) }
+// begins says whether a phase begins with this step.
+func (s *simulation) begins(atMs float64) bool { return within(s.elapsed(), atMs, stepMs) }
 
 // serverPhases are faults, starts and restarts of servers.
 func (s *simulation) serverPhases() {
 	switch {
-	case s.reached(failAtMs):
+	case s.begins(failAtMs):
 		s.servers[0].failUntilMs = s.nowMs + failForMs
-	case s.reached(slowAtMs):
+	case s.begins(slowAtMs):
 		s.servers[1].slowUntilMs = s.nowMs + slowForMs
-	case s.reached(coldAtMs):
+	case s.begins(coldAtMs):
 		s.add("cold", s.nowMs)
-	case s.reached(unknownAtMs):
+	case s.begins(unknownAtMs):
 		s.add("unknown", 0)
 		s.find("unknown").failUntilMs = s.nowMs + failForMs
-	case s.reached(coldRestartsAtMs):
+	case s.begins(coldRestartsAtMs):
 		for _, server := range s.servers[4:] {
 			s.restartServer(server)
 		}
-	case s.reached(returnAtMs):
+	case s.begins(returnAtMs):
 		s.restartServer(s.servers[2])
 	}
 }
@@ -521,20 +521,20 @@
 // listPhases are what discovery says, and does not.
 func (s *simulation) listPhases() {
 	switch {
-	case s.reached(listAtMs):
+	case s.begins(listAtMs):
 		elsewhere := policy.Endpoint{Server: "elsewhere", Zone: 99, RelativeCapacity: 1}
 		s.planner.UpdateEndpoints(policy.FullUpdate, append(s.list(), elsewhere))
-	case s.reached(drainAtMs):
+	case s.begins(drainAtMs):
 		s.servers[2].State = policy.Draining
-		s.change(s.servers[2])
-	case s.reached(drainAtMs + goneAfterMs):
+		s.sendUpdate(s.servers[2])
+	case s.begins(drainAtMs + goneAfterMs):
 		s.servers[2].State = policy.Removed
-		s.change(s.servers[2])
-	case s.reached(missingAtMs):
+		s.sendUpdate(s.servers[2])
+	case s.begins(unlistAtMs):
 		s.servers[3].unlisted = true
 		s.servers[3].State = policy.Removed
 		s.planner.UpdateEndpoints(policy.FullUpdate, s.list())
-	case s.reached(failedListsAtMs), s.reached(failedListsAtMs + 1000), s.reached(failedListsAtMs + 3000):
+	case s.begins(failedListsAtMs), s.begins(failedListsAtMs + 1000), s.begins(failedListsAtMs + 3000):
 		s.planner.UpdateEndpoints(policy.FailedUpdate, nil)
 	}
 }
@@ -546,26 +546,26 @@
 		restartAtMs = earlyRestartMs
 	}
 	switch {
-	case s.reached(restartAtMs):
+	case s.begins(restartAtMs):
 		s.restartPlanner()
-	case s.reached(takeOverAtMs), s.reached(slowChannelAtMs + slowChannelForMs/2):
+	case s.begins(takeOverAtMs), s.begins(slowChannelAtMs + slowChannelForMs/2):
 		s.takeOver()
-	case s.reached(lagAtMs), s.reached(lagAtMs + lagForMs):
-		s.planner.SetLagging(s.reached(lagAtMs))
+	case s.begins(lagAtMs), s.begins(lagAtMs + lagForMs):
+		s.planner.SetLagging(s.begins(lagAtMs))
 	}
 }
 
-// drainSome drains a third of the servers one after the other, and has all of them back together.
-func (s *simulation) drainSome() {
-	some := s.servers[4 : 4+len(s.servers)/3]
-	for index, server := range some {
-		if s.reached(drainSomeAtMs + drainNextMs*float64(index)) {
+// rollingDrain drains a third of the servers one after the other, and has all of them back together.
+func (s *simulation) rollingDrain() {
+	draining := s.servers[4 : 4+len(s.servers)/3]
+	for index, server := range draining {
+		if s.begins(rollingDrainAtMs + rollingDrainIntervalMs*float64(index)) {
 			server.State = policy.Draining
-			s.change(server)
+			s.sendUpdate(server)
 		}
-		if s.reached(drainSomeAtMs + drainSomeForMs) {
+		if s.begins(rollingDrainAtMs + rollingDrainForMs) {
 			server.State = policy.Ready
-			s.change(server)
+			s.sendUpdate(server)
 		}
 	}
 }
@@ -579,9 +579,9 @@
 	}
 }
 
-// churn is what happens at random: proxies that come and go, servers that fail, restart or turn slow for a while.
-func (s *simulation) churn() {
-	if s.elapsed() < failAtMs || s.random.Float64() >= s.stepMs()/churnEveryMs {
+// randomChange is what happens at random: proxies that come and go, servers that fail, restart or turn slow for a while.
+func (s *simulation) randomChange() {
+	if s.elapsed() < failAtMs || s.random.Float64() >= s.stepMs()/randomChangeIntervalMs {
 		return
 	}
 	proxy := s.proxies[s.random.Intn(len(s.proxies))]
@@ -601,8 +601,8 @@
 	}
 }
 
-// noise is input that must change nothing: about servers, proxies, zones and traffic classes that there are not.
-func (s *simulation) noise() {
+// sendInvalidInputs is input that must change nothing: about servers, proxies, zones and traffic classes that there are not.
+func (s *simulation) sendInvalidInputs() {
 	s.planner.RecordLoadReport("nobody", 0, 5, 1, 100, 1000)
 	s.planner.RecordLoadReport(s.servers[0].Server, -1, 5, 1, 100, 1000)
 	s.planner.RecordLoadReport(s.servers[0].Server, 0, 0, 0, 0, 1000)
@@ -630,19 +630,19 @@
 func (s *simulation) step(number int) {
 	s.nowMs += s.stepMs()
 	s.planner.SetTime(s.nowMs)
-	if s.asked && !within(s.elapsed(), failedListsAtMs, 5000) {
-		s.asked = false
+	if s.listRequested && !within(s.elapsed(), failedListsAtMs, 5000) {
+		s.listRequested = false
 		s.planner.UpdateEndpoints(policy.FullUpdate, s.list())
 	}
 	s.phases()
-	s.churn()
+	s.randomChange()
 	if number < len(s.proxies) { // many joins at the start
 		s.join(s.proxies[number])
 	}
 	s.acknowledge()
 	s.reports(number % s.reportPhases())
 	if number%100 == 0 {
-		s.noise()
+		s.sendInvalidInputs()
 	}
 	s.decide()
 }
@@ -665,10 +665,10 @@
 
 func (s *simulation) decide() {
 	decisions := 0
-	for decisions < mostDecisions && s.planner.Next(s) {
+	for decisions < maxDecisions && s.planner.Next(s) {
 		decisions++
 	}
-	s.observed.busiest = max(s.observed.busiest, decisions)
+	s.observed.maxDecisionsAtOnce = max(s.observed.maxDecisionsAtOnce, decisions)
 }
 
 func (s *simulation) run() []byte {
@@ -701,15 +701,15 @@
 		count int
 	}{
 		{"ejections of warm servers", o.ejections},
-		{"returns", o.returns},
+		{"returns", o.readmissions},
 		{"slow starts", o.slowStarts},
 		{"cuts of admission", o.admissionCuts},
-		{"restored admission", o.restore},
+		{"restored admission", o.admissionRaises},
 		{"overloaded servers", o.overloads},
 		{"ejections of draining servers", o.drains},
 		{"forgotten servers", o.forgotten},
 		{"assigned tables", o.assignments},
-		{"requests for acknowledgements", o.requests},
+		{"requests for acknowledgements", o.acknowledgementRequests},
 	}
 	for _, occurrence := range occurrences {
 		if occurrence.count == 0 {
@@ -719,7 +719,7 @@
 	if s.settings.WatchRequired != (o.polls > 0) {
 		t.Errorf("%s: the list was asked for %d times", s.name, o.polls)
 	}
-	if o.busiest >= mostDecisions {
+	if o.maxDecisionsAtOnce >= maxDecisions {
 		t.Errorf("%s: decisions without end", s.name)
 	}
 }
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -16,16 +16,16 @@
 
 // fakeHost carries out decisions as proxies would, and notes them.
 type fakeHost struct {
-	planner    *Policy
-	nowMs      float64
-	weights    map[int]map[string]float64 // by table and server
-	assigned   map[string]int             // "proxy/class" to table
-	ejected    map[string]bool
-	admission  map[int]float64 // by traffic class
-	retries    map[int]int     // the same
-	polls      []float64       // times at which the list was asked for
-	orders     []string
-	unanswered []int // requests for acknowledgements
+	planner                 *Policy
+	nowMs                   float64
+	weights                 map[int]map[string]float64 // by table and server
+	assigned                map[string]int             // "proxy/class" to table
+	ejected                 map[string]bool
+	admission               map[int]float64 // by traffic class
+	retries                 map[int]int     // the same
+	polls                   []float64       // times at which the list was asked for
+	orders                  []string
+	pendingAcknowledgements []int // requests for acknowledgements
 }
 
 // serverReports gives what each server reports for a second: attempts, failures and latency in ms.
@@ -116,7 +116,7 @@
 func (f *fakeHost) run(seconds int, reports serverReports) {
 	for step := range seconds * 5 {
 		f.advance(200)
-		f.answer()
+		f.acknowledgeAll()
 		if step%5 == 0 {
 			f.report(reports)
 			f.reportDemand()
@@ -144,8 +144,8 @@
 	}
 }
 
-// sound is what a sound server reports.
-func sound(string) (count, failed int, latencyMs float64) { return 5, 0, 100 }
+// healthy is what a healthy server reports.
+func healthy(string) (count, failed int, latencyMs float64) { return 5, 0, 100 }
 
 // overloaded is what a server of an overloaded fleet reports.
 func overloaded(string) (count, failed int, latencyMs float64) { return 10, 5, 900 }
@@ -156,7 +156,7 @@
 		if server == name {
 			return count, failed, latencyMs
 		}
-		return sound(server)
+		return healthy(server)
 	}
 }
 
@@ -187,8 +187,8 @@
 	return total
 }
 
-// ordered counts the orders of a kind.
-func (f *fakeHost) ordered(kind string) int {
+// countOrders counts the orders of a kind.
+func (f *fakeHost) countOrders(kind string) int {
 	return len(slices.DeleteFunc(slices.Clone(f.orders), func(order string) bool { return !strings.HasPrefix(order, kind) }))
 }
 
@@ -224,17 +224,17 @@
 
 func (f *fakeHost) RequestAcknowledgement(number int) {
 	f.log(acknowledgeOrder+" %d", number)
-	f.unanswered = append(f.unanswered, number)
+	f.pendingAcknowledgements = append(f.pendingAcknowledgements, number)
 }
 
-// answer has all proxies acknowledge what was requested.
-func (f *fakeHost) answer() {
-	for _, number := range f.unanswered {
+// acknowledgeAll has all proxies acknowledge what was requested.
+func (f *fakeHost) acknowledgeAll() {
+	for _, number := range f.pendingAcknowledgements {
 		for _, proxy := range f.planner.proxies {
 			f.planner.Acknowledge(proxy.id, number, 300)
 		}
 	}
-	f.unanswered = nil
+	f.pendingAcknowledgements = nil
 }
 
 func (f *fakeHost) RestoreServers(proxy int, servers []string) {
@@ -245,7 +245,7 @@
 
 func (f *fakeHost) SetTimer(inMs float64) { f.log("timer %g", inMs) }
 
-func near(t *testing.T, what string, got, want, by float64) {
+func checkNear(t *testing.T, what string, got, want, by float64) {
 	t.Helper()
 	if math.IsNaN(got) || math.Abs(got-want) > by {
 		t.Errorf("%s: %.4f, worked by hand %.4f", what, got, want)
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -13,26 +13,26 @@
 // its caller must not change them.
 func New(settings Settings, seed int64) *Policy {
 	p := &Policy{
-		settings:    settings,
-		random:      rand.New(rand.NewSource(seed)),
-		byName:      map[string]*server{},
-		byID:        map[int]*proxy{},
-		pollBackoff: pollBackoffMs,
-		unsolved:    true,
-		solvedMs:    unset,
-		admissionMs: unset,
-		evaluatedMs: unset,
-		timerMs:     unset,
-		reportedMs:  unset,
+		settings:       settings,
+		random:         rand.New(rand.NewSource(seed)),
+		byName:         map[string]*server{},
+		byID:           map[int]*proxy{},
+		pollBackoff:    pollBackoffMs,
+		serversChanged: true,
+		solvedMs:       unset,
+		admissionMs:    unset,
+		evaluatedMs:    unset,
+		timerMs:        unset,
+		reportedMs:     unset,
 	}
 	for _, class := range settings.Classes {
 		p.admission = append(p.admission, newAdmission(class, settings.DefaultRetry))
 	}
 	p.sheddingOrder = sheddingOrder(settings.Classes)
-	parts := classesByDestination(settings.Classes)
-	p.parts = len(parts)
+	classGroups := classesByDestination(settings.Classes)
+	p.classGroups = len(classGroups)
 	for zone := range settings.Zones {
-		for _, classes := range parts {
+		for _, classes := range classGroups {
 			p.clients = append(p.clients, &client{zone: zone, classes: classes})
 		}
 	}
@@ -67,7 +67,7 @@
 		p.pollBackoff = pollBackoffMs
 		p.watching = true
 	}
-	p.unsolved = true
+	p.serversChanged = true
 	p.dirty = true
 	seen := map[*server]bool{}
 	for _, endpoint := range list {
@@ -88,7 +88,7 @@
 	if known == nil {
 		known = &server{
 			discoveredLate: kind != RestoredUpdate && p.solves > 0,
-			sinceMs:        p.nowMs,
+			evidenceFromMs: p.nowMs,
 			readmittedMs:   unset,
 			addedMs:        unset,
 		}
@@ -146,7 +146,7 @@
 		acknowledgements: map[int]float64{},
 		ejected:          map[*server]bool{},
 		demand:           make([][]sample, len(p.admission)),
-		tables:           make([]*table, p.parts),
+		tables:           make([]*table, p.classGroups),
 	}
 	if p.anySuccess && len(messageTimes) > 0 { // taken over: another had its reports since then, and we have those of others
 		joined.joinedMs = math.Min(joined.joinedMs, messageTimes[0])
@@ -184,8 +184,8 @@
 		return
 	}
 	p.reportedMs = p.nowMs
-	server.proven = server.proven || failed < count
-	p.anySuccess = p.anySuccess || server.proven
+	server.hasSucceeded = server.hasSucceeded || failed < count
+	p.anySuccess = p.anySuccess || server.hasSucceeded
 	p.reportCoversMs = appendBounded(p.reportCoversMs, coversMs, maxSamples)
 	report := sample{
 		zone:      zone,
--- a/policy/inputs_test.go
+++ b/policy/inputs_test.go
@@ -28,7 +28,7 @@
 	t.Run("no more polls once it comes", func(t *testing.T) {
 		f := startFleet(settings, 4)
 		f.update()
-		f.run(30, sound)
+		f.run(30, healthy)
 		if len(f.polls) != 1 {
 			t.Errorf("%d polls", len(f.polls))
 		}
@@ -39,7 +39,7 @@
 	f := startFleet(testSettings(), 4)
 	listed := append(readyServers(3), Endpoint{Server: "s9", Zone: 1, RelativeCapacity: 1})
 	f.planner.UpdateEndpoints(FullUpdate, listed)
-	f.run(6, sound)
+	f.run(6, healthy)
 	if !f.ejected["s3"] || f.share(1, 0, "s9") == 0 {
 		t.Error("the tables follow the old list")
 	}
@@ -49,7 +49,7 @@
 // twenty.
 func TestServerLongRemovedIsForgottenWithItsEjectionAndMayComeBack(t *testing.T) {
 	f := startFleet(testSettings(), 8)
-	f.run(6, sound)
+	f.run(6, healthy)
 	f.update(Endpoint{Server: "s3", Zone: 1, RelativeCapacity: 1, State: Removed})
 	reports := except("s3", 0, 0, 0)
 	f.run(30, reports)
@@ -70,7 +70,7 @@
 		}
 	}
 	f.update(Endpoint{Server: "s3", Zone: 1, RelativeCapacity: 1})
-	f.run(20, sound)
+	f.run(20, healthy)
 	if f.share(1, 0, "s3") == 0 {
 		t.Error("it came back and is not sent to")
 	}
@@ -86,7 +86,7 @@
 	f.planner.AddProxy(5, 9, 1)
 	f.planner.Acknowledge(99, 9, 1)
 	f.update(Endpoint{Server: "far", Zone: 9, RelativeCapacity: 1})
-	f.run(2, sound)
+	f.run(2, healthy)
 	if f.planner.byName["far"] != nil || f.planner.byID[5] != nil {
 		t.Error("a zone that does not exist was taken in")
 	}
@@ -96,9 +96,9 @@
 	f := startPlanner(testSettings())
 	f.planner.UpdateEndpoints(RestoredUpdate, readyServers(1))
 	f.planner.AddProxy(0, 0, 5)
-	f.run(3, sound)
-	near(t, "the only server", f.share(0, 0, "s0"), 1, 0)
+	f.run(3, healthy)
+	checkNear(t, "the only server", f.share(0, 0, "s0"), 1, 0)
 	f.planner.UpdateEndpoints(FullUpdate, []Endpoint{{Server: "n0", Zone: 1, RelativeCapacity: 1, StartedMs: f.nowMs}})
-	f.run(20, sound)
-	near(t, "its successor", f.share(0, 0, "n0"), 1, 0)
+	f.run(20, healthy)
+	checkNear(t, "its successor", f.share(0, 0, "n0"), 1, 0)
 }
--- a/policy/measurements.go
+++ b/policy/measurements.go
@@ -9,7 +9,7 @@
 
 // evaluate works out the figures that decisions need of servers, proxies and tables.
 func (p *Policy) evaluate() {
-	p.measureRound()
+	p.updateReportRound()
 	p.evaluateServers()
 	for _, table := range p.tables {
 		table.entries = filter(table.entries, (*entry).live)
@@ -23,14 +23,14 @@
 		p.assignCohort(proxy)
 		p.countDemand(proxy)
 	}
-	p.averageObjective()
+	p.updateLatencyObjective()
 }
 
-// measureRound sets how far reports are looked back for. A round of them, in which each server reports once,
+// updateReportRound sets how far reports are looked back for. A round of them, in which each server reports once,
 // takes longer where there are more than the intake lets through.
-func (p *Policy) measureRound() {
-	middle := median(p.reportCoversMs, func(coversMs float64) float64 { return coversMs })
-	p.roundMs = math.Max(p.settings.ReportIntervalMs, middle)
+func (p *Policy) updateReportRound() {
+	medianCoversMs := median(p.reportCoversMs, func(coversMs float64) float64 { return coversMs })
+	p.roundMs = math.Max(p.settings.ReportIntervalMs, medianCoversMs)
 	p.windowMs = math.Max(minWindowMs, reportRounds*p.roundMs)
 }
 
@@ -58,8 +58,8 @@
 
 // countDemand adds a proxy's demand to its tables and to the traffic classes.
 func (p *Policy) countDemand(proxy *proxy) {
-	for part := range p.parts {
-		client := p.clients[proxy.zone*p.parts+part]
+	for group := range p.classGroups {
+		client := p.clients[proxy.zone*p.classGroups+group]
 		admitted := 0.0
 		for _, index := range client.classes {
 			class := &p.admission[index]
@@ -71,10 +71,10 @@
 			continue
 		}
 		table := client.tables[proxy.cohort]
-		if proxy.tables[part] == table {
+		if proxy.tables[group] == table {
 			table.proxies = append(table.proxies, proxy)
 		}
-		p.emptyTable = p.emptyTable || proxy.tables[part] == nil && table.rate == 0
+		p.joinsUnusedTable = p.joinsUnusedTable || proxy.tables[group] == nil && table.rate == 0
 		table.rate += admitted
 	}
 }
@@ -95,8 +95,8 @@
 	return proxy.expectedRate / float64(len(p.admission))
 }
 
-// averageObjective works out the admitted rate and, weighted by it, the mean latency objective in ms.
-func (p *Policy) averageObjective() {
+// updateLatencyObjective works out the admitted rate and, weighted by it, the mean latency objective in ms.
+func (p *Policy) updateLatencyObjective() {
 	p.admittedRate = 0
 	p.latencyObjectiveMs = 0
 	for index, class := range p.admission {
@@ -109,8 +109,8 @@
 
 // fleetLoad is what the last round of load reports says of the fleet. Older ones are from before the last step.
 type fleetLoad struct {
-	latency       float64 // of the middle server, over the latency objective
-	wait          float64 // latency above the baseline, over what the objective leaves for it
+	latencyRatio  float64 // of the middle server, over the latency objective
+	waitRatio     float64 // latency above the baseline, over what the objective leaves for it
 	failureShare  float64 // of the middle server
 	succeededRate float64 // requests per second
 }
@@ -129,8 +129,8 @@
 	succeeded := sumBy(p.servers, func(server *server) float64 { return server.lastRound.succeeded })
 	allowedWait := math.Max(p.latencyObjectiveMs-p.baselineMs, p.baselineMs)
 	return fleetLoad{
-		latency:       latencyMs / p.latencyObjectiveMs,
-		wait:          math.Max(latencyMs-p.baselineMs, 0) / allowedWait,
+		latencyRatio:  latencyMs / p.latencyObjectiveMs,
+		waitRatio:     math.Max(latencyMs-p.baselineMs, 0) / allowedWait,
 		failureShare:  failureShare,
 		succeededRate: p.admittedRate * succeeded / math.Max(attempts, 1),
 	}
@@ -145,14 +145,14 @@
 }
 
 // updateDemand takes over the demand of each client. It gives that of all, and what moved from one to another.
-func (p *Policy) updateDemand() (all, moved float64) {
+func (p *Policy) updateDemand() (total, moved float64) {
 	for _, client := range p.clients {
 		demand := sumBy(client.tables, func(table *table) float64 { return table.rate })
-		all += demand
+		total += demand
 		moved += math.Abs(demand-client.demand) / 2
 		client.demand = demand
 	}
-	return all, moved
+	return total, moved
 }
 
 // mergeReports puts the load reports since the server's last change together by period, with those of all zones: one
@@ -160,7 +160,7 @@
 func (s *server) mergeReports(gapMs float64) {
 	s.reports = s.reports[:0]
 	for _, report := range s.samples {
-		if report.atMs <= s.sinceMs {
+		if report.atMs <= s.evidenceFromMs {
 			continue
 		}
 		last := len(s.reports) - 1
@@ -169,8 +169,8 @@
 			continue
 		}
 		merged := &s.reports[last]
-		weighted := merged.latencyMs*merged.succeeded + report.latencyMs*report.succeeded
-		merged.latencyMs = weighted / math.Max(merged.succeeded+report.succeeded, 1)
+		latencySumMs := merged.latencyMs*merged.succeeded + report.latencyMs*report.succeeded
+		merged.latencyMs = latencySumMs / math.Max(merged.succeeded+report.succeeded, 1)
 		merged.succeeded += report.succeeded
 		merged.failed += report.failed
 	}
@@ -207,15 +207,15 @@
 
 // baselineOf is the lower quartile of latencies in ms, 0 where no report has enough successes.
 func (p *Policy) baselineOf(reports []sample) float64 {
-	p.latencies = p.latencies[:0]
+	p.baselineScratch = p.baselineScratch[:0]
 	for _, report := range reports {
 		if report.succeeded >= minBaselineRequests {
-			p.latencies = append(p.latencies, report.latencyMs)
+			p.baselineScratch = append(p.baselineScratch, report.latencyMs)
 		}
 	}
-	if len(p.latencies) == 0 {
+	if len(p.baselineScratch) == 0 {
 		return 0
 	}
-	slices.Sort(p.latencies)
-	return p.latencies[len(p.latencies)/baselineQuantile]
+	slices.Sort(p.baselineScratch)
+	return p.baselineScratch[len(p.baselineScratch)/baselineQuantileDivisor]
 }
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -6,13 +6,13 @@
 // long ago: a wrong list may name some that are not ours. One that says when it started is new, and has slow
 // start. Harm: a wrong list with start times would be believed until the evidence is in.
 func (p *Policy) unverified(server *server) bool {
-	return p.anySuccess && !server.proven && server.discoveredLate && server.StartedMs == 0
+	return p.anySuccess && !server.hasSucceeded && server.discoveredLate && server.StartedMs == 0
 }
 
 // restartServer is about a server that came back cold under its old name: its reports are void. What old
 // tables sent it counts as overload of a cold server, so it rests until that is out of the window.
 func (p *Policy) restartServer(server *server, startedMs float64) {
-	server.forgetReports(p.nowMs)
+	server.resetHistory(p.nowMs)
 	server.unhealthy = startedMs > p.nowMs-p.settings.SlowStartMs
 	server.unhealthyUntilMs = p.nowMs + p.settings.ColdOverloadWindowMs + p.settings.MaxPropagationMs
 }
@@ -25,8 +25,8 @@
 // updateEjections runs the sequential test on each ready server and ends ejections whose time has come. Many
 // outliers at once are more likely a fault of reports, so only some of the fleet may be out.
 func (p *Policy) updateEjections() {
-	ours := func(server *server) bool { return server.State == Ready && !p.unverified(server) }
-	fleet := filter(p.servers, ours)
+	verified := func(server *server) bool { return server.State == Ready && !p.unverified(server) }
+	fleet := filter(p.servers, verified)
 	size := float64(len(fleet))
 	ejected := float64(1 + len(fleet) - len(filter(fleet, (*server).usable))) // if one more is
 	uncertain := p.demandUncertain()
@@ -39,7 +39,7 @@
 			// Proxies keep away from servers that fail and try others: a cold one would get it all.
 			server.unhealthy = true
 			server.unhealthyUntilMs = p.nowMs + p.settings.ColdOverloadWindowMs
-			p.unsolved = true
+			p.serversChanged = true
 			ejected++
 		case p.evidence(server) >= ejectionThreshold && ejected <= maxEjected*size:
 			p.eject(server)
@@ -51,26 +51,26 @@
 // demandUncertain says whether much fails, or may fail before reports show it as many proxies are new.
 func (p *Policy) demandUncertain() bool {
 	added := filter(p.proxies, func(proxy *proxy) bool { return p.nowMs-proxy.joinedMs < ejectionMs })
-	return p.failureShare > maxEjected || len(added) > len(p.proxies)/maxNewProxies
+	return p.failureShare > maxEjected || len(added) > len(p.proxies)/newProxyDivisor
 }
 
 // eject takes a server out for a time that doubles with each ejection.
 func (p *Policy) eject(server *server) {
-	lastsMs := math.Min(ejectionMs*math.Exp2(float64(server.ejections)), maxEjectionMs)
+	durationMs := math.Min(ejectionMs*math.Exp2(float64(server.ejections)), maxEjectionMs)
 	server.unhealthy = true
-	server.unhealthyUntilMs = p.nowMs + lastsMs
-	server.sinceMs = p.nowMs
+	server.unhealthyUntilMs = p.nowMs + durationMs
+	server.evidenceFromMs = p.nowMs
 	server.ejections++
-	p.unsolved = true
+	p.serversChanged = true
 }
 
 // evidence is a CUSUM of log likelihood ratios in nats that a server is dead rather than sound, by failures
 // and by silence where requests were sent.
 func (p *Policy) evidence(server *server) float64 {
-	score, lastMs := p.failureEvidence(server)
-	score += p.silenceEvidence(server, lastMs)
+	score, silentFromMs := p.failureEvidence(server)
+	score += p.silenceEvidence(server, silentFromMs)
 	if p.unverified(server) {
-		score *= unverifiedEvidence
+		score *= unverifiedEvidenceFactor
 	}
 	return score
 }
@@ -78,29 +78,29 @@
 // failureEvidence adds up load reports on requests sent after the server's last change. It also gives the
 // time in ms from which on the server is silent. A sound server may be full, and the more so the more the
 // middle one fails.
-func (p *Policy) failureEvidence(server *server) (score, lastMs float64) {
-	soundShare := math.Max(minOverloadFailureShare, overloadFailureFactor*p.failureShare)
-	soundShare = math.Min(soundShare, maxOverloadFailureShare)
-	failure := math.Log(deadFailureShare / soundShare)
-	success := math.Log((1 - deadFailureShare) / (1 - soundShare))
+func (p *Policy) failureEvidence(server *server) (score, silentFromMs float64) {
+	healthyFailureShare := math.Max(minOverloadFailureShare, overloadFailureFactor*p.failureShare)
+	healthyFailureShare = math.Min(healthyFailureShare, maxOverloadFailureShare)
+	failureNats := math.Log(deadFailureShare / healthyFailureShare)
+	successNats := math.Log((1 - deadFailureShare) / (1 - healthyFailureShare))
 	delayMs := p.settings.MaxPropagationMs + p.settings.ReportIntervalMs
-	lastMs = math.Max(server.sinceMs, server.addedMs) + math.Max(delayMs, ejectionMs-reportRounds*p.roundMs)
+	silentFromMs = math.Max(server.evidenceFromMs, server.addedMs) + math.Max(delayMs, ejectionMs-reportRounds*p.roundMs)
 	for _, report := range server.reports {
-		if report.atMs <= server.sinceMs+delayMs {
+		if report.atMs <= server.evidenceFromMs+delayMs {
 			continue
 		}
-		nats := report.failed*failure + report.succeeded*success
+		nats := report.failed*failureNats + report.succeeded*successNats
 		score += math.Max(-maxSampleEvidence, math.Min(nats, maxSampleEvidence))
 		score = math.Max(0, score)
-		lastMs = math.Max(report.atMs, server.addedMs+delayMs)
+		silentFromMs = math.Max(report.atMs, server.addedMs+delayMs)
 	}
-	return score, lastMs
+	return score, silentFromMs
 }
 
 // silenceEvidence is about reports that are missing since a time. A round of reports is longer the more there
 // are; so only what is missing from a round counts as silence.
-func (p *Policy) silenceEvidence(server *server, lastMs float64) float64 {
-	silentMs := p.reportedMs - lastMs - reportRounds*p.roundMs
+func (p *Policy) silenceEvidence(server *server, silentFromMs float64) float64 {
+	silentMs := p.reportedMs - silentFromMs - reportRounds*p.roundMs
 	if silentMs <= 0 || server.ejected {
 		return 0
 	}
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -8,7 +8,7 @@
 func TestEjectionOfDrainedAndRemovedServers(t *testing.T) {
 	t.Run("a draining server is ejected in the same tick", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
-		f.run(5, sound)
+		f.run(5, healthy)
 		f.update(Endpoint{Server: "s2", Zone: 0, State: Draining, RelativeCapacity: 1})
 		f.decide()
 		if !f.ejected["s2"] {
@@ -25,7 +25,7 @@
 	})
 	t.Run("a server ejected while ready is ejected again when it is removed", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
-		f.run(10, sound)
+		f.run(10, healthy)
 		f.planner.byName["s2"].ejected = true // at some proxies only: others were sent it since
 		f.update(Endpoint{Server: "s2", Zone: 0, State: Removed, RelativeCapacity: 1})
 		f.decide()
@@ -39,20 +39,20 @@
 	dead := except("s3", 5, 5, 0)
 	t.Run("dead by failures, ejected, and carefully back", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
-		f.run(10, sound)
+		f.run(10, healthy)
 		f.run(5, dead)
 		if !f.ejected["s3"] {
 			t.Fatal("a server that only fails is still sent to")
 		}
 		f.run(4, dead)
-		f.run(12, sound)
+		f.run(12, healthy)
 		if f.ejected["s3"] || f.share(1, 0, "s3") == 0 {
 			t.Error("a server that recovered stays ejected")
 		}
 	})
 	t.Run("silence where requests were sent is a hang", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
-		f.run(10, sound)
+		f.run(10, healthy)
 		f.run(6, except("s3", 0, 0, 0))
 		if !f.ejected["s3"] {
 			t.Error("a server that went silent is still sent to")
@@ -63,7 +63,7 @@
 func TestNoEjectionOnWeakEvidence(t *testing.T) {
 	t.Run("load reports that come in long rounds eject nobody", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
-		f.run(10, sound)
+		f.run(10, healthy)
 		for range 8 { // a round of load reports takes four seconds where the intake is small
 			f.run(3, nil)
 			for _, server := range f.planner.servers {
@@ -77,7 +77,7 @@
 	})
 	t.Run("a full server that still succeeds is not ejected", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
-		f.run(10, sound)
+		f.run(10, healthy)
 		f.run(10, except("s3", 10, 6, 300))
 		if f.ejected["s3"] {
 			t.Error("a full server was taken for dead")
@@ -85,12 +85,12 @@
 	})
 	t.Run("when most look dead the evidence is distrusted", func(t *testing.T) {
 		f := startFleet(testSettings(), 10)
-		f.run(10, sound)
+		f.run(10, healthy)
 		f.run(10, func(server string) (int, int, float64) {
 			if server < "s7" {
 				return 5, 5, 0
 			}
-			return sound(server)
+			return healthy(server)
 		})
 		ejected := filter(readyServers(10), func(endpoint Endpoint) bool { return f.ejected[endpoint.Server] })
 		if len(ejected) > 3 {
@@ -102,7 +102,7 @@
 func TestUnverifiedServers(t *testing.T) {
 	t.Run("those in the list get little, and soon nothing", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
-		f.run(10, sound)
+		f.run(10, healthy)
 		var unknown []Endpoint
 		for index := range 8 {
 			unknown = append(unknown, Endpoint{Server: fmt.Sprint("x", index), Zone: index % 2, RelativeCapacity: 1})
@@ -112,7 +112,7 @@
 			if server[0] == 'x' {
 				return 2, 2, 0
 			}
-			return sound(server)
+			return healthy(server)
 		}
 		f.run(3, reports)
 		if share := f.share(0, 0, "x0"); share > 0.05 {
@@ -130,7 +130,7 @@
 	t.Run("a new server that says when it started is not one", func(t *testing.T) {
 		settings := testSettings()
 		f := startFleet(settings, 8)
-		f.run(10, sound)
+		f.run(10, healthy)
 		startedMs := f.nowMs - settings.SlowStartMs - 1
 		f.update(Endpoint{Server: "x", Zone: 0, RelativeCapacity: 1, StartedMs: startedMs})
 		f.run(4, except("x", 0, 0, 0))
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -24,7 +24,7 @@
 		for step := range 40 {
 			state := State(step / 8 % 2)
 			f.update(Endpoint{Server: fmt.Sprint("s", step%8), Zone: step % 2, State: state, RelativeCapacity: 1})
-			f.run(1, sound)
+			f.run(1, healthy)
 			for _, proxy := range f.planner.proxies {
 				recent := filter(proxy.messageTimes, func(at float64) bool { return at > f.nowMs-settings.MessageWindowMs })
 				if len(recent) > settings.MaxMessages {
@@ -51,14 +51,14 @@
 		f.planner.proxies[0].ordered = 1000
 		f.planner.proxies[0].acknowledged = 0
 		f.advance(100)
-		near(t, "healthy", f.planner.updateBacklog(), 750, 1)
+		checkNear(t, "healthy", f.planner.updateBacklog(), 750, 1)
 		f.planner.Acknowledge(0, 9, 5000)
 		f.advance(100)
-		near(t, "slow", f.planner.updateBacklog(), 750-250/maxQueueSlowdown, 1)
+		checkNear(t, "slow", f.planner.updateBacklog(), 750-250/slowChannelFactor, 1)
 	})
 	t.Run("entries not known to have arrived fill it until an acknowledgement", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
-		f.run(10, sound)
+		f.run(10, healthy)
 		proxy := f.planner.proxies[0]
 		proxy.ordered = proxy.acknowledged + 3400 // a channel slower than it was said to be
 		if f.planner.spendBudget(1, f.planner.proxies, required) {
@@ -89,7 +89,7 @@
 	for _, rejoin := range []bool{false, true} {
 		t.Run(fmt.Sprint("rejoin ", rejoin), func(t *testing.T) {
 			f := startFleet(testSettings(), 6)
-			f.run(10, sound)
+			f.run(10, healthy)
 			f.planner.updateBacklog() // as of now
 			f.planner.backlog = 3400
 			for _, proxy := range f.planner.proxies {
@@ -101,14 +101,14 @@
 					f.planner.AddProxy(id, id%2, 10)
 				}
 			}
-			near(t, "backlog", f.planner.updateBacklog(), 3400, 0)
+			checkNear(t, "backlog", f.planner.updateBacklog(), 3400, 0)
 			f.planner.AddProxy(9, 0, 10)
 			if f.planner.spendBudget(8, f.planner.proxies, required) {
 				t.Error("more is ordered than may wait")
 			}
 			f.advance(1500)
-			near(t, "left", f.planner.updateBacklog(), 0, 0)
-			near(t, "unacknowledged", f.planner.unacknowledged(), 0, 0)
+			checkNear(t, "left", f.planner.updateBacklog(), 0, 0)
+			checkNear(t, "unacknowledged", f.planner.unacknowledged(), 0, 0)
 		})
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -43,5 +43,5 @@
 func (p *Policy) backOffPolling() {
 	p.watching = false
 	p.pollMs = p.nowMs + p.pollBackoff*(pollSpread+p.random.Float64())
-	p.pollBackoff = math.Min(2*p.pollBackoff, p.settings.AssumeNotifiedMs*maxPollBackoff)
+	p.pollBackoff = math.Min(2*p.pollBackoff, p.settings.AssumeNotifiedMs*maxPollBackoffShare)
 }
--- a/policy/problem.go
+++ b/policy/problem.go
@@ -42,14 +42,14 @@
 	return problem
 }
 
-// startCells begins with what the last solve left, or anew with shares by capacity and no prices.
-func (s *splitProblem) startCells(anew bool) {
+// initCells begins with what the last solve left, or anew with shares by capacity and no prices.
+func (s *splitProblem) initCells(reset bool) {
 	for i, client := range s.clients {
 		s.cells[i] = make([]cell, len(s.servers))
 		for j, server := range s.servers {
 			last, known := client.cells[server]
 			switch {
-			case known && !anew:
+			case known && !reset:
 				s.cells[i][j] = last
 			case !math.IsInf(s.cost[i][j], 1):
 				share := s.C[j] / s.capacity
@@ -125,8 +125,8 @@
 // recordSolve records that tables are as of now.
 func (p *Policy) recordSolve() {
 	p.solvedMs = p.nowMs
-	p.unsolved = false
-	p.emptyTable = false
+	p.serversChanged = false
+	p.joinsUnusedTable = false
 	p.solves++
 }
 
--- a/policy/records.go
+++ b/policy/records.go
@@ -4,18 +4,18 @@
 
 // Records of what was ordered and decided, and plain questions about them.
 
-// reached says whether a proxy gets a message at this time already, which further orders share.
-func (p *proxy) reached(nowMs float64) bool {
+// hasMessageAt says whether a proxy gets a message at this time already, which further orders share.
+func (p *proxy) hasMessageAt(nowMs float64) bool {
 	return len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == nowMs
 }
 
 // countOrder adds an order to the backlog and to what each recipient was sent; first are those that had no message yet.
-func (p *Policy) countOrder(entries, cost float64, recipients, first []*proxy) {
+func (p *Policy) countOrder(entries, cost float64, recipients, messaged []*proxy) {
 	p.backlog += cost
 	for _, proxy := range recipients {
 		proxy.ordered += entries
 	}
-	for _, proxy := range first {
+	for _, proxy := range messaged {
 		proxy.messageTimes = appendBounded(proxy.messageTimes, p.nowMs, p.settings.MaxMessages+1)
 		proxy.ordered += p.settings.MessageOverhead
 	}
@@ -38,8 +38,10 @@
 // inUse says whether proxies were sent a weight of the entry.
 func (e *entry) inUse() bool { return e.sent > 0 }
 
-// mayFollowOthers says whether a proxy may follow tables of another planner, as it has not all of ours yet.
-func (p *proxy) mayFollowOthers() bool { return p.inheritedEjections && slices.Contains(p.tables, nil) }
+// mayFollowOtherPlanner says whether a proxy may follow tables of another planner, as it has not all of ours yet.
+func (p *proxy) mayFollowOtherPlanner() bool {
+	return p.inheritedEjections && slices.Contains(p.tables, nil)
+}
 
 // mayUse says whether a table of the proxy holds a server, or may, where others gave it one that we do not know.
 func (p *proxy) mayUse(server *server, unknownTables bool) bool {
@@ -57,19 +59,19 @@
 }
 
 func (p *proxy) awaitsRestoration(server *server) bool {
-	return slices.ContainsFunc(p.unrestored, func(pending restoration) bool { return pending.server == server })
+	return slices.ContainsFunc(p.pendingRestorations, func(pending restoration) bool { return pending.server == server })
 }
 
-// takePrepaid gives the number of restorations that are paid for, once.
-func (p *proxy) takePrepaid() int {
-	count := p.prepaid
-	p.prepaid = 0
+// takePrepaidRestorations gives the number of restorations that are paid for, once.
+func (p *proxy) takePrepaidRestorations() int {
+	count := p.prepaidRestorations
+	p.prepaidRestorations = 0
 	return count
 }
 
-// follow records that a proxy was assigned a table, with the ejections as they are.
-func (p *proxy) follow(part int, table *table) {
-	p.tables[part] = table
+// recordAssignment records that a proxy was assigned a table, with the ejections as they are.
+func (p *proxy) recordAssignment(group int, table *table) {
+	p.tables[group] = table
 	table.proxies = append(table.proxies, p)
 	for _, entry := range table.entries {
 		p.ejected[entry.server] = entry.server.ejected
@@ -86,12 +88,12 @@
 		}
 		added = append(added, pending)
 	}
-	p.unrestored = append(added, p.unrestored...)
+	p.pendingRestorations = append(added, p.pendingRestorations...)
 }
 
 // hasTables says whether there is something to assign to a proxy in each part of its zone.
 func (p *Policy) hasTables(proxy *proxy) bool {
-	for _, client := range p.clients[proxy.zone*p.parts : (proxy.zone+1)*p.parts] {
+	for _, client := range p.clients[proxy.zone*p.classGroups : (proxy.zone+1)*p.classGroups] {
 		if proxy.cohort < 0 || !slices.ContainsFunc(client.tables[proxy.cohort].entries, (*entry).inUse) {
 			return false
 		}
@@ -126,8 +128,8 @@
 	return !entry.server.ejected && p.ejected[entry.server]
 }
 
-func (p *Policy) anyFollowsOthers() bool {
-	return slices.ContainsFunc(p.proxies, (*proxy).mayFollowOthers)
+func (p *Policy) anyMayFollowOtherPlanner() bool {
+	return slices.ContainsFunc(p.proxies, (*proxy).mayFollowOtherPlanner)
 }
 
 // unacknowledged are the entries that no acknowledgement shows to have arrived: at the most, these wait, however slow
@@ -141,13 +143,13 @@
 // readmit takes a server back, by the recovery ramp and judged by new reports alone.
 func (p *Policy) readmit(server *server) {
 	server.unhealthy = false
-	server.sinceMs = p.nowMs
+	server.evidenceFromMs = p.nowMs
 	server.readmittedMs = p.nowMs
-	p.unsolved = true
+	p.serversChanged = true
 }
 
-// inGrace says whether proxies may still send to a server that drains or is removed.
-func (p *Policy) inGrace(server *server) bool {
+// inDrainGrace says whether proxies may still send to a server that drains or is removed.
+func (p *Policy) inDrainGrace(server *server) bool {
 	return server.State != Ready && p.nowMs < server.stateChangedMs+p.settings.DrainGraceMs
 }
 
@@ -161,10 +163,10 @@
 
 func (e *entry) ejected() bool { return e.server.ejected }
 
-// forgetReports voids what was recorded of a server before now.
-func (s *server) forgetReports(nowMs float64) {
+// resetHistory voids what was recorded of a server before now.
+func (s *server) resetHistory(nowMs float64) {
 	s.samples = nil
-	s.sinceMs = nowMs
+	s.evidenceFromMs = nowMs
 	s.readmittedMs = unset
 	s.ejections = 0
 }
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -31,7 +31,7 @@
 	for _, proxy := range p.proxies {
 		if proxy.inheritedEjections {
 			p.enqueue(func(host Host) bool {
-				return p.restore(host, proxy, len(proxy.unrestored), deferrable)
+				return p.restore(host, proxy, len(proxy.pendingRestorations), deferrable)
 			})
 		}
 	}
@@ -58,8 +58,8 @@
 	}
 	additionsFirst := func(a, b *entry) int { return cmp.Compare(b.target-b.sent, a.target-a.sent) }
 	slices.SortStableFunc(changed, additionsFirst)
-	hasTurn := table.urgentMs == p.nowMs || p.nowMs-table.urgentMs >= urgentIntervalMs
-	urgentDue := !p.unsolved && hasTurn
+	intervalPassed := table.urgentMs == p.nowMs || p.nowMs-table.urgentMs >= urgentIntervalMs
+	urgentDue := !p.serversChanged && intervalPassed
 	for _, entry := range changed {
 		urgency := p.weightUrgency(entry, usable, missing > maxMissingWeight*total)
 		missing -= math.Max(entry.target-entry.sent, 0)
@@ -110,18 +110,18 @@
 
 // weightCost is one for each proxy, and one more where the entry also ends an ejection, of ours or inherited.
 func (p *Policy) weightCost(entry *entry) float64 {
-	both := filter(entry.table.proxies, func(proxy *proxy) bool {
-		ends := proxy.inheritedEjections || proxy.ejected[entry.server] && p.settings.ReadmitByWeight
-		return entry.sent == 0 && ends || entry.target > 0 && proxy.awaitsRestoration(entry.server)
+	readmitting := filter(entry.table.proxies, func(proxy *proxy) bool {
+		endsEjection := proxy.inheritedEjections || proxy.ejected[entry.server] && p.settings.ReadmitByWeight
+		return entry.sent == 0 && endsEjection || entry.target > 0 && proxy.awaitsRestoration(entry.server)
 	})
-	return 1 + float64(len(both))/float64(len(entry.table.proxies))
+	return 1 + float64(len(readmitting))/float64(len(entry.table.proxies))
 }
 
 // planEjections queues ejections and their ends. In a takeover, drains go with first tables, or follow them.
 func (p *Policy) planEjections(takeover bool) {
 	for _, server := range p.servers {
 		eject := !server.usable() && !p.expired(server)
-		if eject == server.ejected || !eject && p.unsolved || takeover && server.State != Ready {
+		if eject == server.ejected || !eject && p.serversChanged || takeover && server.State != Ready {
 			continue
 		}
 		p.enqueue(func(host Host) bool { return p.setEjected(host, server, eject, takeover) })
@@ -132,7 +132,7 @@
 // its ramp allows. Other proxies learn of it by its weight.
 func (p *Policy) setEjected(host Host, server *server, eject, takeover bool) bool {
 	unused := eject && !server.inAnyTable()
-	if unused && p.solves > 0 && (takeover || !p.anyFollowsOthers()) {
+	if unused && p.solves > 0 && (takeover || !p.anyMayFollowOtherPlanner()) {
 		return false // there may be many such servers, so this comes first
 	}
 	recipients := p.ejectionRecipients(server, eject, takeover)
@@ -164,13 +164,13 @@
 	if server.State == Ready {
 		urgency = required
 	}
-	must := eject && (server.State != Ready || p.cold(server)) && (takeover || p.drainIsDue(server))
-	return must && p.spendBudget(entries, recipients, urgency)
+	mayUseReserve := eject && (server.State != Ready || p.cold(server)) && (takeover || p.drainIsDue(server))
+	return mayUseReserve && p.spendBudget(entries, recipients, urgency)
 }
 
 // drainIsDue says whether half the grace of a drain has passed, less the longest way of a message.
 func (p *Policy) drainIsDue(server *server) bool {
-	return p.nowMs >= server.stateChangedMs+p.settings.DrainGraceMs*maxDrainWait-p.settings.MaxPropagationMs
+	return p.nowMs >= server.stateChangedMs+p.settings.DrainGraceMs*maxDrainWaitShare-p.settings.MaxPropagationMs
 }
 
 // ejectionRecipients are the proxies that an ejection or its end concerns.
@@ -184,8 +184,8 @@
 // against ejecting each draining server at each such proxy: that filled the channel, their tables waited, and
 // the next drains cost as much.
 func (p *Policy) inTakeover() bool {
-	waiting := filter(p.proxies, (*proxy).mayFollowOthers)
-	if len(waiting) == 0 || !slices.ContainsFunc(p.servers, p.inGrace) {
+	waiting := filter(p.proxies, (*proxy).mayFollowOtherPlanner)
+	if len(waiting) == 0 || !slices.ContainsFunc(p.servers, p.inDrainGrace) {
 		return false
 	}
 	stuck := func(proxy *proxy) bool { return !p.hasTables(proxy) && p.nowMs > proxy.joinedMs+maxTableWaitMs }
@@ -198,7 +198,7 @@
 func (p *Policy) urgentDrains() (drains []*server, fit bool) {
 	oldest := p.nowMs
 	for _, server := range p.servers {
-		if p.inGrace(server) {
+		if p.inDrainGrace(server) {
 			oldest = min(oldest, server.stateChangedMs)
 		}
 	}
@@ -216,33 +216,33 @@
 		}
 	}
 	cost := float64(entries) + p.settings.MessageOverhead*float64(len(recipients))
-	room := p.settings.MaxBacklog*queueShare[drainEjection] - max(p.updateBacklog(), p.unacknowledged())
-	return drains, cost <= room || p.unacknowledged() < p.settings.MaxBacklog*queueShare[required]*lowBacklog
+	room := p.settings.MaxBacklog*backlogShare[drainEjection] - max(p.updateBacklog(), p.unacknowledged())
+	return drains, cost <= room || p.unacknowledged() < p.settings.MaxBacklog*backlogShare[required]*lowBacklogShare
 }
 
 // planAssignments queues the first tables of proxies.
 func (p *Policy) planAssignments(takeover bool) {
 	for _, proxy := range p.proxies {
-		for part, table := range proxy.tables {
+		for group, table := range proxy.tables {
 			if table == nil && proxy.cohort >= 0 {
-				p.planAssignment(proxy, part, takeover)
+				p.planAssignment(proxy, group, takeover)
 			}
 		}
 	}
 }
 
 // planAssignment queues a first table with the restorations that are paid with it.
-func (p *Policy) planAssignment(proxy *proxy, part int, takeover bool) {
-	assign := func(host Host) bool { return p.assignTable(host, proxy, part, takeover) }
-	restore := func(host Host) bool { return p.restore(host, proxy, proxy.takePrepaid(), prepaid) }
+func (p *Policy) planAssignment(proxy *proxy, group int, takeover bool) {
+	assign := func(host Host) bool { return p.assignTable(host, proxy, group, takeover) }
+	restore := func(host Host) bool { return p.restore(host, proxy, proxy.takePrepaidRestorations(), prepaid) }
 	p.enqueue(assign, restore)
 }
 
 // assignTable gives a proxy its first table. It takes the place of what another planner gave it, with all
 // that drains: after many joins that costs less than an ejection of each server, and must not wait behind
 // those. In a takeover the light entries follow later.
-func (p *Policy) assignTable(host Host, proxy *proxy, part int, takeover bool) bool {
-	client := p.clients[proxy.zone*p.parts+part]
+func (p *Policy) assignTable(host Host, proxy *proxy, group int, takeover bool) bool {
+	client := p.clients[proxy.zone*p.classGroups+group]
 	table := client.tables[proxy.cohort]
 	ejected := filter(table.entries, (*entry).ejected)
 	readmitted := filter(table.entries, proxy.awaitsReadmission)
@@ -258,12 +258,12 @@
 	entries += len(ejected) + len(readmitted) + restored
 	entries -= len(filter(omitted, (*entry).ejected)) // proxies need no ejection of what they do not get
 	empty := !slices.ContainsFunc(table.entries, (*entry).inUse)
-	if empty || !p.spendBudget(float64(entries), only(proxy), required) {
+	if empty || !p.spendBudget(float64(entries), single(proxy), required) {
 		return false
 	}
-	proxy.follow(part, table)
+	proxy.recordAssignment(group, table)
 	proxy.expectRestorations(inherited, omitted)
-	proxy.prepaid += restored
+	proxy.prepaidRestorations += restored
 	host.AssignTable(proxy.id, table.number, client.classes, serverNames(omitted))
 	return true
 }
@@ -293,12 +293,12 @@
 	if count == 0 {
 		return false
 	}
-	restored := proxy.unrestored[:count]
+	restored := proxy.pendingRestorations[:count]
 	entries := sumBy(restored, func(pending restoration) float64 { return pending.entries })
-	if urgency != prepaid && !p.spendBudget(entries, only(proxy), urgency) {
+	if urgency != prepaid && !p.spendBudget(entries, single(proxy), urgency) {
 		return false
 	}
-	proxy.unrestored = proxy.unrestored[count:]
+	proxy.pendingRestorations = proxy.pendingRestorations[count:]
 	host.RestoreServers(proxy.id, restoredNames(restored))
 	return true
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -10,7 +10,7 @@
 
 func TestColdServersStartLowAndRestAfterARestart(t *testing.T) {
 	f := startFleet(testSettings(), 6)
-	f.run(12, sound)
+	f.run(12, healthy)
 	f.update(
 		Endpoint{Server: "s0", Zone: 0, RelativeCapacity: 1, StartedMs: f.nowMs - 500},
 		Endpoint{Server: "new", Zone: 0, RelativeCapacity: 1, StartedMs: f.nowMs - 500},
@@ -19,13 +19,13 @@
 	if f.share(0, 0, "s0") != 0 {
 		t.Error("a restarted server is sent to by old tables")
 	}
-	f.run(8, sound)
+	f.run(8, healthy)
 	for _, server := range []string{"s0", "new"} {
 		if share := f.share(0, 0, server); share > 0.1 {
 			t.Errorf("cold %s has %.3f of a proxy's requests", server, share)
 		}
 	}
-	f.run(25, sound)
+	f.run(25, healthy)
 	if share := f.share(0, 0, "s0"); share < 0.1 {
 		t.Errorf("warm again, it has only %.3f", share)
 	}
@@ -38,8 +38,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startFleet(testSettings(), 10)
-			f.run(10, sound)
-			f.addColdServer(sound)
+			f.run(10, healthy)
+			f.addColdServer(healthy)
 			if f.share(0, 0, "new") == 0 {
 				t.Fatal("a cold server gets nothing without an overload")
 			}
@@ -57,11 +57,11 @@
 
 func TestColdServerRestsWhileManyProxiesAreNew(t *testing.T) {
 	f := startFleet(testSettings(), 10)
-	f.run(10, sound)
-	f.addColdServer(sound)
+	f.run(10, healthy)
+	f.addColdServer(healthy)
 	f.planner.AddProxy(2, 0, 10)
 	f.planner.AddProxy(3, 1, 10)
-	f.run(2, sound)
+	f.run(2, healthy)
 	if share := f.share(0, 0, "new"); share != 0 {
 		t.Errorf("a cold server has %.3f of a proxy that is hardly known", share)
 	}
@@ -79,7 +79,7 @@
 			f.planner.UpdateEndpoints(RestoredUpdate, readyServers(10))
 			var reports serverReports
 			if reported {
-				reports = sound
+				reports = healthy
 			}
 			f.planner.AddProxy(0, 0, 10)
 			f.planner.AddProxy(1, 1, 10)
--- a/policy/solver.go
+++ b/policy/solver.go
@@ -29,7 +29,7 @@
 		v[j] = c.beta - D*cost[j] - c.lambda
 		d[j] = 1
 	}
-	mu := waterline(v, d, 1)
+	mu := waterLevel(v, d, 1)
 	for j := range cells {
 		cells[j].alpha = math.Max(v[j]-mu, 0)
 	}
@@ -42,7 +42,7 @@
 		v[i] = math.Max(cells[i][j].lambda+cells[i][j].alpha, 0)
 		d[i] = D[i]
 	}
-	nu := math.Max(waterline(v, d, C), 0)
+	nu := math.Max(waterLevel(v, d, C), 0)
 	for i := range D {
 		cells[i][j].beta = math.Max(v[i]-D[i]*nu, 0)
 	}
@@ -57,10 +57,10 @@
 	}
 }
 
-// waterline finds the nu for which d*max(v-d*nu, 0) sum to C: the water-filling of both lemmas. It begins
+// waterLevel finds the nu for which d*max(v-d*nu, 0) sum to C: the water-filling of both lemmas. It begins
 // with all terms and leaves out those that are not positive, which only raises nu. A set that does not shrink
 // ends the search: guards against a term at the line that rounding would leave out and take back for ever.
-func waterline(v, d []float64, C float64) float64 {
+func waterLevel(v, d []float64, C float64) float64 {
 	nu := -math.MaxFloat64
 	previous := math.MaxInt
 	for {
--- a/policy/solver_test.go
+++ b/policy/solver_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// solveOften runs the solver as often as a warm planner would and gives the cells.
-func solveOften(D, C []float64, cost [][]float64, solves int) [][]cell {
+// solveRepeatedly runs the solver as often as a warm planner would and gives the cells.
+func solveRepeatedly(D, C []float64, cost [][]float64, solves int) [][]cell {
 	cells := make([][]cell, len(D))
 	for i := range cells {
 		cells[i] = make([]cell, len(C))
@@ -22,25 +22,25 @@
 	return cells
 }
 
-func TestWaterline(t *testing.T) {
+func TestWaterLevel(t *testing.T) {
 	t.Run("Lemma 3 by hand", func(t *testing.T) {
-		near(t, "mu", waterline([]float64{0.9, 0.5, -0.2}, []float64{1, 1, 1}, 1), 0.2, 1e-12)
-		near(t, "mu below zero", waterline([]float64{0.1, 0.2}, []float64{1, 1}, 1), -0.35, 1e-12)
+		checkNear(t, "mu", waterLevel([]float64{0.9, 0.5, -0.2}, []float64{1, 1, 1}, 1), 0.2, 1e-12)
+		checkNear(t, "mu below zero", waterLevel([]float64{0.1, 0.2}, []float64{1, 1}, 1), -0.35, 1e-12)
 	})
 	t.Run("Lemma 1 by hand", func(t *testing.T) {
 		// 1*(0.8-nu) + 2*(0.5-2nu) = 0.8, so nu = 0.2.
-		near(t, "nu", waterline([]float64{0.8, 0.5}, []float64{1, 2}, 0.8), 0.2, 1e-12)
+		checkNear(t, "nu", waterLevel([]float64{0.8, 0.5}, []float64{1, 2}, 0.8), 0.2, 1e-12)
 		// With C 0.2 the second client is at zero: 0.8-nu = 0.2 has nu 0.6 above 0.5/2.
-		near(t, "nu, one client at zero", waterline([]float64{0.8, 0.5}, []float64{1, 2}, 0.2), 0.6, 1e-12)
+		checkNear(t, "nu, one client at zero", waterLevel([]float64{0.8, 0.5}, []float64{1, 2}, 0.2), 0.6, 1e-12)
 	})
 }
 
 // Shares that tie at the line, with a capacity of nothing, made the water-filling swing between two sets without end.
 // Guards against any such swing by rounding; cannot harm, as in exact terms the sets only shrink.
-func TestWaterlineEnds(t *testing.T) {
+func TestWaterLevelTerminates(t *testing.T) {
 	v := []float64{0.24655817925974133, 0.17259072548181892, 0.004931163585194826, 0.24655817925974133}
 	ended := make(chan float64, 1)
-	go func() { ended <- waterline(v, []float64{1, 0.7, 0.02, 1}, 0) }()
+	go func() { ended <- waterLevel(v, []float64{1, 0.7, 0.02, 1}, 0) }()
 	select {
 	case nu := <-ended:
 		if math.Abs(nu-v[0]) > 1e-9 {
@@ -54,26 +54,26 @@
 func TestSolve(t *testing.T) {
 	inf := math.Inf(1)
 	t.Run("slack capacities: all to the nearest", func(t *testing.T) {
-		cells := solveOften([]float64{1}, []float64{5, 5}, [][]float64{{0, 0.1}}, 5)
-		near(t, "alpha to the near server", cells[0][0].alpha, 1, 0.01)
+		cells := solveRepeatedly([]float64{1}, []float64{5, 5}, [][]float64{{0, 0.1}}, 5)
+		checkNear(t, "alpha to the near server", cells[0][0].alpha, 1, 0.01)
 	})
 	t.Run("one binding capacity: the rest spills", func(t *testing.T) {
-		cells := solveOften([]float64{1, 1}, []float64{0.5, 5}, [][]float64{{0, 0.1}, {inf, 0}}, 20)
-		near(t, "alpha up to the capacity", cells[0][0].alpha, 0.5, 0.02)
-		near(t, "alpha of a closed server", cells[1][0].alpha, 0, 0)
-		near(t, "sum", cells[0][0].alpha+cells[0][1].alpha, 1, 1e-9)
+		cells := solveRepeatedly([]float64{1, 1}, []float64{0.5, 5}, [][]float64{{0, 0.1}, {inf, 0}}, 20)
+		checkNear(t, "alpha up to the capacity", cells[0][0].alpha, 0.5, 0.02)
+		checkNear(t, "alpha of a closed server", cells[1][0].alpha, 0, 0)
+		checkNear(t, "sum", cells[0][0].alpha+cells[0][1].alpha, 1, 1e-9)
 	})
 	t.Run("two clients share a capacity by what the way costs them", func(t *testing.T) {
-		cells := solveOften([]float64{1, 1}, []float64{1, 1}, [][]float64{{0, 0.1}, {0.1, 0}}, 20)
-		near(t, "first stays at home", cells[0][0].alpha, 1, 0.02)
-		near(t, "second stays at home", cells[1][1].alpha, 1, 0.02)
+		cells := solveRepeatedly([]float64{1, 1}, []float64{1, 1}, [][]float64{{0, 0.1}, {0.1, 0}}, 20)
+		checkNear(t, "first stays at home", cells[0][0].alpha, 1, 0.02)
+		checkNear(t, "second stays at home", cells[1][1].alpha, 1, 0.02)
 	})
 	t.Run("a client with one server, and one without demand", func(t *testing.T) {
-		cells := solveOften([]float64{2, minDemand}, []float64{1, 3}, [][]float64{{inf, 0}, {0, 0}}, 5)
-		near(t, "only server", cells[0][1].alpha, 1, 1e-9)
-		near(t, "sum of the idle", cells[1][0].alpha+cells[1][1].alpha, 1, 1e-9)
+		cells := solveRepeatedly([]float64{2, minDemand}, []float64{1, 3}, [][]float64{{inf, 0}, {0, 0}}, 5)
+		checkNear(t, "only server", cells[0][1].alpha, 1, 1e-9)
+		checkNear(t, "sum of the idle", cells[1][0].alpha+cells[1][1].alpha, 1, 1e-9)
 	})
-	t.Run("no servers", func(*testing.T) { solveOften([]float64{1}, nil, [][]float64{{}}, 1) })
+	t.Run("no servers", func(*testing.T) { solveRepeatedly([]float64{1}, nil, [][]float64{{}}, 1) })
 }
 
 func TestSolveKeepsCapacitiesOfAnyFleetSize(t *testing.T) {
@@ -91,7 +91,7 @@
 					cost[i][j] = (1 + 0.3*float64((i+j)%3)) / float64(servers) * costScale
 				}
 			}
-			cells := solveOften(D, C, cost, 3)
+			cells := solveRepeatedly(D, C, cost, 3)
 			for j := range C {
 				load := 0.0
 				for i := range D {
@@ -109,7 +109,7 @@
 	f := startFleet(testSettings(), 4)
 	f.planner.servers[0].StartedMs = f.nowMs
 	C := f.planner.capacities(f.planner.servers, 20)
-	near(t, "sum", C[0]+C[1]+C[2]+C[3], capacityHeadroom, 0.5)
+	checkNear(t, "sum", C[0]+C[1]+C[2]+C[3], capacityHeadroom, 0.5)
 	if C[0] > 0.25*0.2 {
 		t.Errorf("a cold server's capacity is %.3f of all demand", C[0])
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -26,9 +26,9 @@
 	unhealthy        bool    // ejected by evidence, or resting while cold
 	unhealthyUntilMs float64 // when that ends
 	ejections        int     // by evidence, since its last start
-	sinceMs          float64 // last ejection, readmission or start; evidence from before is void
+	evidenceFromMs   float64 // last ejection, readmission or start; evidence from before is void
 	readmittedMs     float64 // end of the last ejection: start of the recovery ramp
-	proven           bool    // it has succeeded in some request
+	hasSucceeded     bool    // it has succeeded in some request
 	discoveredLate   bool    // it was not in the list that the planner started with
 	stateChangedMs   float64 // when its state in the list changed
 	addedMs          float64 // when a table that did not hold it was last sent it
@@ -55,10 +55,10 @@
 	acknowledged     float64         // of these, known to have arrived
 	acknowledgements map[int]float64 // entries ordered up to each request for an acknowledgement
 
-	ejected            map[*server]bool // as last ordered to it
-	inheritedEjections bool             // it may hold tables and ejections of another planner
-	unrestored         []restoration    // of servers in its tables, heaviest first in a takeover
-	prepaid            int              // of these, restored with the assignment
+	ejected             map[*server]bool // as last ordered to it
+	inheritedEjections  bool             // it may hold tables and ejections of another planner
+	pendingRestorations []restoration    // of servers in its tables, heaviest first in a takeover
+	prepaidRestorations int              // of these, restored with the assignment
 }
 
 // restoration is what a proxy has yet to be sent of a server: an end of another planner's ejection, and its entry
@@ -125,32 +125,32 @@
 	byID     map[int]*proxy
 
 	clients          []*client   // by zone, then part
-	parts            int         // clients of a zone
+	classGroups      int         // clients of a zone
 	tables           []*table    // by number
 	admission        []admission // by traffic class
 	sheddingOrder    []int       // traffic classes, those that earn least for their work first
 	pendingDecisions []decision  // of this evaluation
 
-	solves       int     // so far
-	solvedMs     float64 // time of the last solve
-	admissionMs  float64 // time of the last step of admission
-	evaluatedMs  float64 // time of the last evaluation
-	timerMs      float64 // time that the host's timer is set to
-	reportedMs   float64 // time of the last load report
-	dirty        bool    // endpoints or proxies came or left since the last evaluation
-	unsolved     bool    // usable servers changed since the last solve
-	emptyTable   bool    // a proxy joins a table that nobody used
-	ramps        bool    // at the last solve a server was on its ramp
-	anySuccess   bool    // some server has succeeded
-	lagging      bool    // load reports come late
-	watching     bool    // the endpoint list comes by itself
-	pollMs       float64 // time of the next poll of the list
-	pollBackoff  float64 // ms to wait after the next failed poll
-	capacityRate float64 // requests per second that the fleet has succeeded in
+	solves           int     // so far
+	solvedMs         float64 // time of the last solve
+	admissionMs      float64 // time of the last step of admission
+	evaluatedMs      float64 // time of the last evaluation
+	timerMs          float64 // time that the host's timer is set to
+	reportedMs       float64 // time of the last load report
+	dirty            bool    // endpoints or proxies came or left since the last evaluation
+	serversChanged   bool    // usable servers changed since the last solve
+	joinsUnusedTable bool    // a proxy joins a table that nobody used
+	rampedAtSolve    bool    // at the last solve a server was on its ramp
+	anySuccess       bool    // some server has succeeded
+	lagging          bool    // load reports come late
+	watching         bool    // the endpoint list comes by itself
+	pollMs           float64 // time of the next poll of the list
+	pollBackoff      float64 // ms to wait after the next failed poll
+	capacityRate     float64 // requests per second that the fleet has succeeded in
 
 	// As of this evaluation; latencies and failures are those of the middle server:
 	reportCoversMs     []float64 // ms that the last load reports cover
-	latencies          []float64 // scratch of baselineOf
+	baselineScratch    []float64 // scratch of baselineOf
 	roundMs            float64   // in which each server reports once
 	windowMs           float64   // that load reports are looked back for
 	latencyMs          float64
@@ -164,8 +164,8 @@
 	// Of the control channel, in entries:
 	backlog               float64 // that wait in it
 	departedBacklog       float64 // that wait for proxies that left
-	countedMs             float64 // time that the backlog is as of
-	queueSlow             bool    // the last acknowledgement was late
+	backlogUpdatedMs      float64 // time that the backlog is as of
+	channelSlow           bool    // the last acknowledgement was late
 	acknowledgedSolve     int     // number of solves when acknowledgements were last requested
 	acknowledgementNumber int     // of the last request
 }
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -10,15 +10,15 @@
 func (p *Policy) solveIfDue() {
 	servers := filter(p.servers, (*server).usable)
 	sinceMs := p.nowMs - p.solvedMs
-	waits := sinceMs < minSolveIntervalMs || sinceMs < solveIntervalMs && !p.unsolved && !p.emptyTable
-	if len(servers) == 0 || p.settings.Sharded || waits {
+	tooSoon := sinceMs < minSolveIntervalMs || sinceMs < solveIntervalMs && !p.serversChanged && !p.joinsUnusedTable
+	if len(servers) == 0 || p.settings.Sharded || tooSoon {
 		return // with no server to use, tables keep what they hold
 	}
 	if p.solves == 0 {
 		p.createTables(p.cohortCount(servers))
 	}
 	p.evaluate() // anew, as ejections void load reports and admission rates change demand
-	p.split(servers, p.unsolved)
+	p.split(servers, p.serversChanged)
 	p.recordSolve()
 	for _, table := range p.tables {
 		table.due = table.due || table.number%minCohorts == p.solves%minCohorts
@@ -37,8 +37,8 @@
 func (p *Policy) maxTableSize(servers []*server) int {
 	proxies := math.Max(float64(p.settings.Proxies), 1)
 	joined := float64(len(p.proxies))
-	ours := math.Max(proxies/math.Max(float64(p.settings.Planners), 1), joined)
-	sendable := p.settings.EntriesPerSecond * refreshMs / 1000 / ours
+	ownProxies := math.Max(proxies/math.Max(float64(p.settings.Planners), 1), joined)
+	sendable := p.settings.EntriesPerSecond * tableRefreshMs / 1000 / ownProxies
 	connectable := p.settings.MinServerConnections * connectionQuota * float64(len(servers)) / proxies
 	size := math.Min(sendable, connectable)
 	if joined > 0 {
@@ -53,7 +53,7 @@
 	demand, moved := p.updateDemand()
 	clients := p.addUnobservedClients(slices.Clone(p.clients), demand)
 	problem := p.newProblem(servers, clients, demand)
-	problem.startCells(p.startsOver(servers, serversChanged || moved > maxDemandShift*demand))
+	problem.initCells(p.resetsCells(servers, serversChanged || moved > maxDemandShift*demand))
 	solve(problem.D, problem.C, problem.cost, problem.cells, maxLambda/float64(len(servers)))
 	p.applySplit(&problem)
 }
@@ -71,13 +71,13 @@
 	return clients
 }
 
-// startsOver says whether old prices and shares are forgotten: after a shift of demand or servers, and while
+// resetsCells says whether old prices and shares are forgotten: after a shift of demand or servers, and while
 // a server is on its ramp, or was at the last solve.
-func (p *Policy) startsOver(servers []*server, shifted bool) bool {
-	ramps := slices.ContainsFunc(servers, func(server *server) bool { return p.ramp(server) < 1 })
-	startOver := shifted || ramps || p.ramps
-	p.ramps = ramps
-	return startOver
+func (p *Policy) resetsCells(servers []*server, shifted bool) bool {
+	rampedAtSolve := slices.ContainsFunc(servers, func(server *server) bool { return p.ramp(server) < 1 })
+	reset := shifted || rampedAtSolve || p.rampedAtSolve
+	p.rampedAtSolve = rampedAtSolve
+	return reset
 }
 
 // costs are the paper's L of a client's request at each server, with a price for leaving the zone.
@@ -101,15 +101,15 @@
 func (p *Policy) applySplit(problem *splitProblem) {
 	load := problem.load()
 	// Late reports are relied on less: when a shift between zones shows, the servers of one are full.
-	late := math.Max(0, 1-minWindowMs/p.roundMs)
-	smallest := minWeightChange / float64(len(problem.servers))
+	staleness := math.Max(0, 1-minWindowMs/p.roundMs)
+	minShare := minWeightChange / float64(len(problem.servers))
 	for i, client := range p.clients {
 		client.cells = map[*server]cell{}
 		var wanted []*serverShare
 		for j, server := range problem.servers {
 			client.cells[server] = problem.cells[i][j]
 			alpha := problem.cells[i][j].alpha
-			share := alpha + late*(problem.C[j]/problem.capacity-alpha)
+			share := alpha + staleness*(problem.C[j]/problem.capacity-alpha)
 			// Guards a cold server: ADMM that is cut off after 20 iterations may exceed its capacity.
 			if p.ramp(server) < 1 && load[j] > problem.C[j] {
 				share *= problem.C[j] / load[j]
@@ -118,17 +118,17 @@
 				wanted = append(wanted, &serverShare{server: server, share: share})
 			}
 		}
-		p.fillTables(client, wanted, p.maxTableSize(problem.servers), smallest)
+		p.fillTables(client, wanted, p.maxTableSize(problem.servers), minShare)
 	}
 }
 
 // fillTables shares a client's servers out over its tables, all to each in a small fleet.
-func (p *Policy) fillTables(client *client, wanted []*serverShare, maxSize int, smallest float64) {
-	shares, total := p.dropSmallShares(wanted, smallest)
+func (p *Policy) fillTables(client *client, wanted []*serverShare, maxSize int, minShare float64) {
+	shares, total := p.dropSmallShares(wanted, minShare)
 	tables := filter(client.tables, func(table *table) bool { return table.rate > 0 || client.demand == 0 })
 	clearTargets(tables)
 	for _, table := range tables {
-		table.takeServers(shares, len(tables), min(len(shares), maxSize))
+		table.selectServers(shares, len(tables), min(len(shares), maxSize))
 	}
 	for index, share := range shares {
 		if len(share.entries) == 0 { // no server is left out
@@ -140,13 +140,13 @@
 
 // dropSmallShares leaves out shares that are not worth their connections, but keeps a few of each client, and
 // those of warming servers, which are small for a time only. It gives the rest, largest first, and the total.
-func (p *Policy) dropSmallShares(wanted []*serverShare, least float64) (kept []*serverShare, total float64) {
+func (p *Policy) dropSmallShares(wanted []*serverShare, minShare float64) (kept []*serverShare, total float64) {
 	slices.SortStableFunc(wanted, func(a, b *serverShare) int { return cmp.Compare(b.share, a.share) })
 	kept = wanted[:0]
 	for _, share := range wanted {
-		warming := p.ramp(share.server) < 1 && share.share > least/minWarmingShare
-		if share.share >= least || len(kept) < minEntries || warming {
-			share.share = math.Max(share.share, least/minWarmingShare)
+		warming := p.ramp(share.server) < 1 && share.share > minShare/warmingShareDivisor
+		if share.share >= minShare || len(kept) < minEntries || warming {
+			share.share = math.Max(share.share, minShare/warmingShareDivisor)
 			kept = append(kept, share)
 			total += share.share
 		}
@@ -154,9 +154,9 @@
 	return kept, total
 }
 
-// takeServers chooses the servers of one table out of those of its client: first, as changes cost entries,
+// selectServers chooses the servers of one table out of those of its client: first, as changes cost entries,
 // those that it holds, then those that the fewest tables hold.
-func (t *table) takeServers(shares []*serverShare, tables, count int) {
+func (t *table) selectServers(shares []*serverShare, tables, count int) {
 	for _, share := range shares {
 		share.rank = len(share.entries)
 		if !t.uses(share.server) {
@@ -175,11 +175,11 @@
 func (p *Policy) balanceWeights(tables []*table, shares []*serverShare, total float64) {
 	demand := sumBy(tables, (*table).demand)
 	eachEntry(shares, func(share *serverShare, entry *entry) { entry.target = share.share })
-	for round := range balanceRounds + 1 {
+	for iteration := range balanceIterations + 1 {
 		totals := map[*table]float64{}
 		for _, share := range shares {
 			factor := share.share / total / (sumBy(share.entries, (*entry).demand) / demand)
-			if round == balanceRounds && (factor > 1 || p.ramp(share.server) >= 1) {
+			if iteration == balanceIterations && (factor > 1 || p.ramp(share.server) >= 1) {
 				factor = 1
 			}
 			for _, entry := range share.entries {
@@ -199,10 +199,10 @@
 
 // assignCohort gives a proxy that follows no table yet the cohort of its zone that has the least demand.
 func (p *Policy) assignCohort(proxy *proxy) {
-	if p.parts == 0 || proxy.cohort >= 0 && proxy.tables[0] != nil {
+	if p.classGroups == 0 || proxy.cohort >= 0 && proxy.tables[0] != nil {
 		return
 	}
-	tables := p.clients[proxy.zone*p.parts].tables
+	tables := p.clients[proxy.zone*p.classGroups].tables
 	for number, table := range tables {
 		if proxy.cohort < 0 || table.rate < tables[proxy.cohort].rate {
 			proxy.cohort = number
--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -52,7 +52,7 @@
 		for id := range 4 {
 			f.planner.AddProxy(id, 0, 10)
 		}
-		f.run(6, sound)
+		f.run(6, healthy)
 		if away := f.shares(0, "s1", "s3", "s5", "s7"); away > 0.2 {
 			t.Errorf("%.2f of the requests leave their zone", away)
 		}
@@ -84,16 +84,16 @@
 func TestChangesOfTables(t *testing.T) {
 	t.Run("nothing to send when nothing moves", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
-		f.run(20, sound)
+		f.run(20, healthy)
 		f.orders = nil
-		f.run(10, sound)
-		if sent := f.ordered(weightOrder); sent > 6 {
+		f.run(10, healthy)
+		if sent := f.countOrders(weightOrder); sent > 6 {
 			t.Errorf("%d entries sent without a change", sent)
 		}
 	})
 	t.Run("a slow server's share falls, and only one cohort changes at a time", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
-		f.run(15, sound)
+		f.run(15, healthy)
 		before := f.share(0, 0, "s0")
 		f.run(15, except("s0", 5, 0, 900))
 		if after := f.share(0, 0, "s0"); after > 0.6*before {
@@ -102,7 +102,7 @@
 	})
 	t.Run("a table that drains empty gets other entries at once", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
-		f.run(6, sound)
+		f.run(6, healthy)
 		for index := 0; index < 8; index += 2 {
 			f.update(Endpoint{Server: fmt.Sprint("s", index), Zone: 0, State: Removed, RelativeCapacity: 1})
 		}
@@ -116,7 +116,7 @@
 		f.planner.UpdateEndpoints(FullUpdate, nil)
 		f.orders = nil
 		f.run(5, nil)
-		if sent := f.ordered(weightOrder); sent > 0 {
+		if sent := f.countOrders(weightOrder); sent > 0 {
 			t.Errorf("%d entries sent with no server listed: %q", sent, f.orders)
 		}
 	})
@@ -128,14 +128,14 @@
 	for _, lagging := range []bool{false, true} {
 		t.Run(fmt.Sprint("lagging ", lagging), func(t *testing.T) {
 			f := startFleet(testSettings(), 6)
-			f.run(15, sound)
+			f.run(15, healthy)
 			f.planner.SetLagging(lagging)
 			f.orders = nil
 			f.run(10, except("s0", 5, 0, 400))
-			entries := f.ordered(weightOrder)
-			requests := f.ordered(acknowledgeOrder)
+			entries := f.countOrders(weightOrder)
+			requests := f.countOrders(acknowledgeOrder)
 			f.update(Endpoint{Server: "s2", Zone: 0, RelativeCapacity: 1, State: Draining})
-			f.run(1, sound)
+			f.run(1, healthy)
 			if (entries > 0) == lagging || (requests > 0) == lagging || !f.ejected["s2"] {
 				t.Errorf("entries %d, requests %d, drained %v", entries, requests, f.ejected["s2"])
 			}
@@ -159,7 +159,7 @@
 	}
 	for range 100 {
 		f.decide()
-		f.answer()
+		f.acknowledgeAll()
 		f.advance(200)
 	}
 	load := map[string]float64{}
@@ -173,7 +173,7 @@
 		}
 	}
 	for _, endpoint := range list {
-		near(t, "proxies' worth of requests at "+endpoint.Server, load[endpoint.Server], 40.0/60, 0.25)
+		checkNear(t, "proxies' worth of requests at "+endpoint.Server, load[endpoint.Server], 40.0/60, 0.25)
 	}
 }
 
@@ -209,7 +209,7 @@
 	for second := 0; b.Loop(); second++ {
 		for range 5 {
 			f.advance(200)
-			f.answer()
+			f.acknowledgeAll()
 			f.decide()
 		}
 		for index, server := range f.planner.servers {
