--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// newAdmission admits all of a class, with the default retry mode unless a rule forbids that. Proxies must
-// then be notified that they may not repeat; a rate that was never sent causes that order.
+// newAdmission admits all requests of a class, with the default retry mode unless that may run a request twice that must not.
+// Proxies must then be notified of the mode, which a sent rate of -1 causes.
 func newAdmission(class TrafficClass, defaultRetry int) admission {
 	if class.Idempotency != Idempotent && defaultRetry > RetryUnprocessed {
 		return admission{target: 1, sent: -1, retry: RetryUnprocessed}
@@ -15,7 +15,8 @@
 	return admission{target: 1, sent: 1, retry: defaultRetry}
 }
 
-// sheddingOrder gives the traffic classes by what they earn for the work they cause, the least first.
+// sheddingOrder returns the traffic classes by value for the work that they cause, lowest first. The latency objective stands
+// for the work of a request.
 func sheddingOrder(classes []TrafficClass) []int {
 	var order []int
 	for index := range classes {
@@ -28,13 +29,14 @@
 	return order
 }
 
-// overloaded says whether requests wait. Failures without a wait are servers that reject us, no full fleet.
+// overloaded reports whether the fleet is overloaded, so that requests wait. Failures without a wait come from servers that
+// reject requests for other reasons.
 func (l fleetLoad) overloaded() bool {
 	late := l.latencyRatio > recoveryThreshold
 	return l.latencyRatio > overloadThreshold || late && l.failureShare > overloadFailureShare
 }
 
-// updateAdmissionIfDue moves the part of all requests that is admitted, down in an overload and up after it.
+// updateAdmissionIfDue adjusts the share of all requests that is admitted, down in an overload and up after it.
 func (p *Policy) updateAdmissionIfDue() {
 	if !p.settings.PartialAdmission || p.nowMs-p.admissionMs < admissionIntervalMs {
 		return
@@ -48,21 +50,22 @@
 	share := p.admittedRate / demand
 	switch {
 	case load.overloaded():
-		// What succeeded is what the fleet can do; admitting less drains the overload. The next step waits
-		// longer, as a second cut before this one shows would be too deep.
+		// The succeeded rate is the capacity of the fleet; admitting less drains the overload. The next step is delayed, as a
+		// second cut before the effect of this one shows would be too deep.
 		p.capacityRate = math.Max(load.succeededRate, capacityRetention*p.capacityRate)
 		p.admissionMs = p.nowMs + admissionCutPauseMs
-		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*recoveryAdmission/demand))
+		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*admittedCapacityShare/demand))
 	case load.waitRatio < recoveryThreshold && load.failureShare < overloadFailureShare:
-		// What succeeded before is admitted again at once.
+		// The rate that succeeded before is admitted again at once.
 		p.capacityRate = math.Max(p.capacityRate, load.succeededRate)
 		increased := share * (1 + admissionIncrease*(1-load.waitRatio/recoveryThreshold))
-		share = math.Max(increased, math.Min(p.capacityRate*recoveryAdmission/demand, 1))
+		share = math.Max(increased, math.Min(p.capacityRate*admittedCapacityShare/demand, 1))
 	}
 	p.shed(math.Max(1-share, 0) * demand)
 }
 
-// shed sets admission rates with which so many requests per second are rejected, first of what earns least.
+// shed sets admission rates that reject excess requests per second in total, first those of the classes with the lowest
+// value for their work.
 func (p *Policy) shed(excess float64) {
 	for _, index := range p.sheddingOrder {
 		class := &p.admission[index]
@@ -73,7 +76,8 @@
 	}
 }
 
-// planAdmission queues the rates that changed. An order about retries that a rule forbids is not held back.
+// planAdmission queues the rates that changed. A first order, which forbids retries that may run a request twice, needs no
+// budget.
 func (p *Policy) planAdmission() {
 	for index := range p.admission {
 		p.enqueue(func(host Host) bool {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// ramp is the part of its capacity that a server may be given. A cold one, and one that was ejected, starts
-// low and doubles; an unverified one stays low.
+// ramp returns the share of its capacity that a server may be assigned. For a cold or readmitted server it starts low and
+// doubles; for an unverified server it stays low.
 func (p *Policy) ramp(server *server) float64 {
 	share := math.Min(1, recoveryShare*math.Exp2((p.nowMs-server.readmittedMs)/recoveryDoublingMs))
 	if p.cold(server) {
@@ -16,15 +16,16 @@
 	return share
 }
 
-// capacities are the paper's C of usable servers in parts of all demand, which is in requests per second.
-// They are scaled to demand with some headroom; those on a ramp are not scaled up.
+// capacities returns C of the paper for usable servers, in shares of the total demand, which is given in requests per second.
+// Capacities are scaled to the demand with some headroom, but those of servers on a ramp are not scaled up.
 func (p *Policy) capacities(servers []*server, demand float64) []float64 {
 	C := make([]float64, len(servers))
 	warmCapacity, warmingCapacity := 0.0, 0.0
 	verified := filter(servers, func(server *server) bool { return !p.unverified(server) })
 	verifiedCapacity := sumBy(verified, func(server *server) float64 { return server.RelativeCapacity })
 	verifiedCapacity = math.Max(verifiedCapacity, minRelativeCapacity)
-	// A ramp is of what the fleet succeeds in: in an overload all requests run to the least busy servers.
+	// Servers on a ramp are assigned a share of what the fleet succeeds in, not of the demand: in an overload, requests would
+	// concentrate on the least busy servers.
 	succeededShare := math.Min(1, math.Max(p.succeededRate, minDemand*demand)/math.Max(demand, minDemand))
 	for j, server := range servers {
 		speed := math.Max(p.relativeSpeed(server), minCapacity)
@@ -37,7 +38,7 @@
 		}
 	}
 	lowLatency := math.Max(0, 1-p.latencyMs/p.latencyObjectiveMs/recoveryThreshold)
-	headroom := capacityHeadroom + recoveryHeadroom*lowLatency
+	headroom := capacityHeadroom + lowLatencyHeadroom*lowLatency
 	for j, server := range servers {
 		if p.ramp(server) >= 1 {
 			C[j] *= math.Max(headroom-warmingCapacity, minWarmCapacity) / warmCapacity
@@ -46,8 +47,8 @@
 	return C
 }
 
-// relativeSpeed is the speed of a server by its baseline latency, 1 for the middle one, less at once while it
-// is more overloaded than the fleet.
+// relativeSpeed returns the speed of a server by its baseline latency, 1 for the median server. It is reduced at once while
+// the server is more overloaded than the fleet, and by its failures.
 func (p *Policy) relativeSpeed(server *server) float64 {
 	if server.baselineMs <= 0 || p.baselineMs <= 0 {
 		return 1
--- a/policy/collections.go
+++ b/policy/collections.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// General helpers on slices; none of them decides anything.
+// This file holds helpers for slices.
 
-// filter gives a new list of the elements that fit.
+// filter returns a new slice of the elements for which keep returns true.
 func filter[T any](list []T, keep func(T) bool) []T {
 	return slices.DeleteFunc(slices.Clone(list), func(x T) bool { return !keep(x) })
 }
 
-// sumBy adds up a figure of all elements, in their order.
+// sumBy returns the sum of a value of all elements, added in their order.
 func sumBy[T any](list []T, value func(T) float64) float64 {
 	total := 0.0
 	for _, x := range list {
@@ -18,7 +18,7 @@
 	return total
 }
 
-// appendBounded appends to a list and drops the oldest elements beyond a limit, in place.
+// appendBounded appends an element, after dropping the oldest ones in place that would exceed the limit.
 func appendBounded[T any](list []T, last T, limit int) []T {
 	if drop := len(list) - limit + 1; drop > 0 {
 		list = slices.Delete(list, 0, drop)
@@ -26,7 +26,7 @@
 	return append(list, last)
 }
 
-// median gives the middle of some figures, the upper of two, and 0 of none.
+// median returns the median of a value of all elements: the upper one of the two in the middle, and 0 for no elements.
 func median[T any](list []T, value func(T) float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -39,7 +39,7 @@
 	return values[len(list)/2]
 }
 
-// serverNames are the names of the servers of some entries.
+// serverNames returns the names of the servers of entries.
 func serverNames(entries []*entry) []string {
 	names := make([]string, 0, len(entries))
 	for _, entry := range entries {
@@ -48,6 +48,7 @@
 	return names
 }
 
+// restoredNames returns the names of the servers of restorations.
 func restoredNames(restored []restoration) []string {
 	names := make([]string, 0, len(restored))
 	for _, pending := range restored {
@@ -56,5 +57,5 @@
 	return names
 }
 
-// single is a list of one recipient.
+// single returns a slice of one recipient.
 func single(recipient *proxy) []*proxy { return []*proxy{recipient} }
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,41 +1,44 @@
-// Package policy decides for one planner which weight tables its proxies follow, which servers are ejected, which part of
-// the requests is admitted, and when each order is sent.
+// Package policy is the decision logic of one planner: which weight table each proxy follows, which servers are ejected,
+// which share of the requests is admitted, and when each order is sent.
 //
-// It has no I/O, no goroutine and no clock, and imports nothing of the module. The same inputs at the same times give the
-// same decisions. All times are float64 ms on a clock of the caller's choice that never goes back.
+// The package does no I/O, starts no goroutine, reads no clock and imports no other package of the module. It is
+// deterministic: the same inputs at the same times lead to the same decisions. All times are float64 ms of a clock that
+// the caller chooses and that never goes back.
 //
-// # How to call it
+// # Usage
 //
-// New starts a planner. Whenever something happens, its owner
+// New creates a Policy. For each event, its caller
 //
 //  1. calls SetTime,
-//  2. calls the inputs that tell what happened: UpdateEndpoints, AddProxy and RemoveProxy, RecordLoadReport and RecordDemandReport,
-//     Acknowledge, SetLagging; they only update what is known, and ignore what is of no known server, proxy or zone,
-//  3. calls Next until it says false. Each call makes at most one decision, by one call on the Host.
+//  2. calls the input methods that describe the event: UpdateEndpoints, AddProxy, RemoveProxy, ExpectInheritedEjections,
+//     RecordLoadReport, RecordDemandReport, Acknowledge or SetLagging. Inputs only update the state; an input about an
+//     unknown server, proxy, zone or traffic class is ignored.
+//  3. calls Next until it returns false. Each call makes at most one decision, as one call of a Host method.
 //
-// Orders between two calls of SetTime share one message for each proxy. Next sets a timer, so that its owner calls SetTime
-// and Next again when nothing happens. After a restart, UpdateEndpoints with RestoredUpdate gives the list as last
-// held, and ExpectInheritedEjections says of each proxy whether it may follow orders of another planner.
+// Orders to a proxy between two calls of SetTime share one message. Next asks the host for a timer, so that SetTime and
+// Next are also called when there is no event. After a restart of the planner, UpdateEndpoints with RestoredUpdate
+// provides the last known endpoint list, and ExpectInheritedEjections marks each proxy that may follow orders of another
+// planner.
 //
-// A Policy has no lock: one goroutine at a time may call it. WriteState may be called at any time between other calls.
+// A Policy has no lock: only one goroutine at a time may call it. WriteState may be called between any two other calls.
 //
-// # Where to find what
+// # Files
 //
-//	policy.go        the order of decisions in an evaluation
-//	outliers.go      ejections and their end
+//	policy.go        the sequence of an evaluation and of its decisions
+//	outliers.go      ejection and readmission of servers
 //	admission.go     admission rates and retry modes
-//	capacity.go      what each server may be given
+//	capacity.go      the capacity that each server is assigned
 //	tables.go        the split of demand and the weights of tables
-//	solver.go        the ADMM solver behind the split
-//	rollout.go       which orders are sent first
-//	pacing.go        what the control channel has room for
-//	constants.go     all tuned values
-//	host.go          settings, and the interface that decisions go through
+//	solver.go        the ADMM solver that computes the split
+//	rollout.go       the order in which changes are sent
+//	pacing.go        the message and entry budget of the control channel
+//	constants.go     all tuning constants
+//	host.go          Settings, and the Host interface that carries out decisions
 //	inputs.go        the input methods
-//	measurements.go  demand and figures of servers; they decide nothing, nor do the files below
-//	state.go         the types of what is known; records.go and problem.go keep them
-//	collections.go   helpers on slices
+//	measurements.go  demand, and statistics of servers and of the fleet
+//	state.go         the types of the state; records.go and problem.go maintain it
+//	collections.go   helpers for slices
 //	view.go          the state as text, for traces
 //
-// The reasons are in docs/design.md.
+// docs/design.md explains the design.
 package policy
--- a/policy/host.go
+++ b/policy/host.go
@@ -1,12 +1,12 @@
 package policy
 
-// Idempotency says what happens when a request of a traffic class runs twice.
+// Idempotency states whether a request of a traffic class may run twice.
 type Idempotency int
 
-// What a class's requests are.
+// Idempotency of the requests of a class.
 const (
 	NonIdempotent Idempotency = iota // must never run twice
-	Deduplicated                     // servers of one scope ignore a repeat within a window, by idempotency key
+	Deduplicated                     // servers of one scope ignore repeats with the same idempotency key for some time
 	Idempotent                       // may run again
 )
 
@@ -18,98 +18,99 @@
 	RetryTwice       = 3 // two retries after any failure
 )
 
-// AllTables is the table number that means every joined proxy to Host.SetAdmission.
+// AllTables is the table number by which Host.SetAdmission addresses every joined proxy.
 const AllTables = 65535
 
-// TrafficClass is what the settings say of a traffic class. Its index there is its number.
+// TrafficClass is a traffic class in the settings. Its index in Settings.Classes is its number.
 type TrafficClass struct {
 	LatencyObjectiveMs float64
-	PriorityWeight     float64 // what a request within the objective is worth, comparable across classes
+	PriorityWeight     float64 // value of a request that meets the objective, comparable across classes
 	Idempotency        Idempotency
-	SameZoneOnly       bool // may go only to servers of the proxy's zone
+	SameZoneOnly       bool // requests may go only to servers in the zone of the proxy
 }
 
-// Settings are given once, when a planner starts. A table entry sent to one proxy is the unit of the channel.
+// Settings are fixed when a planner starts. The load of the control channel is measured in entries: one is a table entry sent
+// to one proxy.
 type Settings struct {
-	Zones                int // numbered from 0
+	Zones                int // number of zones; they are numbered from 0
 	Classes              []TrafficClass
-	DefaultRetry         int     // the retry mode of a proxy that no order has reached
-	PartialAdmission     bool    // proxies heed admission rates between 0 and 1
-	WatchRequired        bool    // the endpoint list comes only to those who ask
-	AssumeNotifiedMs     float64 // a list that comes by itself counts as received after this long
-	Sharded              bool    // tables are key ranges handed out by a store; the policy has none of its own
-	EntriesPerSecond     float64 // that the channel sends when healthy
-	MessageOverhead      float64 // entries that a message costs beyond its own
-	MaxBacklog           float64 // entries that may wait in the channel
-	MaxMessages          int     // messages to one proxy within MessageWindowMs, 0: no limit
+	DefaultRetry         int     // retry mode of proxies until an order sets it
+	PartialAdmission     bool    // proxies support admission rates between 0 and 1
+	WatchRequired        bool    // the endpoint list is sent only on request
+	AssumeNotifiedMs     float64 // time within which an unrequested update of the endpoint list would arrive
+	Sharded              bool    // tables are key ranges that a store assigns; the policy makes none
+	EntriesPerSecond     float64 // rate of the control channel without faults
+	MessageOverhead      float64 // cost of a message in entries, in addition to those that it holds
+	MaxBacklog           float64 // highest number of entries that may wait in the channel
+	MaxMessages          int     // highest number of messages to one proxy within MessageWindowMs; 0: no limit
 	MessageWindowMs      float64
-	MaxPropagationMs     float64 // longest way of a message after the channel
-	ReportIntervalMs     float64 // between two load reports of a server
-	ColdCapacity         float64 // part of its capacity that a server starts with
-	SlowStartMs          float64 // time after which a server is warm
-	DrainGraceMs         float64 // time after which nothing may be sent to a server known to drain
-	ColdOverloadWindowMs float64 // window in which a cold server with too many requests fails
-	CrossZoneCost        float64 // of a request that leaves its zone, in parts of the latency objective
-	Proxies              int     // of all planners
-	Planners             int     // that share the proxies, this one included
-	MinServerConnections float64 // that the smallest server accepts
+	MaxPropagationMs     float64 // longest time from the channel to a proxy
+	ReportIntervalMs     float64 // time between two load reports of a server
+	ColdCapacity         float64 // share of its capacity that a server has when it starts
+	SlowStartMs          float64 // time after its start at which a server has its full capacity
+	DrainGraceMs         float64 // time after which no request may be sent to a draining server
+	ColdOverloadWindowMs float64 // period over which the load of a cold server counts; too many requests in it make it fail
+	CrossZoneCost        float64 // of a request that leaves its zone, as a factor of the latency objective
+	Proxies              int     // number of proxies of all planners
+	Planners             int     // number of planners that share the proxies, including this one
+	MinServerConnections float64 // number of connections that the smallest server accepts
 	IdleTimeoutMs        float64 // time after which a proxy closes an unused connection
-	OmitsEntries         bool    // the host can leave entries out of a table that it assigns, until they are restored
-	ReadmitByWeight      bool    // the host ends an ejection with the first weight, where no table holds the server
+	OmitsEntries         bool    // the host can omit entries from an assigned table until they are restored
+	ReadmitByWeight      bool    // the host readmits a server at a proxy with its first weight in the tables of that proxy
 }
 
-// State of a server in the endpoint list.
+// State is the state of a server in the endpoint list.
 type State int
 
-// States in the order in which a server takes them on.
+// States, in the order in which a server passes through them.
 const (
 	Ready State = iota
 	Draining
 	Removed
 )
 
-// Endpoint is one server of the list.
+// Endpoint is a server in the endpoint list.
 type Endpoint struct {
 	Server           string // its name
 	Zone             int
 	State            State
 	RelativeCapacity float64 // comparable across servers, in any unit
-	StartedMs        float64 // its last start, 0: long past
+	StartedMs        float64 // time of its last start in ms; 0: unknown, long ago
 }
 
-// UpdateKind says what an update of the list holds.
+// UpdateKind states what an update of the endpoint list contains.
 type UpdateKind int
 
 // Kinds of updates.
 const (
-	DeltaUpdate    UpdateKind = iota // only what changed
-	FullUpdate                       // every server there is
-	RestoredUpdate                   // every server as last held before a restart, perhaps stale
+	DeltaUpdate    UpdateKind = iota // only changed servers
+	FullUpdate                       // all servers
+	RestoredUpdate                   // all servers as last known before a restart; may be outdated
 	FailedUpdate                     // nothing: a poll failed
 )
 
-// Host carries out decisions. Each method is one decision, and is called by Policy.Next alone. A host must not change the
-// slices that it is given.
+// Host carries out decisions. Each call of a method is one decision, and is made from within Policy.Next only. A host must not
+// modify the slices that it is passed.
 type Host interface {
-	// SetWeight sets the weight of a server in a table, above 0 to 1; with 0 it leaves the table. It goes to all proxies
-	// that follow the table, and a table exists from its first weight on.
+	// SetWeight sets the weight of a server in a table, up to 1, at all proxies that follow the table; a weight of 0 removes
+	// the server from it. The first weight of a table creates it.
 	SetWeight(table int, server string, weight float64)
-	// AssignTable has a proxy follow a table for some traffic classes. Entries of omitted servers are not sent until
-	// RestoreServers, the end of an ejection, or SetWeight.
+	// AssignTable has a proxy follow a table for some traffic classes. The entries of omitted servers are not sent until
+	// RestoreServers, a readmission or SetWeight sends them.
 	AssignTable(proxy, table int, classes []int, omitted []string)
-	// SetEjected ejects a server, or ends that, at proxies whose tables hold it and, with includeUnassigned, at those
-	// that may follow tables of another planner.
+	// SetEjected ejects or readmits a server at the proxies whose tables hold it and, with includeUnassigned, at those that
+	// may follow tables of another planner.
 	SetEjected(server string, ejected, includeUnassigned bool)
-	// RestoreServers sends a proxy omitted entries, and ends ejections of these servers that another planner may have
-	// ordered there. Servers that are ejected here stay so.
+	// RestoreServers sends a proxy the omitted entries of servers, and ends ejections of them that another planner may have
+	// ordered at it. Servers that this planner has ejected stay ejected.
 	RestoreServers(proxy int, servers []string)
-	// SetAdmission sets the part, 0 to 1, that proxies of a table admit of a traffic class, and its retry mode.
+	// SetAdmission sets the share of a traffic class, from 0 to 1, that the proxies of a table admit, and its retry mode.
 	SetAdmission(table, class int, rate float64, retry int)
-	// RequestAcknowledgement asks each proxy that has a message at this time to acknowledge it with the number, which
-	// Policy.Acknowledge is then called with.
+	// RequestAcknowledgement asks each proxy that is sent a message at this time to acknowledge it with the number. The host
+	// passes each answer to Policy.Acknowledge.
 	RequestAcknowledgement(number int)
-	// WatchEndpoints asks for the endpoint list, which Policy.UpdateEndpoints is then called with.
+	// WatchEndpoints requests the endpoint list. The host passes the answer to Policy.UpdateEndpoints.
 	WatchEndpoints()
-	// SetTimer has Policy.SetTime and Policy.Next called after a time in ms, whatever else happens.
+	// SetTimer asks that Policy.SetTime and Policy.Next are called after a time in ms, even if there is no input before.
 	SetTimer(inMs float64)
 }
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// The inputs record what is known; what follows from it is decided by Next.
+// The input methods only update the state; Next makes the decisions that follow from it.
 
-// New starts a planner that knows nothing yet. The seed is for the spread of polls alone. The planner keeps settings.Classes;
-// its caller must not change them.
+// New returns a Policy without servers and proxies. The seed only affects the random waits between polls. The Policy keeps
+// settings.Classes, which the caller must not change afterwards.
 func New(settings Settings, seed int64) *Policy {
 	p := &Policy{
 		settings:       settings,
@@ -39,7 +39,7 @@
 	return p
 }
 
-// classesByDestination groups traffic classes that may go to the same servers: they share their tables.
+// classesByDestination groups the traffic classes that may go to the same servers. The classes of a group share tables.
 func classesByDestination(classes []TrafficClass) [][]int {
 	var anyZone, sameZone []int
 	for index, class := range classes {
@@ -52,12 +52,12 @@
 	return filter([][]int{anyZone, sameZone}, func(group []int) bool { return len(group) > 0 })
 }
 
-// SetTime sets the time in ms, from any start; it never goes back. Orders until the next SetTime share one message
-// for each proxy.
+// SetTime sets the time in ms, counted from any origin; it never goes back. Orders to a proxy until the next SetTime share
+// one message.
 func (p *Policy) SetTime(nowMs float64) { p.nowMs = nowMs }
 
-// UpdateEndpoints records what discovery says of the endpoint list, or that a poll of it failed. The planner keeps no
-// part of the list. Endpoints of zones that the settings do not have are ignored.
+// UpdateEndpoints records an update of the endpoint list from discovery, or that a poll of it failed. The list is not
+// retained. Endpoints of zones that the settings do not have are ignored.
 func (p *Policy) UpdateEndpoints(kind UpdateKind, list []Endpoint) {
 	if kind == FailedUpdate {
 		p.backOffPolling()
@@ -103,8 +103,8 @@
 	return known
 }
 
-// setState records a change of a server's state in the list. One ejected while ready may have come into tables that
-// were not notified since, so its ejection does not hold for a drain.
+// setState records a change of a server's state in the list. If the server was ejected while ready, tables that it was
+// added to since may not be notified of that. So it counts as not ejected, and its drain ejects it at all of its proxies.
 func (p *Policy) setState(server *server, state State) {
 	if state == server.State {
 		return
@@ -114,7 +114,7 @@
 	server.stateChangedMs = p.nowMs
 }
 
-// forgetRemoved drops the servers of which nothing is left to decide, once their ejections have ended.
+// forgetRemoved deletes servers that were removed long ago, once their ejections have ended.
 func (p *Policy) forgetRemoved() {
 	p.servers = filter(p.servers, func(server *server) bool {
 		if server.ejected || !p.expired(server) {
@@ -128,9 +128,9 @@
 	})
 }
 
-// AddProxy records that a proxy joined, or joined anew: its id, its zone, the requests per second that it says it usually
-// gets, and the times in ms of messages that another planner sent it, oldest first. These count in its message span.
-// A proxy of a zone that the settings do not have is ignored.
+// AddProxy records that a proxy joined or rejoined: its id, its zone, the requests per second that it usually gets by its
+// own statement, and the times in ms of the messages that another planner sent it, oldest first. These count towards
+// Settings.MaxMessages. A proxy of a zone that the settings do not have is ignored.
 func (p *Policy) AddProxy(id, zone int, usualRate float64, messageTimes ...float64) {
 	p.RemoveProxy(id)
 	if zone < 0 || zone >= p.settings.Zones {
@@ -148,7 +148,8 @@
 		demand:           make([][]sample, len(p.admission)),
 		tables:           make([]*table, p.classGroups),
 	}
-	if p.anySuccess && len(messageTimes) > 0 { // taken over: another had its reports since then, and we have those of others
+	// A proxy taken over from another planner is not new: its demand was reported there, and load reports are known here.
+	if p.anySuccess && len(messageTimes) > 0 {
 		joined.joinedMs = math.Min(joined.joinedMs, messageTimes[0])
 	}
 	p.byID[id] = joined
@@ -156,15 +157,15 @@
 	p.dirty = true
 }
 
-// ExpectInheritedEjections records that a joined proxy may hold tables and ejections of another planner.
-// Host.RestoreServers ends these.
+// ExpectInheritedEjections records that a joined proxy may hold tables and ejections of another planner. Assigned tables
+// replace the former, and Host.RestoreServers ends the latter.
 func (p *Policy) ExpectInheritedEjections(id int) {
 	if proxy := p.byID[id]; proxy != nil {
 		proxy.inheritedEjections = true
 	}
 }
 
-// RemoveProxy records that a proxy left. What was ordered to it stays in the channel until that has drained.
+// RemoveProxy records that a proxy left. Its unacknowledged entries count as backlog until the channel has drained them.
 func (p *Policy) RemoveProxy(id int) {
 	leaving := p.byID[id]
 	if leaving == nil {
@@ -176,8 +177,9 @@
 	p.proxies = filter(p.proxies, func(proxy *proxy) bool { return proxy != leaving })
 }
 
-// RecordLoadReport records a server's load report: of the attempts that came from a zone within coversMs, how many failed,
-// and the mean latency in ms of those that succeeded. One of an unknown server or zone, or of no attempt, is ignored.
+// RecordLoadReport records a load report of a server: the number of attempts from the proxies of a zone in a period of
+// coversMs, how many of them failed, and the mean latency in ms of the successful ones. A report of an unknown server or
+// zone, or without attempts, is ignored.
 func (p *Policy) RecordLoadReport(name string, zone, count, failed int, latencyMs, coversMs float64) {
 	server := p.byName[name]
 	if server == nil || count <= 0 || zone < 0 || zone >= p.settings.Zones {
@@ -198,8 +200,8 @@
 	server.samples = appendBounded(server.samples, report, maxSamples*min(p.settings.Zones, maxSampleZones))
 }
 
-// RecordDemandReport records a proxy's demand report: the requests of a traffic class that came to it within coversMs, and how
-// many of them failed. One of an unknown proxy or class is ignored.
+// RecordDemandReport records a demand report of a proxy: the number of requests of a traffic class that it received in a
+// period of coversMs, and how many of them failed. A report of an unknown proxy or class is ignored.
 func (p *Policy) RecordDemandReport(id, class, count, failed int, coversMs float64) {
 	proxy := p.byID[id]
 	if proxy == nil || class < 0 || class >= len(proxy.demand) {
@@ -215,8 +217,8 @@
 	proxy.demand[class] = appendBounded(proxy.demand[class], report, maxSamples)
 }
 
-// Acknowledge records that a proxy answered Host.RequestAcknowledgement, tookMs after the request. What was ordered to it
-// before has arrived; the same holds of earlier requests whose answers were lost.
+// Acknowledge records that a proxy answered Host.RequestAcknowledgement, tookMs after the request. All that was ordered to
+// the proxy before that request has arrived, including what earlier requests asked for whose answers were lost.
 func (p *Policy) Acknowledge(id, number int, tookMs float64) {
 	p.observeChannel(tookMs)
 	proxy := p.byID[id]
@@ -229,6 +231,6 @@
 	})
 }
 
-// SetLagging records whether load reports reach the planner late. Deferrable entries and acknowledgements that are not
-// needed rest meanwhile.
+// SetLagging records whether load reports reach the planner late. While they do, no deferrable entries are sent, and only
+// necessary acknowledgements are requested.
 func (p *Policy) SetLagging(on bool) { p.lagging = on }
--- a/policy/measurements.go
+++ b/policy/measurements.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Measurements are what decisions go by: demand, and figures of servers and of the fleet. They decide nothing.
+// This file computes the demand and the statistics of servers and fleet that decisions are based on. It decides nothing.
 
-// evaluate works out the figures that decisions need of servers, proxies and tables.
+// evaluate updates the statistics of servers, proxies and tables.
 func (p *Policy) evaluate() {
 	p.updateReportRound()
 	p.evaluateServers()
@@ -26,15 +26,15 @@
 	p.updateLatencyObjective()
 }
 
-// updateReportRound sets how far reports are looked back for. A round of them, in which each server reports once,
-// takes longer where there are more than the intake lets through.
+// updateReportRound sets the age up to which reports count. A round, in which each server reports once, takes longer than
+// the report interval where the intake of the planner limits the rate of reports.
 func (p *Policy) updateReportRound() {
 	medianCoversMs := median(p.reportCoversMs, func(coversMs float64) float64 { return coversMs })
 	p.roundMs = math.Max(p.settings.ReportIntervalMs, medianCoversMs)
-	p.windowMs = math.Max(minWindowMs, reportRounds*p.roundMs)
+	p.windowMs = math.Max(minWindowMs, windowRounds*p.roundMs)
 }
 
-// evaluateServers works out each server's figures and those of the middle one of the fleet.
+// evaluateServers updates the statistics of each server, and of the fleet by its median server.
 func (p *Policy) evaluateServers() {
 	p.succeededRate = 0
 	for _, server := range p.servers {
@@ -56,7 +56,7 @@
 	})
 }
 
-// countDemand adds a proxy's demand to its tables and to the traffic classes.
+// countDemand adds the demand of a proxy to its tables and to the traffic classes.
 func (p *Policy) countDemand(proxy *proxy) {
 	for group := range p.classGroups {
 		client := p.clients[proxy.zone*p.classGroups+group]
@@ -79,10 +79,11 @@
 	}
 }
 
-// demandOf gives a proxy's requests per second of a traffic class: by its own statement until it reports.
+// demandOf returns the requests per second of a traffic class at a proxy. Until the proxy reports its demand, this is an
+// equal part of the rate that it expected when it joined.
 func (p *Policy) demandOf(proxy *proxy, class int) float64 {
 	coversMs, requests := 0.0, 0.0
-	for index := range proxy.demand[class] { // by index, as there are many proxies
+	for index := range proxy.demand[class] { // by index, as copies of samples are slow with many proxies
 		report := &proxy.demand[class][index]
 		if report.atMs > p.nowMs-p.windowMs {
 			coversMs += report.coversMs
@@ -95,7 +96,7 @@
 	return proxy.expectedRate / float64(len(p.admission))
 }
 
-// updateLatencyObjective works out the admitted rate and, weighted by it, the mean latency objective in ms.
+// updateLatencyObjective updates the admitted rate and the mean latency objective in ms, weighted by the rates of classes.
 func (p *Policy) updateLatencyObjective() {
 	p.admittedRate = 0
 	p.latencyObjectiveMs = 0
@@ -107,15 +108,16 @@
 	p.latencyObjectiveMs /= p.admittedRate + idleClassRate*float64(len(p.admission))
 }
 
-// fleetLoad is what the last round of load reports says of the fleet. Older ones are from before the last step.
+// fleetLoad is the load of the fleet by the last round of load reports. Older reports would show the time before the last
+// admission step.
 type fleetLoad struct {
-	latencyRatio  float64 // of the middle server, over the latency objective
-	waitRatio     float64 // latency above the baseline, over what the objective leaves for it
-	failureShare  float64 // of the middle server
-	succeededRate float64 // requests per second
+	latencyRatio  float64 // latency of the median server over the latency objective
+	waitRatio     float64 // its latency above the baseline, over the wait that the objective allows
+	failureShare  float64 // of the median server
+	succeededRate float64 // successful requests per second
 }
 
-// fleetLoad counts usable servers alone for what is of the middle one, and all for the succeeded rate.
+// fleetLoad computes medians over the usable, verified servers, and the succeeded rate over all servers.
 func (p *Policy) fleetLoad() fleetLoad {
 	used := filter(p.servers, func(server *server) bool {
 		return server.usable() && !p.unverified(server) && server.lastRound.attempts() > 0
@@ -136,15 +138,16 @@
 	}
 }
 
-// aggregateReports works out what a server's load reports since its last change say, by period and in all.
+// aggregateReports merges the load reports of a server and updates its statistics from them.
 func (p *Policy) aggregateReports(server *server) {
-	server.mergeReports(p.settings.ReportIntervalMs * maxPeriodGap)
+	server.mergeReports(p.settings.ReportIntervalMs * mergeGapShare)
 	server.baselineMs = p.baselineOf(server.reports)
 	server.windowed = server.recent(p.nowMs - p.windowMs)
-	server.lastRound = server.recent(p.nowMs - admissionRounds*p.roundMs)
+	server.lastRound = server.recent(p.nowMs - admissionWindowRounds*p.roundMs)
 }
 
-// updateDemand takes over the demand of each client. It gives that of all, and what moved from one to another.
+// updateDemand sets the demand of each client to that of its tables. It returns the total, and how much of it moved from
+// one client to another.
 func (p *Policy) updateDemand() (total, moved float64) {
 	for _, client := range p.clients {
 		demand := sumBy(client.tables, func(table *table) float64 { return table.rate })
@@ -155,8 +158,8 @@
 	return total, moved
 }
 
-// mergeReports puts the load reports since the server's last change together by period, with those of all zones: one
-// alone is noisy. Reports further apart than a gap in ms are of different periods.
+// mergeReports merges the load reports since evidenceFromMs that are of the same period, from all zones, as a single one is
+// noisy. Reports more than gapMs apart belong to different periods.
 func (s *server) mergeReports(gapMs float64) {
 	s.reports = s.reports[:0]
 	for _, report := range s.samples {
@@ -176,7 +179,7 @@
 	}
 }
 
-// recent adds up the server's reports since a time.
+// recent returns the sum of the merged reports after a time.
 func (s *server) recent(sinceMs float64) sample {
 	var total sample
 	for _, report := range s.reports {
@@ -190,8 +193,8 @@
 	return total
 }
 
-// zoneLatencies are the lowest baseline latencies of each zone in ms. Within a zone, lows show the speed of
-// servers, which their capacities have already.
+// zoneLatencies returns the lowest baseline latency of each zone in ms. Differences within a zone show the speed of servers,
+// which capacities account for already.
 func (p *Policy) zoneLatencies(servers []*server) []float64 {
 	lowest := slices.Repeat([]float64{p.typicalLatency()}, p.settings.Zones)
 	for _, server := range servers {
@@ -202,10 +205,10 @@
 	return lowest
 }
 
-// typicalLatency is the unit of costs in ms; above 0 before there are reports.
+// typicalLatency returns the latency in ms that costs are relative to; above 0 even before there are reports.
 func (p *Policy) typicalLatency() float64 { return math.Max(p.baselineMs, 1) }
 
-// baselineOf is the lower quartile of latencies in ms, 0 where no report has enough successes.
+// baselineOf returns the lower quartile of reported latencies in ms, or 0 where no report has enough successes.
 func (p *Policy) baselineOf(reports []sample) float64 {
 	p.baselineScratch = p.baselineScratch[:0]
 	for _, report := range reports {
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -2,59 +2,60 @@
 
 import "math"
 
-// unverified says whether a server is new to the list and never succeeded, though it is said to run since
-// long ago: a wrong list may name some that are not ours. One that says when it started is new, and has slow
-// start. Harm: a wrong list with start times would be believed until the evidence is in.
+// unverified reports whether a server is new in the list and never succeeded, although it has no start time and so should
+// have been running for long: a wrong list may name servers of another fleet. A server with a start time is really new, and
+// goes through slow start. So a wrong list with start times is trusted until there is evidence against its servers.
 func (p *Policy) unverified(server *server) bool {
 	return p.anySuccess && !server.hasSucceeded && server.discoveredLate && server.StartedMs == 0
 }
 
-// restartServer is about a server that came back cold under its old name: its reports are void. What old
-// tables sent it counts as overload of a cold server, so it rests until that is out of the window.
+// restartServer records that a server restarted under its name, and drops its history. If it is cold, it is ejected until the
+// requests that proxies sent it by the weights of before have left its overload window.
 func (p *Policy) restartServer(server *server, startedMs float64) {
 	server.resetHistory(p.nowMs)
 	server.unhealthy = startedMs > p.nowMs-p.settings.SlowStartMs
 	server.unhealthyUntilMs = p.nowMs + p.settings.ColdOverloadWindowMs + p.settings.MaxPropagationMs
 }
 
-// expired says whether nothing is left to decide of a server: its ejection ends, and then it is forgotten.
+// expired reports whether a server was removed long ago and no table holds it. Its ejection ends, and then it is deleted.
 func (p *Policy) expired(server *server) bool {
 	return server.State == Removed && p.nowMs-server.stateChangedMs > forgetRemovedMs && !server.inAnyTable()
 }
 
-// updateEjections runs the sequential test on each ready server and ends ejections whose time has come. Many
-// outliers at once are more likely a fault of reports, so only some of the fleet may be out.
+// updateEjections applies the sequential test to each ready server, and readmits those whose ejection has ended. Many
+// outliers at once are more likely a fault of the reports, so only a share of the fleet may be ejected.
 func (p *Policy) updateEjections() {
 	verified := func(server *server) bool { return server.State == Ready && !p.unverified(server) }
 	fleet := filter(p.servers, verified)
 	size := float64(len(fleet))
-	ejected := float64(1 + len(fleet) - len(filter(fleet, (*server).usable))) // if one more is
+	ejected := float64(1 + len(fleet) - len(filter(fleet, (*server).usable))) // with one more than now
 	uncertain := p.demandUncertain()
 	for _, server := range p.servers {
 		switch {
 		case server.State != Ready || server.unhealthy && p.nowMs < server.unhealthyUntilMs:
 		case server.unhealthy:
 			p.readmit(server)
-		case p.cold(server) && uncertain && ejected <= maxEjectedForColdRest*size:
-			// Proxies keep away from servers that fail and try others: a cold one would get it all.
+		case p.cold(server) && uncertain && ejected <= maxColdRestShare*size:
+			// Proxies avoid servers that fail and try others, so that a cold one would be flooded.
 			server.unhealthy = true
 			server.unhealthyUntilMs = p.nowMs + p.settings.ColdOverloadWindowMs
 			p.serversChanged = true
 			ejected++
-		case p.evidence(server) >= ejectionThreshold && ejected <= maxEjected*size:
+		case p.evidence(server) >= ejectionThreshold && ejected <= maxEjectedShare*size:
 			p.eject(server)
 			ejected++
 		}
 	}
 }
 
-// demandUncertain says whether much fails, or may fail before reports show it as many proxies are new.
+// demandUncertain reports whether many attempts fail, or many proxies are new, so that many attempts may fail before load
+// reports show it.
 func (p *Policy) demandUncertain() bool {
 	added := filter(p.proxies, func(proxy *proxy) bool { return p.nowMs-proxy.joinedMs < ejectionMs })
-	return p.failureShare > maxEjected || len(added) > len(p.proxies)/newProxyDivisor
+	return p.failureShare > maxEjectedShare || len(added) > len(p.proxies)/newProxyDivisor
 }
 
-// eject takes a server out for a time that doubles with each ejection.
+// eject marks a server as unhealthy for a time that doubles with each ejection.
 func (p *Policy) eject(server *server) {
 	durationMs := math.Min(ejectionMs*math.Exp2(float64(server.ejections)), maxEjectionMs)
 	server.unhealthy = true
@@ -64,8 +65,8 @@
 	p.serversChanged = true
 }
 
-// evidence is a CUSUM of log likelihood ratios in nats that a server is dead rather than sound, by failures
-// and by silence where requests were sent.
+// evidence returns a CUSUM of log-likelihood ratios, in nats, that a server is dead rather than healthy: from its failures,
+// and from missing load reports while requests were sent to it.
 func (p *Policy) evidence(server *server) float64 {
 	score, silentFromMs := p.failureEvidence(server)
 	score += p.silenceEvidence(server, silentFromMs)
@@ -75,35 +76,35 @@
 	return score
 }
 
-// failureEvidence adds up load reports on requests sent after the server's last change. It also gives the
-// time in ms from which on the server is silent. A sound server may be full, and the more so the more the
-// middle one fails.
+// failureEvidence sums the evidence of load reports on requests that were sent after evidenceFromMs. It also returns the time
+// in ms since when load reports of the server are missing. A healthy server may be overloaded, which explains a higher share
+// of failures the more the median server fails.
 func (p *Policy) failureEvidence(server *server) (score, silentFromMs float64) {
 	healthyFailureShare := math.Max(minOverloadFailureShare, overloadFailureFactor*p.failureShare)
 	healthyFailureShare = math.Min(healthyFailureShare, maxOverloadFailureShare)
 	failureNats := math.Log(deadFailureShare / healthyFailureShare)
 	successNats := math.Log((1 - deadFailureShare) / (1 - healthyFailureShare))
 	delayMs := p.settings.MaxPropagationMs + p.settings.ReportIntervalMs
-	silentFromMs = math.Max(server.evidenceFromMs, server.addedMs) + math.Max(delayMs, ejectionMs-reportRounds*p.roundMs)
+	silentFromMs = math.Max(server.evidenceFromMs, server.addedMs) + math.Max(delayMs, ejectionMs-windowRounds*p.roundMs)
 	for _, report := range server.reports {
 		if report.atMs <= server.evidenceFromMs+delayMs {
 			continue
 		}
 		nats := report.failed*failureNats + report.succeeded*successNats
-		score += math.Max(-maxSampleEvidence, math.Min(nats, maxSampleEvidence))
+		score += math.Max(-maxReportEvidence, math.Min(nats, maxReportEvidence))
 		score = math.Max(0, score)
 		silentFromMs = math.Max(report.atMs, server.addedMs+delayMs)
 	}
 	return score, silentFromMs
 }
 
-// silenceEvidence is about reports that are missing since a time. A round of reports is longer the more there
-// are; so only what is missing from a round counts as silence.
+// silenceEvidence returns the evidence of load reports that are missing since silentFromMs. As rounds of load reports may be
+// long, only the time beyond windowRounds of them counts.
 func (p *Policy) silenceEvidence(server *server, silentFromMs float64) float64 {
-	silentMs := p.reportedMs - silentFromMs - reportRounds*p.roundMs
+	silentMs := p.reportedMs - silentFromMs - windowRounds*p.roundMs
 	if silentMs <= 0 || server.ejected {
 		return 0
 	}
 	sent := sumBy(server.entries, func(entry *entry) float64 { return entry.sent * entry.table.rate }) / 1000
-	return silentMs * math.Min(sent, maxSampleEvidence/p.settings.ReportIntervalMs)
+	return silentMs * math.Min(sent, maxReportEvidence/p.settings.ReportIntervalMs)
 }
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// observeChannel takes the channel for slow when an acknowledgement took twice the longest way.
+// observeChannel regards the channel as slow if an acknowledgement took more than twice the longest propagation.
 func (p *Policy) observeChannel(tookMs float64) {
 	p.channelSlow = tookMs > lateAcknowledgementFactor*p.settings.MaxPropagationMs
 }
 
-// updateBacklog gives the backlog as of now: entries, and messages as entries, that wait in the channel. It
-// drains at the channel's rate, and is never more than what has not arrived for all that is known.
+// updateBacklog updates and returns the backlog, which is the number of entries that wait in the channel, with message
+// overhead. It drains at the rate of the channel, and never exceeds what is not known to have arrived.
 func (p *Policy) updateBacklog() float64 {
 	drained := (p.nowMs - p.backlogUpdatedMs) * p.settings.EntriesPerSecond / 1000
 	if p.channelSlow {
@@ -20,7 +20,8 @@
 	return p.backlog
 }
 
-// spendBudget counts an order of so many entries to each of some proxies, if its urgency has room for it.
+// spendBudget spends the budget for an order of this many entries to each recipient, and reports whether there was room for
+// its urgency.
 func (p *Policy) spendBudget(entries float64, recipients []*proxy, urgency int) bool {
 	messaged := filter(recipients, func(proxy *proxy) bool { return !proxy.hasMessageAt(p.nowMs) })
 	if !p.withinMessageLimit(messaged, urgency) {
@@ -29,7 +30,7 @@
 	cost := entries*float64(len(recipients)) + p.settings.MessageOverhead*float64(len(messaged))
 	full := p.updateBacklog()+cost > p.settings.MaxBacklog*backlogShare[urgency] ||
 		p.unacknowledged()+cost > p.settings.MaxBacklog*max(backlogShare[required], backlogShare[urgency])
-	// An empty channel takes what is required, however large: guards against waiting for ever.
+	// An empty channel takes any required order, as one that is larger than the limit would wait for ever.
 	if full && (p.unacknowledged() > 0 || urgency < required) {
 		return false
 	}
@@ -37,7 +38,7 @@
 	return true
 }
 
-// withinMessageLimit says whether each of some proxies may get another message within its span.
+// withinMessageLimit reports whether each recipient may be sent one more message within MessageWindowMs.
 func (p *Policy) withinMessageLimit(recipients []*proxy, urgency int) bool {
 	limit := float64(p.settings.MaxMessages) * messageShare[urgency]
 	if limit <= 0 {
@@ -53,7 +54,8 @@
 	return true
 }
 
-// requestAcknowledgements requests those of this evaluation's messages: each solve, more while much may wait.
+// requestAcknowledgements requests acknowledgements of the messages sent at this time: once for each solve, and more often
+// while much may wait in the channel.
 func (p *Policy) requestAcknowledgements(host Host) bool {
 	optional := p.acknowledgedSolve == p.solves || p.lagging
 	if optional && p.unacknowledged() < p.settings.MaxBacklog*backlogShare[urgent]*lowBacklogShare {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Next makes at most one decision, by one call on the host, and says whether it did. Its caller calls it
-// until it says false. It evaluates the fleet anew from time to time, and when endpoints or proxies changed.
+// Next makes at most one decision, as one call of a Host method, and reports whether it did. The caller repeats it until
+// it returns false. The fleet is evaluated once every evaluationIntervalMs, and when endpoints or proxies changed.
 func (p *Policy) Next(host Host) bool {
 	if p.nowMs-p.evaluatedMs >= evaluationIntervalMs || p.dirty {
 		p.evaluatedMs = p.nowMs
@@ -29,7 +29,7 @@
 	return true
 }
 
-// pollEndpoints asks for the endpoint list where it comes on request alone, until an update arrives.
+// pollEndpoints requests the endpoint list, where it is sent on request only, until an update arrives.
 func (p *Policy) pollEndpoints(host Host) bool {
 	if !p.settings.WatchRequired || p.watching || p.nowMs < p.pollMs {
 		return false
@@ -39,7 +39,7 @@
 	return true
 }
 
-// backOffPolling waits twice as long after each failed poll, spread so that planners do not poll together.
+// backOffPolling doubles the wait after each failed poll. The wait is random, so that planners do not poll together.
 func (p *Policy) backOffPolling() {
 	p.watching = false
 	p.pollMs = p.nowMs + p.pollBackoff*(pollSpread+p.random.Float64())
--- a/policy/problem.go
+++ b/policy/problem.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// splitProblem is what one solve works on: clients i, servers j, and the paper's letters for the rest.
+// splitProblem is the input and state of one solve, with the letters of the paper: i is a client, j a server.
 type splitProblem struct {
 	servers  []*server
-	clients  []*client   // ours, then those of proxies that do not report to us
+	clients  []*client   // of this planner, then one of unobserved proxies for each zone
 	D        []float64   // demand of each client, 1 on average
 	C        []float64   // capacity of each server in the unit of D
 	capacity float64     // sum of C
-	cost     [][]float64 // of a client's request at a server; infinite where it may not go
+	cost     [][]float64 // L of the paper, by i and j; infinite where the client may not use the server
 	cells    [][]cell
 }
 
-// newProblem gives the solver its demand, capacities and costs. D averages 1, and costs are divided by the middle
-// latency and the number of servers, as ADMM-20 converges by then with rho 1.
+// newProblem sets up demand, capacities and costs for the solver. D has a mean of 1, and costs are relative to the median
+// baseline latency and divided by the number of servers; at this scale, ADMM-20 converges with rho 1.
 func (p *Policy) newProblem(servers []*server, clients []*client, demand float64) splitProblem {
 	problem := splitProblem{
 		servers: servers,
@@ -42,7 +42,8 @@
 	return problem
 }
 
-// initCells begins with what the last solve left, or anew with shares by capacity and no prices.
+// initCells starts from the cells of the last solve, or, for a new pair or with reset, from shares proportional to capacity
+// and no prices.
 func (s *splitProblem) initCells(reset bool) {
 	for i, client := range s.clients {
 		s.cells[i] = make([]cell, len(s.servers))
@@ -59,7 +60,7 @@
 	}
 }
 
-// load is what the split sends to each server, in the unit of C.
+// load returns what the split sends to each server, in the unit of C.
 func (s *splitProblem) load() []float64 {
 	load := make([]float64, len(s.servers))
 	for i := range s.cells {
@@ -70,15 +71,15 @@
 	return load
 }
 
-// serverShare is the share of a client's requests that a server should get, and its entries in the client's tables.
+// serverShare is the share of a client's requests that a server is to get, and its entries in the client's tables.
 type serverShare struct {
 	server  *server
 	share   float64
 	entries []*entry
-	rank    int // in the order in which a table takes servers
+	rank    int // order in which a table selects servers, lowest first
 }
 
-// createTables gives each client so many cohorts, a table each.
+// createTables creates the cohorts of each client, with one table each.
 func (p *Policy) createTables(cohorts int) {
 	for _, client := range p.clients {
 		for range cohorts {
@@ -89,7 +90,7 @@
 	}
 }
 
-// entryOf gives the server's entry in a table, a new one where it has none.
+// entryOf returns the entry of a server in the table, which it creates if there is none.
 func (t *table) entryOf(server *server) *entry {
 	known := slices.IndexFunc(server.entries, func(entry *entry) bool { return entry.table == t })
 	if known >= 0 {
@@ -101,15 +102,15 @@
 	return created
 }
 
-// uses says whether proxies of a table were sent a weight of the server.
+// uses reports whether the proxies of the table hold the server.
 func (t *table) uses(server *server) bool {
 	return slices.ContainsFunc(server.entries, func(entry *entry) bool { return entry.table == t && entry.inUse() })
 }
 
-// live says whether an entry is wanted, or has to be taken back still.
+// live reports whether the entry has a target, or is still to be removed from the proxies.
 func (e *entry) live() bool { return e.target > 0 || e.sent > 0 }
 
-// demand is what an entry's target gives the server.
+// demand returns the requests per second that the target of the entry sends to the server.
 func (e *entry) demand() float64 { return e.target * e.table.demand() }
 
 func (s *server) inAnyTable() bool { return slices.ContainsFunc(s.entries, (*entry).inUse) }
@@ -122,7 +123,7 @@
 	}
 }
 
-// recordSolve records that tables are as of now.
+// recordSolve records that all tables were just solved for.
 func (p *Policy) recordSolve() {
 	p.solvedMs = p.nowMs
 	p.serversChanged = false
@@ -130,7 +131,7 @@
 	p.solves++
 }
 
-// eachEntry visits the entries of all shares, in their order.
+// eachEntry calls visit for the entries of all shares, in their order.
 func eachEntry(shares []*serverShare, visit func(share *serverShare, entry *entry)) {
 	for _, share := range shares {
 		for _, entry := range share.entries {
--- a/policy/records.go
+++ b/policy/records.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// Records of what was ordered and decided, and plain questions about them.
+// This file records what was decided and ordered, and answers queries on these records.
 
-// hasMessageAt says whether a proxy gets a message at this time already, which further orders share.
+// hasMessageAt reports whether a message to the proxy is already due at this time, which further orders share.
 func (p *proxy) hasMessageAt(nowMs float64) bool {
 	return len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == nowMs
 }
 
-// countOrder adds an order to the backlog and to what each recipient was sent; first are those that had no message yet.
+// countOrder adds an order to the backlog and to what was ordered to each recipient. The recipients in messaged had no
+// message at this time yet, so the order begins one.
 func (p *Policy) countOrder(entries, cost float64, recipients, messaged []*proxy) {
 	p.backlog += cost
 	for _, proxy := range recipients {
@@ -21,7 +22,8 @@
 	}
 }
 
-// countRequests adds requests for acknowledgements to the backlog, and what each will show to have arrived.
+// countRequests adds requests for acknowledgements to the backlog, and notes for each what its acknowledgement will show to
+// have arrived.
 func (p *Policy) countRequests(recipients []*proxy) {
 	p.acknowledgedSolve = p.solves
 	for _, proxy := range recipients {
@@ -35,15 +37,17 @@
 	p.pendingDecisions = append(p.pendingDecisions, decisions...)
 }
 
-// inUse says whether proxies were sent a weight of the entry.
+// inUse reports whether the proxies of the table hold the entry.
 func (e *entry) inUse() bool { return e.sent > 0 }
 
-// mayFollowOtherPlanner says whether a proxy may follow tables of another planner, as it has not all of ours yet.
+// mayFollowOtherPlanner reports whether the proxy may still follow a table of another planner, as it was not assigned all of
+// its tables here.
 func (p *proxy) mayFollowOtherPlanner() bool {
 	return p.inheritedEjections && slices.Contains(p.tables, nil)
 }
 
-// mayUse says whether a table of the proxy holds a server, or may, where others gave it one that we do not know.
+// mayUse reports whether a table of the proxy holds the server. For a table of another planner, whose entries are unknown
+// here, it reports unknownTables.
 func (p *proxy) mayUse(server *server, unknownTables bool) bool {
 	return slices.ContainsFunc(p.tables, func(table *table) bool {
 		if table == nil {
@@ -53,7 +57,7 @@
 	})
 }
 
-// mayInheritEjection says whether another planner may have ejected the entry's server at the proxy.
+// mayInheritEjection reports whether another planner may have ejected the entry's server at the proxy.
 func (p *proxy) mayInheritEjection(entry *entry) bool {
 	return p.inheritedEjections && entry.inUse() && !entry.server.ejected && !p.ejected[entry.server]
 }
@@ -62,14 +66,14 @@
 	return slices.ContainsFunc(p.pendingRestorations, func(pending restoration) bool { return pending.server == server })
 }
 
-// takePrepaidRestorations gives the number of restorations that are paid for, once.
+// takePrepaidRestorations returns the number of restorations whose budget was spent already, and resets it.
 func (p *proxy) takePrepaidRestorations() int {
 	count := p.prepaidRestorations
 	p.prepaidRestorations = 0
 	return count
 }
 
-// recordAssignment records that a proxy was assigned a table, with the ejections as they are.
+// recordAssignment records that the proxy was assigned a table, and with it the current ejections of its servers.
 func (p *proxy) recordAssignment(group int, table *table) {
 	p.tables[group] = table
 	table.proxies = append(table.proxies, p)
@@ -78,9 +82,9 @@
 	}
 }
 
-// expectRestorations records what a proxy has yet to be sent after an assignment.
+// expectRestorations records what the proxy is yet to be sent after an assignment.
 func (p *proxy) expectRestorations(inherited, omitted []*entry) {
-	var added []restoration // before what an earlier table left, as its heaviest are restored with it
+	var added []restoration // go before those of earlier tables: the first ones are sent with this table
 	for _, entry := range inherited {
 		pending := restoration{server: entry.server, entries: 1}
 		if slices.Contains(omitted, entry) {
@@ -91,7 +95,7 @@
 	p.pendingRestorations = append(added, p.pendingRestorations...)
 }
 
-// hasTables says whether there is something to assign to a proxy in each part of its zone.
+// hasTables reports whether the proxy has a table with entries in use for each class group.
 func (p *Policy) hasTables(proxy *proxy) bool {
 	for _, client := range p.clients[proxy.zone*p.classGroups : (proxy.zone+1)*p.classGroups] {
 		if proxy.cohort < 0 || !slices.ContainsFunc(client.tables[proxy.cohort].entries, (*entry).inUse) {
@@ -101,7 +105,7 @@
 	return true
 }
 
-// recordWeight records that an entry was sent to the proxies of its table.
+// recordWeight records that an entry was sent to the proxies of its table, and with it the ejection of its server.
 func (p *Policy) recordWeight(entry *entry, urgent bool) {
 	if entry.sent == 0 {
 		entry.server.addedMs = p.nowMs
@@ -115,7 +119,7 @@
 	}
 }
 
-// recordEjection records that an ejection, or its end, was ordered to some proxies.
+// recordEjection records that an ejection or a readmission was ordered to the recipients.
 func (s *server) recordEjection(ejected bool, recipients []*proxy) {
 	s.ejected = ejected
 	for _, proxy := range recipients {
@@ -123,7 +127,7 @@
 	}
 }
 
-// awaitsReadmission says whether the end of an ejection has not been ordered to the proxy.
+// awaitsReadmission reports whether the entry's server was readmitted, but not yet at the proxy.
 func (p *proxy) awaitsReadmission(entry *entry) bool {
 	return !entry.server.ejected && p.ejected[entry.server]
 }
@@ -132,15 +136,15 @@
 	return slices.ContainsFunc(p.proxies, (*proxy).mayFollowOtherPlanner)
 }
 
-// unacknowledged are the entries that no acknowledgement shows to have arrived: at the most, these wait, however slow
-// the channel is. Those to proxies that left count until the channel could have sent them.
+// unacknowledged returns the number of entries that no acknowledgement shows to have arrived. The backlog is never larger,
+// however slow the channel is. Entries to proxies that left count until the channel has had time to send them.
 func (p *Policy) unacknowledged() float64 {
 	return p.departedBacklog + sumBy(p.proxies, func(proxy *proxy) float64 {
 		return proxy.ordered - proxy.acknowledged
 	})
 }
 
-// readmit takes a server back, by the recovery ramp and judged by new reports alone.
+// readmit ends the ejection of a server: it starts its recovery ramp, and only new load reports count.
 func (p *Policy) readmit(server *server) {
 	server.unhealthy = false
 	server.evidenceFromMs = p.nowMs
@@ -148,22 +152,22 @@
 	p.serversChanged = true
 }
 
-// inDrainGrace says whether proxies may still send to a server that drains or is removed.
+// inDrainGrace reports whether proxies may still send to a draining or removed server.
 func (p *Policy) inDrainGrace(server *server) bool {
 	return server.State != Ready && p.nowMs < server.stateChangedMs+p.settings.DrainGraceMs
 }
 
-// cold says whether a server is in slow start.
+// cold reports whether a server is in slow start.
 func (p *Policy) cold(server *server) bool {
 	return server.StartedMs > 0 && p.nowMs-server.StartedMs < p.settings.SlowStartMs
 }
 
-// usable says whether a server may get requests.
+// usable reports whether a server may get requests.
 func (s *server) usable() bool { return s.State == Ready && !s.unhealthy }
 
 func (e *entry) ejected() bool { return e.server.ejected }
 
-// resetHistory voids what was recorded of a server before now.
+// resetHistory drops the load reports and past ejections of a server.
 func (s *server) resetHistory(nowMs float64) {
 	s.samples = nil
 	s.evidenceFromMs = nowMs
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// plan queues the decisions of this evaluation, what cannot wait first. Each is made if the channel has room
-// for it when its turn comes.
+// plan queues the decisions of this evaluation, the most urgent ones first. Each is made only if the channel has room for it
+// when its turn comes.
 func (p *Policy) plan() {
 	p.pendingDecisions = nil
 	p.enqueue(p.pollEndpoints)
@@ -25,7 +25,7 @@
 		}
 		p.planAssignments(takeover)
 	}
-	p.planEjections(takeover) // after first tables: many cold servers rest at once when planners restart
+	p.planEjections(takeover) // after assignments: when planners restart, many cold servers are ejected at once
 	p.enqueue(changes[urgent]...)
 	p.planAdmission()
 	for _, proxy := range p.proxies {
@@ -41,7 +41,8 @@
 	p.enqueue(p.requestAcknowledgements)
 }
 
-// planWeights adds a table's weights to send by urgency, additions first so that it never runs empty.
+// planWeights adds the weights of a table that are to be sent to planned, by urgency. Additions come first, so that the table
+// is never empty in between.
 func (p *Policy) planWeights(table *table, planned *[required + 1][]decision) {
 	missing, total := 0.0, 0.0
 	usable := 0
@@ -61,13 +62,13 @@
 	intervalPassed := table.urgentMs == p.nowMs || p.nowMs-table.urgentMs >= urgentIntervalMs
 	urgentDue := !p.serversChanged && intervalPassed
 	for _, entry := range changed {
-		urgency := p.weightUrgency(entry, usable, missing > maxMissingWeight*total)
+		urgency := p.weightUrgency(entry, usable, missing > maxMissingShare*total)
 		missing -= math.Max(entry.target-entry.sent, 0)
 		if entry.sent == 0 {
 			usable++
 		}
 		due := urgency == deferrable && table.due || urgency > deferrable && urgentDue
-		if total > 0 && due { // a table without targets keeps what it holds
+		if total > 0 && due { // a table without targets stays as it is
 			planned[urgency] = append(planned[urgency], func(host Host) bool {
 				return p.sendWeight(host, entry, urgency)
 			})
@@ -76,8 +77,9 @@
 	table.due = table.due && len(changed) > 0
 }
 
-// weightUrgency depends on how many usable servers the table has and on whether much of its weight is
-// missing. Nothing is spent on a table without proxies, so its entries go at once.
+// weightUrgency returns the urgency of sending an entry. It depends on the number of servers in the table that are not
+// ejected, and on whether much of its weight is missing. Entries of a table without proxies are sent at once, as they cost
+// nothing.
 func (p *Policy) weightUrgency(entry *entry, usable int, muchMissing bool) int {
 	server := entry.server
 	switch {
@@ -91,10 +93,10 @@
 	return deferrable
 }
 
-// overTarget says whether proxies send a server much more than it should get.
+// overTarget reports whether proxies send the server much more than its target.
 func (e *entry) overTarget() bool { return e.sent > overTargetFactor*e.target+weightTolerance }
 
-// sendWeight sends an entry to all proxies of its table.
+// sendWeight sends the target of an entry to all proxies of its table.
 func (p *Policy) sendWeight(host Host, entry *entry, urgency int) bool {
 	table := entry.table
 	if entry.target == entry.sent {
@@ -108,7 +110,8 @@
 	return true
 }
 
-// weightCost is one for each proxy, and one more where the entry also ends an ejection, of ours or inherited.
+// weightCost returns the mean cost for each proxy in entries: one, and one more where the host also has to send the end of an
+// ejection, of this or another planner.
 func (p *Policy) weightCost(entry *entry) float64 {
 	readmitting := filter(entry.table.proxies, func(proxy *proxy) bool {
 		endsEjection := proxy.inheritedEjections || proxy.ejected[entry.server] && p.settings.ReadmitByWeight
@@ -117,7 +120,8 @@
 	return 1 + float64(len(readmitting))/float64(len(entry.table.proxies))
 }
 
-// planEjections queues ejections and their ends. In a takeover, drains go with first tables, or follow them.
+// planEjections queues ejections and readmissions. In a takeover it skips drains: plan queues the urgent ones before
+// assignments, and the others wait until they are urgent or the takeover has ended.
 func (p *Policy) planEjections(takeover bool) {
 	for _, server := range p.servers {
 		eject := !server.usable() && !p.expired(server)
@@ -128,12 +132,12 @@
 	}
 }
 
-// setEjected ejects a server at the proxies that may use it, or ends that once no table holds more of it than
-// its ramp allows. Other proxies learn of it by its weight.
+// setEjected ejects a server at the proxies that may use it, or readmits it once no table holds much more than its target,
+// which is low at first. The host notifies other proxies when they are sent a weight of the server.
 func (p *Policy) setEjected(host Host, server *server, eject, takeover bool) bool {
 	unused := eject && !server.inAnyTable()
 	if unused && p.solves > 0 && (takeover || !p.anyMayFollowOtherPlanner()) {
-		return false // there may be many such servers, so this comes first
+		return false // checked before the recipients, as there may be many such servers
 	}
 	recipients := p.ejectionRecipients(server, eject, takeover)
 	if unused && server.State == Ready || eject && len(recipients) == 0 {
@@ -150,12 +154,13 @@
 	return true
 }
 
-// spendForEjection counts an ejection or its end. Drains and cold servers may use what is kept for them; but
-// a drain waits to share its message while messages are short, and not too long.
+// spendForEjection spends the budget for an ejection or a readmission, and reports whether there was room. Ejections of cold
+// servers and of drains may use a reserve. Outside of a takeover, a drain does so only once drainIsDue, so that it can share
+// a message with other orders until then.
 func (p *Policy) spendForEjection(server *server, recipients []*proxy, eject, takeover bool) bool {
 	entries := 1.0
 	if !eject && p.settings.OmitsEntries {
-		entries++ // the entry that was omitted, and the end of another planner's ejection
+		entries++ // an omitted entry, beside the end of the ejection
 	}
 	if p.spendBudget(entries, recipients, urgent) {
 		return true
@@ -168,21 +173,22 @@
 	return mayUseReserve && p.spendBudget(entries, recipients, urgency)
 }
 
-// drainIsDue says whether half the grace of a drain has passed, less the longest way of a message.
+// drainIsDue reports whether a drain must be sent now to reach proxies by half of the drain grace, even after the longest
+// propagation.
 func (p *Policy) drainIsDue(server *server) bool {
 	return p.nowMs >= server.stateChangedMs+p.settings.DrainGraceMs*maxDrainWaitShare-p.settings.MaxPropagationMs
 }
 
-// ejectionRecipients are the proxies that an ejection or its end concerns.
+// ejectionRecipients returns the proxies that an ejection or a readmission is to be sent to.
 func (p *Policy) ejectionRecipients(server *server, eject, takeover bool) []*proxy {
 	return filter(p.proxies, func(proxy *proxy) bool {
 		return (eject || proxy.ejected[server]) && proxy.mayUse(server, !takeover)
 	})
 }
 
-// inTakeover says whether proxies with tables of other planners wait for ours while servers drain. Guards
-// against ejecting each draining server at each such proxy: that filled the channel, their tables waited, and
-// the next drains cost as much.
+// inTakeover reports whether proxies with tables of another planner await their assignment here while servers drain.
+// Ejecting each draining server at each such proxy would fill the channel, so that assignments wait and the next drains cost
+// as much again. A proxy that has waited too long for a table with entries ends the takeover.
 func (p *Policy) inTakeover() bool {
 	waiting := filter(p.proxies, (*proxy).mayFollowOtherPlanner)
 	if len(waiting) == 0 || !slices.ContainsFunc(p.servers, p.inDrainGrace) {
@@ -192,9 +198,10 @@
 	return slices.ContainsFunc(waiting, p.hasTables) && !slices.ContainsFunc(waiting, stuck)
 }
 
-// urgentDrains are the ejections that go before first tables in a takeover: of the oldest notification, as
-// both have its grace, and of later ones when theirs gets short. They go together, as few proxies hold each
-// server, and one by one each would cost messages: tables wait until all fit, or little else waits.
+// urgentDrains returns the servers whose ejections precede assignments in a takeover: those that began to drain first, and
+// later ones once drainIsDue. They are sent together, as each concerns few proxies and would cost messages
+// of its own. fit reports whether all of them have room, or so little waits in the channel that they need not wait for it;
+// otherwise assignments wait, too.
 func (p *Policy) urgentDrains() (drains []*server, fit bool) {
 	oldest := p.nowMs
 	for _, server := range p.servers {
@@ -220,7 +227,7 @@
 	return drains, cost <= room || p.unacknowledged() < p.settings.MaxBacklog*backlogShare[required]*lowBacklogShare
 }
 
-// planAssignments queues the first tables of proxies.
+// planAssignments queues the assignments of tables to proxies that have none.
 func (p *Policy) planAssignments(takeover bool) {
 	for _, proxy := range p.proxies {
 		for group, table := range proxy.tables {
@@ -231,23 +238,23 @@
 	}
 }
 
-// planAssignment queues a first table with the restorations that are paid with it.
+// planAssignment queues the assignment of a table, and the restorations whose budget is spent with it.
 func (p *Policy) planAssignment(proxy *proxy, group int, takeover bool) {
 	assign := func(host Host) bool { return p.assignTable(host, proxy, group, takeover) }
 	restore := func(host Host) bool { return p.restore(host, proxy, proxy.takePrepaidRestorations(), prepaid) }
 	p.enqueue(assign, restore)
 }
 
-// assignTable gives a proxy its first table. It takes the place of what another planner gave it, with all
-// that drains: after many joins that costs less than an ejection of each server, and must not wait behind
-// those. In a takeover the light entries follow later.
+// assignTable assigns a proxy its first table. The assignment replaces tables of another planner and the draining servers in
+// them. After many joins, that costs less than ejecting each draining server, and so must not wait for such ejections. In a
+// takeover, entries with small weights are omitted and follow later.
 func (p *Policy) assignTable(host Host, proxy *proxy, group int, takeover bool) bool {
 	client := p.clients[proxy.zone*p.classGroups+group]
 	table := client.tables[proxy.cohort]
 	ejected := filter(table.entries, (*entry).ejected)
 	readmitted := filter(table.entries, proxy.awaitsReadmission)
 	inherited := filter(table.entries, proxy.mayInheritEjection)
-	restored := len(inherited) // with the table
+	restored := len(inherited) // together with the table
 	var omitted []*entry
 	if takeover && p.settings.OmitsEntries {
 		slices.SortStableFunc(inherited, func(a, b *entry) int { return cmp.Compare(b.sent, a.sent) })
@@ -256,7 +263,7 @@
 	}
 	entries := 1 + len(p.admission) + len(table.entries) - len(omitted)
 	entries += len(ejected) + len(readmitted) + restored
-	entries -= len(filter(omitted, (*entry).ejected)) // proxies need no ejection of what they do not get
+	entries -= len(filter(omitted, (*entry).ejected)) // an ejection need not be sent for an omitted entry
 	empty := !slices.ContainsFunc(table.entries, (*entry).inUse)
 	if empty || !p.spendBudget(float64(entries), single(proxy), required) {
 		return false
@@ -268,8 +275,9 @@
 	return true
 }
 
-// omittedEntries are those of a table that a proxy is not sent with its assignment: of ejected servers, and
-// the light ones. Guards the channel when many proxies join during a release. A table is never sent empty.
+// omittedEntries returns the entries that an assignment omits: those of ejected servers, and those of the smallest weights.
+// They keep the channel from filling up when many proxies join during a release. inherited is sorted by weight, and its first
+// entries are never omitted, so that a table is not sent empty.
 func omittedEntries(proxy *proxy, ejected, inherited []*entry) []*entry {
 	if len(inherited) == 0 {
 		return nil
@@ -287,8 +295,9 @@
 	return omitted
 }
 
-// restore ends ejections that others may have ordered of servers in a proxy's tables, and sends entries that
-// were omitted: of a few with the assignment, so that one can be picked, of the rest when there is room.
+// restore ends ejections that another planner may have ordered, and sends omitted entries, for servers in the tables of a
+// proxy. It does so for a few servers with the assignment, so that the proxy has servers to pick, and for the others when
+// there is room. It returns false where there is nothing to restore or no room.
 func (p *Policy) restore(host Host, proxy *proxy, count, urgency int) bool {
 	if count == 0 {
 		return false
--- a/policy/solver.go
+++ b/policy/solver.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// The paper's ADMM-20 for affine costs (section III-D of the paper in docs/design.md), with rho 1. Its
-// letters are kept: i is a client, j a server, D demand, C capacity. Alpha, beta and lambda are explained at
-// type cell.
+// This file implements ADMM-20 for affine costs, section III-D of the paper that docs/design.md names, with rho 1. The code
+// keeps the letters of the paper: i is a client, j a server, D demand, C capacity, L a cost. Type cell explains alpha, beta
+// and lambda.
 
-// solve runs ADMM and updates the cells of each client and server in place; they come warm from the last
-// solve. D averages 1, C is in the unit of D, and a cost is infinite where the client may not use the server.
+// solve runs ADMM and updates the cells in place; their initial values are a warm start. D has a mean of 1, C is in the unit
+// of D, and a cost is infinite where the client may not use the server.
 func solve(D, C []float64, cost [][]float64, cells [][]cell, lambdaLimit float64) {
 	v := make([]float64, len(C)+len(D))
 	d := make([]float64, len(C)+len(D))
@@ -22,8 +22,8 @@
 	}
 }
 
-// solveAlpha is Lemma 3: alpha_ij = max(beta_ij - D_i L_ij - lambda_ij - mu, 0), with mu such that they sum
-// to 1.
+// solveAlpha applies Lemma 3: alpha_ij = max(beta_ij - D_i L_ij - lambda_ij - mu, 0), with mu such that the alphas of the
+// client sum to 1. v and d are buffers.
 func solveAlpha(D float64, cost []float64, cells []cell, v, d []float64) {
 	for j, c := range cells {
 		v[j] = c.beta - D*cost[j] - c.lambda
@@ -35,8 +35,8 @@
 	}
 }
 
-// solveBeta is Lemma 1 with prices zero: beta_ij = max(lambda_ij + alpha_ij - D_i nu, 0), with nu the least
-// that is not negative and keeps the sum over i of D_i beta_ij within C_j.
+// solveBeta applies Lemma 1 with prices of zero: beta_ij = max(lambda_ij + alpha_ij - D_i nu, 0), with the smallest nu >= 0
+// that keeps the sum over i of D_i beta_ij within C_j. v and d are buffers.
 func solveBeta(j int, D []float64, C float64, cells [][]cell, v, d []float64) {
 	for i := range D {
 		v[i] = math.Max(cells[i][j].lambda+cells[i][j].alpha, 0)
@@ -48,8 +48,8 @@
 	}
 }
 
-// updateLambda is the dual step of ADMM-20, lambda += rho (alpha - beta). The limit guards against a price
-// that outlives the overload that made it.
+// updateLambda is the dual step of ADMM-20, lambda += rho (alpha - beta). The limit keeps a price from outlasting the
+// overload that caused it.
 func updateLambda(j int, cells [][]cell, limit float64) {
 	for i := range cells {
 		c := &cells[i][j]
@@ -57,9 +57,9 @@
 	}
 }
 
-// waterLevel finds the nu for which d*max(v-d*nu, 0) sum to C: the water-filling of both lemmas. It begins
-// with all terms and leaves out those that are not positive, which only raises nu. A set that does not shrink
-// ends the search: guards against a term at the line that rounding would leave out and take back for ever.
+// waterLevel returns the nu for which the terms d*max(v-d*nu, 0) sum to C, the water-filling step of both lemmas. It starts
+// with all terms and drops those that are not positive, which only raises nu. It ends when the set of terms does not shrink:
+// otherwise, rounding could drop and take back a term at the water level for ever.
 func waterLevel(v, d []float64, C float64) float64 {
 	nu := -math.MaxFloat64
 	previous := math.MaxInt
--- a/policy/state.go
+++ b/policy/state.go
@@ -2,170 +2,172 @@
 
 import "math/rand"
 
-// What a planner knows and has ordered: types alone.
+// This file holds the types of the state only.
 
-// sample is a load report of a server or a demand report of a proxy, or several added up.
+// sample is a load report of a server, a demand report of a proxy, or the sum of several reports.
 type sample struct {
-	zone      int     // that the requests came from
+	zone      int     // of the proxies that sent or received the requests
 	atMs      float64 // when it was recorded
-	succeeded float64 // attempts; of a demand report, requests
+	succeeded float64 // attempts; requests in a demand report
 	failed    float64
-	latencyMs float64 // mean of what succeeded; 0 in a demand report
-	coversMs  float64 // time that it covers
+	latencyMs float64 // mean of the successful attempts; 0 in a demand report
+	coversMs  float64 // length of the reported period
 }
 
 func (s sample) attempts() float64 { return s.succeeded + s.failed }
 
-// server is what is known of a server, and what was ordered about it. It stays known until it is forgotten.
+// server is the state of a server: what is known of it, and what was ordered about it. forgetRemoved deletes it.
 type server struct {
 	Endpoint
-	samples []sample // its last load reports, oldest first
-	entries []*entry // in our tables
-	ejected bool     // as last ordered to proxies
+	samples []sample // last load reports, oldest first
+	entries []*entry // in tables of this planner
+	ejected bool     // by the last order to proxies
 
-	unhealthy        bool    // ejected by evidence, or resting while cold
-	unhealthyUntilMs float64 // when that ends
+	unhealthy        bool    // to be ejected, by evidence or as a cold server
+	unhealthyUntilMs float64 // end of that ejection
 	ejections        int     // by evidence, since its last start
-	evidenceFromMs   float64 // last ejection, readmission or start; evidence from before is void
-	readmittedMs     float64 // end of the last ejection: start of the recovery ramp
-	hasSucceeded     bool    // it has succeeded in some request
-	discoveredLate   bool    // it was not in the list that the planner started with
-	stateChangedMs   float64 // when its state in the list changed
-	addedMs          float64 // when a table that did not hold it was last sent it
-
-	// As of this evaluation:
-	reports    []sample // its load reports since sinceMs, merged by period
-	windowed   sample   // of these, those in the window
-	lastRound  sample   // and those of the last round
-	baselineMs float64  // its latency without overload, 0 before a load report shows it
+	evidenceFromMs   float64 // last ejection, readmission or start; earlier reports are ignored
+	readmittedMs     float64 // end of the last ejection, where the recovery ramp starts
+	hasSucceeded     bool    // some attempt at it succeeded
+	discoveredLate   bool    // it was first listed after the first solve
+	stateChangedMs   float64 // last change of its state in the list
+	addedMs          float64 // last time that it was added to a table
+
+	// Statistics, updated by each evaluation:
+	reports    []sample // load reports since evidenceFromMs, merged by period
+	windowed   sample   // sum of the reports within windowMs
+	lastRound  sample   // sum of the reports of the last round
+	baselineMs float64  // latency without overload; 0 while unknown
 }
 
-// proxy is a joined proxy, and what was ordered to it.
+// proxy is the state of a joined proxy: what is known of it, and what was ordered to it.
 type proxy struct {
 	id           int
 	zone         int
-	cohort       int        // of its zone, by number; -1 before there are tables
-	expectedRate float64    // requests per second, by its own statement
-	joinedMs     float64    // when it joined, or the first message of the planner that it comes from was sent
-	demand       [][]sample // its last demand reports, by traffic class
-	tables       []*table   // that it follows, by part; nil before it is assigned one
-
-	messageTimes     []float64       // times of its last messages
-	ordered          float64         // entries ordered to it
-	acknowledged     float64         // of these, known to have arrived
-	acknowledgements map[int]float64 // entries ordered up to each request for an acknowledgement
-
-	ejected             map[*server]bool // as last ordered to it
+	cohort       int        // index of its cohort in its zone; -1 before there are tables
+	expectedRate float64    // requests per second, as stated when it joined
+	joinedMs     float64    // when it joined, or was sent its first known message by another planner
+	demand       [][]sample // last demand reports, by traffic class
+	tables       []*table   // that it follows, by class group; nil until assigned
+
+	messageTimes     []float64       // when its last messages were sent
+	ordered          float64         // entries ordered to it, with message overhead
+	acknowledged     float64         // those of them that are known to have arrived
+	acknowledgements map[int]float64 // value of ordered at each acknowledgement request, by its number
+
+	ejected             map[*server]bool // by the last order to it
 	inheritedEjections  bool             // it may hold tables and ejections of another planner
-	pendingRestorations []restoration    // of servers in its tables, heaviest first in a takeover
-	prepaidRestorations int              // of these, restored with the assignment
+	pendingRestorations []restoration    // of servers in its tables; in a takeover by weight, largest first
+	prepaidRestorations int              // first ones of these, whose budget was spent with the assignment
 }
 
-// restoration is what a proxy has yet to be sent of a server: an end of another planner's ejection, and its entry
-// where that was omitted. Its cost is in entries of the channel.
+// restoration is an order that a proxy is yet to be sent about a server: the end of an ejection that another planner may
+// have ordered, together with the entry of the server if the assignment omitted it. entries is its cost in the channel.
 type restoration struct {
 	server  *server
 	entries float64
 }
 
-// client is the paper's i: the proxies of one zone, for the traffic classes that may go to the same servers.
+// client is a client i of the paper: the proxies of one zone, for one group of traffic classes, which may go to the same
+// servers.
 type client struct {
 	zone    int
 	classes []int
-	cells   map[*server]cell // of the last solve
-	demand  float64          // the paper's D: requests per second admitted, at the last solve
+	cells   map[*server]cell // result of the last solve
+	demand  float64          // D of the paper: admitted requests per second at the last solve
 	tables  []*table         // one for each cohort
 }
 
-// cell is the solver's state for one client i and server j, as shares of the client's requests.
+// cell is the state of the solver for one client i and server j, in shares of the client's requests.
 type cell struct {
-	alpha  float64 // what the client sends to the server: Lemma 3
-	beta   float64 // what the server accepts of it, alpha's copy in ADMM: Lemma 1
-	lambda float64 // the price that makes the two equal: the dual step of ADMM-20
+	alpha  float64 // share that the client sends to the server (Lemma 3)
+	beta   float64 // share that the server accepts, the copy of alpha in ADMM (Lemma 1)
+	lambda float64 // price that drives the two together (dual step of ADMM-20)
 }
 
-// table is the weight table of one cohort of a client. In a fleet larger than a table, cohorts hold different servers.
+// table is the weight table of one cohort of a client. Where a table cannot hold the whole fleet, the tables of cohorts hold
+// different servers.
 type table struct {
-	number   int // by which the host knows it
+	number   int // identifies it to the host
 	entries  []*entry
 	proxies  []*proxy // that follow it
-	rate     float64  // requests per second admitted at its proxies, joined or to be assigned
-	urgentMs float64  // when urgent entries were last sent
-	due      bool     // deferrable entries may be sent
+	rate     float64  // admitted requests per second of the proxies that follow it or will
+	urgentMs float64  // when an urgent entry was last sent
+	due      bool     // a solve gave this table its turn to be sent deferrable entries
 }
 
-// entry is a server's weight in a table, as decided and as last sent.
+// entry is the weight of a server in a table, from 0 to 1.
 type entry struct {
 	server *server
 	table  *table
-	target float64
-	sent   float64
+	target float64 // as decided
+	sent   float64 // as last sent; 0 while the table of the proxies does not hold the server
 }
 
-// admission is what is admitted of one traffic class, and how its requests are retried.
+// admission is the admission rate and the retry mode of a traffic class.
 type admission struct {
-	target float64 // part admitted, as decided
-	sent   float64 // as last sent; -1 before the first order that is due
-	demand float64 // requests per second, as of this evaluation
-	retry  int     // mode, see RetryNever
+	target float64 // admitted share, as decided
+	sent   float64 // as last sent; -1 where a first order must be sent
+	demand float64 // requests per second, before admission; updated by each evaluation
+	retry  int     // retry mode: RetryNever or one of the constants after it
 }
 
-// decision makes one call on the host, or none if nothing is due or there is no room for it, and says which.
+// decision makes one call on the host and returns true, or returns false where nothing is due or the budget is exhausted.
 type decision func(Host) bool
 
-// Policy decides for the proxies joined to it. It shares nothing with other planners and has no lock: one goroutine at a
-// time may call it. All times are in ms as given to SetTime.
+// Policy makes the decisions for the proxies that joined one planner. It shares no state with other planners and has no
+// lock: only one goroutine at a time may call it. All times are in ms of the clock that SetTime follows.
 type Policy struct {
 	settings Settings
-	random   *rand.Rand // for the spread of polls
+	random   *rand.Rand // for the random waits between polls
 	nowMs    float64
-	servers  []*server // in order of discovery
+	servers  []*server // known servers, in order of discovery
 	byName   map[string]*server
-	proxies  []*proxy // joined, in order of joining
+	proxies  []*proxy // joined proxies, in order of joining
 	byID     map[int]*proxy
 
-	clients          []*client   // by zone, then part
-	classGroups      int         // clients of a zone
+	clients          []*client   // by zone, then class group
+	classGroups      int         // number of class groups, which is also that of clients in a zone
 	tables           []*table    // by number
 	admission        []admission // by traffic class
-	sheddingOrder    []int       // traffic classes, those that earn least for their work first
-	pendingDecisions []decision  // of this evaluation
+	sheddingOrder    []int       // traffic classes by value for the work that they cause, lowest first
+	pendingDecisions []decision  // queued by the last evaluation
 
-	solves           int     // so far
+	solves           int     // number of solves
 	solvedMs         float64 // time of the last solve
-	admissionMs      float64 // time of the last step of admission
+	admissionMs      float64 // time of the last admission step, or later to delay the next one
 	evaluatedMs      float64 // time of the last evaluation
-	timerMs          float64 // time that the host's timer is set to
+	timerMs          float64 // expiry of the host's timer
 	reportedMs       float64 // time of the last load report
-	dirty            bool    // endpoints or proxies came or left since the last evaluation
-	serversChanged   bool    // usable servers changed since the last solve
-	joinsUnusedTable bool    // a proxy joins a table that nobody used
-	rampedAtSolve    bool    // at the last solve a server was on its ramp
+	dirty            bool    // endpoints or proxies changed since the last evaluation
+	serversChanged   bool    // the usable servers may have changed since the last solve
+	joinsUnusedTable bool    // a proxy awaits a table that had no demand; set since the last solve
+	rampedAtSolve    bool    // some server was on a ramp at the last solve
 	anySuccess       bool    // some server has succeeded
-	lagging          bool    // load reports come late
-	watching         bool    // the endpoint list comes by itself
-	pollMs           float64 // time of the next poll of the list
-	pollBackoff      float64 // ms to wait after the next failed poll
-	capacityRate     float64 // requests per second that the fleet has succeeded in
-
-	// As of this evaluation; latencies and failures are those of the middle server:
-	reportCoversMs     []float64 // ms that the last load reports cover
-	baselineScratch    []float64 // scratch of baselineOf
-	roundMs            float64   // in which each server reports once
-	windowMs           float64   // that load reports are looked back for
+	lagging          bool    // load reports reach the planner late
+	watching         bool    // an update of the endpoint list arrived after the last failed poll
+	pollMs           float64 // time of the next poll of the endpoint list
+	pollBackoff      float64 // wait after the next failed poll, in ms
+	capacityRate     float64 // known capacity of the fleet in successful requests per second
+
+	// Statistics, updated by each evaluation. Latencies and failure shares are those of the median server.
+	reportCoversMs     []float64 // lengths of the periods of the last load reports, in ms
+	baselineScratch    []float64 // buffer of baselineOf
+	roundMs            float64   // time in which each server reports once
+	windowMs           float64   // age up to which load reports count
 	latencyMs          float64
 	baselineMs         float64
-	overloadRatio      float64 // latency over baseline
-	failureShare       float64 // of attempts
-	latencyObjectiveMs float64 // mean over the admitted requests
+	overloadRatio      float64 // latency over baseline latency
+	failureShare       float64 // failed part of the attempts
+	latencyObjectiveMs float64 // mean of the classes, weighted by admitted requests
 	admittedRate       float64 // requests per second
-	succeededRate      float64 // the same
+	succeededRate      float64 // successful attempts per second
 
-	// Of the control channel, in entries:
-	backlog               float64 // that wait in it
-	departedBacklog       float64 // that wait for proxies that left
-	backlogUpdatedMs      float64 // time that the backlog is as of
+	// Control channel; the backlog is in entries.
+	backlog               float64 // waiting in the channel
+	departedBacklog       float64 // waiting for proxies that left
+	backlogUpdatedMs      float64 // when the backlog was last updated
 	channelSlow           bool    // the last acknowledgement was late
-	acknowledgedSolve     int     // number of solves when acknowledgements were last requested
-	acknowledgementNumber int     // of the last request
+	acknowledgedSolve     int     // value of solves when acknowledgements were last requested
+	acknowledgementNumber int     // number of the last request
 }
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// solveIfDue solves every few seconds, and soon after servers came or left or a proxy got an unused table.
+// solveIfDue solves once every solveIntervalMs, and sooner after servers changed or a proxy joined a table without demand.
 func (p *Policy) solveIfDue() {
 	servers := filter(p.servers, (*server).usable)
 	sinceMs := p.nowMs - p.solvedMs
 	tooSoon := sinceMs < minSolveIntervalMs || sinceMs < solveIntervalMs && !p.serversChanged && !p.joinsUnusedTable
 	if len(servers) == 0 || p.settings.Sharded || tooSoon {
-		return // with no server to use, tables keep what they hold
+		return // without usable servers, tables stay as they are
 	}
 	if p.solves == 0 {
 		p.createTables(p.cohortCount(servers))
 	}
-	p.evaluate() // anew, as ejections void load reports and admission rates change demand
+	p.evaluate() // again, as this evaluation may have reset load reports and changed admission rates
 	p.split(servers, p.serversChanged)
 	p.recordSolve()
 	for _, table := range p.tables {
@@ -25,15 +25,16 @@
 	}
 }
 
-// cohortCount is two, or in a large fleet as many as give each server two entries with two proxies a cohort.
+// cohortCount returns the number of cohorts in each zone: two, or in a large fleet as many as place each server in two
+// tables, but with at least two proxies each.
 func (p *Policy) cohortCount(servers []*server) int {
 	proxies := float64(p.settings.Proxies) / math.Max(float64(p.settings.Zones*p.settings.Planners), 1)
 	wanted := minCohorts * float64(len(servers)) / float64(p.maxTableSize(servers))
 	return max(minCohorts, int(math.Min(wanted, proxies/minCohorts)))
 }
 
-// maxTableSize is the number of entries that a table should hold: so few that the channel can send all in a
-// second, that servers accept the connections, and that these are used before they idle out.
+// maxTableSize returns the number of entries that a table may hold. It is limited so that the channel can send all tables
+// within tableRefreshMs, servers accept the connections, and connections are reused before their idle timeout.
 func (p *Policy) maxTableSize(servers []*server) int {
 	proxies := math.Max(float64(p.settings.Proxies), 1)
 	joined := float64(len(p.proxies))
@@ -48,19 +49,20 @@
 	return max(int(size), minTableEntries)
 }
 
-// split solves for all clients and sets what their tables should hold.
+// split solves for all clients and sets the targets of their tables.
 func (p *Policy) split(servers []*server, serversChanged bool) {
 	demand, moved := p.updateDemand()
 	clients := p.addUnobservedClients(slices.Clone(p.clients), demand)
 	problem := p.newProblem(servers, clients, demand)
-	problem.initCells(p.resetsCells(servers, serversChanged || moved > maxDemandShift*demand))
+	problem.initCells(p.resetsCells(servers, serversChanged || moved > maxDemandShiftShare*demand))
 	solve(problem.D, problem.C, problem.cost, problem.cells, maxLambda/float64(len(servers)))
 	p.applySplit(&problem)
 }
 
-// addUnobservedClients adds proxies that do not report to us: other planners', or cut off. They are taken to
-// be spread evenly and to have as much demand as ours. Guards against a planner with the proxies of one zone
-// that spreads these over all servers, as if nobody else used the rest.
+// addUnobservedClients adds a client in each zone for the proxies that do not report to this planner, because they joined
+// another one or are disconnected. These are assumed to be spread evenly over zones, with the mean demand of the joined
+// proxies. Without them, a planner with the proxies of one zone only would spread their requests over all servers, as if
+// nobody used the other zones.
 func (p *Policy) addUnobservedClients(clients []*client, demand float64) []*client {
 	for zone := range p.settings.Zones {
 		joined := filter(p.proxies, func(proxy *proxy) bool { return proxy.zone == zone })
@@ -71,8 +73,8 @@
 	return clients
 }
 
-// resetsCells says whether old prices and shares are forgotten: after a shift of demand or servers, and while
-// a server is on its ramp, or was at the last solve.
+// resetsCells reports whether the prices and shares of the last solve are dropped: after a shift of demand or servers, and
+// while a server is on a ramp or was at the last solve. It updates rampedAtSolve.
 func (p *Policy) resetsCells(servers []*server, shifted bool) bool {
 	rampedAtSolve := slices.ContainsFunc(servers, func(server *server) bool { return p.ramp(server) < 1 })
 	reset := shifted || rampedAtSolve || p.rampedAtSolve
@@ -80,7 +82,7 @@
 	return reset
 }
 
-// costs are the paper's L of a client's request at each server, with a price for leaving the zone.
+// costs returns L of the paper, the cost of a request of the client at each server, which is higher outside of its zone.
 func (p *Policy) costs(client *client, servers []*server, zoneLatencies []float64) []float64 {
 	costs := make([]float64, len(servers))
 	sameZoneOnly := len(client.classes) > 0 && p.settings.Classes[client.classes[0]].SameZoneOnly
@@ -97,10 +99,11 @@
 	return costs
 }
 
-// applySplit turns each client's alphas into what its tables should hold.
+// applySplit sets the targets of each client's tables from its alphas.
 func (p *Policy) applySplit(problem *splitProblem) {
 	load := problem.load()
-	// Late reports are relied on less: when a shift between zones shows, the servers of one are full.
+	// The older the load reports, the more a split follows capacities instead of zones: a shift of demand between zones shows
+	// in late reports only after the servers of one zone are overloaded.
 	staleness := math.Max(0, 1-minWindowMs/p.roundMs)
 	minShare := minWeightChange / float64(len(problem.servers))
 	for i, client := range p.clients {
@@ -110,7 +113,7 @@
 			client.cells[server] = problem.cells[i][j]
 			alpha := problem.cells[i][j].alpha
 			share := alpha + staleness*(problem.C[j]/problem.capacity-alpha)
-			// Guards a cold server: ADMM that is cut off after 20 iterations may exceed its capacity.
+			// ADMM stops after 20 iterations, and may then exceed capacities. Servers on a ramp would fail.
 			if p.ramp(server) < 1 && load[j] > problem.C[j] {
 				share *= problem.C[j] / load[j]
 			}
@@ -122,7 +125,7 @@
 	}
 }
 
-// fillTables shares a client's servers out over its tables, all to each in a small fleet.
+// fillTables distributes the servers of a client over its tables. In a small fleet, each table holds all of them.
 func (p *Policy) fillTables(client *client, wanted []*serverShare, maxSize int, minShare float64) {
 	shares, total := p.dropSmallShares(wanted, minShare)
 	tables := filter(client.tables, func(table *table) bool { return table.rate > 0 || client.demand == 0 })
@@ -131,15 +134,15 @@
 		table.selectServers(shares, len(tables), min(len(shares), maxSize))
 	}
 	for index, share := range shares {
-		if len(share.entries) == 0 { // no server is left out
+		if len(share.entries) == 0 { // each server is in some table
 			share.entries = append(share.entries, tables[index%len(tables)].entryOf(share.server))
 		}
 	}
 	p.balanceWeights(tables, shares, total)
 }
 
-// dropSmallShares leaves out shares that are not worth their connections, but keeps a few of each client, and
-// those of warming servers, which are small for a time only. It gives the rest, largest first, and the total.
+// dropSmallShares drops shares below minShare, which are not worth their connections. It keeps a minimum number of servers,
+// and smaller shares of servers on a ramp, as these will grow. It returns the rest, largest first, and their sum.
 func (p *Policy) dropSmallShares(wanted []*serverShare, minShare float64) (kept []*serverShare, total float64) {
 	slices.SortStableFunc(wanted, func(a, b *serverShare) int { return cmp.Compare(b.share, a.share) })
 	kept = wanted[:0]
@@ -154,8 +157,8 @@
 	return kept, total
 }
 
-// selectServers chooses the servers of one table out of those of its client: first, as changes cost entries,
-// those that it holds, then those that the fewest tables hold.
+// selectServers selects the servers of a table from those of its client: first those that the table holds already, as changes
+// cost entries, then those that the fewest tables hold.
 func (t *table) selectServers(shares []*serverShare, tables, count int) {
 	for _, share := range shares {
 		share.rank = len(share.entries)
@@ -170,8 +173,9 @@
 	}
 }
 
-// balanceWeights sets weights with which tables, by the demand of each, together give each server its share.
-// Servers and tables are scaled in turn; the last time only servers on a ramp are, and down only.
+// balanceWeights sets the targets so that all tables together, by their demand, give each server its share, and the weights
+// of each table sum to 1. It scales the entries of servers and of tables in turn. The last time, only servers on a ramp are
+// scaled, and only down, as an overload would make them fail.
 func (p *Policy) balanceWeights(tables []*table, shares []*serverShare, total float64) {
 	demand := sumBy(tables, (*table).demand)
 	eachEntry(shares, func(share *serverShare, entry *entry) { entry.target = share.share })
@@ -194,10 +198,10 @@
 	})
 }
 
-// demand is a table's in the balance; one without proxies needs sound weights, too.
+// demand returns the demand of the table, with a minimum, as a table without proxies needs usable weights too.
 func (t *table) demand() float64 { return math.Max(t.rate, minDemand) }
 
-// assignCohort gives a proxy that follows no table yet the cohort of its zone that has the least demand.
+// assignCohort assigns a proxy without a table to the cohort of its zone that has the least demand.
 func (p *Policy) assignCohort(proxy *proxy) {
 	if p.classGroups == 0 || proxy.cohort >= 0 && proxy.tables[0] != nil {
 		return
