--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -12,61 +12,62 @@
 )
 
 const (
-	startMs                = 1e6     // policy time at which a scenario begins
-	stepMs                 = 250.0   // between two times that the policy is given
-	quietStepMs            = 2000.0  // the same from quietFromMs to quietUntilMs, in which nothing but time is waited for
-	scenarioMs             = 825e3   // longer than a removed server is remembered, 600 s, after the drain at drainAtMs
-	digestMs               = 30e3    // of a line of the digest
-	reportEveryMs          = 1000.0  // between load reports of a server, and of a proxy
-	lateReportMs           = 6000.0  // the same of a scenario with late reports
-	randomChangeIntervalMs = 12e3    // mean time between random events
-	maxDecisions           = 100_000 // at one time; more are decisions without end
+	startMs                = 1e6     // policy time in ms at which a scenario begins
+	stepMs                 = 250.0   // ms between two calls of SetTime
+	quietStepMs            = 2000.0  // the same from quietFromMs to quietUntilMs, while the scenario only waits
+	scenarioMs             = 825e3   // ends more than forgetRemovedMs (600 s) after the removal that follows drainAtMs
+	digestMs               = 30e3    // ms that a line of the digest covers
+	reportEveryMs          = 1000.0  // ms between reports of a server, and of a proxy
+	lateReportMs           = 6000.0  // the same in a scenario with lateReports
+	randomChangeIntervalMs = 12e3    // mean time in ms between random changes
+	maxDecisions           = 100_000 // at one time; reaching it fails the test, as Next would not stop
 )
 
-// Times of a scenario's phases, in ms from its start. What else happens is drawn from the scenario's seed.
+// Times and durations of the phases of a scenario, in ms; times are from its start. All other events are random, by the seed of
+// the scenario.
 const (
-	listAtMs               = 2e3   // the first complete list from discovery
-	failAtMs               = 30e3  // a warm server fails every request for failForMs
+	listAtMs               = 2e3   // the first full update from discovery
+	failAtMs               = 30e3  // a warm server fails all requests for failForMs
 	failForMs              = 20e3  //
-	slowAtMs               = 55e3  // a server is slowerBy times slower for slowForMs
+	slowAtMs               = 55e3  // a server is slowdownFactor times slower for slowForMs
 	slowForMs              = 15e3  //
 	slowdownFactor         = 6.0   //
-	earlyRestartMs         = 72e3  // the planner restarts here, or at lateRestartMs
+	earlyRestartMs         = 72e3  // the planner restarts, if earlyRestart is set
 	coldAtMs               = 80e3  // a cold server joins
-	unknownAtMs            = 85e3  // a server joins that gives no start time, and fails every request
-	surgeAtMs              = 100e3 // demand is surgeBy times as high for surgeForMs
+	unknownAtMs            = 85e3  // a server without a start time joins, and fails all requests
+	surgeAtMs              = 100e3 // demand is surgeFactor times as high for surgeForMs
 	surgeForMs             = 30e3  //
 	surgeFactor            = 2.6   //
-	drainAtMs              = 140e3 // a server drains, and is gone goneAfterMs later
+	drainAtMs              = 140e3 // a server drains, and is removed goneAfterMs later
 	goneAfterMs            = 5e3   //
-	unlistAtMs             = 150e3 // a complete list leaves a server out
-	takeOverAtMs           = 160e3 // proxies come over from another planner
+	unlistAtMs             = 150e3 // a full update omits a server
+	takeOverAtMs           = 160e3 // half of the proxies are taken over from another planner
 	zoneShiftAtMs          = 170e3 // demand moves to zone 0 for zoneShiftForMs
 	zoneShiftForMs         = 20e3  //
-	slowChannelAtMs        = 195e3 // acknowledgements take seconds for slowChannelForMs
+	slowChannelAtMs        = 195e3 // acknowledgements take 4 s longer for slowChannelForMs
 	slowChannelForMs       = 25e3  //
 	lagAtMs                = 225e3 // load reports are late for lagForMs
 	lagForMs               = 10e3  //
-	rollingDrainAtMs       = 200e3 // a third of the servers drain, one each rollingDrainIntervalMs, until rollingDrainForMs later
+	rollingDrainAtMs       = 200e3 // a third of the servers drains, one each rollingDrainIntervalMs, for rollingDrainForMs
 	rollingDrainIntervalMs = 750.0 //
 	rollingDrainForMs      = 12e3  //
-	failedListsAtMs        = 240e3 // calls for the list fail
-	coldRestartsAtMs       = 250e3 // all but four servers restart under their old names
-	quietFromMs            = 262e3 // nothing happens but random changes, until the servers that are gone are forgotten
+	failedListsAtMs        = 240e3 // polls of the endpoint list fail
+	coldRestartsAtMs       = 250e3 // all but four servers restart under their names
+	quietFromMs            = 262e3 // only random changes, until the policy has deleted the removed servers
 	quietUntilMs           = 740e3 //
-	returnAtMs             = 780e3 // a server that was forgotten comes back
-	lateRestartMs          = 795e3 //
+	returnAtMs             = 780e3 // a server that the policy has deleted comes back
+	lateRestartMs          = 795e3 // the planner restarts, unless earlyRestart is set
 )
 
-// scenario is one seeded fleet and what its planner is configured with.
+// scenario is a seeded fleet and the settings of its planner.
 type scenario struct {
 	name         string
 	seed         int64
 	serverCount  int
 	proxyCount   int
-	requestRate  float64 // per second and proxy, without a surge
+	requestRate  float64 // requests per second and proxy, without a surge
 	earlyRestart bool
-	lateReports  bool // load reports come rarely, and cover lateReportMs
+	lateReports  bool // reports are sent, and cover, lateReportMs each
 	settings     policy.Settings
 }
 
@@ -129,23 +130,23 @@
 	}
 }
 
-// simServer is a server of the model: its latency rises with its load, and what exceeds its capacity fails.
+// simServer is a simulated server. Its latency rises with its load, and requests beyond its capacity fail.
 type simServer struct {
 	policy.Endpoint
 	baseMs      float64
 	capacity    float64 // requests per second
-	phase       int     // step within a report period at which its reports come
+	phase       int     // step within a report period at which it reports
 	failUntilMs float64
 	slowUntilMs float64
-	firstWeight float64 // first weight sent since its last start
-	unlisted    bool
+	firstWeight float64 // first weight that was sent since its last start
+	unlisted    bool    // omitted from full updates
 }
 
-// simProxy is a joined proxy of the model.
+// simProxy is a simulated proxy.
 type simProxy struct {
 	id, zone     int
-	tables       []map[string]float64 // by traffic class; nil where it holds none
-	messageTimes []float64            // policy times of its last messages
+	tables       []map[string]float64 // weights by server name, by traffic class; nil without a table
+	messageTimes []float64            // policy times of the messages with its assignments
 	joined       bool
 }
 
@@ -154,31 +155,32 @@
 	proxy, number int
 }
 
-// observed counts what a scenario must contain for its digest to cover it.
+// observed counts events. Most kinds must occur in each scenario, so that its digest covers them.
 type observed struct {
-	ejections, readmissions              int // of warm servers that are ready in the list
-	slowStarts                           int // weights of a cold server that were at least twice its first
+	ejections, readmissions              int // of ready servers; ejections are those of warm ones only
+	slowStarts                           int // weights of a cold server of at least twice its first weight
 	admissionCuts, admissionRaises       int
-	overloads                            int // reports of servers that got more than they can serve
+	overloads                            int // load reports of servers with more load than capacity
 	drains, forgotten                    int
 	assignments, acknowledgementRequests int
 	polls                                int
 	maxDecisionsAtOnce                   int // decisions at one time
 }
 
-// simulation drives a planner with a closed loop and records each of its decisions.
+// simulation runs a planner in a closed loop: its decisions change the simulated load, which is reported to it. It records each
+// decision.
 type simulation struct {
 	scenario
 	planner       *policy.Policy
-	random        *rand.Rand // of the model alone
+	random        *rand.Rand // of the simulation only
 	nowMs         float64    // policy time
 	servers       []*simServer
 	proxies       []*simProxy
-	tables        map[int]map[string]float64 // of the planner since its last start
+	tables        map[int]map[string]float64 // weights by table number and server name, since the last start of the planner
 	ejected       map[string]bool
 	admission     []float64
 	answers       []acknowledgement
-	listRequested bool // the list was asked for
+	listRequested bool // a poll of the endpoint list awaits its answer
 	slowChannel   bool
 	digest        *golden.Digest
 	observed      observed
@@ -202,7 +204,7 @@
 	return simulated
 }
 
-// newServer makes one of random size. Without a surge the fleet has some 1.6 times the capacity that its demand needs.
+// newServer returns a server of random size. Without a surge, the fleet has about 1.6 times the capacity that its demand needs.
 func (s *simulation) newServer(name string, zone int) *simServer {
 	size := 0.6 + 0.8*s.random.Float64()
 	demand := s.requestRate * float64(s.proxyCount) / float64(s.serverCount)
@@ -214,7 +216,7 @@
 	}
 }
 
-// startPlanner starts a planner anew. Proxies keep the tables that they hold.
+// startPlanner starts a new planner. Proxies keep the tables that they hold.
 func (s *simulation) startPlanner(seed int64) {
 	s.planner = policy.New(s.settings, seed)
 	s.planner.SetTime(s.nowMs)
@@ -225,7 +227,7 @@
 	s.planner.UpdateEndpoints(policy.RestoredUpdate, s.list())
 }
 
-// list is what discovery would name: every server but those that it left out, and gone ones.
+// list returns the endpoint list of discovery: all servers except unlisted and removed ones.
 func (s *simulation) list() []policy.Endpoint {
 	var entries []policy.Endpoint
 	for _, server := range s.servers {
@@ -236,7 +238,7 @@
 	return entries
 }
 
-// stepMs is the time to the next step.
+// stepMs returns the time in ms to the next step.
 func (s *simulation) stepMs() float64 {
 	if within(s.elapsed(), quietFromMs, quietUntilMs-quietFromMs) {
 		return quietStepMs
@@ -251,10 +253,10 @@
 	return reportEveryMs
 }
 
-// reportPhases is the number of steps between two reports; those of all servers are spread over them.
+// reportPhases returns the number of steps between two reports. Servers and proxies report at different ones of them.
 func (s *simulation) reportPhases() int { return int(s.reportEveryMs() / stepMs) }
 
-// periodMs is the time that a report covers.
+// periodMs returns the time in ms that a report covers.
 func (s *simulation) periodMs() float64 { return math.Max(s.reportEveryMs(), s.stepMs()) }
 
 func (s *simulation) elapsed() float64 { return s.nowMs - startMs }
@@ -268,7 +270,7 @@
 	return s.servers[index]
 }
 
-// The simulation carries out decisions as proxies would.
+// The following methods implement policy.Host: they carry out decisions as proxies would.
 
 func (s *simulation) SetWeight(table int, name string, weight float64) {
 	s.record("weight %d %s %g", table, name, weight)
@@ -327,7 +329,8 @@
 	s.admission[class] = share
 }
 
-// RequestAcknowledgement has every joined proxy acknowledge, as the host does not say who got a message. Some answers are lost.
+// RequestAcknowledgement has every joined proxy acknowledge, as the simulation does not record which ones were sent a message.
+// A random part of the answers is lost.
 func (s *simulation) RequestAcknowledgement(number int) {
 	s.record("acknowledge %d", number)
 	s.observed.acknowledgementRequests++
@@ -342,7 +345,7 @@
 	}
 }
 
-// RestoreServers is recorded only: the simulated proxies hold nothing of other planners, and all of their tables.
+// RestoreServers is only recorded: simulated proxies hold no ejections of other planners, and have all entries of their tables.
 func (s *simulation) RestoreServers(proxy int, servers []string) {
 	s.record("restore %d %v", proxy, servers)
 }
@@ -355,7 +358,7 @@
 
 func (s *simulation) SetTimer(inMs float64) { s.record("wake %g", inMs) }
 
-// load is what reaches each server, in requests per second, by the zone that it comes from.
+// load returns the requests per second that reach each server, by the zone of the proxies.
 func (s *simulation) load() [][]float64 {
 	load := make([][]float64, len(s.servers))
 	for index := range load {
@@ -371,7 +374,7 @@
 	return load
 }
 
-// demand is what clients ask of a proxy in each traffic class, in requests per second.
+// demand returns the requests per second of each traffic class that clients send to a proxy.
 func (s *simulation) demand(proxy *simProxy) float64 {
 	demand := s.requestRate / float64(len(s.settings.Classes))
 	if within(s.elapsed(), surgeAtMs, surgeForMs) {
@@ -389,7 +392,7 @@
 
 func within(at, from, span float64) bool { return at >= from && at < from+span }
 
-// spread adds the requests of a proxy and traffic class to the load, by the weights of its table.
+// spread distributes the rate of a proxy and traffic class over servers, by the weights of its table, and adds it to load.
 func (s *simulation) spread(load [][]float64, zone int, table map[string]float64, rate float64) {
 	weights := make([]float64, len(s.servers))
 	total := 0.0
@@ -407,7 +410,7 @@
 	}
 }
 
-// report records what a server did since its last report, for each zone that sent it anything.
+// report sends the load reports of a server for its last period, one for each zone.
 func (s *simulation) report(server *simServer, load []float64) {
 	total := 0.0
 	for _, requests := range load {
@@ -453,7 +456,7 @@
 	s.planner.RemoveProxy(proxy.id)
 }
 
-// sendUpdate records what became of a server.
+// sendUpdate sends the planner a delta update for one server.
 func (s *simulation) sendUpdate(server *simServer) {
 	s.planner.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{server.Endpoint})
 }
@@ -485,7 +488,7 @@
 	s.planner.UpdateEndpoints(policy.FullUpdate, s.list())
 }
 
-// phases starts whatever the scenario has at this time. Each has servers of its own, so that they do not mix.
+// phases starts the phases that begin at this time. Most affect servers of their own, so that they do not interfere.
 func (s *simulation) phases() {
 	s.serverPhases()
 	s.listPhases()
@@ -494,10 +497,10 @@
 	s.slowChannel = within(s.elapsed(), slowChannelAtMs, slowChannelForMs)
 }
 
-// begins says whether a phase begins with this step.
+// begins reports whether a phase begins in this step.
 func (s *simulation) begins(atMs float64) bool { return within(s.elapsed(), atMs, stepMs) }
 
-// serverPhases are faults, starts and restarts of servers.
+// serverPhases starts faults, new servers and restarts of servers.
 func (s *simulation) serverPhases() {
 	switch {
 	case s.begins(failAtMs):
@@ -518,7 +521,7 @@
 	}
 }
 
-// listPhases are what discovery says, and does not.
+// listPhases sends updates of the endpoint list, and failures of polls.
 func (s *simulation) listPhases() {
 	switch {
 	case s.begins(listAtMs):
@@ -539,7 +542,7 @@
 	}
 }
 
-// plannerPhases are restarts of the planner, takeovers and late load reports.
+// plannerPhases starts restarts of the planner, takeovers and the lag of load reports.
 func (s *simulation) plannerPhases() {
 	restartAtMs := lateRestartMs
 	if s.earlyRestart {
@@ -555,7 +558,7 @@
 	}
 }
 
-// rollingDrain drains a third of the servers one after the other, and has all of them back together.
+// rollingDrain drains a third of the servers one after another, and makes all of them ready again together.
 func (s *simulation) rollingDrain() {
 	draining := s.servers[4 : 4+len(s.servers)/3]
 	for index, server := range draining {
@@ -570,7 +573,7 @@
 	}
 }
 
-// takeOver has some proxies come over from another planner, with the times of messages that they had from it.
+// takeOver has half of the proxies rejoin as taken over from another planner, with the times of messages that it sent them.
 func (s *simulation) takeOver() {
 	for _, proxy := range s.proxies[:len(s.proxies)/2] {
 		s.leave(proxy)
@@ -579,7 +582,7 @@
 	}
 }
 
-// randomChange is what happens at random: proxies that come and go, servers that fail, restart or turn slow for a while.
+// randomChange makes a random change now and then: a proxy leaves or joins, or a server fails, is slow or restarts.
 func (s *simulation) randomChange() {
 	if s.elapsed() < failAtMs || s.random.Float64() >= s.stepMs()/randomChangeIntervalMs {
 		return
@@ -601,7 +604,7 @@
 	}
 }
 
-// sendInvalidInputs is input that must change nothing: about servers, proxies, zones and traffic classes that there are not.
+// sendInvalidInputs sends inputs that must change nothing: about unknown servers, proxies, zones and traffic classes.
 func (s *simulation) sendInvalidInputs() {
 	s.planner.RecordLoadReport("nobody", 0, 5, 1, 100, 1000)
 	s.planner.RecordLoadReport(s.servers[0].Server, -1, 5, 1, 100, 1000)
@@ -626,7 +629,7 @@
 	s.answers = later
 }
 
-// step lets time go by and has the planner decide.
+// step moves the time forward, sends all inputs of this time, and has the planner decide.
 func (s *simulation) step(number int) {
 	s.nowMs += s.stepMs()
 	s.planner.SetTime(s.nowMs)
@@ -636,7 +639,7 @@
 	}
 	s.phases()
 	s.randomChange()
-	if number < len(s.proxies) { // many joins at the start
+	if number < len(s.proxies) { // proxies join one by one in the first steps
 		s.join(s.proxies[number])
 	}
 	s.acknowledge()
@@ -647,7 +650,7 @@
 	s.decide()
 }
 
-// reports has servers and proxies report, those of one phase where steps are short.
+// reports sends the reports of servers and proxies: of all where a step is as long as a report period, else of one phase.
 func (s *simulation) reports(phase int) {
 	all := s.stepMs() >= s.reportEveryMs()
 	load := s.load()
@@ -678,8 +681,8 @@
 	return s.digest.Finish(s.elapsed())
 }
 
-// TestDigest compares all decisions of seeded scenarios, and their times, with those recorded in testdata. Record them
-// again, with go test ./policy -run Digest -update, only in a commit that says which behaviour changed and why.
+// TestDigest compares all decisions of seeded scenarios, and their times, with the digests in testdata. Update these with
+// go test ./policy -run Digest -update, and only in a commit that states which behaviour changed and why.
 func TestDigest(t *testing.T) {
 	for _, s := range scenarios() {
 		t.Run(fmt.Sprint("seed", s.seed), func(t *testing.T) {
@@ -692,7 +695,7 @@
 	}
 }
 
-// check fails the test where something that the digest is to cover did not happen.
+// check fails the test if an event that the digest is to cover did not occur.
 func (o observed) check(t *testing.T, s scenario) {
 	t.Helper()
 	t.Logf("%s: %+v", s.name, o)
@@ -701,25 +704,25 @@
 		count int
 	}{
 		{"ejections of warm servers", o.ejections},
-		{"returns", o.readmissions},
-		{"slow starts", o.slowStarts},
-		{"cuts of admission", o.admissionCuts},
-		{"restored admission", o.admissionRaises},
-		{"overloaded servers", o.overloads},
+		{"readmissions", o.readmissions},
+		{"weight increases of cold servers", o.slowStarts},
+		{"cuts of admission rates", o.admissionCuts},
+		{"increases of admission rates", o.admissionRaises},
+		{"load reports of overloaded servers", o.overloads},
 		{"ejections of draining servers", o.drains},
-		{"forgotten servers", o.forgotten},
+		{"readmissions of removed servers", o.forgotten},
 		{"assigned tables", o.assignments},
 		{"requests for acknowledgements", o.acknowledgementRequests},
 	}
 	for _, occurrence := range occurrences {
 		if occurrence.count == 0 {
-			t.Errorf("%s: there were no %s", s.name, occurrence.what)
+			t.Errorf("%s: no %s occurred", s.name, occurrence.what)
 		}
 	}
 	if s.settings.WatchRequired != (o.polls > 0) {
-		t.Errorf("%s: the list was asked for %d times", s.name, o.polls)
+		t.Errorf("%s: the endpoint list was polled %d times", s.name, o.polls)
 	}
 	if o.maxDecisionsAtOnce >= maxDecisions {
-		t.Errorf("%s: decisions without end", s.name)
+		t.Errorf("%s: Next does not stop making decisions", s.name)
 	}
 }
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -8,27 +8,27 @@
 	"testing"
 )
 
-// Orders as a fakeHost notes them begin with these.
+// Prefixes of the orders that fakeHost records.
 const (
 	weightOrder      = "weight"
 	acknowledgeOrder = "acknowledge"
 )
 
-// fakeHost carries out decisions as proxies would, and notes them.
+// fakeHost carries out decisions as proxies would, and records them.
 type fakeHost struct {
 	planner                 *Policy
 	nowMs                   float64
-	weights                 map[int]map[string]float64 // by table and server
-	assigned                map[string]int             // "proxy/class" to table
+	weights                 map[int]map[string]float64 // by table number and server name
+	assigned                map[string]int             // table number by "proxy/class"
 	ejected                 map[string]bool
 	admission               map[int]float64 // by traffic class
-	retries                 map[int]int     // the same
-	polls                   []float64       // times at which the list was asked for
+	retries                 map[int]int     // retry mode by traffic class
+	polls                   []float64       // times of WatchEndpoints, in ms
 	orders                  []string
-	pendingAcknowledgements []int // requests for acknowledgements
+	pendingAcknowledgements []int // numbers of unanswered requests
 }
 
-// serverReports gives what each server reports for a second: attempts, failures and latency in ms.
+// serverReports returns the load report of a server for one second; no report is sent for a count of 0.
 type serverReports func(server string) (count, failed int, latencyMs float64)
 
 func testSettings() Settings {
@@ -73,7 +73,7 @@
 	return f
 }
 
-// readyServers lists s0, s1 and so on, over two zones in turn.
+// readyServers returns the servers s0, s1 and so on, in zones 0 and 1 by turns.
 func readyServers(count int) []Endpoint {
 	var list []Endpoint
 	for index := range count {
@@ -82,7 +82,7 @@
 	return list
 }
 
-// startFleet starts a planner with so many servers and four proxies, all with their tables.
+// startFleet starts a planner with a number of servers, and four proxies with assigned tables.
 func startFleet(settings Settings, servers int) *fakeHost {
 	f := startPlanner(settings)
 	f.planner.UpdateEndpoints(RestoredUpdate, readyServers(servers))
@@ -93,26 +93,26 @@
 	return f
 }
 
-// update tells the planner of a change of some endpoints.
+// update sends the planner a delta update of the endpoint list.
 func (f *fakeHost) update(changed ...Endpoint) { f.planner.UpdateEndpoints(DeltaUpdate, changed) }
 
-// advance lets time go by.
+// advance moves the time forward.
 func (f *fakeHost) advance(byMs float64) {
 	f.nowMs += byMs
 	f.planner.SetTime(f.nowMs)
 }
 
-// decide has the planner make all its decisions of this time.
+// decide has the planner make all of its decisions at this time.
 func (f *fakeHost) decide() {
 	const limit = 100_000
 	for decisions := 0; f.planner.Next(f); decisions++ {
 		if decisions > limit {
-			panic("decisions without end")
+			panic("Next does not stop making decisions")
 		}
 	}
 }
 
-// run lets seconds pass, in which servers report as given, if they are, and proxies have some demand.
+// run advances time by seconds. Servers send the given load reports, if any, and proxies report a constant demand.
 func (f *fakeHost) run(seconds int, reports serverReports) {
 	for step := range seconds * 5 {
 		f.advance(200)
@@ -144,13 +144,13 @@
 	}
 }
 
-// healthy is what a healthy server reports.
+// healthy is the load report of a healthy server.
 func healthy(string) (count, failed int, latencyMs float64) { return 5, 0, 100 }
 
-// overloaded is what a server of an overloaded fleet reports.
+// overloaded is the load report of a server in an overloaded fleet.
 func overloaded(string) (count, failed int, latencyMs float64) { return 10, 5, 900 }
 
-// except is a fleet of sound servers with one that reports otherwise.
+// except returns healthy load reports for all servers but one.
 func except(name string, count, failed int, latencyMs float64) serverReports {
 	return func(server string) (int, int, float64) {
 		if server == name {
@@ -160,7 +160,7 @@
 	}
 }
 
-// share is the part of a proxy's requests of a class that may go to a server, as it would pick; NaN without a table.
+// share returns the share of a proxy's requests of a class that its table sends to a server, or NaN without a table.
 func (f *fakeHost) share(proxy, class int, name string) float64 {
 	table, known := f.assigned[fmt.Sprint(proxy, "/", class)]
 	if !known {
@@ -178,7 +178,7 @@
 	return f.weights[table][name] / total
 }
 
-// shares adds up what a proxy's requests of the first class give to some servers.
+// shares returns the share of a proxy's requests of the first class that go to some servers.
 func (f *fakeHost) shares(proxy int, names ...string) float64 {
 	total := 0.0
 	for _, name := range names {
@@ -187,7 +187,7 @@
 	return total
 }
 
-// countOrders counts the orders of a kind.
+// countOrders returns the number of orders with a prefix.
 func (f *fakeHost) countOrders(kind string) int {
 	return len(slices.DeleteFunc(slices.Clone(f.orders), func(order string) bool { return !strings.HasPrefix(order, kind) }))
 }
@@ -227,7 +227,7 @@
 	f.pendingAcknowledgements = append(f.pendingAcknowledgements, number)
 }
 
-// acknowledgeAll has all proxies acknowledge what was requested.
+// acknowledgeAll has all proxies answer the pending requests for acknowledgements.
 func (f *fakeHost) acknowledgeAll() {
 	for _, number := range f.pendingAcknowledgements {
 		for _, proxy := range f.planner.proxies {
@@ -245,9 +245,10 @@
 
 func (f *fakeHost) SetTimer(inMs float64) { f.log("timer %g", inMs) }
 
+// checkNear fails the test unless got differs from want, which is computed by hand, by at most the last argument.
 func checkNear(t *testing.T, what string, got, want, by float64) {
 	t.Helper()
 	if math.IsNaN(got) || math.Abs(got-want) > by {
-		t.Errorf("%s: %.4f, worked by hand %.4f", what, got, want)
+		t.Errorf("%s is %.4f, want %.4f", what, got, want)
 	}
 }
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -6,65 +6,65 @@
 )
 
 func TestEjectionOfDrainedAndRemovedServers(t *testing.T) {
-	t.Run("a draining server is ejected in the same tick", func(t *testing.T) {
+	t.Run("a draining server is ejected at once", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
 		f.run(5, healthy)
 		f.update(Endpoint{Server: "s2", Zone: 0, State: Draining, RelativeCapacity: 1})
 		f.decide()
 		if !f.ejected["s2"] {
-			t.Error("a draining server is still sent to")
+			t.Error("a draining server still gets requests")
 		}
 	})
-	t.Run("a server missing from the whole list is removed", func(t *testing.T) {
+	t.Run("a server missing from a full update is ejected", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
 		f.planner.UpdateEndpoints(FullUpdate, readyServers(5))
 		f.decide()
 		if !f.ejected["s5"] {
-			t.Error("a server that the list left out is still sent to")
+			t.Error("a server missing from a full update still gets requests")
 		}
 	})
 	t.Run("a server ejected while ready is ejected again when it is removed", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
 		f.run(10, healthy)
-		f.planner.byName["s2"].ejected = true // at some proxies only: others were sent it since
+		f.planner.byName["s2"].ejected = true // at some proxies only: tables of others hold it since
 		f.update(Endpoint{Server: "s2", Zone: 0, State: Removed, RelativeCapacity: 1})
 		f.decide()
 		if !f.ejected["s2"] {
-			t.Error("tables that were not notified keep a server that is removed")
+			t.Error("a removed server stays in tables that were not notified of its first ejection")
 		}
 	})
 }
 
 func TestEjectionOfDeadServers(t *testing.T) {
 	dead := except("s3", 5, 5, 0)
-	t.Run("dead by failures, ejected, and carefully back", func(t *testing.T) {
+	t.Run("a server that only fails is ejected, and readmitted after it recovers", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
 		f.run(10, healthy)
 		f.run(5, dead)
 		if !f.ejected["s3"] {
-			t.Fatal("a server that only fails is still sent to")
+			t.Fatal("a server that only fails still gets requests")
 		}
 		f.run(4, dead)
 		f.run(12, healthy)
 		if f.ejected["s3"] || f.share(1, 0, "s3") == 0 {
-			t.Error("a server that recovered stays ejected")
+			t.Error("a server that recovered gets no requests")
 		}
 	})
-	t.Run("silence where requests were sent is a hang", func(t *testing.T) {
+	t.Run("a server whose load reports are missing is ejected", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
 		f.run(10, healthy)
 		f.run(6, except("s3", 0, 0, 0))
 		if !f.ejected["s3"] {
-			t.Error("a server that went silent is still sent to")
+			t.Error("a server without load reports still gets requests")
 		}
 	})
 }
 
 func TestNoEjectionOnWeakEvidence(t *testing.T) {
-	t.Run("load reports that come in long rounds eject nobody", func(t *testing.T) {
+	t.Run("long rounds of load reports eject no server", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
 		f.run(10, healthy)
-		for range 8 { // a round of load reports takes four seconds where the intake is small
+		for range 8 { // the intake limits load reports to one round in 4 s
 			f.run(3, nil)
 			for _, server := range f.planner.servers {
 				f.planner.RecordLoadReport(server.Server, server.Zone, 20, 0, 100, 4000)
@@ -72,18 +72,18 @@
 			f.run(1, nil)
 		}
 		if len(f.ejected) > 0 {
-			t.Errorf("ejected: %v", f.ejected)
+			t.Errorf("servers were ejected: %v", f.ejected)
 		}
 	})
-	t.Run("a full server that still succeeds is not ejected", func(t *testing.T) {
+	t.Run("an overloaded server that succeeds at times is not ejected", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
 		f.run(10, healthy)
 		f.run(10, except("s3", 10, 6, 300))
 		if f.ejected["s3"] {
-			t.Error("a full server was taken for dead")
+			t.Error("an overloaded server was ejected")
 		}
 	})
-	t.Run("when most look dead the evidence is distrusted", func(t *testing.T) {
+	t.Run("few servers are ejected when most seem dead", func(t *testing.T) {
 		f := startFleet(testSettings(), 10)
 		f.run(10, healthy)
 		f.run(10, func(server string) (int, int, float64) {
@@ -94,13 +94,13 @@
 		})
 		ejected := filter(readyServers(10), func(endpoint Endpoint) bool { return f.ejected[endpoint.Server] })
 		if len(ejected) > 3 {
-			t.Errorf("%d of 10 servers are ejected", len(ejected))
+			t.Errorf("%d of 10 servers were ejected, want at most 3", len(ejected))
 		}
 	})
 }
 
 func TestUnverifiedServers(t *testing.T) {
-	t.Run("those in the list get little, and soon nothing", func(t *testing.T) {
+	t.Run("they get few requests, and none once they failed some", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
 		f.run(10, healthy)
 		var unknown []Endpoint
@@ -116,18 +116,18 @@
 		}
 		f.run(3, reports)
 		if share := f.share(0, 0, "x0"); share > 0.05 {
-			t.Errorf("an unverified server has %.3f of a proxy's requests", share)
+			t.Errorf("an unverified server gets %.3f of a proxy's requests, want at most 0.05", share)
 		}
 		f.run(6, reports)
 		for index, endpoint := range unknown {
 			if !f.ejected[endpoint.Server] && f.share(index%2, 0, endpoint.Server) > 0 {
-				t.Errorf("%s rejects everything and is still sent to", endpoint.Server)
+				t.Errorf("%s fails all requests and still gets some", endpoint.Server)
 			}
 		}
 	})
-	// A release under load replaced half of a fleet by new names; held to an unverified server's share until their first
-	// load reports, they stood idle for seconds while the others were overloaded.
-	t.Run("a new server that says when it started is not one", func(t *testing.T) {
+	// A release under load replaced half of a fleet by servers with new names. When these were limited to the share of
+	// unverified servers until their first load reports, they were idle for seconds while the others were overloaded.
+	t.Run("a new server with a start time is not unverified", func(t *testing.T) {
 		settings := testSettings()
 		f := startFleet(settings, 8)
 		f.run(10, healthy)
@@ -135,7 +135,7 @@
 		f.update(Endpoint{Server: "x", Zone: 0, RelativeCapacity: 1, StartedMs: startedMs})
 		f.run(4, except("x", 0, 0, 0))
 		if share := f.share(0, 0, "x"); share < 0.05 {
-			t.Errorf("it has %.3f of a proxy's requests before its first load report", share)
+			t.Errorf("a new server gets %.3f of a proxy's requests before its first load report, want at least 0.05", share)
 		}
 	})
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// addColdServer adds a server that starts now, and gives it time to get its first share.
+// addColdServer adds a server that starts now, and runs until it gets its first share.
 func (f *fakeHost) addColdServer(reports serverReports) {
 	f.update(Endpoint{Server: "new", Zone: 0, RelativeCapacity: 1, StartedMs: f.nowMs})
 	f.run(6, reports)
 }
 
-func TestColdServersStartLowAndRestAfterARestart(t *testing.T) {
+func TestSlowStart(t *testing.T) {
 	f := startFleet(testSettings(), 6)
 	f.run(12, healthy)
 	f.update(
@@ -17,31 +17,31 @@
 	)
 	f.decide()
 	if f.share(0, 0, "s0") != 0 {
-		t.Error("a restarted server is sent to by old tables")
+		t.Error("a restarted server gets requests by the weights of before")
 	}
 	f.run(8, healthy)
 	for _, server := range []string{"s0", "new"} {
 		if share := f.share(0, 0, server); share > 0.1 {
-			t.Errorf("cold %s has %.3f of a proxy's requests", server, share)
+			t.Errorf("cold server %s gets %.3f of a proxy's requests, want at most 0.1", server, share)
 		}
 	}
 	f.run(25, healthy)
 	if share := f.share(0, 0, "s0"); share < 0.1 {
-		t.Errorf("warm again, it has only %.3f", share)
+		t.Errorf("a warm server gets %.3f of a proxy's requests, want at least 0.1", share)
 	}
 }
 
-func TestColdServerRestsInAnOverload(t *testing.T) {
+func TestColdServerIsEjectedDuringOverload(t *testing.T) {
 	for name, ejected := range map[string]int{
-		"with all others in use":         0,
-		"though most others are ejected": 6,
+		"all other servers in use":   0,
+		"most other servers ejected": 6,
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startFleet(testSettings(), 10)
 			f.run(10, healthy)
 			f.addColdServer(healthy)
 			if f.share(0, 0, "new") == 0 {
-				t.Fatal("a cold server gets nothing without an overload")
+				t.Fatal("a cold server gets no requests without an overload")
 			}
 			for _, server := range f.planner.servers[:ejected] {
 				server.unhealthy = true
@@ -49,13 +49,13 @@
 			}
 			f.run(4, func(string) (int, int, float64) { return 10, 6, 300 })
 			if share := f.share(0, 0, "new"); share != 0 {
-				t.Errorf("a cold server has %.3f in an overload", share)
+				t.Errorf("a cold server gets %.3f of a proxy's requests during an overload", share)
 			}
 		})
 	}
 }
 
-func TestColdServerRestsWhileManyProxiesAreNew(t *testing.T) {
+func TestColdServerIsEjectedWhileManyProxiesAreNew(t *testing.T) {
 	f := startFleet(testSettings(), 10)
 	f.run(10, healthy)
 	f.addColdServer(healthy)
@@ -63,16 +63,17 @@
 	f.planner.AddProxy(3, 1, 10)
 	f.run(2, healthy)
 	if share := f.share(0, 0, "new"); share != 0 {
-		t.Errorf("a cold server has %.3f of a proxy that is hardly known", share)
+		t.Errorf("a cold server gets %.3f of a proxy's requests while many proxies are new", share)
 	}
 }
 
-// Proxies that are taken over reported to another planner until then; cold servers that rested at each takeover cost a
-// fifth of the service of a day with releases. A planner without any report must stay careful, whoever sent it proxies.
-func TestColdServersWhileProxiesAreTakenOver(t *testing.T) {
+// Proxies that are taken over are not new, as they reported to another planner before. When each takeover counted them as
+// new, the ejections of cold servers cost a fifth of the service in a run with releases. A planner without load reports must
+// still eject cold servers when it takes over proxies.
+func TestColdServerDuringTakeover(t *testing.T) {
 	for name, reported := range map[string]bool{
-		"one works on": true,
-		"one rests when a planner without reports takes all over": false,
+		"stays in use where load reports are known":    true,
+		"is ejected by a planner without load reports": false,
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startPlanner(testSettings())
@@ -89,7 +90,7 @@
 			f.planner.AddProxy(3, 1, 10, f.nowMs-9000, f.nowMs-100)
 			f.run(2, reports)
 			if share := f.share(2, 0, "new"); reported != (share > 0) {
-				t.Errorf("the cold server has %.3f", share)
+				t.Errorf("the cold server gets %.3f of a proxy's requests", share)
 			}
 		})
 	}
--- a/policy/solver_test.go
+++ b/policy/solver_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// solveRepeatedly runs the solver as often as a warm planner would and gives the cells.
+// solveRepeatedly runs the solver several times, each time from the cells of the last, and returns the cells.
 func solveRepeatedly(D, C []float64, cost [][]float64, solves int) [][]cell {
 	cells := make([][]cell, len(D))
 	for i := range cells {
@@ -35,8 +35,8 @@
 	})
 }
 
-// Shares that tie at the line, with a capacity of nothing, made the water-filling swing between two sets without end.
-// Guards against any such swing by rounding; cannot harm, as in exact terms the sets only shrink.
+// Shares that tie at the water level, with a capacity of 0, made the search alternate between two sets of terms for ever, by
+// rounding. In exact arithmetic the sets only shrink, so ending the search when one does not is safe.
 func TestWaterLevelTerminates(t *testing.T) {
 	v := []float64{0.24655817925974133, 0.17259072548181892, 0.004931163585194826, 0.24655817925974133}
 	ended := make(chan float64, 1)
@@ -44,39 +44,39 @@
 	select {
 	case nu := <-ended:
 		if math.Abs(nu-v[0]) > 1e-9 {
-			t.Errorf("line at %g", nu)
+			t.Errorf("water level is %g, want 0.24656", nu)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("no end")
+		t.Error("waterLevel did not return within 20 s")
 	}
 }
 
 func TestSolve(t *testing.T) {
 	inf := math.Inf(1)
-	t.Run("slack capacities: all to the nearest", func(t *testing.T) {
+	t.Run("with ample capacities, all requests go to the cheapest server", func(t *testing.T) {
 		cells := solveRepeatedly([]float64{1}, []float64{5, 5}, [][]float64{{0, 0.1}}, 5)
-		checkNear(t, "alpha to the near server", cells[0][0].alpha, 1, 0.01)
+		checkNear(t, "alpha of the cheapest server", cells[0][0].alpha, 1, 0.01)
 	})
-	t.Run("one binding capacity: the rest spills", func(t *testing.T) {
+	t.Run("requests beyond a binding capacity go to the other server", func(t *testing.T) {
 		cells := solveRepeatedly([]float64{1, 1}, []float64{0.5, 5}, [][]float64{{0, 0.1}, {inf, 0}}, 20)
-		checkNear(t, "alpha up to the capacity", cells[0][0].alpha, 0.5, 0.02)
-		checkNear(t, "alpha of a closed server", cells[1][0].alpha, 0, 0)
-		checkNear(t, "sum", cells[0][0].alpha+cells[0][1].alpha, 1, 1e-9)
+		checkNear(t, "alpha of the server at its capacity", cells[0][0].alpha, 0.5, 0.02)
+		checkNear(t, "alpha of a server that the client may not use", cells[1][0].alpha, 0, 0)
+		checkNear(t, "sum of alphas", cells[0][0].alpha+cells[0][1].alpha, 1, 1e-9)
 	})
-	t.Run("two clients share a capacity by what the way costs them", func(t *testing.T) {
+	t.Run("with tight capacities, each client uses its cheapest server", func(t *testing.T) {
 		cells := solveRepeatedly([]float64{1, 1}, []float64{1, 1}, [][]float64{{0, 0.1}, {0.1, 0}}, 20)
-		checkNear(t, "first stays at home", cells[0][0].alpha, 1, 0.02)
-		checkNear(t, "second stays at home", cells[1][1].alpha, 1, 0.02)
+		checkNear(t, "alpha of the first client at its cheapest server", cells[0][0].alpha, 1, 0.02)
+		checkNear(t, "alpha of the second client at its cheapest server", cells[1][1].alpha, 1, 0.02)
 	})
-	t.Run("a client with one server, and one without demand", func(t *testing.T) {
+	t.Run("a client that may use one server, and a client without demand", func(t *testing.T) {
 		cells := solveRepeatedly([]float64{2, minDemand}, []float64{1, 3}, [][]float64{{inf, 0}, {0, 0}}, 5)
-		checkNear(t, "only server", cells[0][1].alpha, 1, 1e-9)
-		checkNear(t, "sum of the idle", cells[1][0].alpha+cells[1][1].alpha, 1, 1e-9)
+		checkNear(t, "alpha of the only server", cells[0][1].alpha, 1, 1e-9)
+		checkNear(t, "sum of alphas of the client without demand", cells[1][0].alpha+cells[1][1].alpha, 1, 1e-9)
 	})
 	t.Run("no servers", func(*testing.T) { solveRepeatedly([]float64{1}, nil, [][]float64{{}}, 1) })
 }
 
-func TestSolveKeepsCapacitiesOfAnyFleetSize(t *testing.T) {
+func TestSolveRespectsCapacitiesAtAnyFleetSize(t *testing.T) {
 	for _, servers := range []int{4, 20, 100} {
 		t.Run(fmt.Sprint(servers, " servers"), func(t *testing.T) {
 			D := []float64{0.2, 1.8, 0.2, 1.8, 0.2, 1.8}
@@ -98,19 +98,19 @@
 					load += cells[i][j].alpha * D[i]
 				}
 				if load > 1.1*C[j] {
-					t.Errorf("load %.3f on a capacity of %.3f", load, C[j])
+					t.Errorf("load is %.3f on a server of capacity %.3f", load, C[j])
 				}
 			}
 		})
 	}
 }
 
-func TestCapacitiesBelowDemandAreScaledToItColdOnesAreNot(t *testing.T) {
+func TestCapacitiesScaleToDemandExceptOfColdServers(t *testing.T) {
 	f := startFleet(testSettings(), 4)
 	f.planner.servers[0].StartedMs = f.nowMs
 	C := f.planner.capacities(f.planner.servers, 20)
-	checkNear(t, "sum", C[0]+C[1]+C[2]+C[3], capacityHeadroom, 0.5)
+	checkNear(t, "sum of capacities", C[0]+C[1]+C[2]+C[3], capacityHeadroom, 0.5)
 	if C[0] > 0.25*0.2 {
-		t.Errorf("a cold server's capacity is %.3f of all demand", C[0])
+		t.Errorf("capacity of the cold server is %.3f of all demand, want at most 0.05", C[0])
 	}
 }
--- a/policy/tables_test.go
+++ b/policy/tables_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestNewProxyGetsATableOfEveryTrafficClassAtOnce(t *testing.T) {
+func TestNewProxyIsAssignedATableForEachTrafficClass(t *testing.T) {
 	f := startFleet(testSettings(), 6)
 	for proxy := range 4 {
 		for class := range 2 {
@@ -19,7 +19,7 @@
 }
 
 func TestSplitByZone(t *testing.T) {
-	t.Run("spill where a zone is short", func(t *testing.T) {
+	t.Run("requests leave a zone that lacks capacity", func(t *testing.T) {
 		f := startPlanner(testSettings())
 		f.planner.UpdateEndpoints(FullUpdate, []Endpoint{
 			{Server: "s0", Zone: 0, RelativeCapacity: 1},
@@ -31,18 +31,18 @@
 		f.planner.AddProxy(1, 1, 10)
 		f.decide()
 		if share := f.share(0, 0, "s0"); share > 0.7 {
-			t.Errorf("%.2f of the short zone's requests stay there", share)
+			t.Errorf("%.2f of the requests stay in a zone that lacks capacity, want at most 0.7", share)
 		}
 	})
-	t.Run("a traffic class that may not leave its zone does not", func(t *testing.T) {
+	t.Run("a SameZoneOnly class stays in its zone", func(t *testing.T) {
 		settings := testSettings()
 		settings.Classes[0].SameZoneOnly = true
 		f := startFleet(settings, 6)
 		if f.share(0, 0, "s1") != 0 || f.share(0, 1, "s0") == 0 {
-			t.Error("the table of a class that must stay holds another zone")
+			t.Error("the SameZoneOnly class leaves its zone, or the other class does not")
 		}
 	})
-	t.Run("a planner with one zone's proxies leaves the rest to other planners", func(t *testing.T) {
+	t.Run("a planner with the proxies of one zone leaves other zones to other planners", func(t *testing.T) {
 		settings := testSettings()
 		settings.Proxies = 8
 		settings.Planners = 2
@@ -54,15 +54,15 @@
 		}
 		f.run(6, healthy)
 		if away := f.shares(0, "s1", "s3", "s5", "s7"); away > 0.2 {
-			t.Errorf("%.2f of the requests leave their zone", away)
+			t.Errorf("%.2f of the requests leave their zone, want at most 0.2", away)
 		}
 	})
 }
 
-// With five planners over 2,400 proxies a round of load reports took ten seconds. Splits kept requests in their zones by
-// what had been ten seconds before, and a shift between zones filled the servers of one: served 0.752, where the plainest
-// policy has 0.898.
-func TestLaterLoadReportsMoveASplitTowardsTheServersCapacities(t *testing.T) {
+// With five planners for 2,400 proxies, a round of load reports took 10 s. Splits kept requests in their zones by demand that
+// was 10 s old, and a shift of demand overloaded the servers of one zone: the service was 0.752, where the simplest policy
+// reached 0.898.
+func TestLateLoadReportsMoveSplitTowardsCapacities(t *testing.T) {
 	stays := map[float64]float64{}
 	for _, coversMs := range []float64{1000, 14000} {
 		settings := testSettings()
@@ -77,30 +77,30 @@
 		stays[coversMs] = f.shares(0, "s0", "s2", "s4")
 	}
 	if stays[1000] < 0.9 || stays[14000] > 0.7 || stays[14000] < 0.5 {
-		t.Errorf("part of a zone's requests that stays in it: %v", stays)
+		t.Errorf("share of a zone's requests that stay in it, by coversMs: %v", stays)
 	}
 }
 
-func TestChangesOfTables(t *testing.T) {
-	t.Run("nothing to send when nothing moves", func(t *testing.T) {
+func TestTableChanges(t *testing.T) {
+	t.Run("few entries are sent while nothing changes", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
 		f.run(20, healthy)
 		f.orders = nil
 		f.run(10, healthy)
 		if sent := f.countOrders(weightOrder); sent > 6 {
-			t.Errorf("%d entries sent without a change", sent)
+			t.Errorf("%d entries were sent without a change, want at most 6", sent)
 		}
 	})
-	t.Run("a slow server's share falls, and only one cohort changes at a time", func(t *testing.T) {
+	t.Run("the share of a slow server falls", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
 		f.run(15, healthy)
 		before := f.share(0, 0, "s0")
 		f.run(15, except("s0", 5, 0, 900))
 		if after := f.share(0, 0, "s0"); after > 0.6*before {
-			t.Errorf("share %.3f after %.3f", after, before)
+			t.Errorf("share of the slow server is %.3f, it was %.3f before", after, before)
 		}
 	})
-	t.Run("a table that drains empty gets other entries at once", func(t *testing.T) {
+	t.Run("a table that loses all servers gets others at once", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
 		f.run(6, healthy)
 		for index := 0; index < 8; index += 2 {
@@ -108,23 +108,23 @@
 		}
 		f.run(1, nil)
 		if f.shares(0, "s1", "s3", "s5", "s7") == 0 {
-			t.Error("the proxy has no server left")
+			t.Error("the proxy has no server with a weight")
 		}
 	})
-	t.Run("with no server to use, tables keep what they hold", func(t *testing.T) {
+	t.Run("without usable servers, tables stay as they are", func(t *testing.T) {
 		f := startFleet(testSettings(), 4)
 		f.planner.UpdateEndpoints(FullUpdate, nil)
 		f.orders = nil
 		f.run(5, nil)
 		if sent := f.countOrders(weightOrder); sent > 0 {
-			t.Errorf("%d entries sent with no server listed: %q", sent, f.orders)
+			t.Errorf("%d entries were sent without a listed server: %q", sent, f.orders)
 		}
 	})
 }
 
-// A planner whose reports come late would send entries by old reports, and the answers to needless requests for
-// acknowledgements make it later still. What drains must go all the same.
-func TestWhileLaggingDeferrableEntriesRestAndEjectionsGo(t *testing.T) {
+// A planner that receives load reports late would send entries based on outdated reports, and answers to optional requests for
+// acknowledgements would delay it further. Draining servers must be ejected nevertheless.
+func TestLaggingDefersEntriesButNotEjections(t *testing.T) {
 	for _, lagging := range []bool{false, true} {
 		t.Run(fmt.Sprint("lagging ", lagging), func(t *testing.T) {
 			f := startFleet(testSettings(), 6)
@@ -137,13 +137,13 @@
 			f.update(Endpoint{Server: "s2", Zone: 0, RelativeCapacity: 1, State: Draining})
 			f.run(1, healthy)
 			if (entries > 0) == lagging || (requests > 0) == lagging || !f.ejected["s2"] {
-				t.Errorf("entries %d, requests %d, drained %v", entries, requests, f.ejected["s2"])
+				t.Errorf("%d entries sent, %d acknowledgements requested, draining server ejected: %v", entries, requests, f.ejected["s2"])
 			}
 		})
 	}
 }
 
-func TestLargeFleetIsSharedOutOverShortTablesEvenly(t *testing.T) {
+func TestShortTablesLoadALargeFleetEvenly(t *testing.T) {
 	settings := testSettings()
 	settings.Proxies = 40
 	settings.Zones = 1
@@ -166,18 +166,18 @@
 	for proxy := range 40 {
 		table := f.weights[f.assigned[fmt.Sprint(proxy, "/0")]]
 		if len(table) == 0 || len(table) > 15 {
-			t.Errorf("proxy %d has a table of %d entries", proxy, len(table))
+			t.Errorf("proxy %d has a table of %d entries, want 1 to 15", proxy, len(table))
 		}
 		for server := range table {
 			load[server] += f.share(proxy, 0, server)
 		}
 	}
 	for _, endpoint := range list {
-		checkNear(t, "proxies' worth of requests at "+endpoint.Server, load[endpoint.Server], 40.0/60, 0.25)
+		checkNear(t, "load, in requests of one proxy, at "+endpoint.Server, load[endpoint.Server], 40.0/60, 0.25)
 	}
 }
 
-func TestSameInputsGiveTheSameOutputs(t *testing.T) {
+func TestDeterminism(t *testing.T) {
 	reports := func(server string) (int, int, float64) {
 		return 3, int(server[1]) % 2, 90 + 7*float64(server[1])
 	}
@@ -186,11 +186,11 @@
 	first.run(12, reports)
 	second.run(12, reports)
 	if !reflect.DeepEqual(first.orders, second.orders) {
-		t.Error("two planners with the same inputs differ")
+		t.Error("two planners with the same inputs made different decisions")
 	}
 }
 
-// BenchmarkSecond is one second of a planner at full size: evaluations, a round of load reports, and what it orders.
+// BenchmarkSecond measures one second of a planner of full size: evaluations, a round of load reports, and its orders.
 func BenchmarkSecond(b *testing.B) {
 	settings := testSettings()
 	settings.Zones = 3
--- a/policy/takeover_test.go
+++ b/policy/takeover_test.go
@@ -8,13 +8,13 @@
 
 const (
 	takeoverServers          = 120
-	takeoverOwnProxies       = 60   // proxies that joined long before: enough to use each table
-	takeoverInheritedProxies = 200  // proxies that join with tables of other planners
-	takeoverDrainBatchSize   = 20   // servers that begin to drain at once
-	evaluationStepMs         = 200  // between two times that the policy is given the time
-	acknowledgeEvery         = 5    // evaluations until requests for an acknowledgement are answered
-	assignedWithinMs         = 3500 // until all have tables: of the channel they take 2.5 s, and the drains 0.5 s
-	restoredWithinMs         = 15000
+	takeoverOwnProxies       = 60    // proxies that joined long before the takeover; enough to use each table
+	takeoverInheritedProxies = 200   // proxies that join with tables of another planner
+	takeoverDrainBatchSize   = 20    // servers that begin to drain together
+	evaluationStepMs         = 200   // ms between two calls of SetTime
+	acknowledgeEvery         = 5     // evaluations between answers to requests for acknowledgements
+	assignedWithinMs         = 3500  // ms until all have tables; the channel needs 2.5 s for these, and 0.5 s for the drains
+	restoredWithinMs         = 15000 // ms until all omitted entries are restored
 )
 
 type decisionKind int
@@ -25,16 +25,16 @@
 	restorationDecision
 )
 
-// takeoverDecision is what the policy had its host do, of the kinds that matter in a takeover.
+// takeoverDecision is a decision of a kind that matters in a takeover.
 type takeoverDecision struct {
 	kind              decisionKind
-	atMs              float64 // since the joins
+	atMs              float64 // since the inherited proxies joined
 	proxy, table      int
 	servers           []string // ejected, omitted or restored
 	includeUnassigned bool
 }
 
-// takeoverHost is a fake that keeps decisions in their order.
+// takeoverHost is a fakeHost that also records these decisions in order.
 type takeoverHost struct {
 	*fakeHost
 	joinedMs    float64
@@ -63,7 +63,7 @@
 	h.record(takeoverDecision{kind: restorationDecision, proxy: proxy, servers: servers})
 }
 
-// advance lets time pass. Requests for an acknowledgement are answered once a second, as a channel in use would.
+// advance moves the time forward. Acknowledgements are sent once a second, as over a busy channel.
 func (h *takeoverHost) advance(ms int) {
 	for range ms / evaluationStepMs {
 		h.evaluate()
@@ -82,7 +82,7 @@
 	}
 }
 
-// startTakeover starts a planner with proxies of its own, which others then join with tables of another.
+// startTakeover starts a planner with proxies of its own. Then servers drain, and proxies with tables of another planner join.
 func startTakeover(t *testing.T, drains ...Endpoint) *takeoverHost {
 	t.Helper()
 	return startTakeoverWith(t, testSettings(), drains...)
@@ -109,7 +109,8 @@
 	return h
 }
 
-// drainBatch lists servers that began to drain: of each run of servers one, as neighbors share a table.
+// drainBatch returns servers that began to drain, at equal distances in the list, as neighbors in it share tables. Batches have
+// no server in common.
 func drainBatch(batch int) []Endpoint {
 	var list []Endpoint
 	for index, endpoint := range readyServers(takeoverServers) {
@@ -125,7 +126,7 @@
 	return filter(h.decisions, func(d takeoverDecision) bool { return d.kind == kind })
 }
 
-// restored are the servers that a proxy had restored, by the decisions so far.
+// restored returns the servers that were restored at a proxy so far.
 func (h *takeoverHost) restored(proxy int) []string {
 	var servers []string
 	for _, d := range h.decisionsOf(restorationDecision) {
@@ -145,35 +146,36 @@
 	last := assignments[len(assignments)-1]
 	t.Logf("the last proxy was assigned a table after %.0f ms", last.atMs)
 	if last.atMs > assignedWithinMs {
-		t.Errorf("the last proxy was assigned a table %.0f ms after it joined", last.atMs)
+		t.Errorf("the last proxy was assigned a table %.0f ms after it joined, which is too late", last.atMs)
 	}
 }
 
-// TestTakeover states what goes first while servers drain and proxies join that may hold them in tables of another planner.
+// TestTakeover checks the order of decisions when servers drain while proxies join that may hold them in tables of another
+// planner.
 func TestTakeover(t *testing.T) {
 	h := startTakeover(t, drainBatch(0)...)
 	h.advance(400)
 	h.planner.UpdateEndpoints(DeltaUpdate, drainBatch(1))
 	h.advance(restoredWithinMs)
-	t.Run("drained servers are ejected first, at proxies with our tables alone", h.checkEjections)
-	t.Run("ejections of later drains do not starve assignments", h.checkAssigned)
-	t.Run("what was omitted is restored later, but for ejected servers", h.checkOmitted)
-	t.Run("few servers are restored until all are assigned", h.checkRestoredLast)
+	t.Run("draining servers are ejected first, only at proxies with tables of this planner", h.checkEjections)
+	t.Run("ejections of later drains do not delay assignments too long", h.checkAssigned)
+	t.Run("omitted entries are restored later, except of ejected servers", h.checkOmitted)
+	t.Run("few servers are restored until all proxies are assigned tables", h.checkRestoredLast)
 }
 
 func (h *takeoverHost) checkEjections(t *testing.T) {
 	ejections := h.decisionsOf(ejectionDecision)
 	if len(ejections) != 2*takeoverDrainBatchSize {
-		t.Errorf("%d servers were ejected", len(ejections))
+		t.Errorf("%d servers were ejected, want all draining ones", len(ejections))
 	}
 	for _, d := range ejections {
 		if d.includeUnassigned {
-			t.Errorf("%s is ejected at proxies without a table, %.0f ms after the joins", d.servers[0], d.atMs)
+			t.Errorf("%s was also ejected at proxies without a table, %.0f ms after the joins", d.servers[0], d.atMs)
 		}
 	}
 	isAssignment := func(d takeoverDecision) bool { return d.kind == assignmentDecision }
 	if first := slices.IndexFunc(h.decisions, isAssignment); first != takeoverDrainBatchSize {
-		t.Errorf("%d ejections before the first assignment", first)
+		t.Errorf("%d ejections precede the first assignment, want those of the first batch", first)
 	}
 }
 
@@ -182,17 +184,17 @@
 	for _, d := range h.decisionsOf(assignmentDecision) {
 		restored := h.restored(d.proxy)
 		if len(restored) < minEntries {
-			t.Errorf("proxy %d had %d servers restored", d.proxy, len(restored))
+			t.Errorf("proxy %d: only %d servers were restored", d.proxy, len(restored))
 		}
 		for _, server := range d.servers {
 			omittedReady = omittedReady || !h.ejected[server]
 			if !slices.Contains(restored, server) && !h.ejected[server] {
-				t.Errorf("proxy %d is never sent the entry of %s", d.proxy, server)
+				t.Errorf("proxy %d was never sent the omitted entry of %s", d.proxy, server)
 			}
 		}
 	}
 	if !omittedReady {
-		t.Error("no light entries were omitted")
+		t.Error("no entry of a server in use was omitted")
 	}
 }
 
@@ -203,16 +205,17 @@
 			assigned++
 		}
 		if d.kind == restorationDecision && assigned < takeoverInheritedProxies && len(d.servers) > minEntries {
-			t.Errorf("%d servers at proxy %d, %.0f ms after the joins", len(d.servers), d.proxy, d.atMs)
+			t.Errorf("%d servers were restored at proxy %d before all were assigned tables, %.0f ms after the joins", len(d.servers), d.proxy, d.atMs)
 		}
 	}
 }
 
-// TestNoTakeover states that a joined proxy gets everything at once where no server drains, or only such that all were notified of.
-func TestNoTakeover(t *testing.T) {
+// TestAssignmentWithoutTakeover checks that a joining proxy is sent its whole table and all restorations at once where no
+// server drains, or where the grace of all drains has passed.
+func TestAssignmentWithoutTakeover(t *testing.T) {
 	old := drainBatch(0)
 	for _, drains := range [][]Endpoint{nil, old} {
-		t.Run(fmt.Sprintf("%d drained before", len(drains)), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d servers drained before", len(drains)), func(t *testing.T) {
 			h := startTakeover(t)
 			for _, proxy := range slices.Clone(h.planner.proxies[takeoverOwnProxies:]) {
 				h.planner.RemoveProxy(proxy.id)
@@ -225,19 +228,20 @@
 			h.advance(evaluationStepMs)
 			assignments := h.decisionsOf(assignmentDecision)
 			if len(assignments) != 1 || len(assignments[0].servers) > 0 {
-				t.Fatalf("%+v", assignments)
+				t.Fatalf("assignments are %+v, want one without omitted servers", assignments)
 			}
 			entries := filter(h.planner.byID[takeoverOwnProxies].tables[0].entries, (*entry).inUse)
 			if restored := h.restored(takeoverOwnProxies); len(restored) != len(entries) || h.decisions[1].kind != restorationDecision {
-				t.Errorf("%d of %d servers were restored at once", len(restored), len(entries))
+				t.Errorf("%d of %d servers were restored together with the assignment", len(restored), len(entries))
 			}
 		})
 	}
 }
 
-// TestTakeoverRestoresOfEachTable states that a proxy with two tables has the heaviest servers of each restored with it. What
-// the first one left stood before those of the second, so that this had none to pick for certain.
-func TestTakeoverRestoresOfEachTable(t *testing.T) {
+// TestTakeoverRestoresServersOfEachTable checks that the assignment of each of two tables restores the heaviest servers of
+// that table. When the remaining restorations of the first table were sent with the second one instead, a proxy might hold no
+// server of the second table that it could pick.
+func TestTakeoverRestoresServersOfEachTable(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].SameZoneOnly = true
 	h := startTakeoverWith(t, set, drainBatch(0)...)
@@ -248,12 +252,12 @@
 		}
 		restored := h.decisions[index+1]
 		if restored.kind != restorationDecision || restored.proxy != d.proxy {
-			t.Errorf("nothing is restored at proxy %d with its table", d.proxy)
+			t.Errorf("no server was restored at proxy %d with its table", d.proxy)
 		}
 		for _, server := range restored.servers {
 			holds := func(entry *entry) bool { return entry.server.Server == server }
 			if !slices.ContainsFunc(h.planner.tables[d.table].entries, holds) {
-				t.Errorf("%s, of another table of proxy %d, is restored with table %d", server, d.proxy, d.table)
+				t.Errorf("%s, which is in another table of proxy %d, was restored with table %d", server, d.proxy, d.table)
 			}
 		}
 	}
