--- a/policy/constants.go
+++ b/policy/constants.go
@@ -62,7 +62,7 @@
 	maxEjectedShare          = 0.3     // of the fleet, or of failed requests; with more, a fault of the reports is likelier
 	ejectionMs               = 5000.0  // first ejection, doubled by each further one; a server or proxy is new for as long
 	maxEjectionMs            = 20000.0 // longest ejection; as long as the longest hangs of servers
-	maxColdRestShare         = 0.8     // of the fleet that may be out of use when a cold server rests; the others are warm
+	maxColdEjectedShare      = 0.8     // of the fleet that may be ejected when cold servers are, too; the others are warm
 	newProxyDivisor          = 3       // demand is uncertain when more than one in this many proxies is new
 	recoveryShare            = 0.2     // of its capacity that a readmitted server starts with, at little risk
 	recoveryDoublingMs       = 1500.0  // time in which that share doubles; it is full after some three report intervals
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -35,7 +35,7 @@
 		case server.State != Ready || server.unhealthy && p.nowMs < server.unhealthyUntilMs:
 		case server.unhealthy:
 			p.readmit(server)
-		case p.cold(server) && uncertain && ejected <= maxColdRestShare*size:
+		case p.cold(server) && uncertain && ejected <= maxColdEjectedShare*size:
 			// Proxies avoid servers that fail and try others, so that a cold one would be flooded.
 			server.unhealthy = true
 			server.unhealthyUntilMs = p.nowMs + p.settings.ColdOverloadWindowMs
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -7,8 +7,8 @@
 	p.channelSlow = tookMs > lateAcknowledgementFactor*p.settings.MaxPropagationMs
 }
 
-// updateBacklog updates and returns the backlog, which is the number of entries that wait in the channel, with message
-// overhead. It drains at the rate of the channel, and never exceeds what is not known to have arrived.
+// updateBacklog updates and returns the backlog: the number of entries that wait in the channel, with message overhead. It
+// drains at the rate of the channel, and never exceeds what is not known to have arrived.
 func (p *Policy) updateBacklog() float64 {
 	drained := (p.nowMs - p.backlogUpdatedMs) * p.settings.EntriesPerSecond / 1000
 	if p.channelSlow {
@@ -23,18 +23,18 @@
 // spendBudget spends the budget for an order of this many entries to each recipient, and reports whether there was room for
 // its urgency.
 func (p *Policy) spendBudget(entries float64, recipients []*proxy, urgency int) bool {
-	messaged := filter(recipients, func(proxy *proxy) bool { return !proxy.hasMessageAt(p.nowMs) })
-	if !p.withinMessageLimit(messaged, urgency) {
+	withoutMessage := filter(recipients, func(proxy *proxy) bool { return !proxy.hasMessageAt(p.nowMs) })
+	if !p.withinMessageLimit(withoutMessage, urgency) {
 		return false
 	}
-	cost := entries*float64(len(recipients)) + p.settings.MessageOverhead*float64(len(messaged))
+	cost := entries*float64(len(recipients)) + p.settings.MessageOverhead*float64(len(withoutMessage))
 	full := p.updateBacklog()+cost > p.settings.MaxBacklog*backlogShare[urgency] ||
 		p.unacknowledged()+cost > p.settings.MaxBacklog*max(backlogShare[required], backlogShare[urgency])
 	// An empty channel takes any required order, as one that is larger than the limit would wait for ever.
 	if full && (p.unacknowledged() > 0 || urgency < required) {
 		return false
 	}
-	p.countOrder(entries, cost, recipients, messaged)
+	p.countOrder(entries, cost, recipients, withoutMessage)
 	return true
 }
 
--- a/policy/records.go
+++ b/policy/records.go
@@ -4,26 +4,26 @@
 
 // This file records what was decided and ordered, and answers queries on these records.
 
-// hasMessageAt reports whether a message to the proxy is already due at this time, which further orders share.
+// hasMessageAt reports whether the proxy is already sent a message at this time, which further orders then share.
 func (p *proxy) hasMessageAt(nowMs float64) bool {
 	return len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == nowMs
 }
 
-// countOrder adds an order to the backlog and to what was ordered to each recipient. The recipients in messaged had no
-// message at this time yet, so the order begins one.
-func (p *Policy) countOrder(entries, cost float64, recipients, messaged []*proxy) {
+// countOrder adds an order to the backlog and to what was ordered to each recipient. The recipients in
+// withoutMessage are not sent a message at this time yet, so the order starts one.
+func (p *Policy) countOrder(entries, cost float64, recipients, withoutMessage []*proxy) {
 	p.backlog += cost
 	for _, proxy := range recipients {
 		proxy.ordered += entries
 	}
-	for _, proxy := range messaged {
+	for _, proxy := range withoutMessage {
 		proxy.messageTimes = appendBounded(proxy.messageTimes, p.nowMs, p.settings.MaxMessages+1)
 		proxy.ordered += p.settings.MessageOverhead
 	}
 }
 
-// countRequests adds requests for acknowledgements to the backlog, and notes for each what its acknowledgement will show to
-// have arrived.
+// countRequests adds requests for acknowledgements to the backlog, and records for each recipient which entries have arrived
+// once it acknowledges.
 func (p *Policy) countRequests(recipients []*proxy) {
 	p.acknowledgedSolve = p.solves
 	for _, proxy := range recipients {
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -199,9 +199,9 @@
 }
 
 // urgentDrains returns the servers whose ejections precede assignments in a takeover: those that began to drain first, and
-// later ones once drainIsDue. They are sent together, as each concerns few proxies and would cost messages
-// of its own. fit reports whether all of them have room, or so little waits in the channel that they need not wait for it;
-// otherwise assignments wait, too.
+// later ones once drainIsDue. They are sent together, as each concerns few proxies and would cost messages of its own. fit
+// reports whether all of them have room, or so little waits in the channel that they need not wait for it; otherwise
+// assignments wait, too.
 func (p *Policy) urgentDrains() (drains []*server, fit bool) {
 	oldest := p.nowMs
 	for _, server := range p.servers {
@@ -276,7 +276,7 @@
 }
 
 // omittedEntries returns the entries that an assignment omits: those of ejected servers, and those of the smallest weights.
-// They keep the channel from filling up when many proxies join during a release. inherited is sorted by weight, and its first
+// This keeps the channel from filling up when many proxies join during a release. inherited is sorted by weight, and its first
 // entries are never omitted, so that a table is not sent empty.
 func omittedEntries(proxy *proxy, ejected, inherited []*entry) []*entry {
 	if len(inherited) == 0 {
