--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -2,52 +2,53 @@
 
 import "math"
 
-// ramp is the part of its capacity that a server may be given. A cold one, and one that was ejected, starts
-// low and doubles; an unverified one stays low.
+// ramp returns the share of its capacity that a server may be assigned. For a cold or readmitted server it starts low and
+// doubles; for an unverified server it stays low.
 func (p *Policy) ramp(server *server) float64 {
-	part := math.Min(1, recoveryShare*math.Exp2((p.nowMs-server.readmittedMs)/recoveryDoublingMs))
+	share := math.Min(1, recoveryShare*math.Exp2((p.nowMs-server.readmittedMs)/recoveryDoublingMs))
 	if p.cold(server) {
 		doublings := math.Max(p.nowMs-server.StartedMs, 0) / slowStartDoublingMs
-		part = math.Min(part, slowStartMargin*p.settings.ColdCapacity*math.Exp2(doublings))
+		share = math.Min(share, slowStartMargin*p.settings.ColdCapacity*math.Exp2(doublings))
 	}
 	if p.unverified(server) {
-		part = math.Min(part, minCapacity)
+		share = math.Min(share, minCapacity)
 	}
-	return part
+	return share
 }
 
-// capacities are the paper's C of usable servers in parts of all demand, which is in requests per second.
-// They are scaled to demand with some headroom; those on a ramp are not scaled up.
+// capacities returns C of the paper for usable servers, in shares of the total demand, which is given in requests per second.
+// Capacities are scaled to the demand with some headroom, but those of servers on a ramp are not scaled up.
 func (p *Policy) capacities(servers []*server, demand float64) []float64 {
 	C := make([]float64, len(servers))
-	warm, warming := 0.0, 0.0
+	warmCapacity, warmingCapacity := 0.0, 0.0
 	verified := filter(servers, func(server *server) bool { return !p.unverified(server) })
-	listed := sumBy(verified, func(server *server) float64 { return server.RelativeCapacity })
-	listed = math.Max(listed, minRelativeCapacity)
-	// A ramp is of what the fleet succeeds in: in an overload all requests run to the least busy servers.
-	served := math.Min(1, math.Max(p.succeededRate, minDemand*demand)/math.Max(demand, minDemand))
+	verifiedCapacity := sumBy(verified, func(server *server) float64 { return server.RelativeCapacity })
+	verifiedCapacity = math.Max(verifiedCapacity, minRelativeCapacity)
+	// Servers on a ramp are assigned a share of what the fleet succeeds in, not of the demand: in an overload, requests would
+	// concentrate on the least busy servers.
+	succeededShare := math.Min(1, math.Max(p.succeededRate, minDemand*demand)/math.Max(demand, minDemand))
 	for j, server := range servers {
 		speed := math.Max(p.relativeSpeed(server), minCapacity)
-		C[j] = server.RelativeCapacity / listed * speed * p.ramp(server)
+		C[j] = server.RelativeCapacity / verifiedCapacity * speed * p.ramp(server)
 		if p.ramp(server) < 1 {
-			C[j] *= served
-			warming += C[j]
+			C[j] *= succeededShare
+			warmingCapacity += C[j]
 		} else {
-			warm += C[j]
+			warmCapacity += C[j]
 		}
 	}
 	lowLatency := math.Max(0, 1-p.latencyMs/p.latencyObjectiveMs/recoveryThreshold)
-	headroom := capacityHeadroom + recoveryHeadroom*lowLatency
+	headroom := capacityHeadroom + lowLatencyHeadroom*lowLatency
 	for j, server := range servers {
 		if p.ramp(server) >= 1 {
-			C[j] *= math.Max(headroom-warming, minReadyCapacity) / warm
+			C[j] *= math.Max(headroom-warmingCapacity, minWarmCapacity) / warmCapacity
 		}
 	}
 	return C
 }
 
-// relativeSpeed is the speed of a server by its baseline latency, 1 for the middle one, less at once while it
-// is more overloaded than the fleet.
+// relativeSpeed returns the speed of a server by its baseline latency, 1 for the median server. It is reduced at once while
+// the server is more overloaded than the fleet, and by its failures.
 func (p *Policy) relativeSpeed(server *server) float64 {
 	if server.baselineMs <= 0 || p.baselineMs <= 0 {
 		return 1
--- a/policy/takeover_test.go
+++ b/policy/takeover_test.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	takeoverServers   = 120
-	takeoverOwn       = 60   // proxies that joined long before: enough to use each table
-	takeoverInherited = 200  // proxies that join with tables of other planners
-	takeoverDrains    = 20   // servers that begin to drain at once
-	evaluationMs      = 200  // between two times that the policy is given the time
-	acknowledgeEvery  = 5    // evaluations until requests for an acknowledgement are answered
-	assignedWithinMs  = 3500 // until all have tables: of the channel they take 2.5 s, and the drains 0.5 s
-	restoredWithinMs  = 15000
+	takeoverServers          = 120
+	takeoverOwnProxies       = 60    // proxies that joined long before the takeover; enough to use each table
+	takeoverInheritedProxies = 200   // proxies that join with tables of another planner
+	takeoverDrainBatchSize   = 20    // servers that begin to drain together
+	evaluationStepMs         = 200   // ms between two calls of SetTime
+	acknowledgeEvery         = 5     // evaluations between answers to requests for acknowledgements
+	assignedWithinMs         = 3500  // ms until all have tables; the channel needs 2.5 s for these, and 0.5 s for the drains
+	restoredWithinMs         = 15000 // ms until all omitted entries are restored
 )
 
 type decisionKind int
 
 const (
-	ejection decisionKind = iota
-	assignment
-	restoring
+	ejectionDecision decisionKind = iota
+	assignmentDecision
+	restorationDecision
 )
 
-// takeoverDecision is what the policy had its host do, of the kinds that matter in a takeover.
+// takeoverDecision is a decision of a kind that matters in a takeover.
 type takeoverDecision struct {
 	kind              decisionKind
-	atMs              float64 // since the joins
+	atMs              float64 // since the inherited proxies joined
 	proxy, table      int
 	servers           []string // ejected, omitted or restored
 	includeUnassigned bool
 }
 
-// takeoverHost is a fake that keeps decisions in their order.
+// takeoverHost is a fakeHost that also records these decisions in order.
 type takeoverHost struct {
 	*fakeHost
 	joinedMs    float64
@@ -42,7 +42,7 @@
 	decisions   []takeoverDecision
 }
 
-func (h *takeoverHost) add(d takeoverDecision) {
+func (h *takeoverHost) record(d takeoverDecision) {
 	d.atMs = h.nowMs - h.joinedMs
 	h.decisions = append(h.decisions, d)
 }
@@ -50,27 +50,27 @@
 func (h *takeoverHost) SetEjected(server string, ejected, includeUnassigned bool) {
 	h.fakeHost.SetEjected(server, ejected, includeUnassigned)
 	if ejected {
-		h.add(takeoverDecision{kind: ejection, servers: []string{server}, includeUnassigned: includeUnassigned})
+		h.record(takeoverDecision{kind: ejectionDecision, servers: []string{server}, includeUnassigned: includeUnassigned})
 	}
 }
 
 func (h *takeoverHost) AssignTable(proxy, table int, classes []int, omitted []string) {
 	h.fakeHost.AssignTable(proxy, table, classes, omitted)
-	h.add(takeoverDecision{kind: assignment, proxy: proxy, table: table, servers: omitted})
+	h.record(takeoverDecision{kind: assignmentDecision, proxy: proxy, table: table, servers: omitted})
 }
 
 func (h *takeoverHost) RestoreServers(proxy int, servers []string) {
-	h.add(takeoverDecision{kind: restoring, proxy: proxy, servers: servers})
+	h.record(takeoverDecision{kind: restorationDecision, proxy: proxy, servers: servers})
 }
 
-// advance lets time pass. Requests for an acknowledgement are answered once a second, as a channel in use would.
+// advance moves the time forward. Acknowledgements are sent once a second, as over a busy channel.
 func (h *takeoverHost) advance(ms int) {
-	for range ms / evaluationMs {
+	for range ms / evaluationStepMs {
 		h.evaluate()
-		h.nowMs += evaluationMs
+		h.nowMs += evaluationStepMs
 		h.planner.SetTime(h.nowMs)
 		if h.evaluations++; h.evaluations%acknowledgeEvery == 0 {
-			h.answer()
+			h.acknowledgeAll()
 		}
 	}
 	h.evaluate()
@@ -82,38 +82,39 @@
 	}
 }
 
-// startTakeover starts a planner with proxies of its own, which others then join with tables of another.
+// startTakeover starts a planner with proxies of its own. Then servers drain, and proxies with tables of another planner join.
 func startTakeover(t *testing.T, drains ...Endpoint) *takeoverHost {
 	t.Helper()
-	return startTakeoverOf(t, testSettings(), drains...)
+	return startTakeoverWith(t, testSettings(), drains...)
 }
 
-func startTakeoverOf(t *testing.T, set Settings, drains ...Endpoint) *takeoverHost {
+func startTakeoverWith(t *testing.T, set Settings, drains ...Endpoint) *takeoverHost {
 	t.Helper()
 	set.OmitsEntries = true
 	set.ReadmitByWeight = true
-	set.Proxies = takeoverOwn + takeoverInherited
+	set.Proxies = takeoverOwnProxies + takeoverInheritedProxies
 	h := &takeoverHost{fakeHost: startPlanner(set)}
 	h.planner.UpdateEndpoints(RestoredUpdate, readyServers(takeoverServers))
-	for id := range takeoverOwn {
+	for id := range takeoverOwnProxies {
 		h.planner.AddProxy(id, id%2, 10)
 	}
 	h.advance(10000)
 	h.joinedMs = h.nowMs
 	h.decisions = nil
 	h.planner.UpdateEndpoints(DeltaUpdate, drains)
-	for id := takeoverOwn; id < takeoverOwn+takeoverInherited; id++ {
+	for id := takeoverOwnProxies; id < takeoverOwnProxies+takeoverInheritedProxies; id++ {
 		h.planner.AddProxy(id, id%2, 10)
 		h.planner.ExpectInheritedEjections(id)
 	}
 	return h
 }
 
-// drained lists servers that began to drain: of each run of servers one, as neighbors share a table.
-func drained(batch int) []Endpoint {
+// drainBatch returns servers that began to drain, at equal distances in the list, as neighbors in it share tables. Batches have
+// no server in common.
+func drainBatch(batch int) []Endpoint {
 	var list []Endpoint
 	for index, endpoint := range readyServers(takeoverServers) {
-		if index%(takeoverServers/takeoverDrains) == batch {
+		if index%(takeoverServers/takeoverDrainBatchSize) == batch {
 			endpoint.State = Draining
 			list = append(list, endpoint)
 		}
@@ -121,14 +122,14 @@
 	return list
 }
 
-func (h *takeoverHost) of(kind decisionKind) []takeoverDecision {
+func (h *takeoverHost) decisionsOf(kind decisionKind) []takeoverDecision {
 	return filter(h.decisions, func(d takeoverDecision) bool { return d.kind == kind })
 }
 
-// restored are the servers that a proxy had restored, by the decisions so far.
+// restored returns the servers that were restored at a proxy so far.
 func (h *takeoverHost) restored(proxy int) []string {
 	var servers []string
-	for _, d := range h.of(restoring) {
+	for _, d := range h.decisionsOf(restorationDecision) {
 		if d.proxy == proxy {
 			servers = append(servers, d.servers...)
 		}
@@ -138,122 +139,125 @@
 
 func (h *takeoverHost) checkAssigned(t *testing.T) {
 	t.Helper()
-	assignments := h.of(assignment)
-	if len(assignments) != takeoverInherited {
-		t.Fatalf("%d of %d proxies were assigned a table", len(assignments), takeoverInherited)
+	assignments := h.decisionsOf(assignmentDecision)
+	if len(assignments) != takeoverInheritedProxies {
+		t.Fatalf("%d of %d proxies were assigned a table", len(assignments), takeoverInheritedProxies)
 	}
 	last := assignments[len(assignments)-1]
 	t.Logf("the last proxy was assigned a table after %.0f ms", last.atMs)
 	if last.atMs > assignedWithinMs {
-		t.Errorf("the last proxy was assigned a table %.0f ms after it joined", last.atMs)
+		t.Errorf("the last proxy was assigned a table %.0f ms after it joined, which is too late", last.atMs)
 	}
 }
 
-// TestTakeover states what goes first while servers drain and proxies join that may hold them in tables of another planner.
+// TestTakeover checks the order of decisions when servers drain while proxies join that may hold them in tables of another
+// planner.
 func TestTakeover(t *testing.T) {
-	h := startTakeover(t, drained(0)...)
+	h := startTakeover(t, drainBatch(0)...)
 	h.advance(400)
-	h.planner.UpdateEndpoints(DeltaUpdate, drained(1))
+	h.planner.UpdateEndpoints(DeltaUpdate, drainBatch(1))
 	h.advance(restoredWithinMs)
-	t.Run("drained servers are ejected first, at proxies with our tables alone", h.checkEjections)
-	t.Run("ejections of later drains do not starve assignments", h.checkAssigned)
-	t.Run("what was omitted is restored later, but for ejected servers", h.checkOmitted)
-	t.Run("few servers are restored until all are assigned", h.checkRestoredLast)
+	t.Run("draining servers are ejected first, only at proxies with tables of this planner", h.checkEjections)
+	t.Run("ejections of later drains do not delay assignments too long", h.checkAssigned)
+	t.Run("omitted entries are restored later, except of ejected servers", h.checkOmitted)
+	t.Run("few servers are restored until all proxies are assigned tables", h.checkRestoredLast)
 }
 
 func (h *takeoverHost) checkEjections(t *testing.T) {
-	ejections := h.of(ejection)
-	if len(ejections) != 2*takeoverDrains {
-		t.Errorf("%d servers were ejected", len(ejections))
+	ejections := h.decisionsOf(ejectionDecision)
+	if len(ejections) != 2*takeoverDrainBatchSize {
+		t.Errorf("%d servers were ejected, want all draining ones", len(ejections))
 	}
 	for _, d := range ejections {
 		if d.includeUnassigned {
-			t.Errorf("%s is ejected at proxies without a table, %.0f ms after the joins", d.servers[0], d.atMs)
+			t.Errorf("%s was also ejected at proxies without a table, %.0f ms after the joins", d.servers[0], d.atMs)
 		}
 	}
-	isAssignment := func(d takeoverDecision) bool { return d.kind == assignment }
-	if first := slices.IndexFunc(h.decisions, isAssignment); first != takeoverDrains {
-		t.Errorf("%d ejections before the first assignment", first)
+	isAssignment := func(d takeoverDecision) bool { return d.kind == assignmentDecision }
+	if first := slices.IndexFunc(h.decisions, isAssignment); first != takeoverDrainBatchSize {
+		t.Errorf("%d ejections precede the first assignment, want those of the first batch", first)
 	}
 }
 
 func (h *takeoverHost) checkOmitted(t *testing.T) {
 	omittedReady := false
-	for _, d := range h.of(assignment) {
+	for _, d := range h.decisionsOf(assignmentDecision) {
 		restored := h.restored(d.proxy)
 		if len(restored) < minEntries {
-			t.Errorf("proxy %d had %d servers restored", d.proxy, len(restored))
+			t.Errorf("proxy %d: only %d servers were restored", d.proxy, len(restored))
 		}
 		for _, server := range d.servers {
 			omittedReady = omittedReady || !h.ejected[server]
 			if !slices.Contains(restored, server) && !h.ejected[server] {
-				t.Errorf("proxy %d is never sent the entry of %s", d.proxy, server)
+				t.Errorf("proxy %d was never sent the omitted entry of %s", d.proxy, server)
 			}
 		}
 	}
 	if !omittedReady {
-		t.Error("no light entries were omitted")
+		t.Error("no entry of a server in use was omitted")
 	}
 }
 
 func (h *takeoverHost) checkRestoredLast(t *testing.T) {
 	assigned := 0
 	for _, d := range h.decisions {
-		if d.kind == assignment {
+		if d.kind == assignmentDecision {
 			assigned++
 		}
-		if d.kind == restoring && assigned < takeoverInherited && len(d.servers) > minEntries {
-			t.Errorf("%d servers at proxy %d, %.0f ms after the joins", len(d.servers), d.proxy, d.atMs)
+		if d.kind == restorationDecision && assigned < takeoverInheritedProxies && len(d.servers) > minEntries {
+			t.Errorf("%d servers were restored at proxy %d before all were assigned tables, %.0f ms after the joins", len(d.servers), d.proxy, d.atMs)
 		}
 	}
 }
 
-// TestNoTakeover states that a joined proxy gets everything at once where no server drains, or only such that all were notified of.
-func TestNoTakeover(t *testing.T) {
-	old := drained(0)
+// TestAssignmentWithoutTakeover checks that a joining proxy is sent its whole table and all restorations at once where no
+// server drains, or where the grace of all drains has passed.
+func TestAssignmentWithoutTakeover(t *testing.T) {
+	old := drainBatch(0)
 	for _, drains := range [][]Endpoint{nil, old} {
-		t.Run(fmt.Sprintf("%d drained before", len(drains)), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d servers drained before", len(drains)), func(t *testing.T) {
 			h := startTakeover(t)
-			for _, proxy := range slices.Clone(h.planner.proxies[takeoverOwn:]) {
+			for _, proxy := range slices.Clone(h.planner.proxies[takeoverOwnProxies:]) {
 				h.planner.RemoveProxy(proxy.id)
 			}
 			h.planner.UpdateEndpoints(DeltaUpdate, drains)
 			h.advance(int(h.planner.settings.DrainGraceMs) + restoredWithinMs)
 			h.decisions = nil
-			h.planner.AddProxy(takeoverOwn, 0, 10)
-			h.planner.ExpectInheritedEjections(takeoverOwn)
-			h.advance(evaluationMs)
-			assignments := h.of(assignment)
+			h.planner.AddProxy(takeoverOwnProxies, 0, 10)
+			h.planner.ExpectInheritedEjections(takeoverOwnProxies)
+			h.advance(evaluationStepMs)
+			assignments := h.decisionsOf(assignmentDecision)
 			if len(assignments) != 1 || len(assignments[0].servers) > 0 {
-				t.Fatalf("%+v", assignments)
+				t.Fatalf("assignments are %+v, want one without omitted servers", assignments)
 			}
-			entries := filter(h.planner.byID[takeoverOwn].tables[0].entries, (*entry).inUse)
-			if restored := h.restored(takeoverOwn); len(restored) != len(entries) || h.decisions[1].kind != restoring {
-				t.Errorf("%d of %d servers were restored at once", len(restored), len(entries))
+			entries := filter(h.planner.byID[takeoverOwnProxies].tables[0].entries, (*entry).inUse)
+			if restored := h.restored(takeoverOwnProxies); len(restored) != len(entries) || h.decisions[1].kind != restorationDecision {
+				t.Errorf("%d of %d servers were restored together with the assignment", len(restored), len(entries))
 			}
 		})
 	}
 }
 
-// TestTakeoverRestoresOfEachTable states that a proxy with two tables has the heaviest servers of each restored with it. What
-// the first one left stood before those of the second, so that this had none to pick for certain.
-func TestTakeoverRestoresOfEachTable(t *testing.T) {
+// TestTakeoverRestoresServersOfEachTable checks that the assignment of each of two tables restores the heaviest servers of
+// that table. When the remaining restorations of the first table were sent with the second one instead, a proxy might hold no
+// server of the second table that it could pick.
+func TestTakeoverRestoresServersOfEachTable(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].SameZoneOnly = true
-	h := startTakeoverOf(t, set, drained(0)...)
+	h := startTakeoverWith(t, set, drainBatch(0)...)
 	h.advance(assignedWithinMs)
 	for index, d := range h.decisions[:len(h.decisions)-1] {
-		if d.kind != assignment {
+		if d.kind != assignmentDecision {
 			continue
 		}
 		restored := h.decisions[index+1]
-		if restored.kind != restoring || restored.proxy != d.proxy {
-			t.Errorf("nothing is restored at proxy %d with its table", d.proxy)
+		if restored.kind != restorationDecision || restored.proxy != d.proxy {
+			t.Errorf("no server was restored at proxy %d with its table", d.proxy)
 		}
 		for _, server := range restored.servers {
 			holds := func(entry *entry) bool { return entry.server.Server == server }
 			if !slices.ContainsFunc(h.planner.tables[d.table].entries, holds) {
-				t.Errorf("%s, of another table of proxy %d, is restored with table %d", server, d.proxy, d.table)
+				t.Errorf("%s, which is in another table of proxy %d, was restored with table %d", server, d.proxy, d.table)
 			}
 		}
 	}
