--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -18,7 +18,7 @@
 			s.handleAcceptError(ctx, err)
 			continue
 		}
-		s.admit(conn)
+		s.addConnection(conn)
 	}
 }
 
@@ -33,8 +33,8 @@
 	}
 }
 
-// admit serves a connection. Where there are too many and none can be shed, it closes it.
-func (s *serverRuntime) admit(conn net.Conn) {
+// addConnection serves a connection. Where there are too many and none can be shed, it closes it.
+func (s *serverRuntime) addConnection(conn net.Conn) {
 	t := &stream{Conn: conn}
 	admitted := false
 	s.withCore(func() {
--- a/internal/platform/acknowledgements_test.go
+++ b/internal/platform/acknowledgements_test.go
@@ -10,20 +10,20 @@
 func TestSilentProxies(t *testing.T) {
 	// Time alone was taken for silence: where the channel was later than that, whole fleets were taken for gone before their
 	// first tables had left, and were sent them again on top (897 times of 749 proxies, with 52,417 entries waiting).
-	t.Run("while the channel is late no proxy is taken for gone, and no table is sent again", testSilenceWithLateChannel)
+	t.Run("while the channel is late no proxy is taken for gone, and no table is sent again", testSilenceWithDelayedChannel)
 	t.Run("where no proxy acknowledges, the greatest backlog bounds the time", func(t *testing.T) {
 		h := startCore(t)
 		connection := h.join(5)
 		limits := h.settings.Policy
-		h.advance(silenceMs + maxChannelSlowdown*limits.MaxBacklog/limits.EntriesPerSecond*1000 + 3000)
+		h.advance(silenceTimeoutMs + maxChannelSlowdown*limits.MaxBacklog/limits.EntriesPerSecond*1000 + 3000)
 		if !connection.proxy.inactive || h.closed[connection] {
 			t.Errorf("inactive %t, closed %t", connection.proxy.inactive, h.closed[connection])
 		}
 	})
-	t.Run("one that acknowledges nothing, while others acknowledge later updates, is inactive but open until it speaks", testSilenceOfOne)
+	t.Run("one that acknowledges nothing, while others acknowledge later updates, is inactive but open until it speaks", testOneSilentProxy)
 }
 
-func testSilenceWithLateChannel(t *testing.T) {
+func testSilenceWithDelayedChannel(t *testing.T) {
 	h := startCore(t)
 	var connections []*Connection
 	for id := range 6 {
@@ -34,7 +34,7 @@
 		h.advance(3000)
 		for id, connection := range connections { // a report keeps no stream alive that is not its own: its own messages reactivate it
 			h.receive(connection, demandMessage(id))
-			connection.lastMessageMs -= silenceMs
+			connection.lastMessageMs -= silenceTimeoutMs
 		}
 	}
 	for id, connection := range connections {
@@ -48,7 +48,7 @@
 	}
 }
 
-func testSilenceOfOne(t *testing.T) {
+func testOneSilentProxy(t *testing.T) {
 	h := startCore(t)
 	h.connect("joined id=4 site=b rps=10 new=0") // says and acknowledges nothing either
 	h.advance(1000)
@@ -56,7 +56,7 @@
 	other := h.join(6)
 	for round := range 60 {
 		h.advance(200)
-		if silent.proxy.inactive && round*200 < silenceMs {
+		if silent.proxy.inactive && round*200 < silenceTimeoutMs {
 			t.Fatalf("it was taken for gone after %d ms", 200*round)
 		}
 		h.acknowledge(other, 6)
--- a/internal/platform/channel_test.go
+++ b/internal/platform/channel_test.go
@@ -11,7 +11,7 @@
 
 // A planner that starts anew meets all proxies at once, with tables and ejections that others ordered. Each assignment then
 // names each server twice, which the policy did not count.
-func TestRushOfProxiesFitsTheChannel(t *testing.T) {
+func TestMassJoinFitsChannel(t *testing.T) {
 	const proxies = 150
 	site := readTestSettings(t)
 	site.Policy.Proxies = proxies
@@ -43,7 +43,7 @@
 // A channel that stands still holds all that was ever ordered: no more of it than may wait, whatever happens meanwhile. What
 // the policy did not count was found in it: ejections to proxies without a table, servers readmitted at proxies whose
 // tables hold them no more, and what others' ejections cost where a table gets a server that it had not.
-func TestStandingChannelIsNotOverfilled(t *testing.T) {
+func TestStalledChannelIsNotOverfilled(t *testing.T) {
 	variants := map[string]func(*simulator.Settings){
 		"a small backlog": func(site *simulator.Settings) { site.Policy.MaxBacklog = 2000 },
 		"a large backlog": func(site *simulator.Settings) { site.Policy.MaxBacklog = 9000 },
@@ -59,7 +59,7 @@
 				site.Policy.Proxies = 60
 				change(&site)
 				h := newTestHost(t, site, 40)
-				orderMuch(h, fresh)
+				causeManyUpdates(h, fresh)
 				entries := float64(h.Counts.Entries) + site.Policy.MessageOverhead*float64(h.Counts.Updates)
 				t.Logf("%.0f entries of %.0f", entries, site.Policy.MaxBacklog)
 				if entries > site.Policy.MaxBacklog {
@@ -70,9 +70,9 @@
 	}
 }
 
-// orderMuch plays 10 s in which proxies join, servers drain, come and fail; in 12 s a channel eight times slower than stated
+// causeManyUpdates plays 10 s in which proxies join, servers drain, come and fail; in 12 s a channel eight times slower than stated
 // would have sent all.
-func orderMuch(h *testHost, fresh int) {
+func causeManyUpdates(h *testHost, fresh int) {
 	collector := h.connect("collector site=a")
 	drained := 0
 	for round := range 50 {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	known, err := parseKnown(document.Known, site.Zones)
+	known, err := parseKnownEndpoints(document.Known, site.Zones)
 	if err != nil {
 		return Config{}, fmt.Errorf("known: %w", err)
 	}
@@ -134,8 +134,8 @@
 	return site, nil
 }
 
-// parseKnown decodes the list of a configuration, which may have none.
-func parseKnown(text json.RawMessage, zones []string) (endpointList, error) {
+// parseKnownEndpoints decodes the list of a configuration, which may have none.
+func parseKnownEndpoints(text json.RawMessage, zones []string) (endpointList, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return endpointList{}, nil
 	}
--- a/internal/platform/conversation_test.go
+++ b/internal/platform/conversation_test.go
@@ -17,54 +17,54 @@
 
 // peer is the other end of one connection.
 type peer struct {
-	conn    *platform.Connection
-	number  int    // in the order of opening
-	proxy   int    // id of the proxy that it joined as, or -1
-	zone    string // of a proxy or collector
-	unsent  []byte // what it has yet to write
-	closed  bool
-	silent  bool // it writes nothing
-	answers []digestAnswer
+	conn             *platform.Connection
+	number           int    // in the order of opening
+	proxy            int    // id of the proxy that it joined as, or -1
+	zone             string // of a proxy or collector
+	unsent           []byte // what it has yet to write
+	closed           bool
+	silent           bool // it writes nothing
+	acknowledgements []delayedAcknowledgement
 }
 
-type digestAnswer struct {
+type delayedAcknowledgement struct {
 	atMs   float64
 	number int
 }
 
-// conversation plays all peers of one core, and records what the core sends and which connections it closes.
-type conversation struct {
-	core     *platform.Core
-	random   *rand.Rand // of the peers alone
-	atMs     float64    // since the start
-	peers    []*peer    // in the order of opening
-	byConn   map[*platform.Connection]*peer
-	proxies  [digestProxies]*peer // the latest stream of each
-	digest   *golden.Digest
-	shutdown []string // events of Close, whose order is not defined; nil before
-	closing  bool
+// peerSimulation plays all peers of one core, and records what the core sends and which connections it closes.
+type peerSimulation struct {
+	core        *platform.Core
+	random      *rand.Rand // of the peers alone
+	atMs        float64    // since the start
+	peers       []*peer    // in the order of opening
+	byConn      map[*platform.Connection]*peer
+	proxies     [digestProxies]*peer // the latest stream of each
+	digest      *golden.Digest
+	closeEvents []string // events of Close, whose order is not defined; nil before
+	closing     bool
 
 	ejections, readmissions, admissionCuts, replaced, sheds, rejected int
 }
 
-func newConversation(t *testing.T, seed int64) *conversation {
+func newPeerSimulation(t *testing.T, seed int64) *peerSimulation {
 	t.Helper()
-	site, err := simulator.ReadSettings([]byte(digestSite))
+	site, err := simulator.ReadSettings([]byte(digestSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if seed == narrowSeed {
-		site.Policy.EntriesPerSecond = narrowChannelRate
-		site.Policy.MaxBacklog = narrowMostWaiting
+	if seed == slowChannelSeed {
+		site.Policy.EntriesPerSecond = slowChannelRate
+		site.Policy.MaxBacklog = slowChannelBacklog
 	}
-	c := &conversation{
+	c := &peerSimulation{
 		core:   platform.NewCore(site, seed, digestOriginMs),
 		random: rand.New(rand.NewSource(seed)),
 		byConn: map[*platform.Connection]*peer{},
 		digest: golden.NewDigest(fmt.Sprintf("seed=%d", seed), digestIntervalMs),
 	}
 	if seed%2 == 0 {
-		c.core.MaxPartialBytes = partialMost
+		c.core.MaxPartialBytes = partialLimitBytes
 	}
 	c.core.OnReject = func(error, []byte) { c.rejected++ }
 	c.core.UpdateEndpoints(policy.RestoredUpdate, digestEntries())
@@ -79,25 +79,25 @@
 	return entries
 }
 
-func (c *conversation) record(format string, args ...any) {
+func (c *peerSimulation) record(format string, args ...any) {
 	event := fmt.Sprintf(format, args...)
 	if c.closing {
-		c.shutdown = append(c.shutdown, event)
+		c.closeEvents = append(c.closeEvents, event)
 		return
 	}
 	c.digest.Add(c.atMs, "%s", event)
 }
 
-func (c *conversation) Send(conn *platform.Connection, message []byte) {
+func (c *peerSimulation) Send(conn *platform.Connection, message []byte) {
 	p := c.byConn[conn]
 	c.record("send %d %q", p.number, message)
 	for line := range strings.SplitSeq(string(message), lineEnd) {
-		c.read(p, line)
+		c.handleLine(p, line)
 	}
 }
 
-// read takes in a line as a proxy does: requests for an acknowledgement are answered, some late and some never.
-func (c *conversation) read(p *peer, line string) {
+// handleLine takes in a line as a proxy does: requests for an acknowledgement are answered, some late and some never.
+func (c *peerSimulation) handleLine(p *peer, line string) {
 	c.ejections += strings.Count(line, " drop=")
 	c.readmissions += strings.Count(line, " undrop=")
 	c.admissionCuts += strings.Count(line, " gate=0.")
@@ -111,11 +111,11 @@
 		panic("a request for an acknowledgement that is no number: " + line)
 	}
 	delayMs := 50 + 500*c.random.Float64()
-	p.answers = append(p.answers, digestAnswer{c.atMs + delayMs, number})
+	p.acknowledgements = append(p.acknowledgements, delayedAcknowledgement{c.atMs + delayMs, number})
 }
 
 // CloseConnection records that a connection is closed; the reason is not recorded.
-func (c *conversation) CloseConnection(conn *platform.Connection, _ platform.CloseReason, _ error) {
+func (c *peerSimulation) CloseConnection(conn *platform.Connection, _ platform.CloseReason, _ error) {
 	p := c.byConn[conn]
 	c.record("end %d", p.number)
 	if p.proxy >= 0 && c.proxies[p.proxy] != p {
@@ -124,19 +124,19 @@
 	p.closed = true
 }
 
-func (c *conversation) SetTimer(atMs float64) { c.record("wake %g", atMs-digestOriginMs) }
+func (c *peerSimulation) SetTimer(atMs float64) { c.record("wake %g", atMs-digestOriginMs) }
 
 // open makes a connection that writes a first message.
-func (c *conversation) open(first string) *peer {
+func (c *peerSimulation) open(first string) *peer {
 	p := &peer{conn: &platform.Connection{}, number: len(c.peers), proxy: -1}
 	c.peers = append(c.peers, p)
 	c.byConn[p.conn] = p
 	c.core.HandleConnect(p.conn)
-	p.write(first)
+	p.queue(first)
 	return p
 }
 
-func (p *peer) write(line string) {
+func (p *peer) queue(line string) {
 	if line != "" {
 		p.unsent = append(p.unsent, line+lineEnd...)
 	}
@@ -145,20 +145,20 @@
 func zoneName(index int) string { return []string{"a", "b"}[index%2] }
 
 // join opens a stream of a proxy, in place of an earlier one if that is still open.
-func (c *conversation) join(id, first int) {
+func (c *peerSimulation) join(id, first int) {
 	p := c.open(fmt.Sprintf("joined id=%d site=%s rps=%d new=%d", id, zoneName(id), 20+id, first))
 	p.proxy = id
 	p.zone = zoneName(id)
 	c.proxies[id] = p
 }
 
-func (c *conversation) collect(zone int) {
+func (c *peerSimulation) openCollector(zone int) {
 	p := c.open("collector site=" + zoneName(zone))
 	p.zone = zoneName(zone)
 }
 
 // flush has a peer write what it has, in whole or up to any byte, in one or several reads.
-func (c *conversation) flush(p *peer) {
+func (c *peerSimulation) flush(p *peer) {
 	for len(p.unsent) > 0 && !p.closed && !p.silent {
 		size := len(p.unsent)
 		if c.random.Intn(3) == 0 {
@@ -172,8 +172,8 @@
 	}
 }
 
-// phases starts what happens at set times.
-func (c *conversation) phases() {
+// runScheduledEvents starts what happens at set times.
+func (c *peerSimulation) runScheduledEvents() {
 	reached := func(at float64) bool { return c.atMs >= at && c.atMs < at+digestStepMs }
 	change := func(entry policy.Endpoint) { c.core.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{entry}) }
 	for id := range digestProxies {
@@ -183,8 +183,8 @@
 	}
 	switch {
 	case reached(200), reached(1200), reached(70e3):
-		c.collect(0)
-		c.collect(1)
+		c.openCollector(0)
+		c.openCollector(1)
 	case reached(completeListMs):
 		c.core.UpdateEndpoints(policy.FullUpdate, digestEntries())
 	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // something to acknowledge
@@ -195,20 +195,20 @@
 		change(policy.Endpoint{Server: "s-2", RelativeCapacity: 1, State: policy.Draining})
 	case reached(drainMs + goneAfterMs):
 		change(policy.Endpoint{Server: "s-2", RelativeCapacity: 1, State: policy.Removed})
-	case reached(missingMs):
+	case reached(shortenedListMs):
 		c.core.UpdateEndpoints(policy.FullUpdate, slices.Delete(digestEntries(), 2, 4))
 	case reached(failedListMs):
 		c.core.UpdateEndpoints(policy.FailedUpdate, nil)
-	case reached(coldMs):
+	case reached(coldServerMs):
 		change(policy.Endpoint{Server: "cold", Zone: 1, RelativeCapacity: 2, StartedMs: digestOriginMs + c.atMs})
-	case reached(returnMs):
+	case reached(serverReturnMs):
 		change(policy.Endpoint{Server: "s-2", RelativeCapacity: 1, StartedMs: digestOriginMs + c.atMs})
 	}
-	c.silence()
+	c.updateSilence()
 }
 
-// silence has the first two proxies write nothing for a while.
-func (c *conversation) silence() {
+// updateSilence has the first two proxies write nothing for a while.
+func (c *peerSimulation) updateSilence() {
 	silent := within(c.atMs, silentFromMs, silentForMs)
 	for id, p := range c.proxies {
 		if p != nil && id < 2 {
@@ -219,24 +219,24 @@
 
 func within(at, from, span float64) bool { return at >= from && at < from+span }
 
-// reports queues what joined peers say once a second.
-func (c *conversation) reports() {
+// queueReports queues what joined peers say once a second.
+func (c *peerSimulation) queueReports() {
 	for _, p := range c.peers {
 		switch {
 		case p.closed:
 		case p.proxy >= 0 && c.proxies[p.proxy] == p:
 			for _, group := range []string{"lookup", "order"} {
-				p.write(fmt.Sprintf("usage id=%d lane=%s count=%d fail=%d over=1000.0", p.proxy, group, 8+c.random.Intn(6), c.random.Intn(2)))
+				p.queue(fmt.Sprintf("usage id=%d lane=%s count=%d fail=%d over=1000.0", p.proxy, group, 8+c.random.Intn(6), c.random.Intn(2)))
 			}
 		case p.proxy < 0 && p.zone != "":
 			for index := range digestServers {
-				c.report(p, index)
+				c.queueLoadReport(p, index)
 			}
 		}
 	}
 }
 
-func (c *conversation) report(collector *peer, server int) {
+func (c *peerSimulation) queueLoadReport(collector *peer, server int) {
 	count := 4 + c.random.Intn(8)
 	failed := 0
 	mean := 80 + 40*c.random.Float64()
@@ -247,24 +247,24 @@
 	if server == 0 && within(c.atMs, failingFromMs, failingForMs) {
 		failed = count
 	}
-	collector.write(fmt.Sprintf("heard site=%s target=s-%d count=%d fail=%d mean=%.1f over=1000 util=inflight:%d",
+	collector.queue(fmt.Sprintf("heard site=%s target=s-%d count=%d fail=%d mean=%.1f over=1000 util=inflight:%d",
 		collector.zone, server, count, failed, mean, c.random.Intn(9)))
 }
 
-func (c *conversation) answer(p *peer) {
-	var later []digestAnswer
-	for _, answer := range p.answers {
+func (c *peerSimulation) sendDueAcknowledgements(p *peer) {
+	var later []delayedAcknowledgement
+	for _, answer := range p.acknowledgements {
 		if answer.atMs > c.atMs {
 			later = append(later, answer)
 			continue
 		}
-		p.write(fmt.Sprintf("applied id=%d seq=%d ms=%.0f", p.proxy, answer.number, 100+200*c.random.Float64()))
+		p.queue(fmt.Sprintf("applied id=%d seq=%d ms=%.0f", p.proxy, answer.number, 100+200*c.random.Float64()))
 	}
-	p.answers = later
+	p.acknowledgements = later
 }
 
-// disturb does what happens at random, once or twice a second.
-func (c *conversation) disturb() {
+// injectRandomEvent does what happens at random, once or twice a second.
+func (c *peerSimulation) injectRandomEvent() {
 	if c.atMs < completeListMs || c.random.Intn(7) != 0 {
 		return
 	}
@@ -272,7 +272,7 @@
 	p := c.proxies[id]
 	switch c.random.Intn(14) {
 	case 0, 1:
-		c.open(firstMessages[c.random.Intn(len(firstMessages))])
+		c.open(invalidFirstMessages[c.random.Intn(len(invalidFirstMessages))])
 	case 2:
 		c.open("") // says nothing
 	case 3:
@@ -280,42 +280,42 @@
 	case 4:
 		c.openPartial()
 	case 5, 6:
-		p.write(invalidMessages[c.random.Intn(len(invalidMessages))])
+		p.queue(invalidMessages[c.random.Intn(len(invalidMessages))])
 	case 7:
-		p.write("ping")
+		p.queue("ping")
 	case 8:
 		c.join(id, 0) // replaces the stream if that is open
 	case 9:
-		p.write("ping")
-		c.finish(p)
+		p.queue("ping")
+		c.halfClose(p)
 	case 10:
-		c.lose(p)
+		c.disconnect(p)
 	case 11:
 		c.sendUnreadable(p)
 	case 12:
-		p.unsent = append(p.unsent, "usage id=1 lane=lookup pad="+strings.Repeat("1", partialMessage)...)
+		p.unsent = append(p.unsent, "usage id=1 lane=lookup pad="+strings.Repeat("1", partialMessageBytes)...)
 	case 13:
 		c.shed()
 	}
 }
 
 // openPartial makes a connection that writes a part of a first message, and perhaps says that it writes no more.
-func (c *conversation) openPartial() {
+func (c *peerSimulation) openPartial() {
 	p := c.open("")
 	p.unsent = []byte("joined id=4 si")
 	if c.random.Intn(2) == 0 {
-		c.finish(p)
+		c.halfClose(p)
 	}
 }
 
-func (c *conversation) shed() {
+func (c *peerSimulation) shed() {
 	if c.core.ShedConnection(c) {
 		c.sheds++
 	}
 }
 
-// finish has a peer write all that it has, and say that it writes no more.
-func (c *conversation) finish(p *peer) {
+// halfClose has a peer write all that it has, and say that it writes no more.
+func (c *peerSimulation) halfClose(p *peer) {
 	if p.closed || p.silent {
 		return
 	}
@@ -324,7 +324,7 @@
 	c.core.HandleHalfClose(p.conn)
 }
 
-func (c *conversation) lose(p *peer) {
+func (c *peerSimulation) disconnect(p *peer) {
 	if !p.closed {
 		p.closed = true
 		c.core.HandleDisconnect(p.conn)
@@ -332,20 +332,20 @@
 }
 
 // sendUnreadable has a peer write what cannot be read, or a message longer than any may be.
-func (c *conversation) sendUnreadable(p *peer) {
+func (c *peerSimulation) sendUnreadable(p *peer) {
 	switch c.random.Intn(3) {
 	case 0:
 		p.unsent = append(p.unsent, "\x01\x02garbage"...)
 	case 1:
-		p.write("nonsense id=1")
+		p.queue("nonsense id=1")
 	case 2:
 		p.unsent = append(p.unsent, "usage pad="...)
-		p.unsent = append(p.unsent, bytes.Repeat([]byte("1"), longMessage)...)
+		p.unsent = append(p.unsent, bytes.Repeat([]byte("1"), oversizedMessageBytes)...)
 	}
 }
 
-// rejoin opens new streams of proxies that have none, after a while.
-func (c *conversation) rejoin() {
+// rejoinClosed opens new streams of proxies that have none, after a while.
+func (c *peerSimulation) rejoinClosed() {
 	for id, p := range c.proxies {
 		if p != nil && p.closed && c.random.Intn(15) == 0 {
 			c.join(id, c.random.Intn(2))
@@ -353,18 +353,18 @@
 	}
 }
 
-func (c *conversation) step(number int) {
+func (c *peerSimulation) step(number int) {
 	c.atMs += digestStepMs
 	c.core.SetTime(digestOriginMs + c.atMs)
-	c.phases()
-	c.disturb()
-	c.rejoin()
+	c.runScheduledEvents()
+	c.injectRandomEvent()
+	c.rejoinClosed()
 	if number%10 == 0 {
-		c.reports()
+		c.queueReports()
 	}
 	for _, p := range c.peers {
 		if !p.closed {
-			c.answer(p)
+			c.sendDueAcknowledgements(p)
 			c.flush(p)
 		}
 	}
@@ -375,22 +375,22 @@
 	}
 }
 
-func (c *conversation) recordCounts() {
+func (c *peerSimulation) recordCounts() {
 	n := c.core.Counts
 	c.record("counts %d %d %d %d %d %d %d %d %d %d %d %d %d %g open %d", n.Joins, n.LostStreams, n.SilentProxies, n.Refusals,
 		n.Unreadable, n.RejectedMessages, n.LoadReports, n.DemandReports, n.Acknowledgements, n.Updates, n.Entries, n.Bytes,
 		n.EndpointUpdates, n.MaxBacklog, c.core.OpenConnections())
 }
 
-func (c *conversation) run() []byte {
-	for number := 0; c.atMs < conversationMs; number++ {
+func (c *peerSimulation) run() []byte {
+	for number := 0; c.atMs < simulationMs; number++ {
 		c.step(number)
 	}
 	c.closing = true
 	c.core.Close(c)
 	c.closing = false
-	slices.Sort(c.shutdown)
-	for _, event := range c.shutdown {
+	slices.Sort(c.closeEvents)
+	for _, event := range c.closeEvents {
 		c.record("close: %s", event)
 	}
 	c.recordCounts()
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -32,16 +32,16 @@
 // false. Whoever shares it holds a lock that guards all of it, with its connections. Times are Unix ms by a clock that
 // never jumps.
 type Core struct {
-	settings   simulator.Settings
-	policy     *policy.Policy
-	nowMs      float64
-	zones      map[string]int // by name
-	classes    map[string]int // traffic classes, by name
-	sessions   sessionTable
-	proxies    proxyTable
-	endpoints  endpointTable
-	publisher  publisher
-	departures departureLog
+	settings  simulator.Settings
+	policy    *policy.Policy
+	nowMs     float64
+	zones     map[string]int // by name
+	classes   map[string]int // traffic classes, by name
+	sessions  sessionTable
+	proxies   proxyTable
+	endpoints endpointTable
+	publisher publisher
+	progress  channelProgress
 
 	policyTimerMs float64 // when the policy is to be asked again
 	hostTimerMs   float64 // what the host was asked for last
@@ -118,8 +118,8 @@
 // setTimer asks the host for the next call, and says whether that has changed.
 func (c *Core) setTimer(host Host) bool {
 	dueMs := c.policyTimerMs
-	if len(c.sessions.unauthenticated) > 0 {
-		dueMs = math.Min(dueMs, c.sessions.unauthenticated[0].openedMs+joinTimeoutMs)
+	if len(c.sessions.unjoined) > 0 {
+		dueMs = math.Min(dueMs, c.sessions.unjoined[0].openedMs+joinTimeoutMs)
 	}
 	dueMs = math.Max(dueMs, c.nowMs)
 	if dueMs == c.hostTimerMs {
--- a/internal/platform/decide.go
+++ b/internal/platform/decide.go
@@ -88,7 +88,7 @@
 	defer stop()
 	select {
 	case <-fired:
-	case <-s.work:
+	case <-s.workReady:
 	case <-ctx.Done():
 	}
 }
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -146,14 +146,14 @@
 	for len(rest) > 0 && m.err == nil {
 		word, rest, _ = bytes.Cut(rest, []byte(" "))
 		if len(word) > 0 {
-			m.add(word)
+			m.addField(word)
 		}
 	}
 	return m, m.err
 }
 
-// add takes in one name=value.
-func (m *message) add(word []byte) {
+// addField takes in one name=value.
+func (m *message) addField(word []byte) {
 	name, value, found := bytes.Cut(word, []byte("="))
 	switch {
 	case !found || len(name) == 0:
--- a/internal/platform/digest_test.go
+++ b/internal/platform/digest_test.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	digestOriginMs   = 1.8e12 // Unix time at which a conversation begins
-	digestStepMs     = 100.0  // between two times that the core is given
-	conversationMs   = 150e3
-	digestIntervalMs = 10e3 // of an entry of the digest
-	lineEnd          = "\r\n"
-	digestServers    = 10
-	digestProxies    = 8
-	longMessage      = 1<<20 + 100 // bytes, more than a message may have
-	partialMost      = 3000        // bytes of unended messages that a core may hold, where it is limited
-	partialMessage   = 1200        // bytes of such a message
+	digestOriginMs        = 1.8e12 // Unix time at which a conversation begins
+	digestStepMs          = 100.0  // between two times that the core is given
+	simulationMs          = 150e3
+	digestIntervalMs      = 10e3 // of an entry of the digest
+	lineEnd               = "\r\n"
+	digestServers         = 10
+	digestProxies         = 8
+	oversizedMessageBytes = 1<<20 + 100 // bytes, more than a message may have
+	partialLimitBytes     = 3000        // bytes of unended messages that a core may hold, where it is limited
+	partialMessageBytes   = 1200        // bytes of such a message
 )
 
 // The conversation of one seed has a channel to the proxies that is often full.
 const (
-	narrowSeed        = 5
-	narrowChannelRate = 60  // entries per second
-	narrowMostWaiting = 120 // entries
+	slowChannelSeed    = 5
+	slowChannelRate    = 60  // entries per second
+	slowChannelBacklog = 120 // entries
 )
 
 // Phases of a conversation, in ms from its start.
 const (
-	completeListMs = 3e3
-	failingFromMs  = 15e3 // server s-0 fails every request
-	failingForMs   = 10e3
-	silentFromMs   = 30e3 // proxies 0 and 1 say nothing
-	silentForMs    = 16e3
-	overloadFromMs = 50e3 // all servers are slow and reject
-	overloadForMs  = 12e3
-	drainMs        = 75e3 // server s-2 drains, and is gone goneAfterMs later
-	goneAfterMs    = 5e3
-	missingMs      = 85e3 // a complete list leaves s-3 out
-	failedListMs   = 90e3
-	coldMs         = 95e3 // a cold server joins
-	returnMs       = 110e3
+	completeListMs  = 3e3
+	failingFromMs   = 15e3 // server s-0 fails every request
+	failingForMs    = 10e3
+	silentFromMs    = 30e3 // proxies 0 and 1 say nothing
+	silentForMs     = 16e3
+	overloadFromMs  = 50e3 // all servers are slow and reject
+	overloadForMs   = 12e3
+	drainMs         = 75e3 // server s-2 drains, and is gone goneAfterMs later
+	goneAfterMs     = 5e3
+	shortenedListMs = 85e3 // a complete list leaves s-3 out
+	failedListMs    = 90e3
+	coldServerMs    = 95e3 // a cold server joins
+	serverReturnMs  = 110e3
 )
 
-const digestSite = `{"Azs":["a","b"],"Balancers":2,"PeriodMs":2,"Classes":[
+const digestSettings = `{"Azs":["a","b"],"Balancers":2,"PeriodMs":2,"Classes":[
  {"Name":"lookup","AimMs":600,"Worth":1,"Repeat":"read_like"},{"Name":"order","AimMs":800,"Worth":2,"Repeat":"non_idempotent"}],
  "FamilyInfo":{"Admit":"share","ChannelRate":2500,"PerMessage":4,"MostWaiting":3500,"DefaultRetry":1,"PushesAllowed":20,
  "ReloadSpanMs":10000,"ReportEveryMs":1000,"TransitMaxMs":900,"DataPlaneSize":8,"SmallestConnTable":300},
  "Rules":{"ColdShare":0.3,"WarmUpMs":8000,"FallMs":3000,"StopSendingWithinMs":3000},"Limits":{"ConnIdleMs":15000}}`
 
-// firstMessages are what an unjoined connection is refused for.
-var firstMessages = []string{
+// invalidFirstMessages are what an unjoined connection is refused for.
+var invalidFirstMessages = []string{
 	"GET / HTTP/1.1",
 	"joined id=8 site=a rps=1 new=1",
 	"joined id=4 site=c rps=1 new=1",
@@ -100,16 +100,16 @@
 	for seed := int64(1); seed <= 5; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			c := newConversation(t, seed)
+			c := newPeerSimulation(t, seed)
 			lines := c.run()
-			c.check(t)
+			c.checkCoverage(t)
 			golden.Check(t, fmt.Sprintf("testdata/digest-%d.txt", seed), lines)
 		})
 	}
 }
 
-// check fails the test where something that the digest is to cover did not happen.
-func (c *conversation) check(t *testing.T) {
+// checkCoverage fails the test where something that the digest is to cover did not happen.
+func (c *peerSimulation) checkCoverage(t *testing.T) {
 	t.Helper()
 	counts := c.core.Counts
 	t.Logf("%+v ejections %d readmissions %d admission cuts %d replaced %d sheds %d", counts, c.ejections, c.readmissions, c.admissionCuts, c.replaced, c.sheds)
@@ -131,7 +131,7 @@
 		{"cuts of admission", c.admissionCuts},
 		{"replaced streams", c.replaced},
 		{"connections closed for room", c.sheds},
-		{"connections closed at the end", len(c.shutdown)},
+		{"connections closed at the end", len(c.closeEvents)},
 	}
 	for _, occurrence := range occurrences {
 		if occurrence.count <= 0 {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -27,15 +27,15 @@
 
 // Limits of what is read from the agent, and of the time that it may take.
 const (
-	discoverySilenceMs   = 2600.0  // ms without a byte after which the agent is asked anew; it says something every 2 s
-	discoveryResponseMs  = 5000.0  // ms that an answer, or a line of a watch, may take from its asking to its end
-	discoveryDialMs      = 1000.0  // ms; the agent is on the same machine
-	minDiscoveryRetryMs  = 50.0    // ms; first backoff, doubled after each failure
-	maxDiscoveryRetryMs  = 500.0   // ms; what is to be notified counts as notified after 6 s
-	maxEndpointListBytes = 4 << 20 // bytes of a list, or of a line of a watch
-	maxHeaderBytes       = 1 << 14 // bytes of a response's header
-	maxLoggedBytes       = 1000    // bytes of a list that a debug log shows
-	microsPerMs          = 1000.0
+	discoveryIdleTimeoutMs     = 2600.0  // ms without a byte after which the agent is asked anew; it says something every 2 s
+	discoveryResponseTimeoutMs = 5000.0  // ms that an answer, or a line of a watch, may take from its asking to its end
+	discoveryDialTimeoutMs     = 1000.0  // ms; the agent is on the same machine
+	minDiscoveryRetryMs        = 50.0    // ms; first backoff, doubled after each failure
+	maxDiscoveryRetryMs        = 500.0   // ms; what is to be notified counts as notified after 6 s
+	maxEndpointListBytes       = 4 << 20 // bytes of a list, or of a line of a watch
+	maxHeaderBytes             = 1 << 14 // bytes of a response's header
+	maxLoggedBytes             = 1000    // bytes of a list that a debug log shows
+	microsPerMs                = 1000.0
 )
 
 var errListTooLong = errors.New("list longer than allowed")
@@ -87,7 +87,7 @@
 }
 
 func (d *discoveryClient) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, discoveryDialMs*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, discoveryDialTimeoutMs*time.Millisecond)
 	defer cancel()
 	conn, err := d.network.Dial(ctx, netip.Addr{}, address)
 	if err != nil {
@@ -204,8 +204,8 @@
 // Read fails with a timeout where nothing comes in time.
 func (c progressConn) Read(buffer []byte) (int, error) {
 	now := c.client.clock.Monotonic()
-	leftMs := discoveryResponseMs + float64(c.client.progressMicros.Load())/microsPerMs - now
-	deadline := c.client.clock.Deadline(math.Min(discoverySilenceMs, leftMs))
+	leftMs := discoveryResponseTimeoutMs + float64(c.client.progressMicros.Load())/microsPerMs - now
+	deadline := c.client.clock.Deadline(math.Min(discoveryIdleTimeoutMs, leftMs))
 	if err := c.SetReadDeadline(deadline); err != nil {
 		return 0, err
 	}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	watchPollMs   = 10  // ms between bytes of a line that never ends
-	watchMaxBytes = 150 // of such a line, at most
+	watchByteIntervalMs = 10  // ms between bytes of a line that never ends
+	maxWatchBytes       = 150 // of such a line, at most
 )
 
 // What is owed when discovery ends or moves, on loopback sockets, with the crossing forced.
-func TestDiscoveryEnds(t *testing.T) {
-	t.Run("a watch that falls silent late is asked anew from the known version", testWatchSilentLate)
+func TestDiscoveryFailures(t *testing.T) {
+	t.Run("a watch that falls silent late is asked anew from the known version", testWatchGoesSilent)
 	t.Run("a line that comes byte by byte without end is no sign of life", testWatchByteByByte)
 	t.Run("a complete list without the draining server removes it for all", func(t *testing.T) {
 		discovery := newFakeDiscovery(t, listText(20, true, "s-1:ready", "s-3:ready", "s-4:ready"))
@@ -36,7 +36,7 @@
 	return listText(9, true, "s-1:ready", "s-2:ready", "s-3:ready", "s-4:ready")
 }
 
-func testWatchSilentLate(t *testing.T) {
+func testWatchGoesSilent(t *testing.T) {
 	discovery := newFakeDiscovery(t, fourServers())
 	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
 		o.Clock = scaledClock{clock.NewReal(), 1, 0.05}
@@ -62,13 +62,13 @@
 		o.Clock = scaledClock{clock.NewReal(), 20, 0.05} // 130 ms of silence, 250 a line
 	})
 	<-discovery.watched
-	for range watchMaxBytes {
+	for range maxWatchBytes {
 		select {
 		case discovery.lines <- " ":
 		case <-discovery.watched:
 			return
 		}
-		<-after(watchPollMs)
+		<-after(watchByteIntervalMs)
 	}
 	t.Error("the line was waited for all the while")
 }
@@ -82,9 +82,9 @@
 	peer.await("replace=1")
 	discovery.lines <- "rubbish\n"
 	discovery.awaitQueries(4) // it asks again and again
-	asked := discovery.setFull(text + strings.Repeat(" ", maxEndpointListBytes))
+	asked := discovery.setFullList(text + strings.Repeat(" ", maxEndpointListBytes))
 	discovery.awaitQueries(asked + 2)
-	discovery.setFull(listText(21, true, "s-1:ready", "s-2:ready", "s-3:ready", "s-4:draining"))
+	discovery.setFullList(listText(21, true, "s-1:ready", "s-2:ready", "s-3:ready", "s-4:draining"))
 	<-discovery.watched
 	line := ""
 	for !strings.Contains(line, "drop=") {
--- a/internal/platform/dispatch.go
+++ b/internal/platform/dispatch.go
@@ -100,7 +100,7 @@
 		c.removeProxy(old)
 		c.startClosing(old.connection, CloseReplacedStream, nil)
 	}
-	c.sessions.unauthenticated = without(c.sessions.unauthenticated, connection)
+	c.sessions.unjoined = without(c.sessions.unjoined, connection)
 	c.addProxy(connection, join, zone)
 	return nil
 }
@@ -117,7 +117,7 @@
 	if !known {
 		return errUnknownZone
 	}
-	c.sessions.unauthenticated = without(c.sessions.unauthenticated, connection)
+	c.sessions.unjoined = without(c.sessions.unjoined, connection)
 	connection.role = roleCollector
 	connection.collectorZone = zone
 	others := c.sessions.collectors[zone]
--- a/internal/platform/dispatch_test.go
+++ b/internal/platform/dispatch_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestInvalidMessageCostsItselfAlone(t *testing.T) {
+func TestInvalidMessageKeepsConnectionOpen(t *testing.T) {
 	h := startCore(t)
 	h.join(3)
 	collector := h.connect("collector site=a")
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestInvalidMessagesOfStreams(t *testing.T) {
+func TestInvalidMessagesOnStreams(t *testing.T) {
 	h := startCore(t)
 	connection := h.join(3)
 	h.advance(500)
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// forgetNotified notes that a proxy has joined anew: with no ejections, or with those of another planner.
-func (t *endpointTable) forgetNotified(proxyID int, inherits bool) {
+// resetNotified notes that a proxy has joined anew: with no ejections, or with those of another planner.
+func (t *endpointTable) resetNotified(proxyID int, inherits bool) {
 	for _, e := range t.byName {
 		e.notified.set(proxyID, false)
 		e.possiblyNotified.set(proxyID, inherits)
@@ -75,8 +75,8 @@
 	}
 }
 
-// suspectNotified notes that it is not known which ejections have reached a proxy.
-func (t *endpointTable) suspectNotified(proxyID int) {
+// markPossiblyNotified notes that it is not known which ejections have reached a proxy.
+func (t *endpointTable) markPossiblyNotified(proxyID int) {
 	for _, e := range t.byName {
 		e.possiblyNotified.set(proxyID, true)
 	}
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// pickable yields the servers that a class's requests may go to.
-func (p *modelProxy) pickable(class string) iter.Seq[string] {
+// eligibleServers yields the servers that a class's requests may go to.
+func (p *modelProxy) eligibleServers(class string) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for server := range p.weights[class] {
 			if !p.ejected[server] && !yield(server) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// wireEntries is what the channel counts for an update, without the overhead of its message.
-func wireEntries(update string) int {
+// countEntries is what the channel counts for an update, without the overhead of its message.
+func countEntries(update string) int {
 	count := 0
 	for word := range strings.FieldsSeq(update) {
 		switch name, value, _ := strings.Cut(word, "="); name {
@@ -132,31 +132,31 @@
 // EntriesPerSecond; each then takes up to MaxPropagationMs. It implements Host.
 type modelFleet struct {
 	*Core
-	t             *testing.T
-	random        *rand.Rand
-	atMs          float64 // since the start
-	servers       []policy.Endpoint
-	notReadySince map[string]float64 // when the planner was notified
-	proxies       []*modelProxy
-	streams       map[*Connection]*modelProxy
-	deliveries    []delivery
-	channelFreeMs float64 // when all that waits will have left the channel
-	maxBacklog    float64 // entries
-	maxMessages   int     // to one proxy within MessageWindowMs
-	worstPickMs   float64 // latest pick of a server that is not ready, after the notification
-	violations    map[string]bool
+	t               *testing.T
+	random          *rand.Rand
+	atMs            float64 // since the start
+	servers         []policy.Endpoint
+	notReadySinceMs map[string]float64 // when the planner was notified
+	proxies         []*modelProxy
+	streams         map[*Connection]*modelProxy
+	deliveries      []delivery
+	channelFreeMs   float64 // when all that waits will have left the channel
+	maxBacklog      float64 // entries
+	maxMessages     int     // to one proxy within MessageWindowMs
+	latestPickMs    float64 // latest pick of a server that is not ready, after the notification
+	violations      map[string]bool
 }
 
 func newModelFleet(t *testing.T, site simulator.Settings, servers int, seed int64) *modelFleet {
 	t.Helper()
 	f := &modelFleet{
-		Core:          NewCore(site, seed, testOriginMs),
-		t:             t,
-		random:        rand.New(rand.NewSource(seed)),
-		servers:       testEndpoints(servers, policy.Ready),
-		notReadySince: map[string]float64{},
-		streams:       map[*Connection]*modelProxy{},
-		violations:    map[string]bool{},
+		Core:            NewCore(site, seed, testOriginMs),
+		t:               t,
+		random:          rand.New(rand.NewSource(seed)),
+		servers:         testEndpoints(servers, policy.Ready),
+		notReadySinceMs: map[string]float64{},
+		streams:         map[*Connection]*modelProxy{},
+		violations:      map[string]bool{},
 	}
 	f.UpdateEndpoints(policy.RestoredUpdate, f.servers)
 	for id := range site.Policy.Proxies {
@@ -169,7 +169,7 @@
 func (f *modelFleet) Send(connection *Connection, update []byte) {
 	p := f.streams[connection]
 	limits := f.settings.Policy
-	entries := float64(wireEntries(string(update))) + limits.MessageOverhead
+	entries := float64(countEntries(string(update))) + limits.MessageOverhead
 	f.channelFreeMs = max(f.channelFreeMs, f.atMs) + entries/limits.EntriesPerSecond*millisecondsPerSecond
 	f.maxBacklog = max(f.maxBacklog, (f.channelFreeMs-f.atMs)*limits.EntriesPerSecond/millisecondsPerSecond)
 	p.lastArrivalMs = max(p.lastArrivalMs, f.channelFreeMs+f.random.Float64()*limits.MaxPropagationMs)
@@ -210,7 +210,7 @@
 		if index%3 == 0 {
 			servers[index].State = policy.Removed
 		}
-		f.notReadySince[servers[index].Server] = f.atMs
+		f.notReadySinceMs[servers[index].Server] = f.atMs
 	}
 	f.UpdateEndpoints(policy.DeltaUpdate, servers)
 }
@@ -250,14 +250,14 @@
 func (f *modelFleet) checkPicks(p *modelProxy) {
 	for _, class := range f.settings.Classes {
 		ready := false
-		for server := range p.pickable(class) {
-			sinceMs, notReady := f.notReadySince[server]
+		for server := range p.eligibleServers(class) {
+			sinceMs, notReady := f.notReadySinceMs[server]
 			ready = ready || !notReady
 			if !notReady {
 				continue
 			}
 			lateMs := f.atMs - max(sinceMs, p.rejoinedMs)
-			f.worstPickMs = max(f.worstPickMs, lateMs)
+			f.latestPickMs = max(f.latestPickMs, lateMs)
 			if lateMs > f.settings.Policy.DrainGraceMs+graceSlackMs {
 				f.violations[fmt.Sprintf("proxy %d picks %s", p.id, server)] = true
 			}
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -41,7 +41,7 @@
 			return ErrMessageTooLong
 		}
 		checked := max(len(r.partial)-1, 0) // the last byte may be a CR that now proves to be inside a message
-		line, complete := bytes.CutSuffix(r.join(chunk, lineFeed < 0), []byte(lineEnd))
+		line, complete := bytes.CutSuffix(r.appendChunk(chunk, lineFeed < 0), []byte(lineEnd))
 		if complete != (lineFeed >= 0) || !beginsWithKind(line) {
 			return ErrUnreadable
 		}
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// join returns the message so far. A chunk that is a complete message is not copied.
-func (r *messageReader) join(chunk []byte, unended bool) []byte {
+// appendChunk returns the message so far. A chunk that is a complete message is not copied.
+func (r *messageReader) appendChunk(chunk []byte, unended bool) []byte {
 	if len(r.partial) == 0 && !unended {
 		return chunk
 	}
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -34,14 +34,14 @@
 	lines   chan string // to the watch that is open; "" ends it
 	watched chan bool   // a watch was asked for
 
-	mu    sync.Mutex // guards what follows
-	full  string
-	asked []string // queries, in order
+	mu              sync.Mutex // guards what follows
+	fullList        string
+	receivedQueries []string // queries, in order
 }
 
 func newFakeDiscovery(t *testing.T, full string) *fakeDiscovery {
 	t.Helper()
-	d := &fakeDiscovery{full: full, lines: make(chan string), watched: make(chan bool, 64)}
+	d := &fakeDiscovery{fullList: full, lines: make(chan string), watched: make(chan bool, 64)}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
 	t.Cleanup(func() {
 		d.CloseClientConnections()
@@ -52,8 +52,8 @@
 
 func (d *fakeDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	d.asked = append(d.asked, r.URL.RawQuery)
-	full := d.full
+	d.receivedQueries = append(d.receivedQueries, r.URL.RawQuery)
+	full := d.fullList
 	d.mu.Unlock()
 	if r.URL.Query().Get("follow") == "" {
 		writeText(w, full)
@@ -87,15 +87,15 @@
 func (d *fakeDiscovery) queries() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.asked)
+	return slices.Clone(d.receivedQueries)
 }
 
-// setFull replaces the complete list, and returns how many queries came before.
-func (d *fakeDiscovery) setFull(full string) int {
+// setFullList replaces the complete list, and returns how many queries came before.
+func (d *fakeDiscovery) setFullList(full string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.full = full
-	return len(d.asked)
+	d.fullList = full
+	return len(d.receivedQueries)
 }
 
 // awaitQueries waits until so many queries have come.
@@ -359,8 +359,8 @@
 	return c.Real.NewTimer(ms / c.speed)
 }
 
-// lateDeadlines is a clock whose deadlines do not bind while a test holds something back.
-func lateDeadlines() clock.Clock { return scaledClock{clock.NewReal(), 1, 100} }
+// extendedDeadlines is a clock whose deadlines do not bind while a test holds something back.
+func extendedDeadlines() clock.Clock { return scaledClock{clock.NewReal(), 1, 100} }
 
 // after and pause are for what may not happen, or happens by itself; no result for correct code depends on their length.
 func after(ms float64) <-chan time.Time {
--- a/internal/platform/leakcheck_test.go
+++ b/internal/platform/leakcheck_test.go
@@ -25,7 +25,7 @@
 
 func startLeakCheck(t *testing.T) *leakCheck {
 	t.Helper()
-	_, descriptors := held(t)
+	_, descriptors := openResources(t)
 	return &leakCheck{t, runningChecks.Add(1) > 1, descriptors}
 }
 
@@ -36,14 +36,14 @@
 	if l.nested {
 		return
 	}
-	goroutines, descriptors := held(l.t)
+	goroutines, descriptors := openResources(l.t)
 	if strings.Contains(goroutines, runtimeMethods) {
 		l.t.Errorf("Run returned and left:\n%s", goroutines)
 	}
 	now := clock.NewReal()
 	for (goroutines != "" || descriptors > l.descriptors) && now.Monotonic() < leakTimeoutMs {
 		pause()
-		goroutines, descriptors = held(l.t)
+		goroutines, descriptors = openResources(l.t)
 	}
 	if goroutines != "" || descriptors > l.descriptors {
 		l.t.Errorf("%d descriptors, %d before; left:\n%s", descriptors, l.descriptors, goroutines)
@@ -60,8 +60,8 @@
 
 func pointerMethods[T any]() string { return "platform.(*" + reflect.TypeFor[T]().Name() + ")." }
 
-// held returns the stacks of this package's goroutines, and the number of descriptors of the process.
-func held(t *testing.T) (goroutines string, descriptors int) {
+// openResources returns the stacks of this package's goroutines, and the number of descriptors of the process.
+func openResources(t *testing.T) (goroutines string, descriptors int) {
 	t.Helper()
 	buffer := make([]byte, 1<<20)
 	for _, stack := range strings.Split(string(buffer[:runtime.Stack(buffer, true)]), "\n\n") {
--- a/internal/platform/policyhost.go
+++ b/internal/platform/policyhost.go
@@ -26,10 +26,10 @@
 			}
 			e.omitted.set(p.id, false)
 		}
-		update := publisher.update(p)
+		update := publisher.pendingUpdateFor(p)
 		update.changed = append(update.changed, changedEntry{table, server})
 		if weight > 0 {
-			publisher.alignEjection(p, e)
+			publisher.syncEjection(p, e)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 		return
 	}
 	publisher.registry.Assign(p, p.tables, table, classes)
-	update := publisher.update(p)
+	update := publisher.pendingUpdateFor(p)
 	update.assigned = append(update.assigned, table)
 	for _, class := range classes {
 		update.admission[class] = publisher.registry.Admission[class].Set
@@ -58,13 +58,13 @@
 		ejected := publisher.registry.Ejected[entry.Server]
 		notified := e.notified.contains(proxyID)
 		// A server that another table of the proxy holds is never omitted: the proxy would not be notified of its ejection.
-		omitted := slices.Contains(omittedServers, entry.Server) && !p.usesElsewhere(entry.Server, table)
+		omitted := slices.Contains(omittedServers, entry.Server) && !p.inOtherTable(entry.Server, table)
 		if !omitted && e.omitted.contains(proxyID) {
 			publisher.sendOmitted(p, e)
 		}
 		e.omitted.set(proxyID, omitted)
 		if !omitted && (ejected || notified) {
-			publisher.alignEjection(p, e)
+			publisher.syncEjection(p, e)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 		if e.omitted.contains(proxyID) {
 			h.core.publisher.sendOmitted(p, e)
 		}
-		h.core.publisher.alignEjection(p, e)
+		h.core.publisher.syncEjection(p, e)
 	}
 }
 
@@ -113,8 +113,8 @@
 	}
 }
 
-// usesElsewhere says whether a table of a proxy other than this one holds a server.
-func (p *proxy) usesElsewhere(server string, except *weighttable.Table[*proxy]) bool {
+// inOtherTable says whether a table of a proxy other than this one holds a server.
+func (p *proxy) inOtherTable(server string, except *weighttable.Table[*proxy]) bool {
 	return slices.ContainsFunc(p.tables, func(table *weighttable.Table[*proxy]) bool {
 		return table != nil && table != except && table.Index(server) >= 0
 	})
@@ -140,7 +140,7 @@
 	publisher.registry.Admission[class] = weighttable.AdmissionRate{Fraction: fraction, Retry: retry, Set: true}
 	for _, p := range h.core.proxies.joined {
 		if !p.inactive {
-			publisher.update(p).admission[class] = true
+			publisher.pendingUpdateFor(p).admission[class] = true
 		}
 	}
 }
--- a/internal/platform/proxies.go
+++ b/internal/platform/proxies.go
@@ -10,8 +10,8 @@
 	connection     *Connection
 	tables         []*weighttable.Table[*proxy] // by traffic class; nil where none was assigned on this stream
 	pending        *pendingUpdate               // decided in this evaluation, and not sent; may be nil
-	sentMs         []float64                    // times of the last updates on this stream: the limit of messages counts from joining
-	unacknowledged []sentRequest                // oldest first
+	updateTimesMs  []float64                    // times of the last updates on this stream: the limit of messages counts from joining
+	unacknowledged []acknowledgementRequest     // oldest first
 	inactive       bool                         // silent for so long that it was removed from the policy
 }
 
@@ -55,7 +55,7 @@
 	c.proxies.byID[p.id] = p
 	c.proxies.joined = append(c.proxies.joined, p)
 	c.Counts.Joins++
-	c.endpoints.forgetNotified(p.id, !join.New)
+	c.endpoints.resetNotified(p.id, !join.New)
 	c.policy.AddProxy(p.id, p.zone, p.expectedRate)
 	if !join.New {
 		c.policy.ExpectInheritedEjections(p.id)
@@ -79,7 +79,7 @@
 // reactivate takes a proxy back that was silent. What of the updates has reached it is not known.
 func (c *Core) reactivate(p *proxy) {
 	p.inactive = false
-	c.endpoints.suspectNotified(p.id)
-	c.policy.AddProxy(p.id, p.zone, p.expectedRate, p.sentMs...)
+	c.endpoints.markPossiblyNotified(p.id)
+	c.policy.AddProxy(p.id, p.zone, p.expectedRate, p.updateTimesMs...)
 	c.policy.ExpectInheritedEjections(p.id)
 }
--- a/internal/platform/publisher.go
+++ b/internal/platform/publisher.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// update returns the update that is being put together for a proxy.
-func (b *publisher) update(p *proxy) *pendingUpdate {
+// pendingUpdateFor returns the pendingUpdateFor that is being put together for a proxy.
+func (b *publisher) pendingUpdateFor(p *proxy) *pendingUpdate {
 	if p.pending == nil {
 		p.pending = &pendingUpdate{admission: make([]bool, len(b.registry.Admission))}
 		b.pending = append(b.pending, p)
@@ -57,7 +57,7 @@
 
 // setEjected has a proxy notified that a server is ejected, or readmitted.
 func (b *publisher) setEjected(p *proxy, e *endpoint, ejected bool) {
-	update := b.update(p)
+	update := b.pendingUpdateFor(p)
 	update.eject = without(update.eject, e.name)
 	update.readmit = without(update.readmit, e.name)
 	if ejected {
@@ -69,8 +69,8 @@
 	e.possiblyNotified.set(p.id, false)
 }
 
-// alignEjection notifies a proxy whose table got a server whether that is ejected, where the proxy may hold something else.
-func (b *publisher) alignEjection(p *proxy, e *endpoint) {
+// syncEjection notifies a proxy whose table got a server whether that is ejected, where the proxy may hold something else.
+func (b *publisher) syncEjection(p *proxy, e *endpoint) {
 	if e == nil {
 		return
 	}
@@ -144,9 +144,9 @@
 		if table == nil || slices.Contains(p.tables[:class], table) || table.Index(e.name) < 0 {
 			continue
 		}
-		update := b.update(p)
+		update := b.pendingUpdateFor(p)
 		update.changed = append(update.changed, changedEntry{table, e.name})
-		b.alignEjection(p, e)
+		b.syncEjection(p, e)
 	}
 }
 
@@ -214,10 +214,10 @@
 // recordSent notes the time of an update, and forgets those that the limit of messages does not count any more.
 func (p *proxy) recordSent(nowMs, windowMs float64) {
 	windowStartMs := nowMs - windowMs
-	if len(p.sentMs) > 0 && p.sentMs[0] < windowStartMs {
-		p.sentMs = slices.DeleteFunc(p.sentMs, func(atMs float64) bool { return atMs < windowStartMs })
+	if len(p.updateTimesMs) > 0 && p.updateTimesMs[0] < windowStartMs {
+		p.updateTimesMs = slices.DeleteFunc(p.updateTimesMs, func(atMs float64) bool { return atMs < windowStartMs })
 	}
-	p.sentMs = append(p.sentMs, nowMs)
+	p.updateTimesMs = append(p.updateTimesMs, nowMs)
 }
 
 func (c *Core) countUpdate(parts []updatePart, size int) {
--- a/internal/platform/runtime.go
+++ b/internal/platform/runtime.go
@@ -18,15 +18,15 @@
 
 // Limits of what a planner holds.
 const (
-	maxUnsentBytes      = 256 << 10 // bytes that one proxy may leave unread; far more than its messages of a minute
-	unsentMemoryPart    = 8         // all of them together may leave unread this part of the memory
-	partialMemoryPart   = 16        // incomplete messages may fill this part of the memory
-	defaultMemoryMB     = 1024      // MiB; where the configuration states no limit
-	reservedDescriptors = 24        // that are not for connections: discovery, log, the Go runtime, and lingering connections
-	minConnections      = 8         // however few descriptors are stated
-	defaultConnections  = 1 << 20   // where the configuration states no limit
-	maxLingering        = 8         // connections that may be open for their last messages beside those that fit
-	bytesPerMB          = 1 << 20
+	maxUnsentBytes       = 256 << 10 // bytes that one proxy may leave unread; far more than its messages of a minute
+	unsentMemoryDivisor  = 8         // all of them together may leave unread this part of the memory
+	partialMemoryDivisor = 16        // incomplete messages may fill this part of the memory
+	defaultMemoryMB      = 1024      // MiB; where the configuration states no limit
+	reservedDescriptors  = 24        // that are not for connections: discovery, log, the Go runtime, and lingering connections
+	minConnections       = 8         // however few descriptors are stated
+	defaultConnections   = 1 << 20   // where the configuration states no limit
+	maxLingering         = 8         // connections that may be open for their last messages beside those that fit
+	bytesPerMB           = 1 << 20
 )
 
 // Options are what Run is handed. All but Ready and Trace must be set.
@@ -50,7 +50,7 @@
 	originMs            float64 // Unix ms at which Clock.Monotonic was 0
 	maxConnections      int
 	maxTotalUnsentBytes int           // that wait for all connections together
-	work                chan struct{} // holds one element where there are inputs that were not evaluated
+	workReady           chan struct{} // holds one element where there are inputs that were not evaluated
 	tasks               sync.WaitGroup
 	schedule            decisionSchedule // of decide's goroutine
 
@@ -104,15 +104,15 @@
 		Options:             options,
 		originMs:            float64(options.Clock.WallTime().UnixMicro())/microsPerMs - options.Clock.Monotonic(),
 		maxConnections:      defaultConnections,
-		maxTotalUnsentBytes: max(memoryBytes/unsentMemoryPart, maxUnsentBytes),
-		work:                make(chan struct{}, 1),
+		maxTotalUnsentBytes: max(memoryBytes/unsentMemoryDivisor, maxUnsentBytes),
+		workReady:           make(chan struct{}, 1),
 		streams:             map[*Connection]*stream{},
 	}
 	if config.MaxDescriptors > 0 {
 		s.maxConnections = max(config.MaxDescriptors-reservedDescriptors, minConnections)
 	}
 	s.core = NewCore(config.Settings, config.Seed, s.nowMs())
-	s.core.MaxPartialBytes = max(memoryBytes/partialMemoryPart, maxMessageBytes)
+	s.core.MaxPartialBytes = max(memoryBytes/partialMemoryDivisor, maxMessageBytes)
 	s.core.OnReject = func(err error, line []byte) {
 		s.Log.Debug(logMessageRejected, keyError, err, keyMessage, string(line))
 	}
@@ -159,7 +159,7 @@
 // notifyWork has decide evaluate inputs.
 func (s *serverRuntime) notifyWork() {
 	select {
-	case s.work <- struct{}{}:
+	case s.workReady <- struct{}{}:
 	default: // it has been notified, and has not evaluated yet
 	}
 }
--- a/internal/platform/runtime_test.go
+++ b/internal/platform/runtime_test.go
@@ -40,7 +40,7 @@
 		}
 	})
 	t.Run("unjoined connections are refused and cost a proxy nothing", func(t *testing.T) {
-		refuseMany(planner)
+		exceedConnectionLimit(planner)
 		planner.dial("joined id=2 site=b rps=10 new=1\r\n").await("replace=1")
 		proxy.write("ping\r\n")
 		proxy.await(wirePong)
@@ -64,8 +64,8 @@
 	})
 }
 
-// refuseMany opens more connections than there are descriptors for, and waits until all are closed.
-func refuseMany(planner *testPlanner) {
+// exceedConnectionLimit opens more connections than there are descriptors for, and waits until all are closed.
+func exceedConnectionLimit(planner *testPlanner) {
 	first := []string{"", "joined id", "ping\r\n", "GET / HTTP/1.1\r\n\r\n"}
 	var peers []*testPeer
 	for index := range 120 {
@@ -92,8 +92,8 @@
 	}
 }
 
-// siteOfOther is what sets the second site's configuration and lists apart.
-var siteOfOther = strings.NewReplacer(
+// toSecondSite is what sets the second site's configuration and lists apart.
+var toSecondSite = strings.NewReplacer(
 	`"lookup"`, `"read"`,
 	`"order"`, `"write"`,
 	`"Azs":["a","b"]`, `"Azs":["x"]`,
@@ -105,13 +105,13 @@
 
 func TestTwoSitesInOneProcess(t *testing.T) {
 	first := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
-	second := newFakeDiscovery(t, siteOfOther.Replace(listText(9, true, "s-1:ready")))
+	second := newFakeDiscovery(t, toSecondSite.Replace(listText(9, true, "s-1:ready")))
 	startFirst := func(t *testing.T) *testPlanner {
 		config := strings.Replace(configText(first.address(), 64), `"DefaultRetry":1`, `"DefaultRetry":3`, 1)
 		return startPlannerWith(t, config, nil)
 	}
 	startSecond := func(t *testing.T) *testPlanner {
-		return startPlannerWith(t, siteOfOther.Replace(configText(second.address(), 64)), nil)
+		return startPlannerWith(t, toSecondSite.Replace(configText(second.address(), 64)), nil)
 	}
 	t.Run("side by side", func(t *testing.T) {
 		checkSites(t, startFirst(t), startSecond(t))
@@ -172,7 +172,7 @@
 		planner.dial(rejoinText).await("replace=1")
 	})
 	t.Run("a planner that can decide nothing any more ends, and says so", func(t *testing.T) {
-		r := newHeldRuntime(t, 64, 2)
+		r := newBlockedRuntime(t, 64, 2)
 		r.Clock = scaledClock{clock.NewReal(), 50, 1}
 		original := r.core.policy
 		r.core.policy = nil
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -62,11 +62,11 @@
 
 // sessionTable holds the connections that are not closed. It is part of the core, and under its lock.
 type sessionTable struct {
-	open            map[*Connection]bool
-	unauthenticated []*Connection   // oldest first
-	collectors      [][]*Connection // by zone
-	replies         []*Connection   // owed pongs, a refusal or the close; first come, first served
-	partialBytes    int             // of all incomplete messages together
+	open         map[*Connection]bool
+	unjoined     []*Connection   // oldest first
+	collectors   [][]*Connection // by zone
+	replies      []*Connection   // owed pongs, a refusal or the close; first come, first served
+	partialBytes int             // of all incomplete messages together
 }
 
 func newSessionTable(zones int) sessionTable {
@@ -75,13 +75,13 @@
 
 func (t *sessionTable) add(connection *Connection) {
 	t.open[connection] = true
-	t.unauthenticated = append(t.unauthenticated, connection)
+	t.unjoined = append(t.unjoined, connection)
 }
 
 func (t *sessionTable) remove(connection *Connection) {
 	delete(t.open, connection)
 	t.dropPartial(connection)
-	t.unauthenticated = without(t.unauthenticated, connection)
+	t.unjoined = without(t.unjoined, connection)
 	t.replies = without(t.replies, connection)
 	if connection.role == roleCollector {
 		zone := connection.collectorZone
@@ -130,7 +130,7 @@
 	}
 	connection.phase = phaseClosed
 	c.sessions.remove(connection)
-	c.loseStream(connection)
+	c.handleLostStream(connection)
 }
 
 // Abort takes in that the planner closes a connection at once. The host calls it for those that it closes by itself.
@@ -142,8 +142,8 @@
 	c.HandleDisconnect(connection)
 }
 
-// loseStream removes the proxy of a stream that has ended, unless a newer stream of the proxy has replaced it.
-func (c *Core) loseStream(connection *Connection) {
+// handleLostStream removes the proxy of a stream that has ended, unless a newer stream of the proxy has replaced it.
+func (c *Core) handleLostStream(connection *Connection) {
 	p := connection.proxy
 	if p == nil || c.proxies.byID[p.id] != p {
 		return
@@ -158,7 +158,7 @@
 	if connection.phase != phaseOpen {
 		return
 	}
-	c.loseStream(connection)
+	c.handleLostStream(connection)
 	connection.peerFinished = true
 	c.startClosing(connection, ClosePeerFinished, nil)
 }
@@ -252,15 +252,15 @@
 // closeOverdue starts to close the oldest unauthenticated connection where that has not joined in time, and says whether
 // there was one. Pings do not prolong the time.
 func (c *Core) closeOverdue() bool {
-	if len(c.sessions.unauthenticated) == 0 {
+	if len(c.sessions.unjoined) == 0 {
 		return false
 	}
-	oldest := c.sessions.unauthenticated[0]
+	oldest := c.sessions.unjoined[0]
 	if c.nowMs < oldest.openedMs+joinTimeoutMs {
 		return false
 	}
 	c.startClosing(oldest, CloseJoinTimeout, nil)
-	c.sessions.unauthenticated = c.sessions.unauthenticated[1:]
+	c.sessions.unjoined = c.sessions.unjoined[1:]
 	return true
 }
 
@@ -279,8 +279,8 @@
 }
 
 func (c *Core) leastValuable() *Connection {
-	if len(c.sessions.unauthenticated) > 0 {
-		return c.sessions.unauthenticated[0]
+	if len(c.sessions.unjoined) > 0 {
+		return c.sessions.unjoined[0]
 	}
 	for _, p := range c.proxies.joined {
 		if p.inactive {
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -38,7 +38,7 @@
 }
 
 // What closes one connection discards nothing that is owed beside it.
-func TestClosingKeepsWhatIsOwed(t *testing.T) {
+func TestCloseSendsPendingReplies(t *testing.T) {
 	t.Run("a long message in the same bytes as the join meets the limit of joined connections", testLongMessageBehindJoin)
 	t.Run("each connection is closed for its own reason", func(t *testing.T) {
 		h := startCore(t)
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestUnjoinedConnectionIsBounded(t *testing.T) {
+func TestUnjoinedConnectionIsLimited(t *testing.T) {
 	h := startCore(t)
 	h.join(3)
 	collector := h.connect("collector site=a")
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -16,7 +16,7 @@
 	for _, t := range s.streams {
 		t.closing = true // a panic may have kept the core from it
 		if t.writing {
-			s.limitFlush(t)
+			s.setFlushDeadline(t)
 		} else {
 			s.drop(t)
 		}
@@ -25,8 +25,8 @@
 	s.tasks.Wait()
 }
 
-// limitFlush limits the time of the last messages to a connection, so that a peer that reads nothing does not keep it open.
-func (s *serverRuntime) limitFlush(t *stream) {
+// setFlushDeadline limits the time of the last messages to a connection, so that a peer that reads nothing does not keep it open.
+func (s *serverRuntime) setFlushDeadline(t *stream) {
 	if err := t.SetWriteDeadline(s.Clock.Deadline(flushTimeoutMs)); err != nil {
 		s.Log.Debug("write deadline failed", keyError, err) // it is closed already, and its writer ends
 	}
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -41,7 +41,7 @@
 	limited := make(chan bool, 64)
 	var once sync.Once
 	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
-		o.Clock = lateDeadlines()
+		o.Clock = extendedDeadlines()
 		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
 			c.deadline = func() { limited <- true }
 			c.write = func(b []byte) (n int, err error) {
@@ -79,7 +79,7 @@
 	reading := make(chan bool)
 	release := make(chan bool)
 	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
-		o.Clock = lateDeadlines()
+		o.Clock = extendedDeadlines()
 		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
 			c.read = func([]byte) (int, error) {
 				close(reading)
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -145,7 +145,7 @@
 		return
 	}
 	s.lingering = append(s.lingering, t)
-	s.limitFlush(t)
+	s.setFlushDeadline(t)
 }
 
 func (s *serverRuntime) logClose(connection *Connection, reason CloseReason, cause error) {
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -31,7 +31,7 @@
 	release := make(chan bool)
 	var first atomic.Bool
 	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
-		o.Clock = lateDeadlines()
+		o.Clock = extendedDeadlines()
 		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
 			if !first.CompareAndSwap(false, true) {
 				return
@@ -131,7 +131,7 @@
 	release := make(chan bool)
 	discarded := make(chan bool)
 	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
-		o.Clock = lateDeadlines()
+		o.Clock = extendedDeadlines()
 		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
 			reads := 0
 			c.read = func(b []byte) (int, error) {
@@ -246,19 +246,19 @@
 	}
 }
 
-// heldRuntime is a runtime with joined streams on loopback whose writes are held back until the test ends.
-type heldRuntime struct {
+// blockedRuntime is a runtime with joined streams on loopback whose writes are held back until the test ends.
+type blockedRuntime struct {
 	*serverRuntime
 	streams []*stream // in the order of connecting
 }
 
-func newHeldRuntime(t *testing.T, memoryMB, count int) heldRuntime {
+func newBlockedRuntime(t *testing.T, memoryMB, count int) blockedRuntime {
 	t.Helper()
 	leaks := startLeakCheck(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	memory := fmt.Sprintf(`"memory_mb":%d`, memoryMB)
 	writeConfig(t, path, strings.Replace(configText("127.0.0.1:1", 0), `"memory_mb":64`, memory, 1))
-	r := heldRuntime{serverRuntime: newRuntime(Options{
+	r := blockedRuntime{serverRuntime: newRuntime(Options{
 		Config:  parsedConfig(t, path),
 		Clock:   clock.NewReal(),
 		Network: clock.TCP{},
@@ -290,7 +290,7 @@
 }
 
 // connect adds a stream, and returns its peer's end.
-func (r *heldRuntime) connect(t *testing.T, listener net.Listener, release <-chan bool) net.Conn {
+func (r *blockedRuntime) connect(t *testing.T, listener net.Listener, release <-chan bool) net.Conn {
 	t.Helper()
 	peer, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -314,15 +314,15 @@
 }
 
 // isOpen says whether a stream's descriptor is open. The lock is held.
-func (r *heldRuntime) isOpen(t *stream) bool { return r.serverRuntime.streams[&t.connection] != nil }
+func (r *blockedRuntime) isOpen(t *stream) bool { return r.serverRuntime.streams[&t.connection] != nil }
 
 func TestUnsentBytesAreBounded(t *testing.T) {
 	t.Run("many peers that stop reading are held under one limit, and the one owed most is closed first", func(t *testing.T) {
-		r := newHeldRuntime(t, 8, 64)
-		r.withCore(func() { checkCommonLimit(t, &r) })
+		r := newBlockedRuntime(t, 8, 64)
+		r.withCore(func() { checkTotalUnsentLimit(t, &r) })
 	})
 	t.Run("one that stops reading is closed alone", func(t *testing.T) {
-		r := newHeldRuntime(t, 64, 4)
+		r := newBlockedRuntime(t, 64, 4)
 		first := r.streams[0]
 		r.withCore(func() {
 			for range maxUnsentBytes/1000 + 2 {
@@ -339,14 +339,14 @@
 		})
 	})
 	t.Run("connections that linger over their last messages count as open ones", func(t *testing.T) {
-		r := newHeldRuntime(t, 64, 40)
+		r := newBlockedRuntime(t, 64, 40)
 		r.maxConnections = 24
 		r.withCore(func() { checkLingering(t, &r) })
 	})
 }
 
-// checkCommonLimit sends to all streams, most to the eighth, until some are closed. The lock is held.
-func checkCommonLimit(t *testing.T, r *heldRuntime) {
+// checkTotalUnsentLimit sends to all streams, most to the eighth, until some are closed. The lock is held.
+func checkTotalUnsentLimit(t *testing.T, r *blockedRuntime) {
 	message := make([]byte, 1000)
 	for range maxUnsentBytes / len(message) / 4 {
 		for index, stream := range r.streams {
@@ -376,7 +376,7 @@
 }
 
 // checkLingering has the core refuse most connections, and counts those that are left. The lock is held.
-func checkLingering(t *testing.T, r *heldRuntime) {
+func checkLingering(t *testing.T, r *blockedRuntime) {
 	for _, stream := range r.streams[:30] {
 		r.core.HandleData(&stream.connection, []byte("GET / HTTP/1.1\r\n"))
 	}
--- a/internal/platform/takeover_test.go
+++ b/internal/platform/takeover_test.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	graceSlackMs   = 300.0 // ms beyond the grace that the evaluations of planner and test may take
-	drainBatch     = 30    // servers that begin to drain at once
-	rushServers    = 200
-	settledMs      = 10000.0 // ms from the first joins to those with inherited tables
-	completeMs     = 20000.0 // ms from the last event until every proxy holds its complete table
-	rejoinAfterMs  = 800.0   // ms that a proxy is away
-	firstLeaveMs   = 400.0   // ms from the first join with inherited tables
-	leaveEveryMs   = 40.0    // ms between proxies that leave
-	joinIntervalMs = 500.0   // ms in which the proxies of planners that ended join, where a scenario says nothing else
+	graceSlackMs    = 300.0 // ms beyond the grace that the evaluations of planner and test may take
+	drainBatch      = 30    // servers that begin to drain at once
+	massJoinServers = 200
+	settledMs       = 10000.0 // ms from the first joins to those with inherited tables
+	completionMs    = 20000.0 // ms from the last event until every proxy holds its complete table
+	rejoinAfterMs   = 800.0   // ms that a proxy is away
+	firstLeaveMs    = 400.0   // ms from the first join with inherited tables
+	leaveEveryMs    = 40.0    // ms between proxies that leave
+	joinIntervalMs  = 500.0   // ms in which the proxies of planners that ended join, where a scenario says nothing else
 )
 
-// rushScenario is a planner that others' proxies join while servers drain. Times are ms from the first of these joins.
-type rushScenario struct {
-	name     string
-	own      int     // proxies that join before, with no tables
-	others   int     // proxies with inherited tables
-	ownMs    float64 // when they join; the planner starts then
-	joinMs   float64 // time in which the others join
-	drainsMs []float64
-	leaving  int // of the others, that leave and come back
+// massJoinScenario is a planner that others' proxies join while servers drain. Times are ms from the first of these joins.
+type massJoinScenario struct {
+	name             string
+	ownProxies       int     // proxies that join before, with no tables
+	inheritedProxies int     // proxies with inherited tables
+	ownJoinMs        float64 // when they join; the planner starts then
+	joinPeriodMs     float64 // time in which the others join
+	drainsMs         []float64
+	rejoining        int // of the others, that leave and come back
 }
 
-// rushScenarios are feasible by the arithmetic of the channel: an assignment takes some 25 to 31 of its entries, so 200 of
+// massJoinScenarios are feasible by the arithmetic of the channel: an assignment takes some 25 to 31 of its entries, so 200 of
 // them take 2.1 s to 2.6 s, and a batch of drains 0.3 s to 0.8 s.
-var rushScenarios = []rushScenario{
+var massJoinScenarios = []massJoinScenario{
 	{"drains before the joins", 40, 200, -settledMs, joinIntervalMs, []float64{-500}, 0},
 	{"drains during the joins", 40, 200, -settledMs, joinIntervalMs, []float64{250}, 0},
 	{"drains after the joins", 40, 200, -settledMs, joinIntervalMs, []float64{1000}, 0},
@@ -50,8 +50,8 @@
 
 // Proxies of planners that ended join another while servers drain. Each server must be ejected, or replaced with the
 // table, within its grace at all of them, though the channel cannot notify every proxy of every server in that time.
-func TestDrainsInARushOfJoins(t *testing.T) {
-	for index, scenario := range rushScenarios {
+func TestDrainsDuringMassJoin(t *testing.T) {
+	for index, scenario := range massJoinScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
 			scenario.run(t, int64(index))
@@ -59,19 +59,19 @@
 	}
 }
 
-func (s *rushScenario) run(t *testing.T, seed int64) {
+func (s *massJoinScenario) run(t *testing.T, seed int64) {
 	t.Helper()
 	site := readTestSettings(t)
-	site.Policy.Proxies = s.own + s.others
+	site.Policy.Proxies = s.ownProxies + s.inheritedProxies
 	site.Policy.Planners = 5
 	site.Policy.EntriesPerSecond = 2400
 	site.Policy.MaxBacklog = 4800
 	site.Policy.MaxPropagationMs = 450
 	site.Policy.DrainGraceMs = 3600
-	f := newModelFleet(t, site, rushServers, seed)
+	f := newModelFleet(t, site, massJoinServers, seed)
 	s.play(f)
 	t.Logf("seed %d: a backlog of %.0f entries, %d messages to a proxy, a pick %.0f ms after the notification",
-		seed, f.maxBacklog, f.maxMessages, f.worstPickMs)
+		seed, f.maxBacklog, f.maxMessages, f.latestPickMs)
 	if violations := slices.Sorted(maps.Keys(f.violations)); len(violations) > 0 {
 		t.Errorf("seed %d: %d violations, as %s", seed, len(violations), violations[0])
 	}
@@ -82,14 +82,14 @@
 }
 
 // play lets the events happen, and time pass until nothing is on its way.
-func (s *rushScenario) play(f *modelFleet) {
+func (s *massJoinScenario) play(f *modelFleet) {
 	events := s.events(f)
 	slices.SortStableFunc(events, func(a, b event) int { return cmp.Compare(a.atMs, b.atMs) })
 	startMs := events[0].atMs
-	endMs := events[len(events)-1].atMs - startMs + completeMs
+	endMs := events[len(events)-1].atMs - startMs + completionMs
 	for f.atMs < endMs || len(f.deliveries) > 0 && f.atMs < 2*endMs {
 		for len(events) > 0 && events[0].atMs-startMs <= f.atMs {
-			events[0].happen()
+			events[0].run()
 			events = events[1:]
 		}
 		f.step()
@@ -98,28 +98,28 @@
 
 // event is what happens at a time, in ms from the first join with inherited tables.
 type event struct {
-	atMs   float64
-	happen func()
+	atMs float64
+	run  func()
 }
 
-func (s *rushScenario) events(f *modelFleet) []event {
+func (s *massJoinScenario) events(f *modelFleet) []event {
 	var events []event
-	for _, p := range f.proxies[:s.own] {
-		events = append(events, event{s.ownMs, func() { f.join(p, false) }})
+	for _, p := range f.proxies[:s.ownProxies] {
+		events = append(events, event{s.ownJoinMs, func() { f.join(p, false) }})
 	}
-	others := f.proxies[s.own:]
+	others := f.proxies[s.ownProxies:]
 	for index, p := range others {
 		p.inheritTables(f.random, f.servers)
-		events = append(events, event{s.joinMs * float64(index) / float64(len(others)), func() { f.join(p, true) }})
+		events = append(events, event{s.joinPeriodMs * float64(index) / float64(len(others)), func() { f.join(p, true) }})
 	}
-	for index, p := range others[:s.leaving] {
+	for index, p := range others[:s.rejoining] {
 		leaveMs := firstLeaveMs + leaveEveryMs*float64(index)
 		events = append(events, event{leaveMs, func() { f.leave(p) }}, event{leaveMs + rejoinAfterMs, func() {
 			f.join(p, true)
 			p.rejoinedMs = f.atMs
 		}})
 	}
-	order := f.random.Perm(rushServers)
+	order := f.random.Perm(massJoinServers)
 	for batch, atMs := range s.drainsMs {
 		var servers []policy.Endpoint
 		for _, index := range order[batch*drainBatch:][:drainBatch] {
--- a/internal/platform/takeoverloopback_test.go
+++ b/internal/platform/takeoverloopback_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	loopbackRate     = 1200.0 // entries per second, so few that a rush of joins lasts
-	loopbackOverhead = 4.0    // entries of each message, as in testSettings
-	loopbackBacklog  = 2400.0 // entries
-	loopbackGraceMs  = 3000.0 // as in testSettings
-	loopbackServers  = 30     // so few that the first table, which is for one proxy, is not much larger than later ones
-	loopbackOwn      = 20     // proxies that join first
-	loopbackOthers   = 60     // proxies with tables of other planners, that join at once
-	loopbackDrains   = 9      // servers that begin to drain as these join
-	loopbackArrivals = 1 << 16
+	loopbackRate             = 1200.0 // entries per second, so few that a rush of joins lasts
+	loopbackOverhead         = 4.0    // entries of each message, as in testSettings
+	loopbackBacklog          = 2400.0 // entries
+	loopbackGraceMs          = 3000.0 // as in testSettings
+	loopbackServers          = 30     // so few that the first table, which is for one proxy, is not much larger than later ones
+	loopbackOwnProxies       = 20     // proxies that join first
+	loopbackInheritedProxies = 60     // proxies with tables of other planners, that join at once
+	loopbackDrainingServers  = 9      // servers that begin to drain as these join
+	arrivalQueueLength       = 1 << 16
 )
 
 var loopbackClasses = []string{"lookup", "order"} // of testSettings
@@ -29,7 +29,7 @@
 // loopbackSettings are testSettings for more proxies and a slower channel.
 var loopbackSettings = strings.NewReplacer(
 	`"Balancers":2`, `"Balancers":5`,
-	`"DataPlaneSize":8`, fmt.Sprintf(`"DataPlaneSize":%d`, loopbackOwn+loopbackOthers),
+	`"DataPlaneSize":8`, fmt.Sprintf(`"DataPlaneSize":%d`, loopbackOwnProxies+loopbackInheritedProxies),
 	`"ChannelRate":2500`, fmt.Sprintf(`"ChannelRate":%g`, loopbackRate),
 	`"MostWaiting":3500`, fmt.Sprintf(`"MostWaiting":%g`, loopbackBacklog),
 )
@@ -49,12 +49,12 @@
 // loopbackFleet is the proxies of a planner on sockets. What they read is applied one update after another at the rate of
 // the channel, which sockets do not have.
 type loopbackFleet struct {
-	planner  *testPlanner
-	clock    clock.Clock
-	arrivals chan arrival
-	freeMs   float64 // when all that arrived will have left the channel
-	own      []*loopbackProxy
-	others   []*loopbackProxy
+	planner       *testPlanner
+	clock         clock.Clock
+	arrivals      chan arrival
+	channelFreeMs float64 // when all that arrived will have left the channel
+	own           []*loopbackProxy
+	inherited     []*loopbackProxy
 }
 
 // join connects a proxy and reads its updates until the connection ends.
@@ -86,20 +86,20 @@
 	case <-after(peerTimeoutMs):
 		t.Fatal("proxies wait for updates that do not come")
 	}
-	entries := float64(wireEntries(next.update)) + loopbackOverhead
-	f.freeMs = max(f.freeMs, next.atMs) + entries/loopbackRate*millisecondsPerSecond
-	if waitMs := f.freeMs - f.clock.Monotonic(); waitMs > 0 {
+	entries := float64(countEntries(next.update)) + loopbackOverhead
+	f.channelFreeMs = max(f.channelFreeMs, next.atMs) + entries/loopbackRate*millisecondsPerSecond
+	if waitMs := f.channelFreeMs - f.clock.Monotonic(); waitMs > 0 {
 		<-after(waitMs)
 	}
 	for _, stamp := range next.proxy.apply(next.update) {
-		next.proxy.peer.write(fmt.Sprintf("applied id=%d seq=%s ms=%.0f\r\n", next.proxy.id, stamp, f.freeMs-next.atMs))
+		next.proxy.peer.write(fmt.Sprintf("applied id=%d seq=%s ms=%.0f\r\n", next.proxy.id, stamp, f.channelFreeMs-next.atMs))
 	}
 }
 
 // picksOneOf says whether a proxy may pick one of some servers.
 func (p *loopbackProxy) picksOneOf(servers map[string]bool) bool {
 	for class := range p.weights {
-		for server := range p.pickable(class) {
+		for server := range p.eligibleServers(class) {
 			if servers[server] {
 				return true
 			}
@@ -108,8 +108,8 @@
 	return false
 }
 
-// remaining returns a proxy's weights by class and server, but for some servers.
-func (p *loopbackProxy) remaining(except map[string]bool) map[string]float64 {
+// weightsExcept returns a proxy's weights by class and server, but for some servers.
+func (p *loopbackProxy) weightsExcept(except map[string]bool) map[string]float64 {
 	weights := map[string]float64{}
 	for class := range p.weights {
 		for server, weight := range p.weights[class] {
@@ -121,9 +121,9 @@
 	return weights
 }
 
-// complete says whether a proxy's table is that of one that had it from the start, but for servers that drain, and whether
+// isComplete says whether a proxy's table is that of one that had it from the start, but for servers that drain, and whether
 // it has ejected no other servers of it.
-func (f *loopbackFleet) complete(p *loopbackProxy, drained map[string]bool) bool {
+func (f *loopbackFleet) isComplete(p *loopbackProxy, drained map[string]bool) bool {
 	for class := range p.weights {
 		for server := range p.weights[class] {
 			if p.ejected[server] && !drained[server] {
@@ -131,7 +131,7 @@
 			}
 		}
 	}
-	equal := func(own *loopbackProxy) bool { return maps.Equal(own.remaining(drained), p.remaining(drained)) }
+	equal := func(own *loopbackProxy) bool { return maps.Equal(own.weightsExcept(drained), p.weightsExcept(drained)) }
 	return p.assigned && slices.ContainsFunc(f.own, equal)
 }
 
@@ -144,10 +144,10 @@
 	f := &loopbackFleet{
 		planner:  startPlannerWith(t, config, nil),
 		clock:    clock.NewReal(),
-		arrivals: make(chan arrival, loopbackArrivals),
+		arrivals: make(chan arrival, arrivalQueueLength),
 	}
 	<-discovery.watched
-	for id := range loopbackOwn {
+	for id := range loopbackOwnProxies {
 		f.own = append(f.own, f.join(newModelProxy(id, loopbackClasses), 1))
 	}
 	f.applyUntil(t, func() bool {
@@ -167,13 +167,13 @@
 
 // Proxies with tables of planners that ended join one over sockets while servers drain: none picks such a server beyond the
 // grace, and later each holds its complete table.
-func TestDrainsInARushOfJoinsOnLoopback(t *testing.T) {
+func TestDrainsDuringMassJoinOnLoopback(t *testing.T) {
 	servers := testEndpoints(loopbackServers, policy.Ready)
 	drained := map[string]bool{}
 	var ready, draining []string
 	for index, endpoint := range servers {
 		ready = append(ready, endpoint.Server+":ready")
-		if index < loopbackDrains {
+		if index < loopbackDrainingServers {
 			draining = append(draining, endpoint.Server+":draining")
 			drained[endpoint.Server] = true
 		}
@@ -185,19 +185,19 @@
 	notifiedMs := f.clock.Monotonic()
 	f.applyUntil(t, func() bool { return f.own[0].ejected[servers[0].Server] }) // the planner knows of the drains
 	random := rand.New(rand.NewSource(1))
-	for id := loopbackOwn; id < loopbackOwn+loopbackOthers; id++ {
+	for id := loopbackOwnProxies; id < loopbackOwnProxies+loopbackInheritedProxies; id++ {
 		p := newModelProxy(id, loopbackClasses)
 		p.inheritTables(random, servers)
-		f.others = append(f.others, f.join(p, 0))
+		f.inherited = append(f.inherited, f.join(p, 0))
 	}
 	lateMs := f.applyUntil(t, func() bool {
-		return !slices.ContainsFunc(append(f.others, f.own...), func(p *loopbackProxy) bool { return p.picksOneOf(drained) })
+		return !slices.ContainsFunc(append(f.inherited, f.own...), func(p *loopbackProxy) bool { return p.picksOneOf(drained) })
 	}) - notifiedMs
 	if lateMs > loopbackGraceMs {
 		t.Errorf("servers that drain are picked until %.0f ms after the notification", lateMs)
 	}
 	completeMs := f.applyUntil(t, func() bool {
-		return !slices.ContainsFunc(f.others, func(p *loopbackProxy) bool { return !f.complete(p, drained) })
+		return !slices.ContainsFunc(f.inherited, func(p *loopbackProxy) bool { return !f.isComplete(p, drained) })
 	}) - notifiedMs
 	t.Logf("no drained server is picked after %.0f ms, and tables are complete after %.0f ms", lateMs, completeMs)
 }
