--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -8,9 +8,9 @@
 	"lichenpick/internal/clock"
 )
 
-const acceptBackoffMs = 5.0 // ms of backoff after a failed accept
+const acceptBackoffMs = 5.0 // pause in ms after a failed accept
 
-// accept takes in connections until the context ends and the listener is closed.
+// accept serves incoming connections until the context ends. The listener must be closed then.
 func (s *serverRuntime) accept(ctx context.Context, listener net.Listener) {
 	for ctx.Err() == nil {
 		conn, err := listener.Accept()
@@ -22,18 +22,20 @@
 	}
 }
 
-// handleAcceptError sheds a connection, as the process may have run out of descriptors, and waits before the next attempt.
+// handleAcceptError sheds a connection, because the process may have run out of file descriptors, and waits before the next
+// attempt.
 func (s *serverRuntime) handleAcceptError(ctx context.Context, err error) {
 	if ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
 		s.Log.Warn("accepting failed", keyError, err)
 		s.withCore(func() { s.core.ShedConnection(s) })
 	}
 	if clock.Sleep(ctx, s.Clock, acceptBackoffMs) != nil {
-		return // accept ends with the context
+		return // the context has ended, and accept returns
 	}
 }
 
-// addConnection serves a connection. Where there are too many and none can be shed, it closes it.
+// addConnection registers a connection and starts its reader. At the connection limit it sheds a connection first; if none
+// can be shed, it closes the new one.
 func (s *serverRuntime) addConnection(conn net.Conn) {
 	t := &stream{Conn: conn}
 	admitted := false
@@ -54,8 +56,8 @@
 	s.tasks.Go(func() { s.read(t) })
 }
 
-// isFull says whether one more connection would be too many. Those that linger over their last messages are not counted;
-// where there are more than maxLingering, the oldest of them are dropped. The lock is held.
+// isFull reports whether the connection limit is reached. Connections that are closed but still have messages to write do
+// not count, up to maxLingering; beyond that, the oldest of them are dropped. The caller holds the lock.
 func (s *serverRuntime) isFull() bool {
 	for len(s.lingering) > maxLingering {
 		s.drop(s.lingering[0])
--- a/internal/platform/acknowledgements.go
+++ b/internal/platform/acknowledgements.go
@@ -6,31 +6,35 @@
 )
 
 const (
-	silenceTimeoutMs   = 6000.0 // ms without a message after which a proxy that owes an acknowledgement may be taken for gone
-	progressIntervalMs = 200.0  // ms between notes of how far the channel has come
-	maxChannelSlowdown = 8.0    // times that the channel may be slower than stated on some days, by the operators' page
-	maxUnacknowledged  = 64     // requests that are known for a proxy; older ones are forgotten
+	silenceTimeoutMs   = 6000.0 // ms without a message after which a proxy that owes an acknowledgement may be deactivated
+	progressIntervalMs = 200.0  // minimum ms between two progress marks
+	maxChannelSlowdown = 8.0    // by the operators' page, the channel may be this much slower than stated on some days
+	maxUnacknowledged  = 64     // acknowledgement requests remembered per proxy; older ones are forgotten
 )
 
-var errUnknownAcknowledgement = errors.New("an acknowledgement that was not asked for")
+var errUnknownAcknowledgement = errors.New("acknowledgement of a number that was not requested or is forgotten")
 
-// acknowledgementRequest is a request for an acknowledgement that a proxy was sent.
+// acknowledgementRequest is a request for an acknowledgement, sent to a proxy with an update.
 type acknowledgementRequest struct {
 	number   int
 	sentMs   float64
-	position uint64 // of its update among all that went into the channel
+	position uint64 // number of updates sent to all proxies before this one
 }
 
-// progressMark is a note that the channel had come as far as an update, as that was acknowledged.
+// progressMark records that the update at a position had left the channel by a time, since it was acknowledged then.
 type progressMark struct {
 	atMs     float64
 	position uint64
 }
 
-// channelProgress says how far the channel to the proxies has come. It is part of the core, and under its lock.
-type channelProgress struct{ marks []progressMark } // ascending; the last one of silenceMs ago or more, and those since
+// channelProgress tracks how far the channel to the proxies has progressed through the updates. It belongs to the core and
+// is guarded by the core's lock.
+type channelProgress struct {
+	marks []progressMark // ascending; the last one that is at least silenceTimeoutMs old, and all later ones
+}
 
-// record notes that the update at a position has left the channel.
+// record notes that the update at a position has left the channel. It ignores positions that add nothing new, and those
+// that follow the last mark too soon.
 func (l *channelProgress) record(position uint64, nowMs float64) {
 	if count := len(l.marks); count > 0 {
 		last := l.marks[count-1]
@@ -41,19 +45,20 @@
 	l.marks = append(l.marks, progressMark{nowMs, position})
 }
 
-// trim forgets departures that are older than the last one at or before a time.
+// trim discards the marks before the last one at or before a time.
 func (l *channelProgress) trim(beforeMs float64) {
 	for len(l.marks) > 1 && l.marks[1].atMs <= beforeMs {
 		l.marks = l.marks[1:]
 	}
 }
 
-// passed says whether an update behind a position had left the channel by a time; trim was called with that time.
+// passed reports whether an update sent after the one at a position had left the channel by a time. trim must have been
+// called with that time.
 func (l *channelProgress) passed(position uint64, byMs float64) bool {
 	return len(l.marks) > 0 && l.marks[0].atMs <= byMs && l.marks[0].position > position
 }
 
-// acknowledge takes in a proxy's acknowledgement of an update, which holds for all updates before it.
+// acknowledge handles a proxy's acknowledgement of an update, which covers all earlier updates as well.
 func (c *Core) acknowledge(p *proxy, m *message) error {
 	acknowledgement, err := m.acknowledgement()
 	if err != nil {
@@ -75,7 +80,7 @@
 	return nil
 }
 
-// expectAcknowledgement notes that the update about to be sent asks for an acknowledgement.
+// expectAcknowledgement records that the update about to be sent requests an acknowledgement.
 func (c *Core) expectAcknowledgement(p *proxy, number int) {
 	p.unacknowledged = append(p.unacknowledged, acknowledgementRequest{number, c.nowMs, c.Counts.Updates})
 	if len(p.unacknowledged) > maxUnacknowledged {
@@ -83,13 +88,14 @@
 	}
 }
 
-// deactivateSilent finds a proxy that acknowledges nothing and says nothing else, takes it for gone until it speaks again,
-// and says whether there was one.
+// deactivateSilent deactivates a proxy that neither acknowledges updates nor sends anything else, until it sends a message
+// again. It reports whether there was such a proxy.
 //
-// Time alone shows nothing, as an update may wait in the channel for longer than any time that a proxy needs: in a fleet
-// that joined at once, and with a slow channel, proxies were taken for gone whose first table had not left, and were sent
-// it again when they spoke. A later update that another proxy has acknowledged shows that the channel is past this one's.
-// Where nobody acknowledges, the greatest backlog bounds the time.
+// Elapsed time alone does not show that a proxy is silent, because an update may wait in the channel for longer than the
+// timeout: with a slow channel and a fleet that joined at once, proxies were deactivated before their first table had left
+// the channel, and were sent it again at their next message. Therefore another proxy must also have acknowledged a later
+// update, which shows that the channel has passed the update of this one. If no proxy acknowledges anything, the time limit
+// is the time that the largest backlog takes in the slowest channel.
 func (c *Core) deactivateSilent() bool {
 	silentSinceMs := c.nowMs - silenceTimeoutMs
 	c.progress.trim(silentSinceMs)
--- a/internal/platform/closereason.go
+++ b/internal/platform/closereason.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// CloseReason is why a planner closed a connection. Log and counts name it by its String.
+// CloseReason is why a planner closed a connection. Log and counts show its String.
 type CloseReason int
 
 // Reasons for closing a connection.
 const (
-	ClosePeerFinished        CloseReason = iota // the peer sends no more
-	CloseUnreadable                             // bytes that are no message
+	ClosePeerFinished        CloseReason = iota // the peer has closed its sending side
+	CloseUnreadable                             // bytes that are not a message
 	CloseMessageTooLong                         // a message longer than allowed
-	ClosePartialMemory                          // the longest incomplete message, when all of them exceed their memory
-	CloseInvalidFirstMessage                    // a first message that does not join
-	CloseJoinTimeout                            // not joined in time
-	CloseReplacedStream                         // the proxy has opened a newer stream
-	CloseReplacedCollector                      // newer collectors of the zone exceed their number
-	CloseShed                                   // closed for a new connection, as there were too many
-	CloseUnreadByPeer                           // the peer leaves unread more than may wait for it
-	CloseShutdown                               // the planner shuts down
+	ClosePartialMemory                          // incomplete messages exceeded their memory limit; this was the longest
+	CloseInvalidFirstMessage                    // an invalid message before joining
+	CloseJoinTimeout                            // did not join in time
+	CloseReplacedStream                         // the proxy opened a newer stream
+	CloseReplacedCollector                      // the zone has too many collectors, and this one was silent the longest
+	CloseShed                                   // closed at the connection limit, in favor of a new connection
+	CloseUnreadByPeer                           // too many bytes waited to be written, because the peer did not read them
+	CloseShutdown                               // the planner is shutting down
 	numCloseReasons
 )
 
@@ -35,7 +35,7 @@
 	CloseShutdown:            "shutdown",
 }
 
-// String is the reason in lower case, with underscores.
+// String returns the reason in snake case.
 func (r CloseReason) String() string {
 	if r < 0 || r >= numCloseReasons {
 		return fmt.Sprintf("reason_%d", int(r))
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -15,25 +15,26 @@
 )
 
 const (
-	maxConfigBytes = 16 << 20 // bytes of a configuration
-	maxProxies     = 1 << 16  // of a site
+	maxConfigBytes = 16 << 20 // bytes of a configuration file
+	maxProxies     = 1 << 16  // proxies that one configuration may have
 )
 
-// Config is what the platform tells a planner. It is read once at the start; of a later one only Discovery is followed.
+// Config is the configuration that the platform gives a planner. It is read at the start; when it is reloaded, only a new
+// Discovery address takes effect.
 type Config struct {
 	Name           string
 	Listen         string // address with a port
-	Discovery      string // address of discovery's agent, with a port
+	Discovery      string // address of the discovery agent, with a port
 	Seed           int64
-	Cores          float64
-	MemoryMB       int               // limit of the process in MiB; 0 where none is stated
-	MaxDescriptors int               // descriptors that the process may have; 0 where no limit is stated
-	KnownVersion   int64             // of KnownEndpoints
-	KnownEndpoints []policy.Endpoint // as last known, perhaps outdated
+	Cores          float64           // CPU limit of the process, in cores
+	MemoryMB       int               // memory limit of the process in MiB; 0 if not limited
+	MaxDescriptors int               // limit of file descriptors of the process; 0 if not limited
+	KnownVersion   int64             // version of KnownEndpoints; 0 if there is no list
+	KnownEndpoints []policy.Endpoint // last known endpoint list, perhaps outdated
 	Settings       simulator.Settings
 }
 
-// configDocument is a configuration as the platform writes it.
+// configDocument is the JSON form of a configuration.
 type configDocument struct {
 	Name      string
 	Listen    string
@@ -44,11 +45,11 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int
 	}
-	Known    json.RawMessage // a list as discovery serves it
-	Settings json.RawMessage // as the simulator's
+	Known    json.RawMessage // endpoint list, in the format that discovery serves
+	Settings json.RawMessage // in the format of the simulator
 }
 
-// ReadConfig reads and checks a configuration. Where anything is wrong, it fails with a *settings.Error of one line.
+// ReadConfig reads and validates a configuration file. Its errors are of type *settings.Error and have one line.
 func ReadConfig(path string) (Config, error) {
 	text, err := readConfigFile(path)
 	if err != nil {
@@ -63,14 +64,14 @@
 
 func readConfigFile(path string) ([]byte, error) {
 	if path == "" {
-		return nil, errors.New("no configuration is named; EDGE_CONFIG or -c must name it")
+		return nil, errors.New("no configuration file given; set EDGE_CONFIG or -c")
 	}
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxConfigBytes {
-		return nil, fmt.Errorf("%d bytes, where %d are the most", info.Size(), maxConfigBytes)
+		return nil, fmt.Errorf("file has %d bytes, and the limit is %d", info.Size(), maxConfigBytes)
 	}
 	return os.ReadFile(path)
 }
@@ -82,7 +83,7 @@
 	}
 	seed, err := strconv.ParseUint(document.Seed, 16, 64)
 	if err != nil {
-		return Config{}, fmt.Errorf("seed: %q is no number of 16 hex digits", document.Seed)
+		return Config{}, fmt.Errorf("seed: %q is not a hexadecimal number of up to 16 digits", document.Seed)
 	}
 	if err := checkAddress("listen", document.Listen); err != nil {
 		return Config{}, err
@@ -115,7 +116,7 @@
 func checkAddress(name, address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil || port == "" {
-		return fmt.Errorf("%s: %q is no address with a port", name, address)
+		return fmt.Errorf("%s: %q is not an address with a port", name, address)
 	}
 	return nil
 }
@@ -134,7 +135,7 @@
 	return site, nil
 }
 
-// parseKnownEndpoints decodes the list of a configuration, which may have none.
+// parseKnownEndpoints decodes the endpoint list of a configuration, which may be absent.
 func parseKnownEndpoints(text json.RawMessage, zones []string) (endpointList, error) {
 	if len(text) == 0 || string(text) == "null" {
 		return endpointList{}, nil
@@ -142,19 +143,19 @@
 	return parseEndpointList(text, zones)
 }
 
-// checkSettings checks for what the policy or the protocol cannot work with.
+// checkSettings rejects settings that the policy or the protocol cannot work with.
 func checkSettings(site simulator.Settings) error {
 	limits := site.Policy
 	switch {
 	case len(site.Zones) == 0 || len(site.Classes) == 0:
-		return fmt.Errorf("%d zones and %d traffic classes; there must be some", len(site.Zones), len(site.Classes))
+		return fmt.Errorf("%d zones and %d traffic classes; at least one of each is required", len(site.Zones), len(site.Classes))
 	case limits.Proxies < 1 || limits.Proxies > maxProxies:
-		return fmt.Errorf("%d proxies, where 1 to %d can be", limits.Proxies, maxProxies)
+		return fmt.Errorf("%d proxies; there must be 1 to %d", limits.Proxies, maxProxies)
 	case !(limits.EntriesPerSecond > 0) || !(limits.MaxBacklog > 0):
 		return fmt.Errorf("a channel of %g entries per second with a backlog of %g; both must be above 0",
 			limits.EntriesPerSecond, limits.MaxBacklog)
 	case limits.Sharded:
-		return errors.New("sharded tables, which are not served here")
+		return errors.New("sharded tables are not supported")
 	}
 	if err := checkNames(site.Zones); err != nil {
 		return err
@@ -165,7 +166,7 @@
 func checkNames(names []string) error {
 	for index, name := range names {
 		if !isValidName(name) || slices.Contains(names[:index], name) {
-			return fmt.Errorf("name %q cannot stand in a message, or comes twice", name)
+			return fmt.Errorf("name %q is not valid in a message, or is used twice", name)
 		}
 	}
 	return nil
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -1,8 +1,8 @@
-// Package platform connects the policy to the operators' platform: proxies and collectors of load reports, which speak lines
-// of text on TCP streams, and an agent that serves the list of servers over HTTP.
+// Package platform connects the policy to the operators' platform: to proxies and collectors of load reports, which
+// exchange lines of text with the planner over TCP, and to a discovery agent, which serves the list of servers over HTTP.
 //
-// Core holds the policy and what the proxies were sent, and does no I/O; Run connects it to sockets, signals and the clock.
-// The package decides nothing on weights, health, admission or pace: that is the policy's.
+// Core holds the policy and tracks what each proxy was sent; it does no I/O. Run connects it to sockets, signals and the
+// clock. Weights, health, admission and pacing are decided by the policy alone.
 package platform
 
 import (
@@ -16,51 +16,51 @@
 	"lichenpick/policy"
 )
 
-// Host carries out what the core decides. Each method is one decision, made in a call of Next, ShedConnection or Close. A
-// method may call HandleDisconnect and Abort of the core, and nothing else of it.
+// Host carries out the decisions of the core, which calls it from Next, ShedConnection and Close. Of the core's methods, a
+// host may call HandleDisconnect and Abort meanwhile, and no others.
 type Host interface {
-	// Send sends complete messages. The bytes are the core's again when it returns.
+	// Send sends complete messages. It must not keep the slice, which the core reuses.
 	Send(connection *Connection, messages []byte)
-	// CloseConnection closes a connection once what was sent before is written. The cause says more than the reason; it
-	// may be nil.
+	// CloseConnection closes a connection after all that was sent to it has been written. The cause gives details of the
+	// reason; it may be nil.
 	CloseConnection(connection *Connection, reason CloseReason, cause error)
-	// SetTimer asks for a call of Next at a time in Unix ms, in place of the time asked for before.
+	// SetTimer requests a call of Next at a time in Unix ms. It replaces the previous request.
 	SetTimer(atMs float64)
 }
 
-// Core is one planner. Its methods are called by one goroutine at a time: SetTime, then inputs, then Next until it returns
-// false. Whoever shares it holds a lock that guards all of it, with its connections. Times are Unix ms by a clock that
-// never jumps.
+// Core is one planner. It is not safe for concurrent use: goroutines that share it need a lock for it and all its
+// connections. Callers use SetTime, then pass in inputs, then call Next until it returns false. Times are Unix ms of a
+// clock that never jumps.
 type Core struct {
 	settings  simulator.Settings
 	policy    *policy.Policy
 	nowMs     float64
-	zones     map[string]int // by name
-	classes   map[string]int // traffic classes, by name
+	zones     map[string]int // indices of the zones by name
+	classes   map[string]int // indices of the traffic classes by name
 	sessions  sessionTable
 	proxies   proxyTable
 	endpoints endpointTable
 	publisher publisher
 	progress  channelProgress
 
-	policyTimerMs float64 // when the policy is to be asked again
-	hostTimerMs   float64 // what the host was asked for last
-	buffer        []byte  // of messages to be sent
+	policyTimerMs float64 // when the policy is to evaluate next
+	hostTimerMs   float64 // last time passed to Host.SetTimer
+	buffer        []byte  // reused for the messages of one Host.Send
 
-	// MaxPartialBytes limits the bytes of incomplete messages, of all connections together. It may be set before the first
-	// connection.
+	// MaxPartialBytes limits the bytes of incomplete messages of all connections together. It may only be set before the
+	// first connection.
 	MaxPartialBytes int
-	// Counts are what happened since NewCore.
+	// Counts counts events since NewCore.
 	Counts Counts
-	// OnReject is called with each message of a joined connection that is not accepted; the line is valid until it returns. It
-	// may be nil, and is set before the first connection.
+	// OnReject, if not nil, is called with each rejected message of a joined connection. The line is valid until it
+	// returns. It may only be set before the first connection.
 	OnReject func(err error, line []byte)
 }
 
-// NewCore makes a planner at a time in Unix ms. All chance comes from the seed.
+// NewCore creates a planner at a time in Unix ms. All its randomness comes from the seed.
 func NewCore(settings simulator.Settings, seed int64, nowMs float64) *Core {
-	settings.Policy.ReadmitByWeight = true // as policyHost does in SetWeight
-	settings.Policy.OmitsEntries = true    // as policyHost does in AssignTable
+	settings.Policy.ReadmitByWeight = true // policyHost.SetWeight does so
+	settings.Policy.OmitsEntries = true    // policyHost.AssignTable does so
 	core := &Core{
 		settings:        settings,
 		policy:          policy.New(settings.Policy, seed),
@@ -86,13 +86,14 @@
 	return indices
 }
 
-// SetTime sets the time, which never goes back. What is decided until the next call leaves in one message a proxy.
+// SetTime sets the time, which never goes back. Each proxy is sent all decisions that are made before the next call in one
+// message.
 func (c *Core) SetTime(nowMs float64) {
 	c.nowMs = math.Max(nowMs, c.nowMs)
 	c.policy.SetTime(c.nowMs)
 }
 
-// Next carries out at most one decision, and says whether it did.
+// Next carries out at most one decision, and reports whether there was one.
 func (c *Core) Next(host Host) bool {
 	switch {
 	case len(c.sessions.replies) > 0:
@@ -104,7 +105,7 @@
 		return true
 	case c.policy.Next(policyHost{c}):
 		return true
-	case len(c.publisher.pending) > 0: // when the policy has decided all
+	case len(c.publisher.pending) > 0: // only when the policy has no more decisions
 		p := c.publisher.pending[0]
 		c.publisher.pending = c.publisher.pending[1:]
 		c.publish(host, p)
@@ -115,7 +116,7 @@
 	return c.setTimer(host)
 }
 
-// setTimer asks the host for the next call, and says whether that has changed.
+// setTimer requests the next call from the host, and reports whether its time has changed.
 func (c *Core) setTimer(host Host) bool {
 	dueMs := c.policyTimerMs
 	if len(c.sessions.unjoined) > 0 {
@@ -130,8 +131,9 @@
 	return true
 }
 
-// WriteState writes what the policy believes, and beside it what the sockets said since the last call: of each server its
-// state, whether it is ejected, requests, failed ones and their mean latency. It is for traces; the first error ends it.
+// WriteState writes the state of the policy for a trace, followed by the backlog of the channel and, for each server, its
+// state, whether it is ejected, and the requests, failures and mean latency that were reported since the last call. It
+// stops at the first write error.
 func (c *Core) WriteState(w io.Writer) error {
 	c.policy.WriteState(w)
 	if _, err := fmt.Fprintf(w, "channel backlog=%.0f\n", c.publisher.channel.backlog(c.nowMs)); err != nil {
--- a/internal/platform/counts.go
+++ b/internal/platform/counts.go
@@ -2,28 +2,28 @@
 
 import "log/slog"
 
-// Counts are what happened since the start. The host may read them under the lock of the core.
+// Counts counts events since the start. Reading it requires the core's lock.
 type Counts struct {
-	Joins            uint64 // streams of proxies that joined
-	LostStreams      uint64 // that ended without being replaced
-	SilentProxies    uint64 // times that a proxy was taken for gone because it answered nothing
-	Refusals         uint64 // connections that were refused
-	Unreadable       uint64 // connections closed for bytes that are no message, or for too many of them
-	RejectedMessages uint64 // of joined connections
+	Joins            uint64 // proxy streams that joined
+	LostStreams      uint64 // proxy streams that ended without being replaced
+	SilentProxies    uint64 // times that a silent proxy was deactivated
+	Refusals         uint64 // connections that were refused before they joined
+	Unreadable       uint64 // connections closed for unreadable bytes, a too long message, or too much incomplete data
+	RejectedMessages uint64 // rejected messages of joined connections
 	LoadReports      uint64
 	DemandReports    uint64
 	Acknowledgements uint64
-	Updates          uint64 // messages sent to proxies, without pongs and refusals
-	Entries          uint64 // in these
-	Bytes            uint64 // of these
-	EndpointUpdates  uint64 // from discovery, and from the configuration
-	// MaxBacklog is how many entries waited in the channel at most, were it as fast as stated. The policy's own estimate is
-	// in the trace.
+	Updates          uint64 // messages sent to proxies, except pongs and refusals
+	Entries          uint64 // channel entries in these updates
+	Bytes            uint64 // bytes of these updates
+	EndpointUpdates  uint64 // endpoint lists from discovery and from the configuration
+	// MaxBacklog is the maximum number of entries that waited in the channel, assuming its stated rate. The policy has an
+	// estimate of its own, which the trace shows.
 	MaxBacklog float64
 	Closed     [numCloseReasons]uint64 // connections that the planner closed, by reason
 }
 
-// LogValue is a group of all counts. Of the reasons for closing connections it holds those that occurred.
+// LogValue returns a group of all counts. Close reasons that did not occur are left out.
 func (n *Counts) LogValue() slog.Value {
 	var closed []slog.Attr
 	for reason, count := range n.Closed {
--- a/internal/platform/decide.go
+++ b/internal/platform/decide.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	countsIntervalMs = 10000.0 // ms between log lines of counts
+	countsIntervalMs = 10000.0 // ms between log lines with the counts
 	traceIntervalMs  = 1000.0  // ms between traces
-	panicBackoffMs   = 100.0   // ms of backoff after a panic, so that one that repeats does not take a core
-	maxPanics        = 10      // evaluations in a row that end in a panic, until the program does
+	panicBackoffMs   = 100.0   // pause in ms after a panic, so that a recurring panic does not use a CPU core
+	maxPanics        = 10      // consecutive evaluations with a panic after which the planner ends
 )
 
-// ErrRepeatedPanics ends a planner that can decide nothing any more.
-var ErrRepeatedPanics = errors.New("evaluations in a row panicked, and nothing is ordered any more")
+// ErrRepeatedPanics is returned by Run if every one of the last maxPanics evaluations panicked.
+var ErrRepeatedPanics = errors.New("evaluations in a row panicked; the planner ends")
 
-// decisionSchedule is what decide keeps between evaluations. Times are Unix ms.
+// decisionSchedule is the state that decide keeps between evaluations. Times are Unix ms.
 type decisionSchedule struct {
-	countsMs float64 // of the last log line of counts
+	countsMs float64 // of the last log line with the counts
 	traceMs  float64 // of the last trace
-	panics   int     // evaluations in a row that ended in one
+	panics   int     // consecutive evaluations that panicked
 }
 
-// decide carries out what the core decides, after inputs and when the core asked for it. What comes within the evaluation
-// interval of the settings is evaluated together.
+// decide evaluates the core after inputs and when its timer fires, until the context ends. Inputs that arrive within the
+// evaluation interval of the settings are evaluated together. It fails with ErrRepeatedPanics.
 func (s *serverRuntime) decide(ctx context.Context) error {
 	s.schedule.countsMs = s.nowMs()
 	s.schedule.traceMs = s.nowMs()
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// evaluate carries out all decisions of the core, and writes trace and counts where they are due. The lock is held.
+// evaluate carries out all decisions of the core, and writes the trace and the counts if they are due. The caller holds the
+// lock.
 func (s *serverRuntime) evaluate() {
 	for s.core.Next(s) {
 		continue
@@ -79,7 +80,7 @@
 	}
 }
 
-// awaitWork waits for an input, the core's timer or the context's end.
+// awaitWork waits for an input, the core's timer or the end of the context.
 func (s *serverRuntime) awaitWork(ctx context.Context) {
 	s.mu.Lock()
 	waitMs := s.timerMs - s.nowMs()
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -7,19 +7,20 @@
 	"strconv"
 )
 
-// The names of the operators' protocol end in decode.go, encode.go and endpointlist.go. A message is one line: its kind,
-// then fields of the form name=value, apart by blanks.
+// Names of the operators' protocol are only used in decode.go, encode.go and endpointlist.go. A message is one line: its
+// kind, followed by fields of the form name=value, separated by spaces. What the protocol calls a site, a target and a lane
+// is a zone, a server and a traffic class here.
 
-// Limits of what a message may hold. Whatever exceeds them is taken for corrupted.
+// Limits of the contents of a message. A message that exceeds them is considered corrupted.
 const (
 	maxFields    = 32  // fields of a message
 	maxRequests  = 1e7 // requests in a report, and requests per second of a proxy
-	maxSpanMs    = 6e5 // ms that a report may cover, or a latency in it
+	maxSpanMs    = 6e5 // ms; the period that a report may cover, or a latency in it
 	maxProxyID   = math.MaxInt32
 	maxAckNumber = math.MaxInt32
 )
 
-// messageKind is the kind of a message that comes in.
+// messageKind is the kind of an incoming message.
 type messageKind int
 
 const (
@@ -29,17 +30,17 @@
 	kindLoadReport                             // a collector's report on a server
 	kindDemandReport                           // a proxy's report on its own requests
 	kindPing                                   // asks for a pong
-	kindUpdate                                 // is only ever sent by planners
-	kindIgnored                                // of planners, or of other kinds of deployment: valid, and not needed
+	kindUpdate                                 // only planners send it, so it is rejected
+	kindIgnored                                // valid but not needed: sent by planners, or in other kinds of deployment
 )
 
-// kindName is a kind with its name on the wire.
+// kindName maps a name on the wire to its kind.
 type kindName struct {
 	name string
 	kind messageKind
 }
 
-// messageKinds are all that may begin a message that comes in.
+// messageKinds lists all names that an incoming message may begin with.
 var messageKinds = []kindName{
 	{"joined", kindJoin},
 	{"applied", kindAcknowledgement},
@@ -56,7 +57,7 @@
 	{"held", kindIgnored},
 }
 
-// String is the kind's name on the wire.
+// String returns the kind's name on the wire.
 func (k messageKind) String() string {
 	for _, known := range messageKinds {
 		if known.kind == k && k != kindIgnored {
@@ -66,10 +67,10 @@
 	return "ignored message"
 }
 
-// MessageError is a fault of one message that was read but does not hold what its kind requires. It costs a joined
-// connection that message alone, and any other its place.
+// MessageError reports a message that could be read but lacks what its kind requires. On a joined connection, only that
+// message is discarded; a connection that has not joined is closed.
 type MessageError struct {
-	Field   string // name on the wire; empty where the fault is of no single field
+	Field   string // name on the wire; empty if the error concerns no single field
 	Problem string
 }
 
@@ -85,44 +86,44 @@
 type JoinMessage struct {
 	ProxyID     int
 	Zone        string
-	RequestRate float64 // requests per second that it expects
-	New         bool    // it holds no tables; false where it may hold tables and ejections of another planner
+	RequestRate float64 // requests per second that the proxy expects
+	New         bool    // the proxy has no tables; otherwise it may hold tables and ejections of another planner
 }
 
 // CollectorMessage opens the connection of a collector of load reports.
 type CollectorMessage struct{ Zone string }
 
-// LoadReportMessage says what the proxies of a zone saw of a server.
+// LoadReportMessage reports what the proxies of a zone observed of a server.
 type LoadReportMessage struct {
 	Zone     string
 	Server   string
 	Requests int
 	Failed   int     // of Requests
-	MeanMs   float64 // mean latency of those that succeeded
+	MeanMs   float64 // mean latency of the requests that succeeded
 	SpanMs   float64 // time that the report covers
 }
 
-// DemandReportMessage says how many requests of a traffic class came to a proxy.
+// DemandReportMessage reports how many requests of a traffic class a proxy received.
 type DemandReportMessage struct {
 	ProxyID  int
 	Class    string
 	Requests int
-	Failed   int     // may exceed Requests, as a request may fail in a later period than it came in
+	Failed   int     // may exceed Requests, as a request may fail in a later period than it was received in
 	SpanMs   float64 // time that the report covers
 }
 
-// AcknowledgementMessage says that a proxy has applied an update, and all before it.
+// AcknowledgementMessage confirms that a proxy has applied an update and all earlier ones.
 type AcknowledgementMessage struct {
 	ProxyID       int
 	Number        int
-	PropagationMs float64 // time that the update took to the proxy
+	PropagationMs float64 // time that the update took to reach the proxy
 }
 
-// field is one name=value of a message. Both parts are of the line.
+// field is one name=value pair of a message. Both slices refer to the line.
 type field struct{ name, value []byte }
 
-// message is a line taken apart. Its decoding methods keep the first fault, so that a message is decoded completely
-// and then checked once. It is valid as long as its line.
+// message is a parsed line. Its decoding methods record the first error, so that callers decode all fields and then check
+// for an error once. It is valid as long as its line.
 type message struct {
 	kind   messageKind
 	fields [maxFields]field
@@ -130,8 +131,8 @@
 	err    error
 }
 
-// parseMessage takes a line apart. It fails with ErrUnreadable where the line begins with no kind, and with a
-// *MessageError where its fields cannot be parsed; the message then has a kind and no fields to rely on.
+// parseMessage splits a line into its kind and its fields. It fails with ErrUnreadable if the line does not begin with a
+// known kind, and with a *MessageError if its fields cannot be parsed; then only the kind of the returned message is valid.
 func parseMessage(line []byte) (*message, error) {
 	m := &message{}
 	word, rest, _ := bytes.Cut(line, []byte(" "))
@@ -152,29 +153,30 @@
 	return m, m.err
 }
 
-// addField takes in one name=value.
+// addField parses one name=value pair.
 func (m *message) addField(word []byte) {
 	name, value, found := bytes.Cut(word, []byte("="))
 	switch {
 	case !found || len(name) == 0:
-		m.fail("", "a word that is not name=value")
+		m.fail("", "a word is not of the form name=value")
 	case m.find(string(name)) != nil:
 		m.fail(string(name), "given twice")
 	case m.count == maxFields:
-		m.fail("", "over %d fields", maxFields)
+		m.fail("", "more than %d fields", maxFields)
 	default:
 		m.fields[m.count] = field{name, value}
 		m.count++
 	}
 }
 
+// fail records an error, unless there is an earlier one.
 func (m *message) fail(name, format string, args ...any) {
 	if m.err == nil {
 		m.err = &MessageError{Field: name, Problem: fmt.Sprintf(format, args...)}
 	}
 }
 
-// find returns a field's value, nil where there is none.
+// find returns the value of a field, or nil if the message does not have it.
 func (m *message) find(name string) []byte {
 	for index := range m.count {
 		if string(m.fields[index].name) == name {
@@ -184,7 +186,7 @@
 	return nil
 }
 
-// text returns a field's value, which must not be empty.
+// text returns the value of a field, which must not be empty.
 func (m *message) text(name string) string {
 	value := m.find(name)
 	if len(value) == 0 {
@@ -193,7 +195,7 @@
 	return string(value)
 }
 
-// number returns a field's number from 0 up to a maximum.
+// number returns the value of a numeric field, which must be from 0 to a maximum.
 func (m *message) number(name string, maximum float64) float64 {
 	value, err := strconv.ParseFloat(m.text(name), 64)
 	if err != nil || math.IsNaN(value) || value < 0 || value > maximum {
@@ -202,7 +204,7 @@
 	return value
 }
 
-// integer returns a field's whole number from 0 up to a maximum.
+// integer returns the value of an integer field, which must be from 0 to a maximum.
 func (m *message) integer(name string, maximum int) int {
 	value, err := strconv.Atoi(m.text(name))
 	if err != nil || value < 0 || value > maximum {
@@ -211,7 +213,8 @@
 	return value
 }
 
-// checkPairs checks a list of name:number. The values are not used, as the policy goes by latencies and failures.
+// checkPairs validates a field with a list of name:number pairs. Their values are not used, because the policy relies on
+// latencies and failures.
 func (m *message) checkPairs(name string) {
 	rest := m.find(name)
 	for len(rest) > 0 {
@@ -220,7 +223,7 @@
 		key, text, _ := bytes.Cut(pair, []byte(":"))
 		value, err := strconv.ParseFloat(string(text), 64)
 		if len(key) == 0 || err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
-			m.fail(name, "not pairs of name and number")
+			m.fail(name, "not a list of name:number pairs")
 			return
 		}
 	}
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -19,44 +19,44 @@
 	"lichenpick/policy"
 )
 
-// The requests that discovery's agent serves.
+// Requests to the discovery agent.
 const (
-	endpointsPath = "/catalog/members"                   // the complete list
-	watchFormat   = endpointsPath + "?follow=1&since=%d" // one line for each change after a version, and empty ones between
+	endpointsPath = "/catalog/members"                   // the complete endpoint list
+	watchFormat   = endpointsPath + "?follow=1&since=%d" // changes after a version, one per line; empty lines keep it alive
 )
 
-// Limits of what is read from the agent, and of the time that it may take.
+// Limits of the agent's responses, and of the time that they may take.
 const (
-	discoveryIdleTimeoutMs     = 2600.0  // ms without a byte after which the agent is asked anew; it says something every 2 s
-	discoveryResponseTimeoutMs = 5000.0  // ms that an answer, or a line of a watch, may take from its asking to its end
-	discoveryDialTimeoutMs     = 1000.0  // ms; the agent is on the same machine
-	minDiscoveryRetryMs        = 50.0    // ms; first backoff, doubled after each failure
-	maxDiscoveryRetryMs        = 500.0   // ms; what is to be notified counts as notified after 6 s
-	maxEndpointListBytes       = 4 << 20 // bytes of a list, or of a line of a watch
+	discoveryIdleTimeoutMs     = 2600.0  // ms without a byte until the request is repeated; the agent sends something every 2 s
+	discoveryResponseTimeoutMs = 5000.0  // ms that a response, or a line of a watch, may take to its end
+	discoveryDialTimeoutMs     = 1000.0  // ms; the agent runs on the same machine
+	minDiscoveryRetryMs        = 50.0    // ms; the first backoff, doubled after each failure
+	maxDiscoveryRetryMs        = 500.0   // ms; the platform regards the planner as notified of a change after 6 s
+	maxEndpointListBytes       = 4 << 20 // bytes of a complete list, or of a line of a watch
 	maxHeaderBytes             = 1 << 14 // bytes of a response's header
-	maxLoggedBytes             = 1000    // bytes of a list that a debug log shows
+	maxLoggedBytes             = 1000    // bytes of a list that the debug log shows
 	microsPerMs                = 1000.0
 )
 
-var errListTooLong = errors.New("list longer than allowed")
+var errListTooLong = errors.New("endpoint list longer than allowed")
 
-// discoveryClient follows discovery: the complete list, then the watch from its version on. One goroutine at a time calls
-// run, and owns all fields but progressMicros.
+// discoveryClient follows the endpoint list of the discovery agent: it reads the complete list, then watches for changes
+// from that version on. The goroutine that calls run owns all fields except progressMicros; there is one at a time.
 type discoveryClient struct {
 	clock     clock.Clock
 	network   clock.Network
 	log       *slog.Logger
-	deliver   func(policy.UpdateKind, []policy.Endpoint) // is handed each list that says something
+	deliver   func(policy.UpdateKind, []policy.Endpoint) // receives each list that changes anything
 	tracker   versionTracker
 	retryMs   float64 // backoff after the next failure
-	lastError string  // that was logged; a failure that repeats is logged once
+	lastError string  // last error that was logged; a repeated error is logged once
 
-	// progressMicros is when what is being read was asked for, or the last line ended, in µs of clock.Monotonic. The
-	// transport's goroutines read it.
+	// progressMicros is when the current request was sent or the last line ended, in µs of clock.Monotonic. It is atomic
+	// because the goroutines of the HTTP transport read it.
 	progressMicros atomic.Int64
 }
 
-// run follows the agent at an address until the context ends, from the version that is known.
+// run follows the agent at an address, starting from the known version, until the context ends.
 func (d *discoveryClient) run(ctx context.Context, address string) {
 	client := &http.Client{Transport: &http.Transport{
 		DisableKeepAlives:      true,
@@ -96,8 +96,8 @@
 	return progressConn{conn, d}, nil
 }
 
-// poll asks once, for the complete list where that is needed and then for the watch, and returns why that ended. The error
-// is never nil.
+// poll requests the complete list if it is needed, then watches for changes, and returns why the watch ended. The error is
+// never nil.
 func (d *discoveryClient) poll(ctx context.Context, client *http.Client, address string) error {
 	if d.tracker.needsFullList {
 		err := d.get(ctx, client, "http://"+address+endpointsPath, d.readFullList)
@@ -118,11 +118,11 @@
 	if len(text) > maxEndpointListBytes {
 		return errListTooLong
 	}
-	d.tracker.version = 0 // another discovery may count anew
+	d.tracker.version = 0 // another agent may number its versions differently
 	return d.handleList(text)
 }
 
-// readWatch reads lines until the watch ends; the error is never nil.
+// readWatch handles the lines of a watch until it ends. The error is never nil.
 func (d *discoveryClient) readWatch(body *bufio.Reader) error {
 	for {
 		line, err := readListLine(body)
@@ -137,6 +137,7 @@
 	}
 }
 
+// handleList applies a complete list or a line of a watch, and delivers it if it changes anything.
 func (d *discoveryClient) handleList(text []byte) error {
 	list, changed, err := d.tracker.accept(bytes.TrimSpace(text))
 	if changed || err != nil {
@@ -154,6 +155,7 @@
 	return nil
 }
 
+// get requests a URL and passes the body of the response to read.
 func (d *discoveryClient) get(ctx context.Context, client *http.Client, url string, read func(*bufio.Reader) error) error {
 	d.noteProgress()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -164,14 +166,14 @@
 	if err != nil {
 		return err
 	}
-	defer response.Body.Close() //nolint:errcheck // nothing more is wanted of it, and connections are not kept
+	defer response.Body.Close() //nolint:errcheck // the rest of the body is not needed, and connections are not reused
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d", response.StatusCode)
 	}
 	return read(bufio.NewReader(response.Body))
 }
 
-// readListLine reads a complete line of a watch.
+// readListLine reads a complete line of a watch, which may span several buffers.
 func readListLine(body *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
@@ -189,19 +191,19 @@
 	}
 }
 
-// noteProgress notes that the next answer or line is waited for from now on.
+// noteProgress restarts the time limit for the next response or line.
 func (d *discoveryClient) noteProgress() {
 	d.progressMicros.Store(int64(microsPerMs * d.clock.Monotonic()))
 }
 
-// progressConn is a connection on which no read waits for longer than a silence may last, and that ends with an answer or a
-// line that comes byte by byte without end: bytes alone are no sign of life.
+// progressConn is a connection whose reads time out if the agent sends nothing for too long, or if a response or a line
+// takes too long as a whole. The second limit ends a response that trickles in byte by byte without ever being complete.
 type progressConn struct {
 	net.Conn
 	client *discoveryClient
 }
 
-// Read fails with a timeout where nothing comes in time.
+// Read fails with a timeout if either time limit expires.
 func (c progressConn) Read(buffer []byte) (int, error) {
 	now := c.client.clock.Monotonic()
 	leftMs := discoveryResponseTimeoutMs + float64(c.client.progressMicros.Load())/microsPerMs - now
@@ -212,17 +214,17 @@
 	return c.Conn.Read(buffer)
 }
 
-// versionTracker turns lines of a watch, and complete lists, into updates of the core. It holds the version that is known.
+// versionTracker parses complete lists and lines of a watch, and keeps track of the version that they lead to.
 type versionTracker struct {
 	zones         []string
 	version       int64
-	needsFullList bool // the complete list must be asked for
+	needsFullList bool // the complete list must be requested next
 }
 
-// accept takes in a line of a watch or a complete list, and says whether it changes anything. After what can't be read or
-// does not follow the known version, the complete list must be asked for; what is known stays.
+// accept parses a line of a watch or a complete list, and reports whether it changes anything. If it cannot be read, or
+// does not follow the known version, the complete list must be requested next, and the known version stays.
 func (t *versionTracker) accept(text []byte) (list endpointList, changed bool, err error) {
-	if len(text) == 0 { // a sign of life
+	if len(text) == 0 { // keep-alive
 		return endpointList{}, false, nil
 	}
 	list, err = parseEndpointList(text, t.zones)
--- a/internal/platform/dispatch.go
+++ b/internal/platform/dispatch.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	collectorsPerZone = 3  // a collector that was cut off may seem open beside its successor
-	maxPendingPongs   = 16 // answers owed to one connection; a peer that asks faster than it reads gets no more
+	collectorsPerZone = 3  // a collector that has lost its connection may still appear open next to its successor
+	maxPendingPongs   = 16 // pongs waiting for one connection; further pings are not answered until those are sent
 )
 
-// Errors of messages that can be read and are not accepted, beside those of their fields, which are of type *MessageError.
+// Errors of rejected messages, besides those of their fields, which are of type *MessageError.
 var (
 	errNotJoined     = errors.New("the connection has not joined")
 	errAlreadyJoined = errors.New("the connection has joined already")
-	errUpdate        = errors.New("an update, which only planners send")
+	errUpdate        = errors.New("received an update, which only planners send")
 	errUnknownZone   = errors.New("unknown zone")
 	errUnknownProxy  = errors.New("unknown proxy")
 )
 
-// handleMessage takes in one message. A faulty one costs a joined connection that message alone, and any other its place.
+// handleMessage handles one message. If it is rejected, a connection that has not joined is closed; a joined one only loses
+// the message. A message of an unknown kind closes any connection.
 func (c *Core) handleMessage(connection *Connection, line []byte) {
 	m, err := parseMessage(line)
 	if errors.Is(err, ErrUnreadable) {
@@ -47,7 +48,8 @@
 	}
 }
 
-// dispatch hands a message to whoever takes in its kind. What is not for this connection's role, but valid, is ignored.
+// dispatch passes a message to the handler of its kind. A kind that is valid but not meant for the role of the connection
+// is ignored.
 func (c *Core) dispatch(connection *Connection, m *message) error {
 	switch m.kind {
 	case kindPing:
@@ -96,7 +98,7 @@
 	if join.ProxyID >= len(c.proxies.byID) {
 		return errUnknownProxy
 	}
-	if old := c.proxies.byID[join.ProxyID]; old != nil { // its stream has broken, even if that was not noticed here
+	if old := c.proxies.byID[join.ProxyID]; old != nil { // its stream is broken, even if no error was seen here
 		c.removeProxy(old)
 		c.startClosing(old.connection, CloseReplacedStream, nil)
 	}
@@ -121,7 +123,7 @@
 	connection.role = roleCollector
 	connection.collectorZone = zone
 	others := c.sessions.collectors[zone]
-	if len(others) == collectorsPerZone { // the one that has been silent longest was cut off
+	if len(others) == collectorsPerZone { // the one that has been silent the longest has probably lost its connection
 		oldest := slices.MinFunc(others, func(a, b *Connection) int {
 			return cmp.Compare(a.lastMessageMs, b.lastMessageMs)
 		})
--- a/internal/platform/encode.go
+++ b/internal/platform/encode.go
@@ -7,28 +7,28 @@
 	"lichenpick/internal/weighttable"
 )
 
-// Kinds of the messages that a planner sends.
+// Kinds of messages that a planner sends.
 const (
 	wirePong    = "pong"
 	wireRefused = "refused"
 	wireUpdate  = "update"
 )
 
-const maxNameBytes = 128 // bytes of a server's, zone's or class's name
+const maxNameBytes = 128 // bytes of the name of a server, zone or traffic class
 
-// updatePart is one line of an update to a proxy; all of a message's are applied together. What is empty is left out, and
-// an admission rate is present where it is Set.
+// updatePart is one line of an update. A proxy applies all parts of a message together. Empty fields are not written, and
+// the admission rate is only written if it is Set.
 type updatePart struct {
-	classes         []string            // the traffic classes that it is for; none: all
-	replace         bool                // entries are the complete table, and admission rates are forgotten
+	classes         []string            // traffic classes that the part applies to; empty: all
+	replace         bool                // the entries are the complete table, and the proxy forgets its admission rates
 	entries         []weighttable.Entry // weight 0 removes the server
 	admission       weighttable.AdmissionRate
 	eject, readmit  []string // servers
-	acknowledgement int      // number to be acknowledged, where acknowledge is set
+	acknowledgement int      // number to be acknowledged, if acknowledge is set
 	acknowledge     bool
 }
 
-// entryCount is the number of entries that the channel to the proxies counts for a part, without the overhead of its
+// entryCount returns the number of entries that the channel to the proxies counts for a part, without the overhead of its
 // message.
 func (u *updatePart) entryCount() int {
 	count := len(u.entries) + len(u.eject) + len(u.readmit)
@@ -40,7 +40,7 @@
 	return count
 }
 
-// appendUpdate writes the parts of one message.
+// appendUpdate appends the parts of one message.
 func appendUpdate(to []byte, parts []updatePart) []byte {
 	for index := range parts {
 		to = appendPart(to, &parts[index])
@@ -96,7 +96,7 @@
 	return append(to, strings.Join(list, separator)...)
 }
 
-// appendPongs writes so many answers to pings.
+// appendPongs appends the answers to a number of pings.
 func appendPongs(to []byte, count int) []byte {
 	for range count {
 		to = append(to, wirePong+lineEnd...)
@@ -104,10 +104,10 @@
 	return to
 }
 
-// appendRefusal writes the last message to a connection that has not joined, before it is closed.
+// appendRefusal appends the last message to a connection that is closed before it has joined.
 func appendRefusal(to []byte) []byte { return append(to, wireRefused+lineEnd...) }
 
-// isValidName says whether a name can stand in a message.
+// isValidName reports whether a name can be part of a message.
 func isValidName(name string) bool {
 	if name == "" || len(name) > maxNameBytes {
 		return false
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -10,18 +10,18 @@
 	"lichenpick/policy"
 )
 
-var errNoVersion = errors.New("a list without a version")
+var errNoVersion = errors.New("endpoint list without a version")
 
-// endpointList is one message of discovery.
+// endpointList is a complete list of endpoints, or the changes to one.
 type endpointList struct {
 	version int64
-	full    bool              // all servers; else only those that changed
-	entries []policy.Endpoint // StartedMs in Unix ms, as the core's times
+	full    bool              // all servers; otherwise only those that changed
+	entries []policy.Endpoint // StartedMs is in Unix ms, like the times of the core
 }
 
 var endpointStates = map[string]policy.State{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
 
-// listDocument is a list as discovery serves it.
+// listDocument is the JSON form of an endpoint list.
 type listDocument struct {
 	Version *int64
 	Full    bool
@@ -36,7 +36,8 @@
 	StartedMs float64 `json:"started_ms"`
 }
 
-// parseEndpointList decodes a list, completely or not at all. A server of a zone that is not among those given has zone -1.
+// parseEndpointList decodes an endpoint list. A single invalid server makes it fail. A server of a zone that is not among
+// those given has zone -1.
 func parseEndpointList(text []byte, zones []string) (endpointList, error) {
 	var document listDocument
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -56,7 +57,7 @@
 	return list, nil
 }
 
-// endpoint checks a server of a list. A weight that is absent is 1.
+// endpoint validates and converts a server of a list. A missing weight means 1.
 func (d *serverDocument) endpoint(zones []string) (policy.Endpoint, error) {
 	weight := 1.0
 	if d.Weight != nil {
@@ -65,13 +66,13 @@
 	state, known := endpointStates[d.State]
 	switch {
 	case !isValidName(d.ID):
-		return policy.Endpoint{}, fmt.Errorf("server %q: not a name", d.ID)
+		return policy.Endpoint{}, fmt.Errorf("server %q: invalid name", d.ID)
 	case !known:
 		return policy.Endpoint{}, fmt.Errorf("server %q: unknown state %q", d.ID, d.State)
 	case !(weight >= 0) || math.IsInf(weight, 0):
-		return policy.Endpoint{}, fmt.Errorf("server %q: weight %g", d.ID, weight)
+		return policy.Endpoint{}, fmt.Errorf("server %q: invalid weight %g", d.ID, weight)
 	case !(d.StartedMs >= 0):
-		return policy.Endpoint{}, fmt.Errorf("server %q: start %g", d.ID, d.StartedMs)
+		return policy.Endpoint{}, fmt.Errorf("server %q: invalid start time %g", d.ID, d.StartedMs)
 	}
 	return policy.Endpoint{
 		Server:           d.ID,
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -2,21 +2,21 @@
 
 import "lichenpick/policy"
 
-// removedRetentionMs is how long a removed endpoint is known, in ms: longer than the policy remembers it.
+// removedRetentionMs is how long a removed endpoint is kept, in ms: longer than the policy keeps it.
 const removedRetentionMs = 9e5
 
-// endpoint is a server that discovery has named. Its fields are under the lock of the core.
+// endpoint is a server that discovery has listed. It is guarded by the core's lock.
 type endpoint struct {
 	name    string
 	state   policy.State
-	sinceMs float64 // of the state
-	// Proxies that this planner has notified of the server's ejection, and those that another planner, or an earlier
-	// incarnation of this one, may have notified.
+	sinceMs float64 // when it entered the state
+	// Proxies that this planner has notified of the server's ejection, and proxies that may have been notified of one by
+	// another planner or an earlier incarnation of this one.
 	notified, possiblyNotified proxySet
-	// Proxies whose assigned tables were sent without this server.
+	// Proxies that were sent their tables without the entry of this server.
 	omitted proxySet
-	// Reports since the last WriteState.
-	requests, failed, latencySumMs float64 // the sum is of the requests that succeeded
+	// Sums of the load reports since the last WriteState.
+	requests, failed, latencySumMs float64 // the latencies are of requests that succeeded
 }
 
 func (e *endpoint) setState(state policy.State, nowMs float64) {
@@ -24,18 +24,18 @@
 	e.sinceMs = nowMs
 }
 
-// endpointTable holds the servers by name. It is part of the core, and under its lock.
+// endpointTable holds the endpoints by server name. It belongs to the core and is guarded by the core's lock.
 type endpointTable struct {
 	byName  map[string]*endpoint
-	proxies int // that there can be
+	proxies int // maximum number of proxies
 }
 
 func newEndpointTable(proxies int) endpointTable {
 	return endpointTable{byName: map[string]*endpoint{}, proxies: proxies}
 }
 
-// update takes in a list. Removed servers are forgotten after a while, unless they are ejected: proxies have yet to be
-// notified of the ejection's end.
+// update applies an endpoint list. Removed servers are forgotten after removedRetentionMs, unless they are ejected, because
+// proxies have yet to be notified of the end of the ejection.
 func (t *endpointTable) update(kind policy.UpdateKind, list []policy.Endpoint, nowMs float64, ejected map[string]bool) {
 	listed := map[string]bool{}
 	for _, entry := range list {
@@ -66,7 +66,8 @@
 	}
 }
 
-// resetNotified notes that a proxy has joined anew: with no ejections, or with those of another planner.
+// resetNotified resets the notifications of a proxy that has joined. With inherits, it may hold ejections of another
+// planner.
 func (t *endpointTable) resetNotified(proxyID int, inherits bool) {
 	for _, e := range t.byName {
 		e.notified.set(proxyID, false)
@@ -75,14 +76,14 @@
 	}
 }
 
-// markPossiblyNotified notes that it is not known which ejections have reached a proxy.
+// markPossiblyNotified records that it is unknown which ejections have reached a proxy.
 func (t *endpointTable) markPossiblyNotified(proxyID int) {
 	for _, e := range t.byName {
 		e.possiblyNotified.set(proxyID, true)
 	}
 }
 
-// UpdateEndpoints takes in what discovery says, or as policy.RestoredUpdate what the configuration had of it.
+// UpdateEndpoints applies an endpoint list of discovery or, as policy.RestoredUpdate, the one in the configuration.
 func (c *Core) UpdateEndpoints(kind policy.UpdateKind, list []policy.Endpoint) {
 	if kind != policy.FailedUpdate {
 		c.Counts.EndpointUpdates++
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -7,28 +7,28 @@
 	"strings"
 )
 
-// Sizes of messages that come in. The protocol ends a message with CR LF, which is not counted.
+// Sizes of incoming messages. The protocol ends a message with CR LF, which is not counted.
 const (
 	lineEnd              = "\r\n"
-	maxMessageBytes      = 1 << 20 // bytes of a message, by the protocol
-	maxFirstMessageBytes = 512     // bytes of a first message: a peer that has not joined is not trusted with more
-	maxKindBytes         = 16      // bytes that are compared with the kinds of messages; more than any kind has
+	maxMessageBytes      = 1 << 20 // bytes of a message; limit of the protocol
+	maxFirstMessageBytes = 512     // bytes of a message before joining: an unknown peer is not trusted with more memory
+	maxKindBytes         = 16      // bytes compared with the kinds of messages; more than the longest kind has
 )
 
-// Errors of bytes that cannot be read as messages. Each ends the connection that they came on.
+// Errors of received bytes that cannot be split into messages. Each closes the connection.
 var (
 	ErrMessageTooLong = errors.New("message longer than allowed")
-	ErrUnreadable     = errors.New("bytes that are no message")
+	ErrUnreadable     = errors.New("bytes are not a message")
 )
 
-// messageReader cuts the bytes of one connection into messages, however they arrive. The zero value is ready for use. It
-// holds the incomplete message at the end alone; its owner holds the lock of the core.
+// messageReader splits the bytes of one connection into messages, whatever pieces they arrive in. The zero value is ready
+// to use. It only keeps the incomplete message at the end. It is guarded by the core's lock.
 type messageReader struct{ partial []byte }
 
-// feed hands each complete message, without its end, to handle until that returns false; the rest of the data is then
-// discarded. The line is valid until handle returns. The limit, in bytes, is asked for at each message, as handling one
-// may change it. The error is ErrMessageTooLong or ErrUnreadable: control bytes, a line end that is no CR LF, or a first
-// word that is no kind of message.
+// feed passes each complete message, without its line end, to handle until handle returns false; the rest of the data is
+// then discarded. The line is valid until handle returns. limit returns the limit in bytes and is called for each message,
+// because handling one may change it. The error is ErrMessageTooLong, or ErrUnreadable for control bytes, a line end other
+// than CR LF, or a first word that is not a kind of message.
 func (r *messageReader) feed(data []byte, limit func() int, handle func(line []byte) bool) error {
 	for len(data) > 0 {
 		chunk := data
@@ -40,7 +40,7 @@
 		if len(r.partial)+len(chunk) > limit()+len(lineEnd) {
 			return ErrMessageTooLong
 		}
-		checked := max(len(r.partial)-1, 0) // the last byte may be a CR that now proves to be inside a message
+		checked := max(len(r.partial)-1, 0) // the last byte is checked again: a CR is only valid at the end of a message
 		line, complete := bytes.CutSuffix(r.appendChunk(chunk, lineFeed < 0), []byte(lineEnd))
 		if complete != (lineFeed >= 0) || !beginsWithKind(line) {
 			return ErrUnreadable
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// appendChunk returns the message so far. A chunk that is a complete message is not copied.
+// appendChunk returns the message up to the end of the chunk. A chunk that is a complete message is not copied.
 func (r *messageReader) appendChunk(chunk []byte, unended bool) []byte {
 	if len(r.partial) == 0 && !unended {
 		return chunk
@@ -68,8 +68,8 @@
 	return r.partial
 }
 
-// reset starts the next message. A large buffer is given up, so that a connection stays small after a long message; the
-// bytes handed out last stay valid until the next feed.
+// reset prepares for the next message. It releases a large buffer, so that a connection stays small after a long message.
+// The bytes returned last stay valid until the next feed.
 func (r *messageReader) reset() {
 	r.partial = r.partial[:0]
 	if cap(r.partial) > maxFirstMessageBytes {
@@ -77,7 +77,7 @@
 	}
 }
 
-// beginsWithKind checks as much as has come of a message's first word.
+// beginsWithKind reports whether the first word of a message is a known kind, or may become one if it is incomplete.
 func beginsWithKind(line []byte) bool {
 	word := line[:min(len(line), maxKindBytes)]
 	if end := bytes.IndexAny(word, " \r"); end >= 0 {
@@ -89,7 +89,7 @@
 	})
 }
 
-// isPrintable checks that there are no control bytes, except a CR at the end of an incomplete message.
+// isPrintable reports whether there are no control bytes, except a CR at the end of an incomplete message.
 func isPrintable(text []byte, complete bool) bool {
 	position := bytes.IndexFunc(text, func(r rune) bool { return r < ' ' || r == 0x7f })
 	return position < 0 || !complete && position == len(text)-1 && text[position] == '\r'
--- a/internal/platform/logkeys.go
+++ b/internal/platform/logkeys.go
@@ -1,6 +1,6 @@
 package platform
 
-// logMessageRejected is the log message of a message that was not accepted.
+// logMessageRejected is the log line for a rejected message of a joined connection.
 const logMessageRejected = "message rejected"
 
 // Keys of log attributes.
--- a/internal/platform/policyhost.go
+++ b/internal/platform/policyhost.go
@@ -7,8 +7,8 @@
 	"lichenpick/policy"
 )
 
-// policyHost carries out the decisions of the policy, as its policy.Host: it notes who holds which table, and what has to be
-// published to whom. It is called from Core.Next alone.
+// policyHost implements policy.Host: it applies the decisions of the policy to the tables, and adds them to the pending
+// updates of the proxies. Only Core.Next causes calls of it.
 type policyHost struct{ core *Core }
 
 var _ policy.Host = policyHost{}
@@ -34,14 +34,14 @@
 	}
 }
 
-// AssignTable has a proxy go by a table for some traffic classes. The table is sent complete, by which the proxy forgets
-// the admission rates of before, so that these are sent again. Entries of omitted servers are sent when these are
-// restored or readmitted. Ejections that the proxy may hold from another planner are left to RestoreServers.
+// AssignTable assigns a table to a proxy for some traffic classes. The table is sent complete, which makes the proxy forget
+// its admission rates, so these are sent again. Entries of omitted servers are sent when the servers are restored or
+// readmitted. Ejections that the proxy may hold from another planner are left to RestoreServers.
 func (h policyHost) AssignTable(proxyID, tableNumber int, classes []int, omittedServers []string) {
 	publisher := &h.core.publisher
 	p := h.core.proxies.byID[proxyID]
 	table := publisher.registry.Table(tableNumber)
-	if p == nil { // it left after the policy's last evaluation
+	if p == nil { // the proxy left after the policy's last evaluation
 		return
 	}
 	publisher.registry.Assign(p, p.tables, table, classes)
@@ -57,7 +57,7 @@
 		}
 		ejected := publisher.registry.Ejected[entry.Server]
 		notified := e.notified.contains(proxyID)
-		// A server that another table of the proxy holds is never omitted: the proxy would not be notified of its ejection.
+		// A server in another table of the proxy is never omitted, since the proxy would not be notified of its ejection.
 		omitted := slices.Contains(omittedServers, entry.Server) && !p.inOtherTable(entry.Server, table)
 		if !omitted && e.omitted.contains(proxyID) {
 			publisher.sendOmitted(p, e)
@@ -70,10 +70,10 @@
 }
 
 // RestoreServers sends a proxy the omitted entries of servers, and has it readmit those that another planner may have
-// ejected there. Servers that this planner has ejected stay omitted and ejected.
+// ejected. Servers that this planner has ejected stay omitted and ejected.
 func (h policyHost) RestoreServers(proxyID int, servers []string) {
 	p := h.core.proxies.byID[proxyID]
-	if p == nil { // it left after the policy's last evaluation
+	if p == nil { // the proxy left after the policy's last evaluation
 		return
 	}
 	for _, server := range servers {
@@ -88,15 +88,15 @@
 	}
 }
 
-// SetEjected ejects a server, or ends that. It concerns the proxies whose tables hold the server and, with
-// includeUnassigned, those that may go by tables of another planner. A proxy whose table omits the server is sent the
-// entry when the ejection ends. One that was notified and holds the server no more is notified of the end with the entry
-// that restores the server.
+// SetEjected ejects or readmits a server. It notifies the proxies whose tables hold the server and, with includeUnassigned,
+// those that may still use tables of another planner. A proxy whose table omits the server is sent the entry when the
+// server is readmitted. A proxy that was notified of the ejection, but whose tables no longer hold the server, is only
+// notified of the readmission once it is sent an entry of the server again.
 func (h policyHost) SetEjected(server string, ejected, includeUnassigned bool) {
 	publisher := &h.core.publisher
 	publisher.registry.SetEjected(server, ejected)
 	e := h.core.endpoints.byName[server]
-	if e == nil { // forgotten
+	if e == nil { // removed long ago and forgotten
 		return
 	}
 	for _, p := range h.core.proxies.joined {
@@ -113,14 +113,15 @@
 	}
 }
 
-// inOtherTable says whether a table of a proxy other than this one holds a server.
+// inOtherTable reports whether a table of the proxy, other than the given one, holds a server.
 func (p *proxy) inOtherTable(server string, except *weighttable.Table[*proxy]) bool {
 	return slices.ContainsFunc(p.tables, func(table *weighttable.Table[*proxy]) bool {
 		return table != nil && table != except && table.Index(server) >= 0
 	})
 }
 
-// mayHold says whether a table of a proxy holds a server or, with includeUnassigned, is not known.
+// mayHold reports whether a table of the proxy holds a server. With includeUnassigned, a traffic class without an assigned
+// table counts as holding it.
 func (p *proxy) mayHold(server string, includeUnassigned bool) bool {
 	return slices.ContainsFunc(p.tables, func(table *weighttable.Table[*proxy]) bool {
 		if table == nil {
@@ -130,11 +131,11 @@
 	})
 }
 
-// SetAdmission sets the admission rate of a traffic class at all proxies. It panics where the policy asks for it at the
-// proxies of one table, which the platform's protocol does not know and the policy's settings here exclude.
+// SetAdmission sets the admission rate of a traffic class at all proxies. It panics if the rate is for a single table: the
+// platform's protocol has no such rates, and the settings given to the policy exclude them.
 func (h policyHost) SetAdmission(tableNumber, class int, fraction float64, retry int) {
 	if tableNumber != policy.AllTables {
-		panic("an admission rate of a single table, which the platform does not know")
+		panic("the platform does not support admission rates of single tables")
 	}
 	publisher := &h.core.publisher
 	publisher.registry.Admission[class] = weighttable.AdmissionRate{Fraction: fraction, Retry: retry, Set: true}
@@ -145,7 +146,7 @@
 	}
 }
 
-// RequestAcknowledgement has each pending update acknowledged by its proxy.
+// RequestAcknowledgement has each pending update request an acknowledgement by its proxy.
 func (h policyHost) RequestAcknowledgement(number int) {
 	for _, p := range h.core.publisher.pending {
 		p.pending.acknowledgement = number
@@ -153,8 +154,8 @@
 	}
 }
 
-// WatchEndpoints does nothing: it is for lists that come on demand, and discovery's watch comes by itself.
+// WatchEndpoints does nothing: the discovery client watches the endpoint list without being asked.
 func (h policyHost) WatchEndpoints() {}
 
-// SetTimer asks for an evaluation after some ms.
+// SetTimer requests an evaluation after some ms.
 func (h policyHost) SetTimer(inMs float64) { h.core.policyTimerMs = h.core.nowMs + inMs }
--- a/internal/platform/proxies.go
+++ b/internal/platform/proxies.go
@@ -2,26 +2,26 @@
 
 import "lichenpick/internal/weighttable"
 
-// proxy is one that has joined, and what it was sent. It is the core's, and under its lock.
+// proxy is a joined proxy and what it was sent. It belongs to the core and is guarded by the core's lock.
 type proxy struct {
 	id             int
 	zone           int
 	expectedRate   float64 // requests per second
 	connection     *Connection
-	tables         []*weighttable.Table[*proxy] // by traffic class; nil where none was assigned on this stream
-	pending        *pendingUpdate               // decided in this evaluation, and not sent; may be nil
-	updateTimesMs  []float64                    // times of the last updates on this stream: the limit of messages counts from joining
-	unacknowledged []acknowledgementRequest     // oldest first
-	inactive       bool                         // silent for so long that it was removed from the policy
+	tables         []*weighttable.Table[*proxy] // by traffic class; nil if none was assigned on this stream
+	pending        *pendingUpdate               // decided but not yet sent; may be nil
+	updateTimesMs  []float64                    // recent updates on this stream; the message limit counts from joining
+	unacknowledged []acknowledgementRequest     // requests, oldest first
+	inactive       bool                         // removed from the policy because it was silent
 }
 
-// proxyTable holds the joined proxies. It is part of the core, and under its lock.
+// proxyTable holds the joined proxies. It belongs to the core and is guarded by the core's lock.
 type proxyTable struct {
-	byID   []*proxy // nil where not joined
+	byID   []*proxy // nil if not joined
 	joined []*proxy // in the order of joining
 }
 
-// proxySet is a set of proxies, by id.
+// proxySet is a bit set of proxy ids.
 type proxySet []uint64
 
 const proxiesPerWord = 64
@@ -41,7 +41,7 @@
 	}
 }
 
-// addProxy takes in a proxy that has joined on a connection. None with its id is joined.
+// addProxy registers a proxy that joins on a connection. No proxy with its id may be joined.
 func (c *Core) addProxy(connection *Connection, join JoinMessage, zone int) {
 	p := &proxy{
 		id:           join.ProxyID,
@@ -62,21 +62,21 @@
 	}
 }
 
-// removeProxy ends a proxy's part in all that is kept.
+// removeProxy removes a proxy from the policy, from its tables and from the joined proxies.
 func (c *Core) removeProxy(p *proxy) {
 	c.deactivate(p)
 	c.proxies.byID[p.id] = nil
 	c.proxies.joined = without(c.proxies.joined, p)
 }
 
-// deactivate takes a proxy off the policy and its tables. Its stream may stay open.
+// deactivate removes a proxy from the policy and its tables, and discards its pending update. Its stream may stay open.
 func (c *Core) deactivate(p *proxy) {
 	c.publisher.remove(p)
 	p.unacknowledged = nil
 	c.policy.RemoveProxy(p.id)
 }
 
-// reactivate takes a proxy back that was silent. What of the updates has reached it is not known.
+// reactivate adds a proxy that was deactivated to the policy again. It is unknown which updates have reached the proxy.
 func (c *Core) reactivate(p *proxy) {
 	p.inactive = false
 	c.endpoints.markPossiblyNotified(p.id)
--- a/internal/platform/publisher.go
+++ b/internal/platform/publisher.go
@@ -6,14 +6,14 @@
 	"lichenpick/internal/weighttable"
 )
 
-// pendingUpdate is what an evaluation has decided for a proxy. What tables and admission rates hold is read when the
-// update is written, as they may change again until then.
+// pendingUpdate is what an evaluation has decided for a proxy so far. Weights and admission rates are read when the update
+// is written, since they may change again before that.
 type pendingUpdate struct {
 	assigned               []*weighttable.Table[*proxy] // to be sent complete
 	changed                []changedEntry
-	admission              []bool // by traffic class: its rate is to be sent
+	admission              []bool // by traffic class: whether its rate is to be sent
 	eject, readmit         []string
-	acknowledgement        int // number to be acknowledged, where requestAcknowledgement is set
+	acknowledgement        int // number to be acknowledged, if requestAcknowledgement is set
 	requestAcknowledgement bool
 }
 
@@ -22,12 +22,13 @@
 	server string
 }
 
-// publisher holds the tables, and what each proxy has yet to be sent of them. It is part of the core, and under its lock.
+// publisher holds the tables and the changes that each proxy has yet to be sent. It belongs to the core and is guarded by
+// the core's lock.
 type publisher struct {
 	classes   []string       // names of the traffic classes
-	endpoints *endpointTable // of the core: which proxies were notified, and what was omitted
+	endpoints *endpointTable // of the core; with the proxies that were notified of ejections or had entries omitted
 	registry  *weighttable.Registry[*proxy]
-	pending   []*proxy // with a pending update
+	pending   []*proxy // proxies with a pending update
 	channel   channelEstimate
 }
 
@@ -39,7 +40,7 @@
 	}
 }
 
-// pendingUpdateFor returns the pendingUpdateFor that is being put together for a proxy.
+// pendingUpdateFor returns the pending update of a proxy, and creates it if there is none.
 func (b *publisher) pendingUpdateFor(p *proxy) *pendingUpdate {
 	if p.pending == nil {
 		p.pending = &pendingUpdate{admission: make([]bool, len(b.registry.Admission))}
@@ -48,14 +49,14 @@
 	return p.pending
 }
 
-// remove takes a proxy off its tables, and discards its pending update.
+// remove removes a proxy from its tables, and discards its pending update.
 func (b *publisher) remove(p *proxy) {
 	b.registry.RemoveProxy(p, p.tables)
 	b.pending = without(b.pending, p)
 	p.pending = nil
 }
 
-// setEjected has a proxy notified that a server is ejected, or readmitted.
+// setEjected adds the ejection or readmission of a server to the pending update of a proxy.
 func (b *publisher) setEjected(p *proxy, e *endpoint, ejected bool) {
 	update := b.pendingUpdateFor(p)
 	update.eject = without(update.eject, e.name)
@@ -69,7 +70,8 @@
 	e.possiblyNotified.set(p.id, false)
 }
 
-// syncEjection notifies a proxy whose table got a server whether that is ejected, where the proxy may hold something else.
+// syncEjection notifies a proxy that is sent an entry of a server whether the server is ejected, if the proxy may hold the
+// opposite.
 func (b *publisher) syncEjection(p *proxy, e *endpoint) {
 	if e == nil {
 		return
@@ -80,7 +82,8 @@
 	}
 }
 
-// parts puts together the update of a proxy: its tables, with the servers to eject or readmit, then admission rates.
+// parts builds the update of a proxy: its tables, then the admission rates. The first part also has the servers to eject or
+// readmit, and the last part the request for an acknowledgement.
 func (b *publisher) parts(p *proxy) []updatePart {
 	update := p.pending
 	parts := b.tableParts(p, update)
@@ -104,7 +107,7 @@
 	return parts
 }
 
-// tableParts makes a part of each table of a proxy that was assigned or has changed.
+// tableParts returns a part for each table of a proxy that was assigned or has changed.
 func (b *publisher) tableParts(p *proxy, update *pendingUpdate) []updatePart {
 	var parts []updatePart
 	for class, table := range p.tables {
@@ -125,7 +128,7 @@
 	return parts
 }
 
-// entriesFor are the entries of a table that a proxy is sent with its assignment.
+// entriesFor returns the entries of a table that a proxy is sent with its assignment: all but the omitted ones.
 func (b *publisher) entriesFor(p *proxy, table *weighttable.Table[*proxy]) []weighttable.Entry {
 	var entries []weighttable.Entry
 	for _, entry := range table.Entries {
@@ -137,7 +140,7 @@
 	return entries
 }
 
-// sendOmitted has a proxy sent the entries of a server that was omitted from its tables.
+// sendOmitted adds the entries of a server that were omitted to the pending update of a proxy.
 func (b *publisher) sendOmitted(p *proxy, e *endpoint) {
 	e.omitted.set(p.id, false)
 	for class, table := range p.tables {
@@ -150,7 +153,7 @@
 	}
 }
 
-// changedEntries are the present entries of a table's servers that have changed, each once.
+// changedEntries returns the current entries of the servers of a table whose weights have changed, each once.
 func (u *pendingUpdate) changedEntries(table *weighttable.Table[*proxy]) []weighttable.Entry {
 	var entries []weighttable.Entry
 	for index, change := range u.changed {
@@ -161,7 +164,7 @@
 	return entries
 }
 
-// appendAdmission makes a part of each admission rate that is to be sent; classes with equal rates share one.
+// appendAdmission appends a part for each admission rate to be sent. Traffic classes with equal rates share a part.
 func (b *publisher) appendAdmission(parts []updatePart, update *pendingUpdate) []updatePart {
 	rates := b.registry.Admission
 	for class, rate := range rates {
@@ -180,7 +183,7 @@
 	return parts
 }
 
-// classNames returns the names of the classes that match, none where all do.
+// classNames returns the names of the traffic classes that match, or nil if all of them do.
 func (b *publisher) classNames(matches func(class int) bool) []string {
 	var names []string
 	for class, name := range b.classes {
@@ -194,7 +197,7 @@
 	return names
 }
 
-// publish sends a proxy what this evaluation decided for it, as one message.
+// publish sends a proxy its pending update as one message, unless the update is empty.
 func (c *Core) publish(host Host, p *proxy) {
 	parts := c.publisher.parts(p)
 	update := p.pending
@@ -211,7 +214,7 @@
 	host.Send(p.connection, c.buffer)
 }
 
-// recordSent notes the time of an update, and forgets those that the limit of messages does not count any more.
+// recordSent records the time of an update, and drops times that are too old for the limit of messages.
 func (p *proxy) recordSent(nowMs, windowMs float64) {
 	windowStartMs := nowMs - windowMs
 	if len(p.updateTimesMs) > 0 && p.updateTimesMs[0] < windowStartMs {
@@ -220,6 +223,7 @@
 	p.updateTimesMs = append(p.updateTimesMs, nowMs)
 }
 
+// countUpdate adds an update to the counts and to the estimated backlog of the channel.
 func (c *Core) countUpdate(parts []updatePart, size int) {
 	entries := 0
 	for index := range parts {
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	reloadRetryMs    = 200.0 // ms until a configuration that could not be used is read again: it may have been read while it was written
-	maxReloadRetries = 5     // after a SIGHUP
+	reloadRetryMs    = 200.0 // ms until a rejected configuration is read again: it may have been half written
+	maxReloadRetries = 5     // retries after a SIGHUP
 )
 
-// followDiscovery follows discovery until the context ends, at its new address when the configuration is replaced.
+// followDiscovery follows the discovery agent until the context ends, and moves to its new address when a reloaded
+// configuration has one.
 func (s *serverRuntime) followDiscovery(ctx context.Context) {
 	client := &discoveryClient{
 		clock:   s.Clock,
@@ -43,10 +44,11 @@
 	s.notifyWork()
 }
 
-// awaitNewAddress waits until a configuration is read that names another address of discovery, and returns that, or the
-// present one when the context ends. A configuration that cannot be used is read again some times.
+// awaitNewAddress waits until a reloaded configuration has another address of the discovery agent, and returns that
+// address, or the present one when the context ends. A configuration that is rejected is read again up to maxReloadRetries
+// times.
 func (s *serverRuntime) awaitNewAddress(ctx context.Context, present string) string {
-	var retry <-chan time.Time // nil where none is due
+	var retry <-chan time.Time // nil if no retry is due
 	stopRetry := func() {}
 	defer func() { stopRetry() }()
 	retries := 0
--- a/internal/platform/reports.go
+++ b/internal/platform/reports.go
@@ -2,14 +2,14 @@
 
 import "errors"
 
-// Errors of reports that can be read and are not accepted.
+// Errors of rejected reports and acknowledgements.
 var (
 	errUnknownServer = errors.New("unknown server")
 	errUnknownClass  = errors.New("unknown traffic class")
-	errOtherProxy    = errors.New("a message of another proxy")
+	errOtherProxy    = errors.New("message names another proxy")
 )
 
-// recordLoadReport takes in a collector's report on a server.
+// recordLoadReport handles a collector's report on a server.
 func (c *Core) recordLoadReport(m *message) error {
 	report, err := m.loadReport()
 	if err != nil {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// recordDemand takes in a proxy's report on its own requests, which may also come by a collector.
+// recordDemand handles a proxy's report on its own requests, which may also arrive through a collector.
 func (c *Core) recordDemand(connection *Connection, m *message) error {
 	report, err := m.demandReport()
 	if err != nil {
--- a/internal/platform/runtime.go
+++ b/internal/platform/runtime.go
@@ -16,58 +16,59 @@
 	"lichenpick/policy"
 )
 
-// Limits of what a planner holds.
+// Limits of the resources that a planner uses.
 const (
-	maxUnsentBytes       = 256 << 10 // bytes that one proxy may leave unread; far more than its messages of a minute
-	unsentMemoryDivisor  = 8         // all of them together may leave unread this part of the memory
-	partialMemoryDivisor = 16        // incomplete messages may fill this part of the memory
-	defaultMemoryMB      = 1024      // MiB; where the configuration states no limit
-	reservedDescriptors  = 24        // that are not for connections: discovery, log, the Go runtime, and lingering connections
-	minConnections       = 8         // however few descriptors are stated
-	defaultConnections   = 1 << 20   // where the configuration states no limit
-	maxLingering         = 8         // connections that may be open for their last messages beside those that fit
+	maxUnsentBytes       = 256 << 10 // bytes that may wait for one connection; far more than a proxy is sent in a minute
+	unsentMemoryDivisor  = 8         // bytes that wait for all connections may take 1/8 of the memory
+	partialMemoryDivisor = 16        // incomplete messages may take 1/16 of the memory
+	defaultMemoryMB      = 1024      // MiB; if the configuration has no limit
+	reservedDescriptors  = 24        // descriptors for discovery, the log, the Go runtime and lingering connections
+	minConnections       = 8         // lower bound, however low the limit of descriptors is
+	defaultConnections   = 1 << 20   // if the configuration has no limit of descriptors
+	maxLingering         = 8         // connections beyond the limit that may stay open until their last messages are written
 	bytesPerMB           = 1 << 20
 )
 
-// Options are what Run is handed. All but Ready and Trace must be set.
+// Options configure Run. All but Ready and Trace must be set.
 type Options struct {
 	Config  Config
 	Reload  func() (Config, error) // reads the configuration again
-	Hangup  <-chan os.Signal       // asks for that
+	Hangup  <-chan os.Signal       // SIGHUP, which asks for a reload
 	Clock   clock.Clock
 	Network clock.Network
 	Log     *slog.Logger
-	Ready   func(net.Addr) // is called with the address once connections are accepted; may be nil
-	Trace   io.Writer      // is written each second what the policy believes and what the sockets said; may be nil
+	Ready   func(net.Addr) // called with the listening address once the planner listens; may be nil
+	Trace   io.Writer      // receives the state of the core each second; may be nil
 }
 
 // serverRuntime connects the core to its connections, discovery and the clock.
 //
-// Its goroutines are those of Run's errgroup, which the context ends: accept, decide and followDiscovery; and a reader and
-// at times a writer of each connection, which tasks holds. They end with their connection, at the latest in shutdown.
+// It has two groups of goroutines. Run's errgroup runs accept, decide and followDiscovery, which end with the context.
+// tasks counts the reader of each connection and, while there are bytes to write, its writer. These end with their
+// connection, at the latest in shutdown.
 type serverRuntime struct {
 	Options
 	originMs            float64 // Unix ms at which Clock.Monotonic was 0
 	maxConnections      int
-	maxTotalUnsentBytes int           // that wait for all connections together
-	workReady           chan struct{} // holds one element where there are inputs that were not evaluated
+	maxTotalUnsentBytes int           // limit of unsentBytes
+	workReady           chan struct{} // holds one element while there are inputs that were not evaluated
 	tasks               sync.WaitGroup
-	schedule            decisionSchedule // of decide's goroutine
+	schedule            decisionSchedule // owned by the goroutine of decide
 
-	mu          sync.Mutex              // guards the core, with its connections, and what follows
-	core        *Core                   // called with the lock held only
-	streams     map[*Connection]*stream // whose descriptors are open
-	lingering   []*stream               // of these, closed by us with something still to be written; oldest first
-	unsentBytes int                     // that wait for all streams
-	timerMs     float64                 // Unix ms when to evaluate next without an input
+	mu          sync.Mutex              // guards the core with its connections, and the fields below
+	core        *Core                   // only called with the lock held
+	streams     map[*Connection]*stream // connections whose descriptors are open
+	lingering   []*stream               // streams closed by the core with bytes left to write; oldest first
+	unsentBytes int                     // bytes that wait to be written to all streams
+	timerMs     float64                 // Unix ms of the next evaluation if there is no input
 }
 
-// Run serves until the context ends, and returns when none of its goroutines runs any more; what is owed to connections then
-// is written first, for 300 ms at most. It fails where it cannot listen, and with ErrRepeatedPanics.
+// Run serves until the context ends, and returns after all of its goroutines have ended. Before that, messages that wait
+// for connections are written for up to flushTimeoutMs. It fails if it cannot listen, and with ErrRepeatedPanics.
 func Run(ctx context.Context, options Options) error {
 	s := newRuntime(options)
 	listener, err := options.Network.Listen(ctx, options.Config.Listen)
-	if ctx.Err() != nil { // asked to end before it began, which is no failure
+	if ctx.Err() != nil { // canceled before the start, which is not a failure
 		if err == nil {
 			s.closeQuietly(listener)
 		}
@@ -136,12 +137,13 @@
 
 func (s *serverRuntime) nowMs() float64 { return s.originMs + s.Clock.Monotonic() }
 
-// withCore calls a function with the lock held and the core's time set, and says whether that came to its end.
+// withCore calls a function with the lock held and the core's time set, and reports whether it returned without a panic.
 //
-// A panic in it is logged and costs what was at hand: an input that causes one is lost with its connection, and a decision
-// is not made again, as the policy takes it off its list before it acts. What is half changed by then is one proxy's or one
-// server's, and the next solve writes all tables anew. Panics at every evaluation leave a planner that answers and orders
-// nothing: decide then ends the program, to be started from nothing.
+// A panic is logged, and only affects what was being processed: an input that causes one is lost together with its
+// connection, and a decision that causes one is not repeated, because the policy removes it from its list before it carries
+// it out. State that is left half changed concerns a single proxy or server, and the next solve rewrites all tables. If
+// every evaluation panics, the planner still answers its peers but decides nothing; decide then ends the program, so that
+// it is restarted with fresh state.
 func (s *serverRuntime) withCore(call func()) (ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,10 +158,10 @@
 	return true
 }
 
-// notifyWork has decide evaluate inputs.
+// notifyWork makes decide evaluate inputs.
 func (s *serverRuntime) notifyWork() {
 	select {
 	case s.workReady <- struct{}{}:
-	default: // it has been notified, and has not evaluated yet
+	default: // already notified, and not evaluated yet
 	}
 }
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -5,54 +5,54 @@
 	"slices"
 )
 
-// joinTimeoutMs is the time in ms in which a connection must have joined: the protocol grants 1 s, and 3 s at most.
+// joinTimeoutMs is how long a connection may take to join, in ms. The protocol grants it at least 1 s and at most 3 s.
 const joinTimeoutMs = 1500.0
 
 // errPartialMemory is logged with ClosePartialMemory.
-var errPartialMemory = errors.New("the longest incomplete message, as all of them exceed their memory")
+var errPartialMemory = errors.New("incomplete messages exceed their memory limit, and this is the longest")
 
-// connectionPhase is how far a connection's life has come. It only ever grows.
+// connectionPhase is the state of a connection. It only ever advances.
 type connectionPhase int
 
 const (
 	phaseOpen    connectionPhase = iota
-	phaseClosing                 // is sent what it is owed, then closed; what it sends is discarded
+	phaseClosing                 // pending replies are sent before it is closed; received data is discarded
 	phaseClosed
 )
 
-// connectionRole is as what a connection has joined. It is set once.
+// connectionRole is what a connection has joined as. It is set once.
 type connectionRole int
 
 const (
-	roleNone connectionRole = iota // unauthenticated: not trusted with more than a short first message
+	roleNone connectionRole = iota // not joined: may only send short messages
 	roleProxy
 	roleCollector
 )
 
-// Connection is one connection at the planner's address, as the core knows it. Its zero value is handed to HandleConnect;
-// from then on its fields are the core's, and under the lock of the core.
+// Connection is the core's state of a connection. Its zero value is passed to HandleConnect; from then on it belongs to the
+// core and is guarded by the core's lock.
 type Connection struct {
 	phase         connectionPhase
-	closeReason   CloseReason // from phaseClosing on
-	closeCause    error       // says more than closeReason; may be nil
-	peerFinished  bool        // the peer sends no more, and is sent no refusal
+	closeReason   CloseReason // set from phaseClosing on
+	closeCause    error       // details of closeReason; may be nil
+	peerFinished  bool        // the peer has closed its sending side; it is sent no refusal
 	openedMs      float64
-	lastMessageMs float64 // of the last message that could be read
+	lastMessageMs float64 // time of the last message that could be read
 
 	role          connectionRole
-	proxy         *proxy // of a proxy's stream
+	proxy         *proxy // of a proxy's stream; otherwise nil
 	collectorZone int    // of a collector
 
 	reader       messageReader
-	partialBytes int  // of the reader's incomplete message, as counted in the sum of all
-	pendingPongs int  // owed
-	replyQueued  bool // is in the queue of those that are owed something
+	partialBytes int  // size of the reader's incomplete message, as included in sessionTable.partialBytes
+	pendingPongs int  // pongs to be sent
+	replyQueued  bool // is in sessionTable.replies
 }
 
-// Unjoined says whether the connection has joined neither as a proxy's stream nor as a collector.
+// Unjoined reports whether the connection has not yet joined, as a proxy's stream or as a collector.
 func (c *Connection) Unjoined() bool { return c.role == roleNone }
 
-// messageLimit is the limit of the next message, in bytes.
+// messageLimit returns the limit of the next message, in bytes.
 func (c *Connection) messageLimit() int {
 	if c.Unjoined() {
 		return maxFirstMessageBytes
@@ -60,13 +60,13 @@
 	return maxMessageBytes
 }
 
-// sessionTable holds the connections that are not closed. It is part of the core, and under its lock.
+// sessionTable holds the connections that are not closed. It belongs to the core and is guarded by the core's lock.
 type sessionTable struct {
 	open         map[*Connection]bool
 	unjoined     []*Connection   // oldest first
 	collectors   [][]*Connection // by zone
-	replies      []*Connection   // owed pongs, a refusal or the close; first come, first served
-	partialBytes int             // of all incomplete messages together
+	replies      []*Connection   // connections that wait for pongs, a refusal or their close, in the order of waiting
+	partialBytes int             // total size of all incomplete messages
 }
 
 func newSessionTable(zones int) sessionTable {
@@ -89,6 +89,7 @@
 	}
 }
 
+// queueReply has the core send the pending replies of a connection, or close it.
 func (t *sessionTable) queueReply(connection *Connection) {
 	if !connection.replyQueued {
 		connection.replyQueued = true
@@ -96,13 +97,14 @@
 	}
 }
 
-// countPartial updates the sum of incomplete messages.
+// countPartial updates the total size of incomplete messages after that of a connection has changed.
 func (t *sessionTable) countPartial(connection *Connection) {
 	held := len(connection.reader.partial)
 	t.partialBytes += held - connection.partialBytes
 	connection.partialBytes = held
 }
 
+// dropPartial discards the incomplete message of a connection.
 func (t *sessionTable) dropPartial(connection *Connection) {
 	connection.reader.partial = nil
 	t.countPartial(connection)
@@ -113,17 +115,17 @@
 	return slices.DeleteFunc(list, func(other T) bool { return other == element })
 }
 
-// HandleConnect takes in a new connection.
+// HandleConnect registers a new connection.
 func (c *Core) HandleConnect(connection *Connection) {
 	connection.openedMs = c.nowMs
 	connection.lastMessageMs = c.nowMs
 	c.sessions.add(connection)
 }
 
-// OpenConnections is the number of connections that are not closed.
+// OpenConnections returns the number of connections that are not closed.
 func (c *Core) OpenConnections() int { return len(c.sessions.open) }
 
-// HandleDisconnect takes in that a connection has ended, at whichever side. It does nothing if the core knows so already.
+// HandleDisconnect handles the end of a connection, by either side. It does nothing if the core has closed it already.
 func (c *Core) HandleDisconnect(connection *Connection) {
 	if connection.phase == phaseClosed {
 		return
@@ -133,7 +135,7 @@
 	c.handleLostStream(connection)
 }
 
-// Abort takes in that the planner closes a connection at once. The host calls it for those that it closes by itself.
+// Abort records that the planner closes a connection at once. The host calls it for connections that it closes on its own.
 func (c *Core) Abort(connection *Connection, reason CloseReason) {
 	if connection.phase == phaseClosed {
 		return
@@ -152,8 +154,8 @@
 	c.removeProxy(p)
 }
 
-// HandleHalfClose takes in that a connection's peer sends no more, though it may still read: the connection is closed
-// once the peer has been sent the pongs that it is owed.
+// HandleHalfClose handles a peer that has closed its sending side. As it may still read, it is sent its pending pongs
+// before the connection is closed.
 func (c *Core) HandleHalfClose(connection *Connection) {
 	if connection.phase != phaseOpen {
 		return
@@ -163,7 +165,7 @@
 	c.startClosing(connection, ClosePeerFinished, nil)
 }
 
-// HandleData takes in bytes of a connection. They are the caller's again afterwards.
+// HandleData handles bytes received on a connection. It does not keep the slice.
 func (c *Core) HandleData(connection *Connection, data []byte) {
 	if connection.phase != phaseOpen {
 		return
@@ -187,8 +189,9 @@
 	c.startClosing(connection, reason, err)
 }
 
-// shedPartial closes the joined connection with the longest incomplete message. It guards the memory: each connection may
-// hold a message of the greatest length, but not all of them at once. First messages are short and not considered.
+// shedPartial closes the joined connection with the longest incomplete message. This bounds the memory use: a single
+// connection may hold a message of maximum length, but not all of them at once. Connections that have not joined are not
+// considered, as their messages are short.
 func (c *Core) shedPartial() {
 	var longest *Connection
 	consider := func(connection *Connection) {
@@ -209,7 +212,8 @@
 	c.startClosing(longest, ClosePartialMemory, errPartialMemory)
 }
 
-// startClosing has a connection sent what it is owed, and then closed. An unauthenticated one is refused.
+// startClosing has a connection closed after its pending replies are sent. A connection that has not joined is sent a
+// refusal as well.
 func (c *Core) startClosing(connection *Connection, reason CloseReason, cause error) {
 	if connection.Unjoined() && !connection.peerFinished {
 		c.Counts.Refusals++
@@ -221,7 +225,7 @@
 	c.sessions.queueReply(connection)
 }
 
-// sendReplies sends a connection the pongs that it is owed, and closes it where that was decided.
+// sendReplies sends a connection its pending pongs, and closes it if that was decided.
 func (c *Core) sendReplies(host Host, connection *Connection) {
 	connection.replyQueued = false
 	if connection.phase == phaseClosed {
@@ -232,25 +236,26 @@
 		connection.pendingPongs = 0
 		host.Send(connection, c.buffer)
 	}
-	if connection.phase == phaseClosing { // still, as the host may end a connection in Send whose peer reads nothing
+	if connection.phase == phaseClosing { // Send may have ended the connection because its peer does not read
 		c.close(host, connection)
 	}
 }
 
+// close closes a connection, after a refusal if it has not joined.
 func (c *Core) close(host Host, connection *Connection) {
 	if connection.Unjoined() && !connection.peerFinished {
 		c.buffer = appendRefusal(c.buffer[:0])
 		host.Send(connection, c.buffer)
 	}
-	if connection.phase == phaseClosed { // by the host, in Send
+	if connection.phase == phaseClosed { // ended by the host in Send
 		return
 	}
 	c.Abort(connection, connection.closeReason)
 	host.CloseConnection(connection, connection.closeReason, connection.closeCause)
 }
 
-// closeOverdue starts to close the oldest unauthenticated connection where that has not joined in time, and says whether
-// there was one. Pings do not prolong the time.
+// closeOverdue starts to close the oldest connection that has not joined, if its time is up, and reports whether it did.
+// Pings do not extend the time.
 func (c *Core) closeOverdue() bool {
 	if len(c.sessions.unjoined) == 0 {
 		return false
@@ -264,8 +269,8 @@
 	return true
 }
 
-// ShedConnection closes the least valuable connection, in favour of a new one: the oldest that is
-// unauthenticated, else the stream of the silent proxy that joined first. It says whether there was one.
+// ShedConnection closes the least valuable connection in favor of a new one: the oldest that has not joined, otherwise the
+// stream of the inactive proxy that joined first. It reports whether there was one.
 func (c *Core) ShedConnection(host Host) bool {
 	connection := c.leastValuable()
 	if connection == nil {
@@ -290,7 +295,7 @@
 	return nil
 }
 
-// Close closes all connections; each is sent what it is owed first.
+// Close closes all connections after sending their pending replies.
 func (c *Core) Close(host Host) {
 	for connection := range c.sessions.open {
 		if connection.phase == phaseOpen {
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -6,28 +6,29 @@
 	"net"
 )
 
-const readBufferBytes = 2048 // bytes of a connection's buffer; messages are short
+const readBufferBytes = 2048 // bytes of the read buffer of a connection; messages are short
 
-// stream is a connection with what waits to be written to it. Its fields are under the lock of the runtime.
+// stream is a network connection with the bytes that wait to be written to it. It is guarded by the lock of the runtime.
 type stream struct {
 	net.Conn
 	connection Connection
 	unsent     []byte
 	inFlight   int  // bytes that are being written
-	writing    bool // a goroutine writes
-	closing    bool // is closed when all is written
+	writing    bool // a writer goroutine is running
+	closing    bool // to be closed when everything is written
 }
 
 func (t *stream) unsentBytes() int { return len(t.unsent) + t.inFlight }
 
-// read hands the core what comes until the connection ends. What comes after the core has closed it is read and discarded:
-// closing with bytes unread resets a connection, which takes the last messages back.
+// read passes received data to the core until the connection ends. Data that arrives after the core has closed the
+// connection is read and discarded: closing a socket with unread data resets the connection, and the peer may lose the last
+// messages.
 func (s *serverRuntime) read(t *stream) {
 	buffer := make([]byte, readBufferBytes)
 	for {
 		count, err := t.Read(buffer)
 		ok := s.withCore(func() { s.handleRead(t, buffer[:count], err) })
-		if !ok { // the bytes brought the core to a panic
+		if !ok { // the core panicked on the data
 			s.withCore(func() {
 				s.drop(t)
 				s.core.HandleDisconnect(&t.connection)
@@ -45,7 +46,7 @@
 	}
 }
 
-// handleRead hands the core the result of one read. The lock is held.
+// handleRead passes the result of one read to the core. The caller holds the lock.
 func (s *serverRuntime) handleRead(t *stream, data []byte, err error) {
 	if len(data) > 0 {
 		s.core.HandleData(&t.connection, data)
@@ -59,7 +60,7 @@
 	}
 }
 
-// write writes all that waits for a connection, and then closes it where that was asked for.
+// write writes all bytes that wait for a connection, and then closes it if that was requested.
 func (s *serverRuntime) write(t *stream) {
 	for {
 		messages := s.nextWrite(t)
@@ -69,14 +70,14 @@
 		if _, err := t.Write(messages); err != nil {
 			s.mu.Lock()
 			t.writing = false
-			s.drop(t) // the reader tells the core
+			s.drop(t) // the reader fails next and notifies the core
 			s.mu.Unlock()
 			return
 		}
 	}
 }
 
-// nextWrite takes what waits for a connection. Where nothing does, the goroutine that writes must end.
+// nextWrite returns the bytes that wait for a connection. If there are none, the writer must end.
 func (s *serverRuntime) nextWrite(t *stream) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,8 +94,8 @@
 	return messages
 }
 
-// Send has messages written to a connection, as Host of the core. A peer that leaves too much unread is closed, and where
-// all together leave too much, the one that leaves most. The lock is held.
+// Send implements Host: it queues messages to be written to a connection. A connection with too many unwritten bytes is
+// closed; if all connections together have too many, the one with the most is closed. The caller holds the lock.
 func (s *serverRuntime) Send(connection *Connection, messages []byte) {
 	t := s.streams[connection]
 	if t == nil || t.closing {
@@ -106,7 +107,7 @@
 		s.closeUnread(t)
 		return
 	}
-	for s.unsentBytes > s.maxTotalUnsentBytes { // each is within its own limit, but not all together
+	for s.unsentBytes > s.maxTotalUnsentBytes { // each connection may be within its own limit
 		s.closeUnread(s.mostUnsent())
 	}
 	if !t.closing && !t.writing {
@@ -125,18 +126,19 @@
 	return most
 }
 
-// closeUnread closes a connection whose peer leaves unread what it is sent. The lock is held.
+// closeUnread closes a connection whose peer does not read what it is sent. The caller holds the lock.
 func (s *serverRuntime) closeUnread(t *stream) {
 	s.logClose(&t.connection, CloseUnreadByPeer, nil)
 	s.core.Abort(&t.connection, CloseUnreadByPeer)
 	s.drop(t)
 }
 
-// CloseConnection closes a connection once all is written, as Host of the core; until then it lingers. The lock is held.
+// CloseConnection implements Host: it closes a connection when everything is written; until then the connection lingers.
+// The caller holds the lock.
 func (s *serverRuntime) CloseConnection(connection *Connection, reason CloseReason, cause error) {
 	s.logClose(connection, reason, cause)
 	t := s.streams[connection]
-	if t == nil { // dropped already; it must not linger, as isFull waits for those that linger to be dropped
+	if t == nil { // dropped already; if it were added to lingering, isFull would never end, as drop ignores it
 		return
 	}
 	t.closing = true
@@ -156,10 +158,10 @@
 	s.Log.Debug("connection closed", attributes...)
 }
 
-// SetTimer sets when to evaluate next without an input, as Host of the core. The lock is held.
+// SetTimer implements Host: it sets when to evaluate next if there is no input. The caller holds the lock.
 func (s *serverRuntime) SetTimer(atMs float64) { s.timerMs = atMs }
 
-// drop closes a connection at once, whatever waits for it. The lock is held.
+// drop closes a connection at once and discards the bytes that wait for it. The caller holds the lock.
 func (s *serverRuntime) drop(t *stream) {
 	if s.streams[&t.connection] == nil {
 		return
