--- a/internal/platform/acknowledgements_test.go
+++ b/internal/platform/acknowledgements_test.go
@@ -8,10 +8,11 @@
 )
 
 func TestSilentProxies(t *testing.T) {
-	// Time alone was taken for silence: where the channel was later than that, whole fleets were taken for gone before their
-	// first tables had left, and were sent them again on top (897 times of 749 proxies, with 52,417 entries waiting).
-	t.Run("while the channel is late no proxy is taken for gone, and no table is sent again", testSilenceWithDelayedChannel)
-	t.Run("where no proxy acknowledges, the greatest backlog bounds the time", func(t *testing.T) {
+	// The timeout alone must not make a proxy count as silent: with a channel that is slower than the timeout, whole fleets
+	// were deactivated before their first tables had left it, and were sent them again (897 deactivations of 749 proxies,
+	// with 52,417 entries waiting).
+	t.Run("with a delayed channel no proxy is deactivated and no table is sent again", testSilenceWithDelayedChannel)
+	t.Run("if no proxy acknowledges, the largest backlog limits the time", func(t *testing.T) {
 		h := startCore(t)
 		connection := h.join(5)
 		limits := h.settings.Policy
@@ -20,7 +21,7 @@
 			t.Errorf("inactive %t, closed %t", connection.proxy.inactive, h.closed[connection])
 		}
 	})
-	t.Run("one that acknowledges nothing, while others acknowledge later updates, is inactive but open until it speaks", testOneSilentProxy)
+	t.Run("a silent proxy is inactive but open until its next message", testOneSilentProxy)
 }
 
 func testSilenceWithDelayedChannel(t *testing.T) {
@@ -32,7 +33,7 @@
 	h.advance(1000)
 	for range 3 {
 		h.advance(3000)
-		for id, connection := range connections { // a report keeps no stream alive that is not its own: its own messages reactivate it
+		for id, connection := range connections { // the report must not count as a sign of life here
 			h.receive(connection, demandMessage(id))
 			connection.lastMessageMs -= silenceTimeoutMs
 		}
@@ -44,23 +45,23 @@
 		}
 	}
 	if h.Counts.SilentProxies != 0 {
-		t.Errorf("%d were taken for gone", h.Counts.SilentProxies)
+		t.Errorf("%d proxies were deactivated", h.Counts.SilentProxies)
 	}
 }
 
 func testOneSilentProxy(t *testing.T) {
 	h := startCore(t)
-	h.connect("joined id=4 site=b rps=10 new=0") // says and acknowledges nothing either
+	h.connect("joined id=4 site=b rps=10 new=0") // another silent proxy
 	h.advance(1000)
 	silent := h.join(5)
 	other := h.join(6)
 	for round := range 60 {
 		h.advance(200)
 		if silent.proxy.inactive && round*200 < silenceTimeoutMs {
-			t.Fatalf("it was taken for gone after %d ms", 200*round)
+			t.Fatalf("the proxy was deactivated after %d ms", 200*round)
 		}
 		h.acknowledge(other, 6)
-		if round%20 == 0 { // something to be sent, and acknowledged
+		if round%20 == 0 { // causes an update to acknowledge
 			state := policy.State(1 - round/20%2)
 			h.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{Server: "s-0", RelativeCapacity: 1, State: state}})
 		}
--- a/internal/platform/channel_test.go
+++ b/internal/platform/channel_test.go
@@ -9,8 +9,8 @@
 	"lichenpick/policy"
 )
 
-// A planner that starts anew meets all proxies at once, with tables and ejections that others ordered. Each assignment then
-// names each server twice, which the policy did not count.
+// TestMassJoinFitsChannel has all proxies join a planner that has just started, with tables and ejections of other
+// planners. Each assignment then names each server twice, as an entry and as readmitted, and the policy must count both.
 func TestMassJoinFitsChannel(t *testing.T) {
 	const proxies = 150
 	site := readTestSettings(t)
@@ -34,52 +34,53 @@
 			t.Errorf("proxy %d has no table after 6 s", id)
 		}
 	}
-	most := 0.7 * site.Policy.MaxBacklog
-	if h.Counts.MaxBacklog > most || h.Counts.MaxBacklog < most/4 {
-		t.Errorf("a backlog of %.0f entries, where %.0f may wait", h.Counts.MaxBacklog, most)
+	limit := 0.7 * site.Policy.MaxBacklog
+	if h.Counts.MaxBacklog > limit || h.Counts.MaxBacklog < limit/4 {
+		t.Errorf("backlog of %.0f entries; want at most %.0f and at least a quarter of that", h.Counts.MaxBacklog, limit)
 	}
 }
 
-// A channel that stands still holds all that was ever ordered: no more of it than may wait, whatever happens meanwhile. What
-// the policy did not count was found in it: ejections to proxies without a table, servers readmitted at proxies whose
-// tables hold them no more, and what others' ejections cost where a table gets a server that it had not.
+// TestStalledChannelIsNotOverfilled has a channel that sends nothing on and so holds every entry ever sent: their total
+// must stay within the maximum backlog whatever happens meanwhile. The policy must also count ejections for proxies without
+// a table, readmissions for proxies whose tables no longer hold the server, and the end of inherited ejections when a
+// server is added to a table.
 func TestStalledChannelIsNotOverfilled(t *testing.T) {
 	variants := map[string]func(*simulator.Settings){
-		"a small backlog": func(site *simulator.Settings) { site.Policy.MaxBacklog = 2000 },
-		"a large backlog": func(site *simulator.Settings) { site.Policy.MaxBacklog = 9000 },
-		"no limit of messages": func(site *simulator.Settings) {
+		"small backlog": func(site *simulator.Settings) { site.Policy.MaxBacklog = 2000 },
+		"large backlog": func(site *simulator.Settings) { site.Policy.MaxBacklog = 9000 },
+		"no message limit": func(site *simulator.Settings) {
 			site.Policy.MaxBacklog = 3000
 			site.Policy.MaxMessages = 0
 		},
 	}
 	for name, change := range variants {
-		for _, fresh := range []int{0, 1} {
-			t.Run(fmt.Sprintf("%s, new=%d", name, fresh), func(t *testing.T) {
+		for _, newFlag := range []int{0, 1} {
+			t.Run(fmt.Sprintf("%s, new=%d", name, newFlag), func(t *testing.T) {
 				site := readTestSettings(t)
 				site.Policy.Proxies = 60
 				change(&site)
 				h := newTestHost(t, site, 40)
-				causeManyUpdates(h, fresh)
+				causeManyUpdates(h, newFlag)
 				entries := float64(h.Counts.Entries) + site.Policy.MessageOverhead*float64(h.Counts.Updates)
-				t.Logf("%.0f entries of %.0f", entries, site.Policy.MaxBacklog)
+				t.Logf("%.0f entries wait; the limit is %.0f", entries, site.Policy.MaxBacklog)
 				if entries > site.Policy.MaxBacklog {
-					t.Errorf("%.0f entries wait, where %.0f may", entries, site.Policy.MaxBacklog)
+					t.Errorf("%.0f entries wait, more than the limit of %.0f", entries, site.Policy.MaxBacklog)
 				}
 			})
 		}
 	}
 }
 
-// causeManyUpdates plays 10 s in which proxies join, servers drain, come and fail; in 12 s a channel eight times slower than stated
-// would have sent all.
-func causeManyUpdates(h *testHost, fresh int) {
+// causeManyUpdates simulates 10 s in which proxies join and servers drain, start and fail. That is less than the 12 s after
+// which even a channel that is eight times slower than stated would have sent everything.
+func causeManyUpdates(h *testHost, newFlag int) {
 	collector := h.connect("collector site=a")
 	drained := 0
 	for round := range 50 {
-		if round < 30 { // two join every 200 ms
+		if round < 30 { // two proxies join every 200 ms
 			for id := 2 * round; id < 2*round+2; id++ {
-				h.connect(fmt.Sprintf("joined id=%d site=%s rps=10 new=%d", id, zoneNames[id%2], fresh))
-				h.advance(1) // no two evaluations at one instant: the runtime pauses between them
+				h.connect(fmt.Sprintf("joined id=%d site=%s rps=10 new=%d", id, zoneNames[id%2], newFlag))
+				h.advance(1) // the runtime pauses between evaluations, so no two happen at the same time
 			}
 		}
 		if round%5 == 2 {
@@ -95,7 +96,7 @@
 	}
 }
 
-// replaceServer drains one server and adds a cold one.
+// replaceServer drains a server and adds a cold one.
 func replaceServer(h *testHost, index int) {
 	h.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{
 		{Server: fmt.Sprintf("s-%d", index), Zone: index % 2, RelativeCapacity: 1, State: policy.Draining},
@@ -103,7 +104,7 @@
 	})
 }
 
-// reportFailures reports on each server; where they fail, one in eight fails all requests.
+// reportFailures sends a load report on each server. With failing, every eighth server fails all requests.
 func reportFailures(h *testHost, collector *Connection, failing bool) {
 	for index := range 40 {
 		failed := 0
--- a/internal/platform/conversation_test.go
+++ b/internal/platform/conversation_test.go
@@ -15,33 +15,34 @@
 	"lichenpick/policy"
 )
 
-// peer is the other end of one connection.
+// peer is the remote end of one connection.
 type peer struct {
 	conn             *platform.Connection
-	number           int    // in the order of opening
+	number           int    // position in peerSimulation.peers
 	proxy            int    // id of the proxy that it joined as, or -1
 	zone             string // of a proxy or collector
-	unsent           []byte // what it has yet to write
+	unsent           []byte // bytes that it has yet to write
 	closed           bool
-	silent           bool // it writes nothing
+	silent           bool // it sends nothing
 	acknowledgements []delayedAcknowledgement
 }
 
+// delayedAcknowledgement is an acknowledgement that a peer sends at a later time.
 type delayedAcknowledgement struct {
 	atMs   float64
 	number int
 }
 
-// peerSimulation plays all peers of one core, and records what the core sends and which connections it closes.
+// peerSimulation simulates all peers of one core, and records what the core sends and which connections it closes.
 type peerSimulation struct {
 	core        *platform.Core
-	random      *rand.Rand // of the peers alone
-	atMs        float64    // since the start
+	random      *rand.Rand // used by the peers only
+	atMs        float64    // ms since the start
 	peers       []*peer    // in the order of opening
 	byConn      map[*platform.Connection]*peer
 	proxies     [digestProxies]*peer // the latest stream of each
 	digest      *golden.Digest
-	closeEvents []string // events of Close, whose order is not defined; nil before
+	closeEvents []string // events of Core.Close, whose order is not defined
 	closing     bool
 
 	ejections, readmissions, admissionCuts, replaced, sheds, rejected int
@@ -67,16 +68,16 @@
 		c.core.MaxPartialBytes = partialLimitBytes
 	}
 	c.core.OnReject = func(error, []byte) { c.rejected++ }
-	c.core.UpdateEndpoints(policy.RestoredUpdate, digestEntries())
+	c.core.UpdateEndpoints(policy.RestoredUpdate, digestEndpoints())
 	return c
 }
 
-func digestEntries() []policy.Endpoint {
-	var entries []policy.Endpoint
+func digestEndpoints() []policy.Endpoint {
+	var endpoints []policy.Endpoint
 	for index := range digestServers {
-		entries = append(entries, policy.Endpoint{Server: fmt.Sprint("s-", index), Zone: index % 2, RelativeCapacity: 1})
+		endpoints = append(endpoints, policy.Endpoint{Server: fmt.Sprint("s-", index), Zone: index % 2, RelativeCapacity: 1})
 	}
-	return entries
+	return endpoints
 }
 
 func (c *peerSimulation) record(format string, args ...any) {
@@ -96,7 +97,8 @@
 	}
 }
 
-// handleLine takes in a line as a proxy does: requests for an acknowledgement are answered, some late and some never.
+// handleLine handles a line as a proxy does. It acknowledges updates that request it, some of them late, and leaves out a
+// few at random.
 func (c *peerSimulation) handleLine(p *peer, line string) {
 	c.ejections += strings.Count(line, " drop=")
 	c.readmissions += strings.Count(line, " undrop=")
@@ -108,13 +110,13 @@
 	stamp, _, _ = strings.Cut(stamp, " ")
 	number, err := strconv.Atoi(stamp)
 	if err != nil {
-		panic("a request for an acknowledgement that is no number: " + line)
+		panic("request for an acknowledgement without a number: " + line)
 	}
 	delayMs := 50 + 500*c.random.Float64()
 	p.acknowledgements = append(p.acknowledgements, delayedAcknowledgement{c.atMs + delayMs, number})
 }
 
-// CloseConnection records that a connection is closed; the reason is not recorded.
+// CloseConnection records that a connection is closed, without the reason.
 func (c *peerSimulation) CloseConnection(conn *platform.Connection, _ platform.CloseReason, _ error) {
 	p := c.byConn[conn]
 	c.record("end %d", p.number)
@@ -126,7 +128,7 @@
 
 func (c *peerSimulation) SetTimer(atMs float64) { c.record("wake %g", atMs-digestOriginMs) }
 
-// open makes a connection that writes a first message.
+// open opens a connection that sends a first message, unless that is empty.
 func (c *peerSimulation) open(first string) *peer {
 	p := &peer{conn: &platform.Connection{}, number: len(c.peers), proxy: -1}
 	c.peers = append(c.peers, p)
@@ -144,9 +146,9 @@
 
 func zoneName(index int) string { return []string{"a", "b"}[index%2] }
 
-// join opens a stream of a proxy, in place of an earlier one if that is still open.
-func (c *peerSimulation) join(id, first int) {
-	p := c.open(fmt.Sprintf("joined id=%d site=%s rps=%d new=%d", id, zoneName(id), 20+id, first))
+// join opens a stream of a proxy. It replaces an earlier one that is still open.
+func (c *peerSimulation) join(id, newFlag int) {
+	p := c.open(fmt.Sprintf("joined id=%d site=%s rps=%d new=%d", id, zoneName(id), 20+id, newFlag))
 	p.proxy = id
 	p.zone = zoneName(id)
 	c.proxies[id] = p
@@ -157,7 +159,7 @@
 	p.zone = zoneName(zone)
 }
 
-// flush has a peer write what it has, in whole or up to any byte, in one or several reads.
+// flush passes the unsent bytes of a peer to the core, split at random, and sometimes only a part of them.
 func (c *peerSimulation) flush(p *peer) {
 	for len(p.unsent) > 0 && !p.closed && !p.silent {
 		size := len(p.unsent)
@@ -167,12 +169,12 @@
 		c.core.HandleData(p.conn, p.unsent[:size])
 		p.unsent = p.unsent[size:]
 		if c.random.Intn(4) == 0 {
-			return // the rest comes later
+			return // the rest follows in a later step
 		}
 	}
 }
 
-// runScheduledEvents starts what happens at set times.
+// runScheduledEvents runs the events of this step that happen at fixed times.
 func (c *peerSimulation) runScheduledEvents() {
 	reached := func(at float64) bool { return c.atMs >= at && c.atMs < at+digestStepMs }
 	change := func(entry policy.Endpoint) { c.core.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{entry}) }
@@ -186,8 +188,8 @@
 		c.openCollector(0)
 		c.openCollector(1)
 	case reached(completeListMs):
-		c.core.UpdateEndpoints(policy.FullUpdate, digestEntries())
-	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // something to acknowledge
+		c.core.UpdateEndpoints(policy.FullUpdate, digestEndpoints())
+	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // causes an update to acknowledge
 		change(policy.Endpoint{Server: "s-4", RelativeCapacity: 1, State: policy.Draining})
 	case reached(silentFromMs + 3000), reached(silentFromMs + 9000):
 		change(policy.Endpoint{Server: "s-4", RelativeCapacity: 1, State: policy.Ready})
@@ -196,7 +198,7 @@
 	case reached(drainMs + goneAfterMs):
 		change(policy.Endpoint{Server: "s-2", RelativeCapacity: 1, State: policy.Removed})
 	case reached(shortenedListMs):
-		c.core.UpdateEndpoints(policy.FullUpdate, slices.Delete(digestEntries(), 2, 4))
+		c.core.UpdateEndpoints(policy.FullUpdate, slices.Delete(digestEndpoints(), 2, 4))
 	case reached(failedListMs):
 		c.core.UpdateEndpoints(policy.FailedUpdate, nil)
 	case reached(coldServerMs):
@@ -207,7 +209,7 @@
 	c.updateSilence()
 }
 
-// updateSilence has the first two proxies write nothing for a while.
+// updateSilence makes the first two proxies silent during the time set for it.
 func (c *peerSimulation) updateSilence() {
 	silent := within(c.atMs, silentFromMs, silentForMs)
 	for id, p := range c.proxies {
@@ -219,14 +221,14 @@
 
 func within(at, from, span float64) bool { return at >= from && at < from+span }
 
-// queueReports queues what joined peers say once a second.
+// queueReports queues the reports that joined peers send once a second.
 func (c *peerSimulation) queueReports() {
 	for _, p := range c.peers {
 		switch {
 		case p.closed:
 		case p.proxy >= 0 && c.proxies[p.proxy] == p:
-			for _, group := range []string{"lookup", "order"} {
-				p.queue(fmt.Sprintf("usage id=%d lane=%s count=%d fail=%d over=1000.0", p.proxy, group, 8+c.random.Intn(6), c.random.Intn(2)))
+			for _, class := range []string{"lookup", "order"} {
+				p.queue(fmt.Sprintf("usage id=%d lane=%s count=%d fail=%d over=1000.0", p.proxy, class, 8+c.random.Intn(6), c.random.Intn(2)))
 			}
 		case p.proxy < 0 && p.zone != "":
 			for index := range digestServers {
@@ -263,7 +265,7 @@
 	p.acknowledgements = later
 }
 
-// injectRandomEvent does what happens at random, once or twice a second.
+// injectRandomEvent runs a random event, once or twice a second.
 func (c *peerSimulation) injectRandomEvent() {
 	if c.atMs < completeListMs || c.random.Intn(7) != 0 {
 		return
@@ -274,7 +276,7 @@
 	case 0, 1:
 		c.open(invalidFirstMessages[c.random.Intn(len(invalidFirstMessages))])
 	case 2:
-		c.open("") // says nothing
+		c.open("") // sends nothing
 	case 3:
 		c.open("ping")
 	case 4:
@@ -284,7 +286,7 @@
 	case 7:
 		p.queue("ping")
 	case 8:
-		c.join(id, 0) // replaces the stream if that is open
+		c.join(id, 0) // replaces the stream if it is open
 	case 9:
 		p.queue("ping")
 		c.halfClose(p)
@@ -299,7 +301,7 @@
 	}
 }
 
-// openPartial makes a connection that writes a part of a first message, and perhaps says that it writes no more.
+// openPartial opens a connection that sends part of a first message, and sometimes closes its sending side after it.
 func (c *peerSimulation) openPartial() {
 	p := c.open("")
 	p.unsent = []byte("joined id=4 si")
@@ -314,7 +316,7 @@
 	}
 }
 
-// halfClose has a peer write all that it has, and say that it writes no more.
+// halfClose has a peer send its unsent bytes and close its sending side.
 func (c *peerSimulation) halfClose(p *peer) {
 	if p.closed || p.silent {
 		return
@@ -331,7 +333,7 @@
 	}
 }
 
-// sendUnreadable has a peer write what cannot be read, or a message longer than any may be.
+// sendUnreadable has a peer send unreadable bytes or a message over the length limit.
 func (c *peerSimulation) sendUnreadable(p *peer) {
 	switch c.random.Intn(3) {
 	case 0:
@@ -344,7 +346,7 @@
 	}
 }
 
-// rejoinClosed opens new streams of proxies that have none, after a while.
+// rejoinClosed opens new streams for proxies whose stream is closed, after a random time.
 func (c *peerSimulation) rejoinClosed() {
 	for id, p := range c.proxies {
 		if p != nil && p.closed && c.random.Intn(15) == 0 {
--- a/internal/platform/core_test.go
+++ b/internal/platform/core_test.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	testOriginMs = 1.8e12 // Unix ms; the platform's times are of this size
+	testOriginMs = 1.8e12 // Unix ms; of the magnitude of real times
 	testStepMs   = 50.0   // ms between evaluations
 	testServers  = 8
 )
@@ -31,17 +31,17 @@
 	return site
 }
 
-// testHost plays the host of a core: it keeps what each connection was sent, and why it was closed.
+// testHost is a core with a Host that records what each connection was sent, and whether and why it was closed.
 type testHost struct {
 	*Core
 	t       testing.TB
-	atMs    float64 // since the start
+	atMs    float64 // ms since the start
 	sent    map[*Connection]string
 	closed  map[*Connection]bool
 	reasons map[*Connection]CloseReason
 }
 
-// newTestHost starts a core that knows some servers, all ready, in zones that alternate.
+// newTestHost creates a core with a number of servers, all ready, in alternating zones.
 func newTestHost(t testing.TB, site simulator.Settings, servers int) *testHost {
 	t.Helper()
 	h := &testHost{
@@ -79,7 +79,7 @@
 
 func (h *testHost) SetTimer(float64) {}
 
-// advance lets time pass, with evaluations as often as the runtime would make them, and one at its end.
+// advance lets time pass. It evaluates the core every testStepMs, and at the end.
 func (h *testHost) advance(ms float64) {
 	endMs := h.atMs + ms
 	for {
@@ -94,7 +94,7 @@
 	}
 }
 
-// connect opens a connection whose peer writes some messages.
+// connect opens a connection whose peer sends some messages.
 func (h *testHost) connect(messages ...string) *Connection {
 	connection := &Connection{}
 	h.SetTime(testOriginMs + h.atMs)
@@ -103,7 +103,7 @@
 	return connection
 }
 
-// receive hands the core messages, and evaluates.
+// receive passes messages to the core, and evaluates it.
 func (h *testHost) receive(connection *Connection, messages ...string) {
 	h.SetTime(testOriginMs + h.atMs)
 	for _, message := range messages {
@@ -116,14 +116,14 @@
 	return h.connect(fmt.Sprintf("joined id=%d site=a rps=10 new=1", id))
 }
 
-// acknowledge acknowledges every update of a proxy that asked for it and is not acknowledged, as the proxy would.
+// acknowledge sends all outstanding acknowledgements of a proxy.
 func (h *testHost) acknowledge(connection *Connection, id int) {
 	for _, request := range slices.Clone(connection.proxy.unacknowledged) {
 		h.receive(connection, fmt.Sprintf("applied id=%d seq=%d ms=300", id, request.number))
 	}
 }
 
-// demandMessage is a valid report of a proxy on its requests.
+// demandMessage returns a valid demand report of a proxy.
 func demandMessage(id int) string {
 	return fmt.Sprintf("usage id=%d lane=lookup count=1 fail=0 over=1000", id)
 }
@@ -137,7 +137,7 @@
 	h.advance(1000)
 	sent := h.sent[connection]
 	if strings.Count(sent, "replace=1") != 1 || !strings.Contains(sent, "rows=s-") || !strings.Contains(sent, " stamp=") {
-		t.Fatalf("no complete table that asks for an acknowledgement: %q", sent)
+		t.Fatalf("no complete table with a request for an acknowledgement: %q", sent)
 	}
 	if !strings.Contains(sent, "update for=order gate=1 again=1") && strings.Contains(sent, "again=2") {
 		t.Errorf("requests of a non-idempotent class may be retried after any failure: %q", sent)
@@ -145,25 +145,25 @@
 	t.Run("its acknowledgement reaches the policy", func(t *testing.T) {
 		h.acknowledge(connection, 3)
 		if len(connection.proxy.unacknowledged) != 0 || h.Counts.Acknowledgements == 0 || h.Counts.RejectedMessages > 0 {
-			t.Errorf("%+v", h.Counts)
+			t.Errorf("acknowledgements missing or rejected: %+v", h.Counts)
 		}
 	})
-	t.Run("each update is whole lines, with part=1 on all but the last", func(t *testing.T) {
+	t.Run("each update consists of complete lines, with part=1 on all but the last", func(t *testing.T) {
 		checkUpdateLines(t, sent)
 	})
-	t.Run("more failures than requests are accepted: requests fail in a later period than they come in", func(t *testing.T) {
+	t.Run("a demand report may have more failures than requests", func(t *testing.T) {
 		before := h.Counts
 		h.receive(connection, "usage id=3 lane=lookup count=0 fail=2 over=1000.0")
 		if h.Counts.DemandReports != before.DemandReports+1 || h.Counts.RejectedMessages != before.RejectedMessages {
-			t.Errorf("%+v", h.Counts)
+			t.Errorf("report not accepted: %+v", h.Counts)
 		}
 	})
-	t.Run("a draining server is ejected within the grace", func(t *testing.T) {
+	t.Run("a draining server is ejected or removed within the drain grace", func(t *testing.T) {
 		h.SetTime(testOriginMs + h.atMs)
 		h.UpdateEndpoints(policy.DeltaUpdate, testEndpoints(1, policy.Draining))
 		h.advance(1500)
 		if !strings.Contains(h.sent[connection], "drop=s-0") && !strings.Contains(h.sent[connection], "s-0:0") {
-			t.Errorf("it was sent nothing about the server: %q", h.sent[connection])
+			t.Errorf("no update ejects or removes the server: %q", h.sent[connection])
 		}
 	})
 }
@@ -173,10 +173,10 @@
 	lines := strings.Split(strings.TrimSuffix(sent, lineEnd), lineEnd)
 	for _, line := range lines {
 		if !strings.HasPrefix(line, wireUpdate+" ") || strings.Contains(line, "  ") {
-			t.Errorf("%q", line)
+			t.Errorf("malformed line of an update: %q", line)
 		}
 	}
 	if strings.Contains(lines[len(lines)-1], "part=") {
-		t.Errorf("the last part says that another follows: %q", lines[len(lines)-1])
+		t.Errorf("the last part announces another one: %q", lines[len(lines)-1])
 	}
 }
--- a/internal/platform/counts_test.go
+++ b/internal/platform/counts_test.go
@@ -24,16 +24,16 @@
 	var output bytes.Buffer
 	slog.New(slog.NewTextHandler(&output, nil)).Info("counts", keyCounts, &counts)
 	text := output.String()
-	t.Run("each count under a key of its own", func(t *testing.T) {
+	t.Run("each count has its own key", func(t *testing.T) {
 		for index := range fields.NumField() - 1 {
 			if value := fmt.Sprintf("=%d", 1000+index); strings.Count(text, value) != 1 {
-				t.Errorf("%s: not once in %q", fields.Type().Field(index).Name, text)
+				t.Errorf("%s: want exactly once in %q", fields.Type().Field(index).Name, text)
 			}
 		}
 	})
-	t.Run("closed connections by the reasons that occurred", func(t *testing.T) {
+	t.Run("only close reasons that occurred are logged", func(t *testing.T) {
 		if !strings.Contains(text, " counts.closed.shed=3\n") || strings.Count(text, "counts.closed.") != 1 {
-			t.Errorf("%q", text)
+			t.Errorf("want one close reason with its count in %q", text)
 		}
 	})
 }
@@ -43,7 +43,7 @@
 	for reason := range numCloseReasons {
 		name := reason.String()
 		if name == "" || seen[name] || strings.HasPrefix(name, "reason_") {
-			t.Errorf("reason %d has the name %q", int(reason), name)
+			t.Errorf("reason %d has the missing or duplicate name %q", int(reason), name)
 		}
 		seen[name] = true
 	}
--- a/internal/platform/digest_test.go
+++ b/internal/platform/digest_test.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	digestOriginMs        = 1.8e12 // Unix time at which a conversation begins
-	digestStepMs          = 100.0  // between two times that the core is given
+	digestOriginMs        = 1.8e12 // Unix ms at the start of a simulation
+	digestStepMs          = 100.0  // ms between two steps of a simulation
 	simulationMs          = 150e3
-	digestIntervalMs      = 10e3 // of an entry of the digest
+	digestIntervalMs      = 10e3 // ms per entry of the digest
 	lineEnd               = "\r\n"
 	digestServers         = 10
 	digestProxies         = 8
-	oversizedMessageBytes = 1<<20 + 100 // bytes, more than a message may have
-	partialLimitBytes     = 3000        // bytes of unended messages that a core may hold, where it is limited
-	partialMessageBytes   = 1200        // bytes of such a message
+	oversizedMessageBytes = 1<<20 + 100 // bytes; more than a message may have
+	partialLimitBytes     = 3000        // bytes; Core.MaxPartialBytes for even seeds
+	partialMessageBytes   = 1200        // bytes of an incomplete message
 )
 
-// The conversation of one seed has a channel to the proxies that is often full.
+// With one of the seeds, the channel to the proxies is so slow that it is often full.
 const (
 	slowChannelSeed    = 5
 	slowChannelRate    = 60  // entries per second
 	slowChannelBacklog = 120 // entries
 )
 
-// Phases of a conversation, in ms from its start.
+// Events of a simulation, in ms from its start.
 const (
 	completeListMs  = 3e3
 	failingFromMs   = 15e3 // server s-0 fails every request
 	failingForMs    = 10e3
-	silentFromMs    = 30e3 // proxies 0 and 1 say nothing
+	silentFromMs    = 30e3 // proxies 0 and 1 send nothing
 	silentForMs     = 16e3
-	overloadFromMs  = 50e3 // all servers are slow and reject
+	overloadFromMs  = 50e3 // all servers are slow and fail a third of the requests
 	overloadForMs   = 12e3
-	drainMs         = 75e3 // server s-2 drains, and is gone goneAfterMs later
+	drainMs         = 75e3 // server s-2 drains, and is removed goneAfterMs later
 	goneAfterMs     = 5e3
-	shortenedListMs = 85e3 // a complete list leaves s-3 out
-	failedListMs    = 90e3
-	coldServerMs    = 95e3 // a cold server joins
-	serverReturnMs  = 110e3
+	shortenedListMs = 85e3  // a complete list without s-2 and s-3
+	failedListMs    = 90e3  // a poll of the list fails
+	coldServerMs    = 95e3  // a cold server joins
+	serverReturnMs  = 110e3 // server s-2 starts again
 )
 
 const digestSettings = `{"Azs":["a","b"],"Balancers":2,"PeriodMs":2,"Classes":[
@@ -51,7 +51,7 @@
  "ReloadSpanMs":10000,"ReportEveryMs":1000,"TransitMaxMs":900,"DataPlaneSize":8,"SmallestConnTable":300},
  "Rules":{"ColdShare":0.3,"WarmUpMs":8000,"FallMs":3000,"StopSendingWithinMs":3000},"Limits":{"ConnIdleMs":15000}}`
 
-// invalidFirstMessages are what an unjoined connection is refused for.
+// invalidFirstMessages are messages for which an unjoined connection is refused.
 var invalidFirstMessages = []string{
 	"GET / HTTP/1.1",
 	"joined id=8 site=a rps=1 new=1",
@@ -66,7 +66,7 @@
 	"joined " + strings.Repeat("x=1 ", 400),
 }
 
-// invalidMessages are rejected on a joined connection, which stays open.
+// invalidMessages are messages that are rejected on a joined connection, which stays open.
 var invalidMessages = []string{
 	"heard site=a target=s-0 count=2 fail=3 mean=1 over=1000",
 	"heard site=a target=s-0 count=2 fail=1 mean=inf over=1000",
@@ -84,7 +84,7 @@
 	"collector site=a",
 }
 
-// manyFields are more than a message may have.
+// manyFields returns more fields than a message may have.
 func manyFields() string {
 	var fields strings.Builder
 	for index := range 40 {
@@ -93,9 +93,9 @@
 	return fields.String()
 }
 
-// TestDigest compares all bytes that a core sends, all connections that it closes, and their times, with those recorded
-// in testdata. Record them again, with go test ./internal/platform -run Digest -update, only in a commit that says which
-// behaviour changed and why.
+// TestDigest compares a digest of everything that a core sends, of the connections that it closes, and of the times, with
+// the one in testdata. Update it with go test ./internal/platform -run Digest -update, and only in a commit that says which
+// behavior changed and why.
 func TestDigest(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// checkCoverage fails the test where something that the digest is to cover did not happen.
+// checkCoverage fails the test if an event that the digest should cover did not occur.
 func (c *peerSimulation) checkCoverage(t *testing.T) {
 	t.Helper()
 	counts := c.core.Counts
@@ -117,7 +117,7 @@
 		what  string
 		count int
 	}{
-		{"joins beyond the first ones", int(counts.Joins) - digestProxies},
+		{"joins after the first of each proxy", int(counts.Joins) - digestProxies},
 		{"lost streams", int(counts.LostStreams)},
 		{"silent proxies", int(counts.SilentProxies)},
 		{"refusals", int(counts.Refusals)},
@@ -128,10 +128,10 @@
 		{"acknowledgements", int(counts.Acknowledgements)},
 		{"ejections", c.ejections},
 		{"readmissions", c.readmissions},
-		{"cuts of admission", c.admissionCuts},
+		{"admission rates below 1", c.admissionCuts},
 		{"replaced streams", c.replaced},
-		{"connections closed for room", c.sheds},
-		{"connections closed at the end", len(c.closeEvents)},
+		{"shed connections", c.sheds},
+		{"connections closed at shutdown", len(c.closeEvents)},
 	}
 	for _, occurrence := range occurrences {
 		if occurrence.count <= 0 {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	watchByteIntervalMs = 10  // ms between bytes of a line that never ends
-	maxWatchBytes       = 150 // of such a line, at most
+	watchByteIntervalMs = 10  // ms between the bytes of a line that never ends
+	maxWatchBytes       = 150 // bytes of such a line after which the test fails
 )
 
-// What is owed when discovery ends or moves, on loopback sockets, with the crossing forced.
+// TestDiscoveryFailures checks on loopback sockets that endpoint updates are neither lost nor delayed when discovery fails
+// or moves at an unfavorable moment.
 func TestDiscoveryFailures(t *testing.T) {
-	t.Run("a watch that falls silent late is asked anew from the known version", testWatchGoesSilent)
-	t.Run("a line that comes byte by byte without end is no sign of life", testWatchByteByByte)
-	t.Run("a complete list without the draining server removes it for all", func(t *testing.T) {
+	t.Run("a watch that goes silent is repeated from the known version", testWatchGoesSilent)
+	t.Run("a line that trickles in byte by byte times out", testWatchByteByByte)
+	t.Run("a server missing in a complete list is ejected at the proxies", func(t *testing.T) {
 		discovery := newFakeDiscovery(t, listText(20, true, "s-1:ready", "s-3:ready", "s-4:ready"))
 		planner := startPlanner(t, discovery)
 		<-discovery.watched
@@ -27,9 +28,9 @@
 		discovery.lines <- "rubbish\n"
 		peer.await("drop=s-2")
 	})
-	t.Run("a complete list that ends early or is too long changes nothing", testFullListUnreadable)
-	t.Run("discovery moves while the old address is half way through a drain", testDiscoveryMoves)
-	t.Run("a second signal while a configuration is read again, and the third attempt finds it whole", testSecondHangup)
+	t.Run("a complete list that is truncated or too long changes nothing", testFullListUnreadable)
+	t.Run("discovery moves while the old address has sent half a line", testDiscoveryMoves)
+	t.Run("a second SIGHUP during the retries of a configuration that is half written", testSecondHangup)
 }
 
 func fourServers() string {
@@ -47,11 +48,11 @@
 	for index, server := range []string{"s-2", "s-3"} {
 		discovery.lines <- listText(10+index, false, server+":draining")
 		peer.await(server)
-		<-discovery.watched // for silence alone
+		<-discovery.watched // a new watch, only because the last one went silent
 	}
 	for _, query := range discovery.queries()[1:] {
 		if query == "" {
-			t.Errorf("the complete list was asked for: %q", discovery.queries())
+			t.Errorf("the complete list was requested: %q", discovery.queries())
 		}
 	}
 }
@@ -59,7 +60,7 @@
 func testWatchByteByByte(t *testing.T) {
 	discovery := newFakeDiscovery(t, fourServers())
 	startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
-		o.Clock = scaledClock{clock.NewReal(), 20, 0.05} // 130 ms of silence, 250 a line
+		o.Clock = scaledClock{clock.NewReal(), 20, 0.05} // idle timeout of 130 ms, response timeout of 250 ms
 	})
 	<-discovery.watched
 	for range maxWatchBytes {
@@ -70,7 +71,7 @@
 		}
 		<-after(watchByteIntervalMs)
 	}
-	t.Error("the line was waited for all the while")
+	t.Error("the line did not time out")
 }
 
 func testFullListUnreadable(t *testing.T) {
@@ -81,7 +82,7 @@
 	peer := planner.dial(joinText)
 	peer.await("replace=1")
 	discovery.lines <- "rubbish\n"
-	discovery.awaitQueries(4) // it asks again and again
+	discovery.awaitQueries(4) // the planner retries
 	asked := discovery.setFullList(text + strings.Repeat(" ", maxEndpointListBytes))
 	discovery.awaitQueries(asked + 2)
 	discovery.setFullList(listText(21, true, "s-1:ready", "s-2:ready", "s-3:ready", "s-4:draining"))
@@ -111,7 +112,7 @@
 	planner.reload()
 	<-next.watched
 	if query := next.queries()[0]; query != "follow=1&since=12" {
-		t.Errorf("asked for %q", query)
+		t.Errorf("queried %q", query)
 	}
 	next.lines <- drain
 	peer.await("s-3")
--- a/internal/platform/endpointlist_test.go
+++ b/internal/platform/endpointlist_test.go
@@ -10,7 +10,7 @@
 	"lichenpick/policy"
 )
 
-// testListing is a list of one server, with its version, full, state and start.
+// testListing returns an endpoint list of one server. The arguments are JSON, except for the state.
 func testListing(version, full, state, started string) string {
 	const format = `{"version":%s,"full":%s,"servers":[{"id":"s-1","addr":"x:1","zone":"b","kind":"m","cell":3,"state":"%s","weight":1.5,"started_ms":%s}]}`
 	return fmt.Sprintf(format, version, full, state, started)
@@ -21,16 +21,16 @@
 	list, changed, err := tracker.accept([]byte(testListing("43", "false", "draining", "1.8e12")))
 	want := policy.Endpoint{Server: "s-1", Zone: 1, State: policy.Draining, RelativeCapacity: 1.5, StartedMs: 1.8e12}
 	if err != nil || !changed || list.entries[0] != want || tracker.version != 43 {
-		t.Errorf("%+v %t %v", list, changed, err)
+		t.Errorf("list %+v, changed %t, error %v", list, changed, err)
 	}
 	if _, changed, err := tracker.accept(nil); changed || err != nil {
-		t.Errorf("an empty line changes something: %v", err)
+		t.Errorf("an empty line is not ignored: %v", err)
 	}
 	t.Run("a complete list is accepted whatever its version", func(t *testing.T) {
 		tracker := versionTracker{zones: zoneNames, version: 43, needsFullList: true}
 		_, changed, err := tracker.accept([]byte(testListing("2", "true", "ready", "0")))
 		if !changed || err != nil || tracker.version != 2 || tracker.needsFullList {
-			t.Errorf("%t %v %+v", changed, err, tracker)
+			t.Errorf("changed %t, error %v, tracker %+v", changed, err, tracker)
 		}
 	})
 }
@@ -38,18 +38,18 @@
 func TestUnreadableListIsNotAccepted(t *testing.T) {
 	valid := testListing("44", "false", "ready", "0")
 	for name, line := range map[string]string{
-		"cut":        `{"version":44,"ful`,
-		"state":      testListing("44", "false", "odd", "0"),
-		"back":       testListing("42", "false", "ready", "0"),
-		"no version": `{"full":true}`,
-		"weight":     strings.Replace(valid, "1.5", "-1", 1),
-		"name":       strings.Replace(valid, "s-1", "s 1", 1),
+		"truncated":   `{"version":44,"ful`,
+		"state":       testListing("44", "false", "odd", "0"),
+		"old version": testListing("42", "false", "ready", "0"),
+		"no version":  `{"full":true}`,
+		"weight":      strings.Replace(valid, "1.5", "-1", 1),
+		"name":        strings.Replace(valid, "s-1", "s 1", 1),
 	} {
-		t.Run("what can't be read changes nothing and asks for the complete list: "+name, func(t *testing.T) {
+		t.Run("invalid list is rejected and the complete list requested: "+name, func(t *testing.T) {
 			tracker := versionTracker{zones: zoneNames, version: 43}
 			_, changed, err := tracker.accept([]byte(line))
 			if changed || err == nil || tracker.version != 43 || !tracker.needsFullList {
-				t.Errorf("%t %v %+v", changed, err, tracker)
+				t.Errorf("changed %t, error %v, tracker %+v", changed, err, tracker)
 			}
 		})
 	}
@@ -66,6 +66,6 @@
 	}
 	list, err := parseEndpointList(text, zoneNames)
 	if err != nil || len(list.entries) != 300 {
-		t.Errorf("%d %v", len(list.entries), err)
+		t.Errorf("%d entries, error %v", len(list.entries), err)
 	}
 }
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -15,16 +15,16 @@
 	"lichenpick/policy"
 )
 
-// modelProxy is a proxy as the protocol has it: a weight table for each class, and ejected servers.
+// modelProxy models a proxy by the protocol: it has a weight table for each traffic class, and ejected servers.
 type modelProxy struct {
 	id            int
-	connection    *Connection // nil while it has left
-	rejoinedMs    float64     // when it last came back
-	assigned      bool        // it has applied a table of the planner since it joined
+	connection    *Connection // nil while it is disconnected
+	rejoinedMs    float64     // time of its last return
+	assigned      bool        // it has applied a table since it joined
 	weights       map[string]map[string]float64
 	ejected       map[string]bool
 	lastArrivalMs float64
-	sentMs        []float64 // times of the updates on this stream
+	sentMs        []float64 // times of the recent updates on this stream
 }
 
 func newModelProxy(id int, classes []string) *modelProxy {
@@ -35,7 +35,7 @@
 	return p
 }
 
-// inheritTables gives a proxy what a planner that has ended left it: a table and ejections, drawn at random.
+// inheritTables gives a proxy a random table and random ejections, as another planner may have left them.
 func (p *modelProxy) inheritTables(random *rand.Rand, servers []policy.Endpoint) {
 	const (
 		inheritedEntries   = 25
@@ -51,7 +51,7 @@
 	}
 }
 
-// apply takes in an update, and returns the numbers that it asks to be acknowledged.
+// apply applies an update, and returns the numbers that are to be acknowledged.
 func (p *modelProxy) apply(update string) []string {
 	var stamps []string
 	for line := range strings.Lines(update) {
@@ -87,7 +87,7 @@
 		server, text, _ := strings.Cut(entry, ":")
 		weight, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			panic("a weight that is no number: " + entry)
+			panic("entry with an invalid weight: " + entry)
 		}
 		if p.weights[class][server] = weight; weight == 0 {
 			delete(p.weights[class], server)
@@ -95,7 +95,7 @@
 	}
 }
 
-// eligibleServers yields the servers that a class's requests may go to.
+// eligibleServers yields the servers that requests of a traffic class may be sent to.
 func (p *modelProxy) eligibleServers(class string) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for server := range p.weights[class] {
@@ -106,7 +106,7 @@
 	}
 }
 
-// countEntries is what the channel counts for an update, without the overhead of its message.
+// countEntries returns the number of entries that the channel counts for an update, without the overhead of its message.
 func countEntries(update string) int {
 	count := 0
 	for word := range strings.FieldsSeq(update) {
@@ -120,7 +120,7 @@
 	return count
 }
 
-// delivery is an update on its way.
+// delivery is an update in transit.
 type delivery struct {
 	proxy             *modelProxy
 	connection        *Connection
@@ -128,22 +128,22 @@
 	sentMs, appliedMs float64 // ms since the start
 }
 
-// modelFleet plays the proxies of one planner and the channel to them, which sends one update after another at
-// EntriesPerSecond; each then takes up to MaxPropagationMs. It implements Host.
+// modelFleet simulates the proxies of one planner and the channel to them. The channel sends one update after another at
+// EntriesPerSecond; each update then takes up to MaxPropagationMs to arrive. It implements Host.
 type modelFleet struct {
 	*Core
 	t               *testing.T
 	random          *rand.Rand
-	atMs            float64 // since the start
+	atMs            float64 // ms since the start
 	servers         []policy.Endpoint
-	notReadySinceMs map[string]float64 // when the planner was notified
+	notReadySinceMs map[string]float64 // by server: when the planner was notified that it drains or is removed
 	proxies         []*modelProxy
 	streams         map[*Connection]*modelProxy
 	deliveries      []delivery
-	channelFreeMs   float64 // when all that waits will have left the channel
-	maxBacklog      float64 // entries
-	maxMessages     int     // to one proxy within MessageWindowMs
-	latestPickMs    float64 // latest pick of a server that is not ready, after the notification
+	channelFreeMs   float64 // when all waiting updates will have left the channel
+	maxBacklog      float64 // maximum, in entries
+	maxMessages     int     // maximum to one proxy within MessageWindowMs
+	latestPickMs    float64 // longest time after the notification that a server which is not ready could be picked
 	violations      map[string]bool
 }
 
@@ -165,7 +165,7 @@
 	return f
 }
 
-// Send puts an update into the channel.
+// Send adds an update to the channel.
 func (f *modelFleet) Send(connection *Connection, update []byte) {
 	p := f.streams[connection]
 	limits := f.settings.Policy
@@ -179,23 +179,23 @@
 }
 
 func (f *modelFleet) CloseConnection(_ *Connection, reason CloseReason, err error) {
-	f.t.Errorf("a stream was closed: %v, %v", reason, err)
+	f.t.Errorf("stream closed: %v, %v", reason, err)
 }
 
 func (f *modelFleet) SetTimer(float64) {}
 
-// join opens a proxy's stream; inherits says that the proxy has tables of another planner.
+// join opens the stream of a proxy. With inherits, the proxy has tables of another planner.
 func (f *modelFleet) join(p *modelProxy, inherits bool) {
-	fresh := 1
+	newFlag := 1
 	if inherits {
-		fresh = 0
+		newFlag = 0
 	}
 	p.connection = &Connection{}
 	p.assigned = false
 	p.sentMs = nil
 	f.streams[p.connection] = p
 	f.HandleConnect(p.connection)
-	f.HandleData(p.connection, fmt.Appendf(nil, "joined id=%d site=%s rps=8 new=%d\r\n", p.id, zoneNames[p.id%2], fresh))
+	f.HandleData(p.connection, fmt.Appendf(nil, "joined id=%d site=%s rps=8 new=%d\r\n", p.id, zoneNames[p.id%2], newFlag))
 }
 
 func (f *modelFleet) leave(p *modelProxy) {
@@ -203,7 +203,7 @@
 	p.connection = nil
 }
 
-// drain notifies the planner that servers drain, and that every third of them is gone.
+// drain notifies the planner that servers drain, or, for every third of them, that they are removed.
 func (f *modelFleet) drain(servers []policy.Endpoint) {
 	for index := range servers {
 		servers[index].State = policy.Draining
@@ -215,7 +215,7 @@
 	f.UpdateEndpoints(policy.DeltaUpdate, servers)
 }
 
-// deliver has proxies apply and acknowledge what has arrived. What was sent on an earlier stream is lost.
+// deliver has proxies apply and acknowledge the updates that have arrived. Updates of earlier streams are lost.
 func (f *modelFleet) deliver() {
 	slices.SortStableFunc(f.deliveries, func(a, b delivery) int { return cmp.Compare(a.appliedMs, b.appliedMs) })
 	for len(f.deliveries) > 0 && f.deliveries[0].appliedMs <= f.atMs {
@@ -230,7 +230,7 @@
 	}
 }
 
-// step lets a short time pass, and checks each proxy at its end.
+// step advances the time by testStepMs, and then checks each proxy.
 func (f *modelFleet) step() {
 	f.atMs += testStepMs
 	f.SetTime(testOriginMs + f.atMs)
@@ -245,8 +245,8 @@
 	}
 }
 
-// checkPicks checks that a proxy picks no server beyond the grace after the planner was notified, or the proxy came back,
-// and that it can pick one that is ready.
+// checkPicks checks that a proxy with an assigned table can pick a ready server, and that it can pick no other server once
+// the drain grace is over, counted from the notification of the planner or the return of the proxy, whichever is later.
 func (f *modelFleet) checkPicks(p *modelProxy) {
 	for _, class := range f.settings.Classes {
 		ready := false
@@ -259,7 +259,7 @@
 			lateMs := f.atMs - max(sinceMs, p.rejoinedMs)
 			f.latestPickMs = max(f.latestPickMs, lateMs)
 			if lateMs > f.settings.Policy.DrainGraceMs+graceSlackMs {
-				f.violations[fmt.Sprintf("proxy %d picks %s", p.id, server)] = true
+				f.violations[fmt.Sprintf("proxy %d may still pick %s", p.id, server)] = true
 			}
 		}
 		if p.assigned && !ready {
@@ -268,28 +268,28 @@
 	}
 }
 
-// checkComplete checks that each proxy holds all that the planner has decided for it. Only entries of servers that are
-// ejected may still be omitted from its table.
+// checkComplete checks that each proxy holds the table that the planner has decided for it. Only the entries of ejected
+// servers may still be omitted.
 func (f *modelFleet) checkComplete() {
 	f.t.Helper()
 	for _, p := range f.proxies {
 		for class, name := range f.settings.Classes {
 			table := p.connection.proxy.tables[class]
 			if table == nil {
-				f.t.Errorf("proxy %d was assigned no table", p.id)
+				f.t.Errorf("proxy %d was not assigned a table", p.id)
 				continue
 			}
 			decided := map[string]float64{}
 			for _, entry := range table.Entries {
 				ejected := f.publisher.registry.Ejected[entry.Server]
 				if _, held := p.weights[name][entry.Server]; held && p.ejected[entry.Server] != ejected {
-					f.t.Errorf("proxy %d has ejected %s: %t", p.id, entry.Server, !ejected)
+					f.t.Errorf("proxy %d: ejection of %s is %t", p.id, entry.Server, !ejected)
 				} else if held || !ejected {
 					decided[entry.Server] = entry.Weight
 				}
 			}
 			if !maps.Equal(decided, p.weights[name]) {
-				f.t.Errorf("proxy %d has table %v, where %v was decided", p.id, p.weights[name], decided)
+				f.t.Errorf("proxy %d has table %v, want %v", p.id, p.weights[name], decided)
 			}
 		}
 	}
--- a/internal/platform/framing_test.go
+++ b/internal/platform/framing_test.go
@@ -15,13 +15,13 @@
 	for cut := range len(text) {
 		got, err := readMessages(text[:cut], text[cut:])
 		if err != nil {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("split at byte %d: %v", cut, err)
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("cut at %d: %q", cut, got)
+			t.Fatalf("split at byte %d: messages %q", cut, got)
 		}
 	}
-	t.Run("a message of the greatest length is accepted, one byte more is not", func(t *testing.T) {
+	t.Run("a message of maximum length is accepted, one byte more is not", func(t *testing.T) {
 		for _, extra := range []int{0, 1} {
 			var reader messageReader
 			line := "heard x=" + strings.Repeat("1", maxMessageBytes-len("heard x=")+extra) + lineEnd
@@ -31,13 +31,13 @@
 				err = reader.feed([]byte(line[len(line)/2:]), joinedLimit, accept)
 			}
 			if errors.Is(err, ErrMessageTooLong) != (extra == 1) || len(reader.partial) > maxMessageBytes {
-				t.Errorf("%d bytes more: %v", extra, err)
+				t.Errorf("%d bytes over the limit: %v", extra, err)
 			}
 		}
 	})
 }
 
-// readMessages feeds pieces to a reader, and returns the messages that it hands out.
+// readMessages feeds pieces to a reader, and returns the messages that it passes on.
 func readMessages(pieces ...string) ([]string, error) {
 	var reader messageReader
 	var messages []string
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -23,25 +23,26 @@
 )
 
 const (
-	peerTimeoutMs = 30000.0 // ms until a test that hangs fails; no result depends on it
+	peerTimeoutMs = 30000.0 // ms until a test that hangs fails; passing tests do not depend on it
 	rejoinText    = "joined id=1 site=a rps=10 new=0\r\n"
 	joinText      = "joined id=1 site=a rps=10 new=1\r\n"
 )
 
-// fakeDiscovery is an agent of discovery: a complete list, and a watch that can be sent lines, rubbish or an end.
+// fakeDiscovery is a discovery agent with a complete list, and a watch on which a test can send lines, invalid data or the
+// end.
 type fakeDiscovery struct {
 	*httptest.Server
-	lines   chan string // to the watch that is open; "" ends it
-	watched chan bool   // a watch was asked for
+	lines   chan string // sent on the open watch; "" ends it
+	watched chan bool   // receives a value for each watch that is requested
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	fullList        string
-	receivedQueries []string // queries, in order
+	receivedQueries []string // in the order of arrival
 }
 
-func newFakeDiscovery(t *testing.T, full string) *fakeDiscovery {
+func newFakeDiscovery(t *testing.T, fullList string) *fakeDiscovery {
 	t.Helper()
-	d := &fakeDiscovery{fullList: full, lines: make(chan string), watched: make(chan bool, 64)}
+	d := &fakeDiscovery{fullList: fullList, lines: make(chan string), watched: make(chan bool, 64)}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
 	t.Cleanup(func() {
 		d.CloseClientConnections()
@@ -53,10 +54,10 @@
 func (d *fakeDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.receivedQueries = append(d.receivedQueries, r.URL.RawQuery)
-	full := d.fullList
+	fullList := d.fullList
 	d.mu.Unlock()
 	if r.URL.Query().Get("follow") == "" {
-		writeText(w, full)
+		writeText(w, fullList)
 		return
 	}
 	w.(http.Flusher).Flush()
@@ -75,7 +76,7 @@
 	}
 }
 
-// writeText writes a part of an answer. A client that has gone is no fault of a test.
+// writeText writes part of a response. It ignores errors, as the client may have disconnected.
 func writeText(w io.Writer, text string) {
 	if _, err := io.WriteString(w, text); err != nil {
 		return
@@ -90,22 +91,22 @@
 	return slices.Clone(d.receivedQueries)
 }
 
-// setFullList replaces the complete list, and returns how many queries came before.
-func (d *fakeDiscovery) setFullList(full string) int {
+// setFullList replaces the complete list, and returns the number of queries until then.
+func (d *fakeDiscovery) setFullList(fullList string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fullList = full
+	d.fullList = fullList
 	return len(d.receivedQueries)
 }
 
-// awaitQueries waits until so many queries have come.
+// awaitQueries waits until a number of queries have arrived.
 func (d *fakeDiscovery) awaitQueries(count int) {
 	for len(d.queries()) < count {
 		pause()
 	}
 }
 
-// listText is a list of servers, each given as NAME:STATE, on a line.
+// listText returns an endpoint list in one line. Servers are given as NAME:STATE.
 func listText(version int, full bool, servers ...string) string {
 	var all []string
 	for _, server := range servers {
@@ -121,7 +122,7 @@
 "limits":{"cores":0.5,"memory_mb":64,"sockets":%d},"known":%s,"settings":%s}`, discovery, sockets, known, testSettings)
 }
 
-// writeConfig writes a configuration to a file of the test.
+// writeConfig writes a configuration file.
 func writeConfig(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -129,7 +130,7 @@
 	}
 }
 
-// parsedConfig is a configuration as read from a file.
+// parsedConfig reads a configuration file.
 func parsedConfig(t *testing.T, path string) Config {
 	t.Helper()
 	config, err := ReadConfig(path)
@@ -139,7 +140,7 @@
 	return config
 }
 
-// testPlanner runs on loopback until the test ends.
+// testPlanner is a planner that runs on a loopback address until the test ends.
 type testPlanner struct {
 	t       *testing.T
 	address string
@@ -149,13 +150,13 @@
 	stop    context.CancelFunc
 }
 
-// startPlanner runs a planner with a configuration that follows discovery.
+// startPlanner starts a planner that follows a discovery agent.
 func startPlanner(t *testing.T, discovery *fakeDiscovery) *testPlanner {
 	t.Helper()
 	return startPlannerWith(t, configText(discovery.address(), 64), nil)
 }
 
-// startPlannerWith lets a test put hooks into the seams, and sees to it that nothing of the planner is left when it ended.
+// startPlannerWith starts a planner whose options a test can change, and checks for leaks after it has ended.
 func startPlannerWith(t *testing.T, config string, hook func(*Options)) *testPlanner {
 	t.Helper()
 	leaks := startLeakCheck(t)
@@ -179,14 +180,14 @@
 	if hook != nil {
 		hook(&options)
 	}
-	ctx, stop := context.WithCancel(context.WithoutCancel(t.Context())) // ends after the peers, which are closed before it
+	ctx, stop := context.WithCancel(context.WithoutCancel(t.Context())) // canceled after the peers are closed
 	p.stop = stop
 	go func() { p.done <- Run(ctx, options) }()
 	p.address = (<-ready).String()
 	t.Cleanup(func() {
 		stop()
 		if err := <-p.done; err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Run ended with %v", err)
 		}
 		leaks.finish()
 	})
@@ -198,17 +199,17 @@
 	writeConfig(p.t, p.path, text)
 }
 
-// reload has the planner read its configuration again.
+// reload makes the planner read its configuration again.
 func (p *testPlanner) reload() { p.hangup <- syscall.SIGHUP }
 
-// testPeer is a proxy, a collector, or anyone else who connects.
+// testPeer is the client side of a connection to a planner: a proxy, a collector or another client.
 type testPeer struct {
 	net.Conn
 	t      *testing.T
 	reader *bufio.Reader
 }
 
-// dial connects a peer that writes a text.
+// dial connects a peer that sends a text.
 func (p *testPlanner) dial(text string) *testPeer {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.address)
@@ -231,14 +232,14 @@
 	}
 }
 
-// close ends the connection, if it has not ended.
+// close closes the connection, unless it is closed already.
 func (p *testPeer) close() {
 	if err := p.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		p.t.Error(err)
 	}
 }
 
-// reset ends the connection with a reset.
+// reset closes the connection with a TCP reset.
 func (p *testPeer) reset() {
 	if err := p.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 		p.t.Error(err)
@@ -246,14 +247,14 @@
 	p.close()
 }
 
-// closeWrite says that the peer writes no more.
+// closeWrite closes the sending side of the connection.
 func (p *testPeer) closeWrite() {
 	if err := p.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		p.t.Error(err)
 	}
 }
 
-// readLine reads a line with its end.
+// readLine reads a line, including its end.
 func (p *testPeer) readLine() string {
 	p.t.Helper()
 	line, err := p.reader.ReadString('\n')
@@ -263,40 +264,40 @@
 	return line
 }
 
-// await reads lines until one holds a text.
+// await reads lines until one contains a text.
 func (p *testPeer) await(text string) {
 	p.t.Helper()
 	p.awaitAll(text)
 }
 
-// awaitAll reads lines until each text has come, in any order.
+// awaitAll reads lines until each text has been found in one of them, in any order.
 func (p *testPeer) awaitAll(texts ...string) {
 	p.t.Helper()
 	for len(texts) > 0 {
 		line, err := p.reader.ReadString('\n')
 		if err != nil {
-			p.t.Fatalf("no %q came: %v", texts, err)
+			p.t.Fatalf("did not receive %q: %v", texts, err)
 		}
 		texts = slices.DeleteFunc(texts, func(text string) bool { return strings.Contains(line, text) })
 	}
 }
 
-// readAll reads until the connection ends, and returns what came. A reset is an end as any other.
+// readAll reads until the connection ends, by a close or a reset, and returns what was received.
 func (p *testPeer) readAll() string {
 	p.t.Helper()
 	text, err := io.ReadAll(p.reader)
 	var networkError net.Error
 	if errors.As(err, &networkError) && networkError.Timeout() {
-		p.t.Fatal("it was not closed")
+		p.t.Fatal("the connection was not closed")
 	}
 	return string(text)
 }
 
-// hookedConn is an accepted connection with a test's hands on it; what is nil goes to the socket.
+// hookedConn is an accepted connection whose methods a test can replace. A nil hook leaves the method unchanged.
 type hookedConn struct {
 	net.Conn
 	read, write func(buffer []byte) (int, error)
-	deadline    func() // a limit was set to what is written
+	deadline    func() // called when a write deadline is set
 }
 
 func (c *hookedConn) Read(buffer []byte) (int, error) {
@@ -320,7 +321,7 @@
 	return c.Conn.SetWriteDeadline(at)
 }
 
-// hookedNetwork is a network whose accepted connections a test sees first.
+// hookedNetwork is a network that passes each accepted connection to a test first.
 type hookedNetwork struct {
 	clock.TCP
 	accepted func(*hookedConn)
@@ -346,7 +347,7 @@
 	return hooked, nil
 }
 
-// scaledClock is the machine's clock with time that goes faster, and deadlines that come later or sooner by a factor.
+// scaledClock is the real clock with the time sped up by one factor, and the time to deadlines multiplied by another.
 type scaledClock struct {
 	*clock.Real
 	speed, deadline float64
@@ -359,13 +360,15 @@
 	return c.Real.NewTimer(ms / c.speed)
 }
 
-// extendedDeadlines is a clock whose deadlines do not bind while a test holds something back.
+// extendedDeadlines returns a clock whose deadlines do not expire while a test blocks something.
 func extendedDeadlines() clock.Clock { return scaledClock{clock.NewReal(), 1, 100} }
 
-// after and pause are for what may not happen, or happens by itself; no result for correct code depends on their length.
+// after returns a channel that fires after a time, for events that should not happen. The results of correct code do not
+// depend on its length.
 func after(ms float64) <-chan time.Time {
 	fired, _ := clock.NewReal().NewTimer(ms)
 	return fired
 }
 
+// pause waits for a moment between two looks at a condition.
 func pause() { <-after(1) }
--- a/internal/platform/leakcheck_test.go
+++ b/internal/platform/leakcheck_test.go
@@ -11,16 +11,17 @@
 	"lichenpick/internal/clock"
 )
 
-const leakTimeoutMs = 10000.0 // ms that goroutines of net/http may take to end
+const leakTimeoutMs = 10000.0 // ms that the goroutines of net/http may take to end
 
-// leakCheck compares what the process holds before and after a planner: goroutines of this package, and descriptors.
+// leakCheck compares the resources of the process before and after a planner has run: goroutines of this package, and file
+// descriptors.
 type leakCheck struct {
 	t           *testing.T
-	nested      bool // another planner runs in this process; its own check is for both
+	nested      bool // another planner was running already; its check covers both
 	descriptors int
 }
 
-// runningChecks counts those that a test has started and not yet finished.
+// runningChecks counts the checks that are started and not yet finished.
 var runningChecks atomic.Int64
 
 func startLeakCheck(t *testing.T) *leakCheck {
@@ -29,8 +30,8 @@
 	return &leakCheck{t, runningChecks.Add(1) > 1, descriptors}
 }
 
-// finish holds that no goroutine of the runtime runs at all once Run has returned; net/http's own may take a moment longer
-// to close theirs.
+// finish checks that nothing is left. No goroutine of the runtime may exist once Run has returned; those of net/http may
+// take a moment longer to end.
 func (l *leakCheck) finish() {
 	runningChecks.Add(-1)
 	if l.nested {
@@ -38,7 +39,7 @@
 	}
 	goroutines, descriptors := openResources(l.t)
 	if strings.Contains(goroutines, runtimeMethods) {
-		l.t.Errorf("Run returned and left:\n%s", goroutines)
+		l.t.Errorf("goroutines left after Run has returned:\n%s", goroutines)
 	}
 	now := clock.NewReal()
 	for (goroutines != "" || descriptors > l.descriptors) && now.Monotonic() < leakTimeoutMs {
@@ -46,12 +47,12 @@
 		goroutines, descriptors = openResources(l.t)
 	}
 	if goroutines != "" || descriptors > l.descriptors {
-		l.t.Errorf("%d descriptors, %d before; left:\n%s", descriptors, l.descriptors, goroutines)
+		l.t.Errorf("%d descriptors, %d before; goroutines left:\n%s", descriptors, l.descriptors, goroutines)
 	}
 }
 
-// Texts that a stack trace has of the package's goroutines. They are taken from the types, as a check that looked for a name
-// out of date would hold of itself.
+// Texts that identify goroutines of this package in a stack trace. They are derived from the types, because a check for an
+// outdated name would always pass.
 var (
 	runtimeMethods   = pointerMethods[serverRuntime]()
 	discoveryMethods = pointerMethods[discoveryClient]()
@@ -60,7 +61,7 @@
 
 func pointerMethods[T any]() string { return "platform.(*" + reflect.TypeFor[T]().Name() + ")." }
 
-// openResources returns the stacks of this package's goroutines, and the number of descriptors of the process.
+// openResources returns the stacks of this package's goroutines, and the number of file descriptors of the process.
 func openResources(t *testing.T) (goroutines string, descriptors int) {
 	t.Helper()
 	buffer := make([]byte, 1<<20)
@@ -74,7 +75,7 @@
 	}
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		t.Skip("no /proc here")
+		t.Skip("/proc is not available")
 	}
 	return goroutines, len(all)
 }
--- a/internal/platform/publisher.go
+++ b/internal/platform/publisher.go
@@ -168,16 +168,16 @@
 func (b *publisher) appendAdmission(parts []updatePart, update *pendingUpdate) []updatePart {
 	rates := b.registry.Admission
 	for class, rate := range rates {
-		shares := func(other int) bool { return update.admission[other] && rates[other] == rate }
-		if !shares(class) {
+		hasSameRate := func(other int) bool { return update.admission[other] && rates[other] == rate }
+		if !hasSameRate(class) {
 			continue
 		}
 		first := 0
-		for !shares(first) {
+		for !hasSameRate(first) {
 			first++
 		}
 		if first == class {
-			parts = append(parts, updatePart{classes: b.classNames(shares), admission: rate})
+			parts = append(parts, updatePart{classes: b.classNames(hasSameRate), admission: rate})
 		}
 	}
 	return parts
--- a/internal/platform/runtime_test.go
+++ b/internal/platform/runtime_test.go
@@ -19,27 +19,27 @@
 	proxy.write(" new=1\r\n")
 	proxy.await("replace=1")
 	collector := planner.dial("collector site=a\r\n")
-	t.Run("a watch that sends rubbish is left for the complete list, and a drain behind it is obeyed", func(t *testing.T) {
+	t.Run("after invalid data on a watch, the complete list and a later drain are applied", func(t *testing.T) {
 		discovery.lines <- "{\"version\":2,\"fu\n"
 		<-discovery.watched
 		discovery.lines <- listText(12, false, "s-2:draining")
 		proxy.await("s-2")
 		asked := discovery.queries()
 		if len(asked) < 3 || asked[0] != "follow=1&since=1" || asked[1] != "" || asked[2] != "follow=1&since=9" {
-			t.Errorf("asked for %q", asked)
+			t.Errorf("queried %q", asked)
 		}
 	})
-	t.Run("a watch that is cut in a line is taken up again from the version before", func(t *testing.T) {
+	t.Run("a watch that ends within a line is resumed from the version before", func(t *testing.T) {
 		discovery.lines <- `{"version":13,"full":false,`
 		discovery.lines <- ""
 		<-discovery.watched
 		discovery.lines <- listText(14, false, "s-3:draining")
 		proxy.await("s-3")
 		if asked := discovery.queries(); asked[len(asked)-1] != "follow=1&since=12" {
-			t.Errorf("asked for %q", asked)
+			t.Errorf("queried %q", asked)
 		}
 	})
-	t.Run("unjoined connections are refused and cost a proxy nothing", func(t *testing.T) {
+	t.Run("refused connections do not affect joined ones", func(t *testing.T) {
 		exceedConnectionLimit(planner)
 		planner.dial("joined id=2 site=b rps=10 new=1\r\n").await("replace=1")
 		proxy.write("ping\r\n")
@@ -47,24 +47,24 @@
 		collector.write("ping\r\n")
 		collector.await(wirePong)
 	})
-	t.Run("a stream that is reset leaves the others alone, and its proxy comes back", func(t *testing.T) {
+	t.Run("a proxy whose stream was reset can rejoin", func(t *testing.T) {
 		peer := planner.dial("joined id=3 site=b rps=10 new=1\r\n")
 		peer.await("replace=1")
 		peer.reset()
 		planner.dial("joined id=3 site=b rps=10 new=0\r\n").await("replace=1")
 	})
-	t.Run("a configuration that can't be used is rejected, and a new one moves discovery with no stream lost", func(t *testing.T) {
+	t.Run("an invalid configuration is rejected, and a valid one moves discovery without losing a stream", func(t *testing.T) {
 		moveDiscovery(t, planner, proxy)
 	})
-	t.Run("nothing but pong was sent to the collector", func(t *testing.T) {
+	t.Run("the collector was only sent pongs", func(t *testing.T) {
 		planner.stop()
 		if text := collector.readAll(); text != "" {
-			t.Errorf("%q", text)
+			t.Errorf("sent %q", text)
 		}
 	})
 }
 
-// exceedConnectionLimit opens more connections than there are descriptors for, and waits until all are closed.
+// exceedConnectionLimit opens more connections than the planner has descriptors for, and waits until all are closed.
 func exceedConnectionLimit(planner *testPlanner) {
 	first := []string{"", "joined id", "ping\r\n", "GET / HTTP/1.1\r\n\r\n"}
 	var peers []*testPeer
@@ -83,16 +83,16 @@
 	planner.reload()
 	proxy.write("ping\r\n")
 	proxy.await(wirePong)
-	planner.configure(configText(next.address(), 64)) // with no further signal: the first came while it was written
+	planner.configure(configText(next.address(), 64)) // without another signal: a retry must read it
 	<-next.watched
 	next.lines <- listText(21, false, "s-4:draining")
 	proxy.await("s-4")
 	if asked := next.queries(); asked[0] != "follow=1&since=14" {
-		t.Errorf("asked for %q", asked)
+		t.Errorf("queried %q", asked)
 	}
 }
 
-// toSecondSite is what sets the second site's configuration and lists apart.
+// toSecondSite turns the configuration and the lists of the first site into those of a different site.
 var toSecondSite = strings.NewReplacer(
 	`"lookup"`, `"read"`,
 	`"order"`, `"write"`,
@@ -117,14 +117,14 @@
 		checkSites(t, startFirst(t), startSecond(t))
 	})
 	t.Run("one after the other", func(t *testing.T) {
-		t.Run("first", func(t *testing.T) {
+		t.Run("first alone", func(t *testing.T) {
 			startFirst(t).dial("joined id=7 site=a rps=10 new=1\r\n").await("replace=1")
 		})
 		checkSites(t, startFirst(t), startSecond(t))
 	})
 }
 
-// checkSites holds that nothing of one planner's site is found at the other.
+// checkSites checks that two planners in one process share no settings or servers.
 func checkSites(t *testing.T, first, second *testPlanner) {
 	t.Helper()
 	ofFirst := first.dial("joined id=7 site=a rps=10 new=1\r\n")
@@ -132,11 +132,11 @@
 	checkTable(t, ofFirst, []string{"s-1", "for=order"}, []string{"t-", "read", "write"})
 	checkTable(t, ofSecond, []string{"t-1", "for=write"}, []string{"s-", "lookup", "order"})
 	if text := second.dial("joined id=7 site=x rps=10 new=1\r\n").readAll(); text != "refused\r\n" {
-		t.Errorf("the other's number of proxies holds: %q", text)
+		t.Errorf("a proxy beyond the number of this site is not refused: %q", text)
 	}
 }
 
-// checkTable reads the first update of a proxy, and holds what it contains and what not.
+// checkTable reads the first update of a proxy, and checks for words that it must and must not contain.
 func checkTable(t *testing.T, peer *testPeer, own, foreign []string) {
 	t.Helper()
 	text := ""
@@ -145,18 +145,18 @@
 	}
 	for _, word := range own {
 		if !strings.Contains(text, word) {
-			t.Errorf("no %q in %q", word, text)
+			t.Errorf("%q is missing in %q", word, text)
 		}
 	}
 	for _, word := range foreign {
 		if strings.Contains(text, word) {
-			t.Errorf("%q of the other in %q", word, text)
+			t.Errorf("%q of the other site in %q", word, text)
 		}
 	}
 }
 
 func TestPanics(t *testing.T) {
-	t.Run("a panic at one peer's bytes costs that peer alone", func(t *testing.T) {
+	t.Run("a panic caused by the data of a peer only closes that peer's connection", func(t *testing.T) {
 		discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
 		planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
 			o.Log = slog.New(panickingLog{slog.DiscardHandler})
@@ -165,32 +165,32 @@
 		other := planner.dial("joined id=2 site=a rps=10 new=1\r\n")
 		other.await("replace=1")
 		faulty.await("replace=1")
-		faulty.write("usage id=1\r\n") // its rejection is logged, and the log panics
+		faulty.write("usage id=1\r\n") // it is rejected, which is logged, and the log handler panics
 		faulty.readAll()
 		other.write("ping\r\n")
 		other.await(wirePong)
 		planner.dial(rejoinText).await("replace=1")
 	})
-	t.Run("a planner that can decide nothing any more ends, and says so", func(t *testing.T) {
+	t.Run("a planner whose every evaluation panics ends with an error", func(t *testing.T) {
 		r := newBlockedRuntime(t, 64, 2)
 		r.Clock = scaledClock{clock.NewReal(), 50, 1}
 		original := r.core.policy
 		r.core.policy = nil
 		if err := r.decide(t.Context()); !errors.Is(err, ErrRepeatedPanics) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("decide ended with %v", err)
 		}
 		r.core.policy = original
 	})
 }
 
-// panickingLog is a log that panics where a message is rejected.
+// panickingLog is a log handler that panics when a rejected message is logged.
 type panickingLog struct{ slog.Handler }
 
 func (panickingLog) Enabled(context.Context, slog.Level) bool { return true }
 
 func (panickingLog) Handle(_ context.Context, record slog.Record) error {
 	if record.Message == logMessageRejected {
-		panic("a panic that the test planted")
+		panic("panic injected by the test")
 	}
 	return nil
 }
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -11,48 +11,49 @@
 	h.advance(1000)
 	newer := h.join(3)
 	h.advance(1000)
-	t.Run("the newer stream of a proxy takes the place of the older and gets the table complete", func(t *testing.T) {
+	t.Run("a newer stream of a proxy replaces the older one and is sent the complete table", func(t *testing.T) {
 		if h.proxies.byID[3] == nil || h.proxies.byID[3].connection != newer || !strings.Contains(h.sent[newer], "replace=1") {
-			t.Errorf("%q", h.sent[newer])
+			t.Errorf("the newer stream was sent %q", h.sent[newer])
 		}
 	})
-	t.Run("the end of the older does not remove the proxy", func(t *testing.T) {
+	t.Run("the end of the older stream does not remove the proxy", func(t *testing.T) {
 		h.HandleDisconnect(older)
 		if !h.closed[older] || h.proxies.byID[3] == nil || len(h.proxies.joined) != 1 {
 			t.Errorf("closed %t, joined %d", h.closed[older], len(h.proxies.joined))
 		}
 	})
-	t.Run("the end of the newer does", func(t *testing.T) {
+	t.Run("the end of the newer stream removes the proxy", func(t *testing.T) {
 		h.HandleDisconnect(newer)
 		if h.proxies.byID[3] != nil || len(h.proxies.joined) != 0 || h.OpenConnections() != 0 {
 			t.Errorf("joined %d, open %d", len(h.proxies.joined), h.OpenConnections())
 		}
 	})
-	t.Run("a proxy with tables of another planner is notified to readmit what that may have ejected", func(t *testing.T) {
+	t.Run("a proxy with tables of another planner readmits servers that it may have ejected", func(t *testing.T) {
 		connection := h.connect("joined id=4 site=b rps=10 new=0")
 		h.advance(1000)
 		if !strings.Contains(h.sent[connection], "undrop=s-") {
-			t.Errorf("%q", h.sent[connection])
+			t.Errorf("no readmission in %q", h.sent[connection])
 		}
 	})
 }
 
-// What closes one connection discards nothing that is owed beside it.
+// TestCloseSendsPendingReplies checks that closing a connection discards neither its own pending replies nor anything of
+// other connections.
 func TestCloseSendsPendingReplies(t *testing.T) {
-	t.Run("a long message in the same bytes as the join meets the limit of joined connections", testLongMessageBehindJoin)
-	t.Run("each connection is closed for its own reason", func(t *testing.T) {
+	t.Run("a long message in the same read as the join may have the length of joined connections", testLongMessageBehindJoin)
+	t.Run("connections closed in one evaluation keep their own reasons", func(t *testing.T) {
 		h := startCore(t)
 		older := h.join(3)
 		newer := h.connect()
-		h.HandleData(newer, []byte("joined id=3 site=a rps=10 new=0\r\n")) // two at one instant, closed in one evaluation
+		h.HandleData(newer, []byte("joined id=3 site=a rps=10 new=0\r\n")) // closed in the same evaluation as the next
 		unreadable := h.connect()
 		h.HandleData(unreadable, []byte("GET / HTTP/1.1\r\n"))
 		h.advance(0)
 		if h.reasons[older] != CloseReplacedStream || h.reasons[unreadable] != CloseUnreadable {
-			t.Errorf("%v and %v", h.reasons[older], h.reasons[unreadable])
+			t.Errorf("close reasons %v and %v", h.reasons[older], h.reasons[unreadable])
 		}
 	})
-	t.Run("a connection that is shed gets its pong first", func(t *testing.T) {
+	t.Run("a connection that is shed is sent its pong first", func(t *testing.T) {
 		h := startCore(t)
 		connection := h.connect()
 		h.HandleData(connection, []byte("ping\r\n"))
@@ -64,7 +65,7 @@
 			t.Errorf("sent %q", h.sent[connection])
 		}
 	})
-	t.Run("incomplete messages share a limit of memory, and the longest goes first", testPartialMemory)
+	t.Run("incomplete messages share a memory limit, and the longest is closed first", testPartialMemory)
 }
 
 func testLongMessageBehindJoin(t *testing.T) {
@@ -102,7 +103,7 @@
 		h.HandleDisconnect(connection)
 	}
 	if h.sessions.partialBytes != 0 {
-		t.Errorf("%d bytes counted of no connection", h.sessions.partialBytes)
+		t.Errorf("%d bytes are still counted after all connections have ended", h.sessions.partialBytes)
 	}
 }
 
@@ -111,15 +112,15 @@
 	h.join(3)
 	collector := h.connect("collector site=a")
 	h.advance(500)
-	t.Run("its incomplete message is not kept beyond the limit", func(t *testing.T) {
+	t.Run("an incomplete message over the limit closes it", func(t *testing.T) {
 		connection := h.connect()
 		h.HandleData(connection, []byte("joined x="+strings.Repeat("1", 2*maxFirstMessageBytes)))
 		h.advance(0)
 		if !h.closed[connection] {
-			t.Errorf("%d bytes are kept", len(connection.reader.partial))
+			t.Errorf("open, with %d bytes of an incomplete message", len(connection.reader.partial))
 		}
 	})
-	t.Run("it is closed in time, whether it sends nothing, half a message or only ping", func(t *testing.T) {
+	t.Run("it is closed at the join timeout, whether it sends nothing, half a message or only pings", func(t *testing.T) {
 		silent := h.connect()
 		partial := h.connect()
 		pinging := h.connect("ping")
@@ -134,7 +135,7 @@
 			t.Errorf("sent %q", h.sent[pinging])
 		}
 	})
-	t.Run("the oldest is shed, and never a joined connection", func(t *testing.T) {
+	t.Run("the oldest is shed first, and a joined connection never", func(t *testing.T) {
 		older := h.connect()
 		newer := h.connect()
 		if !h.ShedConnection(h) || !h.closed[older] || h.closed[newer] {
@@ -146,7 +147,7 @@
 	})
 }
 
-// FuzzHandleData holds that no bytes of any peer bring the core to a panic, or cost it memory beyond a message.
+// FuzzHandleData checks that no received bytes make the core panic, or use more memory than a message.
 func FuzzHandleData(f *testing.F) {
 	f.Add("joined id=3 site=a rps=10 new=1\r\nusage id=3 lane=lookup count=1 fail=0 over=1000\r\napplied id=3 seq=1 ms=2\r\n", 7)
 	f.Add("collector site=a\r\nheard site=a target=s-0 count=2 fail=1 mean=1 over=1 util=a:1,b:2\r\nping\r\n", 3)
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -12,12 +12,13 @@
 	"lichenpick/internal/clock"
 )
 
-// What a planner owes when it is asked to end, on loopback sockets, with the crossing forced.
+// TestShutdown checks on loopback sockets what a planner still does for its connections when it is stopped at an
+// unfavorable moment.
 func TestShutdown(t *testing.T) {
-	t.Run("an update that is half written is written whole, then the stream ends", testShutdownHalfWritten)
-	t.Run("a connection accepted and not read is refused and closed, and its reader is waited for", testShutdownNotRead)
-	t.Run("a peer that reads nothing does not delay it", testShutdownUnreadByPeer)
-	t.Run("before it listens, it ends without an error", func(t *testing.T) {
+	t.Run("a half written update is completed before the stream is closed", testShutdownHalfWritten)
+	t.Run("an accepted connection that was not read is refused, and Run waits for its reader", testShutdownNotRead)
+	t.Run("a peer that does not read cannot delay the shutdown", testShutdownUnreadByPeer)
+	t.Run("Run returns without an error if it is stopped before it listens", func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		stop()
 		path := filepath.Join(t.TempDir(), "config.json")
@@ -63,14 +64,14 @@
 	planner.stop()
 	select {
 	case err := <-planner.done:
-		t.Errorf("it ended with %v while an update was half written", err)
+		t.Errorf("Run ended with %v while an update was half written", err)
 		planner.done <- err
 	case <-limited:
 	}
 	close(release)
 	text := peer.readAll()
 	if !strings.Contains(text, "replace=1") || !strings.HasSuffix(text, lineEnd) {
-		t.Errorf("half an update: %q", text)
+		t.Errorf("no complete update: %q", text)
 	}
 }
 
@@ -92,14 +93,14 @@
 	<-reading
 	planner.stop()
 	text := peer.readAll()
-	if text != "refused\r\n" && text != "" { // the unread ping may make a reset of the close
+	if text != "refused\r\n" && text != "" { // closing with an unread ping may cause a reset
 		t.Errorf("sent %q", text)
 	}
 	select {
 	case err := <-planner.done:
-		t.Errorf("it ended with %v before its reader did", err)
+		t.Errorf("Run ended with %v before its reader did", err)
 		planner.done <- err
-	case <-after(100): // for a fault to show; nothing is waited for where there is none
+	case <-after(100): // time for a wrong result to appear
 	}
 	close(release)
 }
@@ -109,7 +110,7 @@
 	stuck := make(chan bool, 1)
 	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
 		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
-			c.write = func([]byte) (int, error) { // as a socket whose buffer is full
+			c.write = func([]byte) (int, error) { // like a socket whose buffer is full
 				stuck <- true
 				zeros := make([]byte, 1<<16)
 				for {
@@ -122,5 +123,5 @@
 	})
 	planner.dial(joinText)
 	<-stuck
-	planner.stop() // and the test's end waits for it
+	planner.stop() // the cleanup of the test waits for the planner to end
 }
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -14,15 +14,16 @@
 	"lichenpick/internal/clock"
 )
 
-// What is owed when a stream ends, on loopback sockets, with the crossing forced.
+// TestStreamEnds checks on loopback sockets what happens to pending messages and to the proxy when a stream ends at an
+// unfavorable moment.
 func TestStreamEnds(t *testing.T) {
-	t.Run("replaced while an update to the older is unsent: the newer is served at once", testStreamReplaced)
-	t.Run("cut inside a message: the proxy has left, and half a message is discarded", testStreamCutInsideMessage)
-	t.Run("cut inside an update: the next one gets its table complete", testStreamCutInsideUpdate)
-	t.Run("a peer that writes no more but reads has its pong", testStreamHalfClosed)
-	t.Run("a refused peer is sent the refusal, whatever it goes on writing", testStreamRefused)
-	t.Run("messages in single bytes, and several in one read", testStreamSingleBytes)
-	t.Run("a proxy is shed with an acknowledgement missing; it comes back, and its late one is harmless", testStreamShed)
+	t.Run("a stream that is replaced while an update to it is unsent does not delay the newer one", testStreamReplaced)
+	t.Run("a stream that ends within a message discards it, and the proxy can rejoin", testStreamCutInsideMessage)
+	t.Run("after a stream that ended within an update, the next one is sent the complete table", testStreamCutInsideUpdate)
+	t.Run("a peer that has closed its sending side is sent its pong", testStreamHalfClosed)
+	t.Run("a refused peer is sent the refusal, even if it keeps sending", testStreamRefused)
+	t.Run("messages that arrive byte by byte, or several in one read", testStreamSingleBytes)
+	t.Run("a proxy that is shed can rejoin, and its late acknowledgement does no harm", testStreamShed)
 }
 
 func testStreamReplaced(t *testing.T) {
@@ -98,7 +99,7 @@
 	planner.dial(joinText).readAll()
 	line := planner.dial(joinText).readLine()
 	if !strings.HasPrefix(line, wireUpdate+" ") || !strings.Contains(line, "replace=1") {
-		t.Errorf("%q", line)
+		t.Errorf("no update with a complete table: %q", line)
 	}
 }
 
@@ -107,7 +108,7 @@
 	ended := make(chan bool)
 	planner := startPlannerWith(t, configText(discovery.address(), 64), func(o *Options) {
 		o.Network = hookedNetwork{accepted: func(c *hookedConn) {
-			c.read = func(b []byte) (int, error) { // the ping and the end in one read
+			c.read = func(b []byte) (int, error) { // one read returns both the ping and the end of the stream
 				<-ended
 				n, err := io.ReadFull(c.Conn, b[:len("ping\r\n")])
 				if err == nil {
@@ -136,7 +137,7 @@
 			reads := 0
 			c.read = func(b []byte) (int, error) {
 				reads++
-				if reads == 3 { // the second read's bytes have been handed to a core that has closed it
+				if reads == 3 { // the core has handled the second read, after it closed the connection
 					close(discarded)
 				}
 				return c.Conn.Read(b)
@@ -153,7 +154,7 @@
 	peer.write("Host: x\r\n")
 	select {
 	case <-discarded:
-	case <-after(1000): // for a fault to show
+	case <-after(1000): // time for a wrong result to appear
 	}
 	close(release)
 	if text := peer.readAll(); text != "pong\r\nrefused\r\n" {
@@ -177,7 +178,7 @@
 
 func testStreamShed(t *testing.T) {
 	discovery := newFakeDiscovery(t, listText(9, true, "s-1:ready"))
-	planner := startPlannerWith(t, configText(discovery.address(), 32), func(o *Options) { // 8 connections fit
+	planner := startPlannerWith(t, configText(discovery.address(), 32), func(o *Options) { // the limit is 8 connections
 		o.Clock = scaledClock{clock.NewReal(), 5, 1}
 	})
 	silent := planner.dial("joined id=0 site=a rps=10 new=1\r\n")
@@ -190,14 +191,14 @@
 	}
 	stop := make(chan bool)
 	var talking sync.WaitGroup
-	for index, peer := range others { // these acknowledge nothing either, but speak
+	for index, peer := range others { // these do not acknowledge either, but send reports
 		talking.Go(func() { keepTalking(peer, index+1, stop) })
 	}
 	defer talking.Wait()
 	defer close(stop)
 	gone := make(chan bool)
 	go func() {
-		_, _ = io.Copy(io.Discard, silent.reader) // it ends however the connection does
+		_, _ = io.Copy(io.Discard, silent.reader) // ends with the connection, by a close or a reset
 		close(gone)
 	}()
 	connectUntil(t, planner.address, gone)
@@ -207,7 +208,7 @@
 	back.await(wirePong)
 }
 
-// keepTalking has a proxy report until it is stopped or its stream ends.
+// keepTalking has a proxy send demand reports until it is stopped or its stream ends.
 func keepTalking(peer *testPeer, id int, stop <-chan bool) {
 	for {
 		select {
@@ -221,7 +222,7 @@
 	}
 }
 
-// connectUntil connects again and again until something has gone; each connection ends closed or refused.
+// connectUntil opens one connection after another, and waits for the planner to close each, until a channel is closed.
 func connectUntil(t *testing.T, address string, gone <-chan bool) {
 	t.Helper()
 	for {
@@ -238,7 +239,7 @@
 			t.Fatal(err)
 		}
 		if _, err := io.Copy(io.Discard, conn); err != nil {
-			t.Logf("reset: %v", err)
+			t.Logf("connection reset: %v", err)
 		}
 		if err := conn.Close(); err != nil {
 			t.Error(err)
@@ -246,7 +247,7 @@
 	}
 }
 
-// blockedRuntime is a runtime with joined streams on loopback whose writes are held back until the test ends.
+// blockedRuntime is a runtime with connections on loopback whose writes block until the test ends.
 type blockedRuntime struct {
 	*serverRuntime
 	streams []*stream // in the order of connecting
@@ -289,7 +290,7 @@
 	return r
 }
 
-// connect adds a stream, and returns its peer's end.
+// connect adds a stream, and returns the peer's side of its connection.
 func (r *blockedRuntime) connect(t *testing.T, listener net.Listener, release <-chan bool) net.Conn {
 	t.Helper()
 	peer, err := net.Dial("tcp", listener.Addr().String())
@@ -313,39 +314,40 @@
 	return peer
 }
 
-// isOpen says whether a stream's descriptor is open. The lock is held.
+// isOpen reports whether the descriptor of a stream is open. The caller holds the lock.
 func (r *blockedRuntime) isOpen(t *stream) bool { return r.serverRuntime.streams[&t.connection] != nil }
 
 func TestUnsentBytesAreBounded(t *testing.T) {
-	t.Run("many peers that stop reading are held under one limit, and the one owed most is closed first", func(t *testing.T) {
+	t.Run("unsent bytes of all peers have a common limit, and the peer with the most is closed first", func(t *testing.T) {
 		r := newBlockedRuntime(t, 8, 64)
 		r.withCore(func() { checkTotalUnsentLimit(t, &r) })
 	})
-	t.Run("one that stops reading is closed alone", func(t *testing.T) {
+	t.Run("a peer that stops reading is closed without affecting others", func(t *testing.T) {
 		r := newBlockedRuntime(t, 64, 4)
 		first := r.streams[0]
 		r.withCore(func() {
 			for range maxUnsentBytes/1000 + 2 {
 				r.Send(&first.connection, make([]byte, 1000))
 			}
-			// Its writer stands still; whoever closes it again must not put it among those that linger, which isFull would never leave.
+			// Its writer is still blocked. A second close must not add it to lingering, because drop would ignore it and
+			// isFull would never end.
 			r.CloseConnection(&first.connection, CloseShed, nil)
 			if len(r.lingering) > 0 {
-				t.Error("a closed connection lingers")
+				t.Error("a dropped connection is in lingering")
 			}
 			if r.isOpen(first) || len(r.serverRuntime.streams) != 3 || r.unsentBytes != 0 {
-				t.Errorf("%d are open, %d bytes wait", len(r.serverRuntime.streams), r.unsentBytes)
+				t.Errorf("%d streams are open, %d bytes wait", len(r.serverRuntime.streams), r.unsentBytes)
 			}
 		})
 	})
-	t.Run("connections that linger over their last messages count as open ones", func(t *testing.T) {
+	t.Run("lingering connections are limited", func(t *testing.T) {
 		r := newBlockedRuntime(t, 64, 40)
 		r.maxConnections = 24
 		r.withCore(func() { checkLingering(t, &r) })
 	})
 }
 
-// checkTotalUnsentLimit sends to all streams, most to the eighth, until some are closed. The lock is held.
+// checkTotalUnsentLimit sends to all streams, and most to the eighth, until some are closed. The caller holds the lock.
 func checkTotalUnsentLimit(t *testing.T, r *blockedRuntime) {
 	message := make([]byte, 1000)
 	for range maxUnsentBytes / len(message) / 4 {
@@ -355,7 +357,7 @@
 				r.Send(&stream.connection, message)
 			}
 			if r.unsentBytes > r.maxTotalUnsentBytes {
-				t.Fatalf("%d bytes wait, where %d may", r.unsentBytes, r.maxTotalUnsentBytes)
+				t.Fatalf("%d bytes wait, more than the limit of %d", r.unsentBytes, r.maxTotalUnsentBytes)
 			}
 		}
 	}
@@ -368,14 +370,14 @@
 		}
 	}
 	if r.isOpen(r.streams[7]) || open < 8 || open == len(r.streams) {
-		t.Errorf("%d are open, the one owed most %t", open, r.isOpen(r.streams[7]))
+		t.Errorf("%d streams are open; is the one with the most unsent bytes: %t", open, r.isOpen(r.streams[7]))
 	}
 	if sum != r.unsentBytes {
-		t.Errorf("%d bytes wait, counted %d", sum, r.unsentBytes)
+		t.Errorf("%d bytes wait, but %d are counted", sum, r.unsentBytes)
 	}
 }
 
-// checkLingering has the core refuse most connections, and counts those that are left. The lock is held.
+// checkLingering has the core refuse most connections, and counts those that are still open. The caller holds the lock.
 func checkLingering(t *testing.T, r *blockedRuntime) {
 	for _, stream := range r.streams[:30] {
 		r.core.HandleData(&stream.connection, []byte("GET / HTTP/1.1\r\n"))
@@ -388,6 +390,6 @@
 	}
 	open := len(r.serverRuntime.streams)
 	if r.isFull() || len(r.lingering) != maxLingering || len(r.serverRuntime.streams) != 10+maxLingering {
-		t.Errorf("%d open, then %d, of which %d linger", open, len(r.serverRuntime.streams), len(r.lingering))
+		t.Errorf("%d streams before isFull, %d after it, %d linger", open, len(r.serverRuntime.streams), len(r.lingering))
 	}
 }
--- a/internal/platform/takeover_test.go
+++ b/internal/platform/takeover_test.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	graceSlackMs    = 300.0 // ms beyond the grace that the evaluations of planner and test may take
-	drainBatch      = 30    // servers that begin to drain at once
+	graceSlackMs    = 300.0 // ms of tolerance for the intervals between evaluations of planner and test
+	drainBatch      = 30    // servers that start to drain at the same time
 	massJoinServers = 200
-	settledMs       = 10000.0 // ms from the first joins to those with inherited tables
-	completionMs    = 20000.0 // ms from the last event until every proxy holds its complete table
+	settledMs       = 10000.0 // ms from the first joins to the joins with inherited tables
+	completionMs    = 20000.0 // ms from the last event until every proxy must hold its complete table
 	rejoinAfterMs   = 800.0   // ms that a proxy is away
 	firstLeaveMs    = 400.0   // ms from the first join with inherited tables
-	leaveEveryMs    = 40.0    // ms between proxies that leave
-	joinIntervalMs  = 500.0   // ms in which the proxies of planners that ended join, where a scenario says nothing else
+	leaveEveryMs    = 40.0    // ms between two proxies that leave
+	joinIntervalMs  = 500.0   // ms within which the proxies of other planners join in most scenarios
 )
 
-// massJoinScenario is a planner that others' proxies join while servers drain. Times are ms from the first of these joins.
+// massJoinScenario describes a planner that is joined by proxies of other planners while servers drain. Times are ms from
+// the first of these joins.
 type massJoinScenario struct {
 	name             string
-	ownProxies       int     // proxies that join before, with no tables
+	ownProxies       int     // proxies that join first, without tables
 	inheritedProxies int     // proxies with inherited tables
-	ownJoinMs        float64 // when they join; the planner starts then
-	joinPeriodMs     float64 // time in which the others join
+	ownJoinMs        float64 // time of their join, and start of the planner
+	joinPeriodMs     float64 // time within which the proxies with inherited tables join
 	drainsMs         []float64
-	rejoining        int // of the others, that leave and come back
+	rejoining        int // proxies with inherited tables that leave and rejoin
 }
 
-// massJoinScenarios are feasible by the arithmetic of the channel: an assignment takes some 25 to 31 of its entries, so 200 of
-// them take 2.1 s to 2.6 s, and a batch of drains 0.3 s to 0.8 s.
+// massJoinScenarios are feasible at the rate of the channel: an assignment takes 25 to 31 entries, so 200 assignments take
+// 2.1 s to 2.6 s, and a batch of drains takes 0.3 s to 0.8 s.
 var massJoinScenarios = []massJoinScenario{
 	{"drains before the joins", 40, 200, -settledMs, joinIntervalMs, []float64{-500}, 0},
 	{"drains during the joins", 40, 200, -settledMs, joinIntervalMs, []float64{250}, 0},
@@ -41,15 +42,16 @@
 	{"three batches of drains", 40, 200, -settledMs, joinIntervalMs, []float64{0, 2000, 4000}, 0},
 	{"a full channel", 120, 120, -300, joinIntervalMs, []float64{0}, 0},
 	{"joins over 2 s", 40, 180, -settledMs, 2000, []float64{0, 2000}, 0},
-	{"a planner that just started", 0, 240, 0, joinIntervalMs, []float64{1000}, 0},
-	{"proxies that leave and come back", 40, 200, -settledMs, joinIntervalMs, []float64{0, 2000}, 40},
-	{"a planner that just started, while servers drain", 0, 240, 0, joinIntervalMs, []float64{0}, 0},
-	{"a planner that just started, two batches of drains", 0, 160, 0, joinIntervalMs, []float64{0, 2000}, 0},
-	{"few proxies that have tables", 10, 190, -settledMs, joinIntervalMs, []float64{0, 2000}, 0},
+	{"a planner that has just started", 0, 240, 0, joinIntervalMs, []float64{1000}, 0},
+	{"proxies that leave and rejoin", 40, 200, -settledMs, joinIntervalMs, []float64{0, 2000}, 40},
+	{"a planner that has just started, while servers drain", 0, 240, 0, joinIntervalMs, []float64{0}, 0},
+	{"a planner that has just started, two batches of drains", 0, 160, 0, joinIntervalMs, []float64{0, 2000}, 0},
+	{"few proxies without inherited tables", 10, 190, -settledMs, joinIntervalMs, []float64{0, 2000}, 0},
 }
 
-// Proxies of planners that ended join another while servers drain. Each server must be ejected, or replaced with the
-// table, within its grace at all of them, though the channel cannot notify every proxy of every server in that time.
+// TestDrainsDuringMassJoin checks that proxies of other planners stop picking draining servers in time when they join all
+// at once. Each server must be ejected, or missing in a new table, at every proxy within the drain grace, although the
+// channel cannot notify every proxy of every server in that time.
 func TestDrainsDuringMassJoin(t *testing.T) {
 	for index, scenario := range massJoinScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -70,18 +72,18 @@
 	site.Policy.DrainGraceMs = 3600
 	f := newModelFleet(t, site, massJoinServers, seed)
 	s.play(f)
-	t.Logf("seed %d: a backlog of %.0f entries, %d messages to a proxy, a pick %.0f ms after the notification",
+	t.Logf("seed %d: backlog of %.0f entries, %d messages to a proxy, last pick %.0f ms after the notification",
 		seed, f.maxBacklog, f.maxMessages, f.latestPickMs)
 	if violations := slices.Sorted(maps.Keys(f.violations)); len(violations) > 0 {
-		t.Errorf("seed %d: %d violations, as %s", seed, len(violations), violations[0])
+		t.Errorf("seed %d: %d violations, such as: %s", seed, len(violations), violations[0])
 	}
 	if f.maxBacklog > site.Policy.MaxBacklog || f.maxMessages > site.Policy.MaxMessages {
-		t.Errorf("seed %d: a backlog of %.0f entries, %d messages to a proxy", seed, f.maxBacklog, f.maxMessages)
+		t.Errorf("seed %d: over a limit with a backlog of %.0f entries and %d messages to a proxy", seed, f.maxBacklog, f.maxMessages)
 	}
 	f.checkComplete()
 }
 
-// play lets the events happen, and time pass until nothing is on its way.
+// play runs the events, and then lets time pass until no update is in transit.
 func (s *massJoinScenario) play(f *modelFleet) {
 	events := s.events(f)
 	slices.SortStableFunc(events, func(a, b event) int { return cmp.Compare(a.atMs, b.atMs) })
@@ -96,7 +98,7 @@
 	}
 }
 
-// event is what happens at a time, in ms from the first join with inherited tables.
+// event is a function to run at a time, in ms from the first join with inherited tables.
 type event struct {
 	atMs float64
 	run  func()
@@ -130,7 +132,8 @@
 	return events
 }
 
-// A server that one of a proxy's tables holds is sent with the other one too: an ejection is not sent where it is omitted.
+// TestServerOfTwoTablesIsNotOmitted checks that a server which is in one table of a proxy is not omitted from another: the
+// proxy would not be notified of its ejection.
 func TestServerOfTwoTablesIsNotOmitted(t *testing.T) {
 	const proxyID, first, second = 1, 90, 91
 	h := startCore(t)
--- a/internal/platform/takeoverloopback_test.go
+++ b/internal/platform/takeoverloopback_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	loopbackRate             = 1200.0 // entries per second, so few that a rush of joins lasts
-	loopbackOverhead         = 4.0    // entries of each message, as in testSettings
+	loopbackRate             = 1200.0 // entries per second; so low that a mass join takes a while
+	loopbackOverhead         = 4.0    // entries per message, as in testSettings
 	loopbackBacklog          = 2400.0 // entries
-	loopbackGraceMs          = 3000.0 // as in testSettings
-	loopbackServers          = 30     // so few that the first table, which is for one proxy, is not much larger than later ones
+	loopbackGraceMs          = 3000.0 // ms, as in testSettings
+	loopbackServers          = 30     // so few that the first table, made for one proxy, is not much larger than later ones
 	loopbackOwnProxies       = 20     // proxies that join first
-	loopbackInheritedProxies = 60     // proxies with tables of other planners, that join at once
-	loopbackDrainingServers  = 9      // servers that begin to drain as these join
+	loopbackInheritedProxies = 60     // proxies with tables of other planners, which join together
+	loopbackDrainingServers  = 9      // servers that start to drain as these join
 	arrivalQueueLength       = 1 << 16
 )
 
 var loopbackClasses = []string{"lookup", "order"} // of testSettings
 
-// loopbackSettings are testSettings for more proxies and a slower channel.
+// loopbackSettings changes testSettings to more proxies and a slower channel.
 var loopbackSettings = strings.NewReplacer(
 	`"Balancers":2`, `"Balancers":5`,
 	`"DataPlaneSize":8`, fmt.Sprintf(`"DataPlaneSize":%d`, loopbackOwnProxies+loopbackInheritedProxies),
@@ -46,20 +46,20 @@
 	peer *testPeer
 }
 
-// loopbackFleet is the proxies of a planner on sockets. What they read is applied one update after another at the rate of
-// the channel, which sockets do not have.
+// loopbackFleet is the proxies of a planner that runs on sockets. As sockets do not limit the rate like the channel,
+// updates are applied one after another at loopbackRate.
 type loopbackFleet struct {
 	planner       *testPlanner
 	clock         clock.Clock
 	arrivals      chan arrival
-	channelFreeMs float64 // when all that arrived will have left the channel
+	channelFreeMs float64 // when all updates applied so far have left the simulated channel
 	own           []*loopbackProxy
 	inherited     []*loopbackProxy
 }
 
 // join connects a proxy and reads its updates until the connection ends.
-func (f *loopbackFleet) join(p *modelProxy, fresh int) *loopbackProxy {
-	joined := &loopbackProxy{p, f.planner.dial(fmt.Sprintf("joined id=%d site=a rps=8 new=%d\r\n", p.id, fresh))}
+func (f *loopbackFleet) join(p *modelProxy, newFlag int) *loopbackProxy {
+	joined := &loopbackProxy{p, f.planner.dial(fmt.Sprintf("joined id=%d site=a rps=8 new=%d\r\n", p.id, newFlag))}
 	go func() {
 		update := ""
 		for {
@@ -77,14 +77,14 @@
 	return joined
 }
 
-// applyNext applies and acknowledges the next update when it has left the channel.
+// applyNext waits until the next update has left the simulated channel, then applies and acknowledges it.
 func (f *loopbackFleet) applyNext(t *testing.T) {
 	t.Helper()
 	var next arrival
 	select {
 	case next = <-f.arrivals:
 	case <-after(peerTimeoutMs):
-		t.Fatal("proxies wait for updates that do not come")
+		t.Fatal("no update arrives although the condition is not met")
 	}
 	entries := float64(countEntries(next.update)) + loopbackOverhead
 	f.channelFreeMs = max(f.channelFreeMs, next.atMs) + entries/loopbackRate*millisecondsPerSecond
@@ -96,7 +96,7 @@
 	}
 }
 
-// picksOneOf says whether a proxy may pick one of some servers.
+// picksOneOf reports whether a proxy may pick one of the given servers.
 func (p *loopbackProxy) picksOneOf(servers map[string]bool) bool {
 	for class := range p.weights {
 		for server := range p.eligibleServers(class) {
@@ -108,7 +108,7 @@
 	return false
 }
 
-// weightsExcept returns a proxy's weights by class and server, but for some servers.
+// weightsExcept returns the weights of a proxy by class and server, without those of some servers.
 func (p *loopbackProxy) weightsExcept(except map[string]bool) map[string]float64 {
 	weights := map[string]float64{}
 	for class := range p.weights {
@@ -121,8 +121,8 @@
 	return weights
 }
 
-// isComplete says whether a proxy's table is that of one that had it from the start, but for servers that drain, and whether
-// it has ejected no other servers of it.
+// isComplete reports whether a proxy has the same table as one of the first proxies and has ejected none of its servers,
+// both apart from the drained servers.
 func (f *loopbackFleet) isComplete(p *loopbackProxy, drained map[string]bool) bool {
 	for class := range p.weights {
 		for server := range p.weights[class] {
@@ -135,7 +135,7 @@
 	return p.assigned && slices.ContainsFunc(f.own, equal)
 }
 
-// startLoopbackFleet starts a planner, and proxies that are assigned their first tables by it.
+// startLoopbackFleet starts a planner and its first proxies, and waits until these have been assigned tables.
 func startLoopbackFleet(t *testing.T, discovery *fakeDiscovery, known string) *loopbackFleet {
 	t.Helper()
 	config := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
@@ -156,7 +156,7 @@
 	return f
 }
 
-// applyUntil applies updates until a condition holds, and returns the time.
+// applyUntil applies updates until a condition holds, and returns the time in ms.
 func (f *loopbackFleet) applyUntil(t *testing.T, holds func() bool) float64 {
 	t.Helper()
 	for !holds() {
@@ -165,8 +165,8 @@
 	return f.clock.Monotonic()
 }
 
-// Proxies with tables of planners that ended join one over sockets while servers drain: none picks such a server beyond the
-// grace, and later each holds its complete table.
+// TestDrainsDuringMassJoinOnLoopback has proxies of other planners join over sockets while servers drain. It checks that
+// none of them picks a draining server after the drain grace, and that each holds its complete table in the end.
 func TestDrainsDuringMassJoinOnLoopback(t *testing.T) {
 	servers := testEndpoints(loopbackServers, policy.Ready)
 	drained := map[string]bool{}
@@ -183,7 +183,7 @@
 	f := startLoopbackFleet(t, discovery, known)
 	discovery.lines <- listText(2, false, draining...)
 	notifiedMs := f.clock.Monotonic()
-	f.applyUntil(t, func() bool { return f.own[0].ejected[servers[0].Server] }) // the planner knows of the drains
+	f.applyUntil(t, func() bool { return f.own[0].ejected[servers[0].Server] }) // the planner has been notified of the drains
 	random := rand.New(rand.NewSource(1))
 	for id := loopbackOwnProxies; id < loopbackOwnProxies+loopbackInheritedProxies; id++ {
 		p := newModelProxy(id, loopbackClasses)
@@ -194,10 +194,10 @@
 		return !slices.ContainsFunc(append(f.inherited, f.own...), func(p *loopbackProxy) bool { return p.picksOneOf(drained) })
 	}) - notifiedMs
 	if lateMs > loopbackGraceMs {
-		t.Errorf("servers that drain are picked until %.0f ms after the notification", lateMs)
+		t.Errorf("draining servers are picked until %.0f ms after the notification", lateMs)
 	}
 	completeMs := f.applyUntil(t, func() bool {
 		return !slices.ContainsFunc(f.inherited, func(p *loopbackProxy) bool { return !f.isComplete(p, drained) })
 	}) - notifiedMs
-	t.Logf("no drained server is picked after %.0f ms, and tables are complete after %.0f ms", lateMs, completeMs)
+	t.Logf("no draining server is picked after %.0f ms, and tables are complete after %.0f ms", lateMs, completeMs)
 }
