--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -31,7 +31,7 @@
 	discoveryResponseTimeoutMs = 5000.0  // ms that a response, or a line of a watch, may take to its end
 	discoveryDialTimeoutMs     = 1000.0  // ms; the agent runs on the same machine
 	minDiscoveryRetryMs        = 50.0    // ms; the first backoff, doubled after each failure
-	maxDiscoveryRetryMs        = 500.0   // ms; the platform regards the planner as notified of a change after 6 s
+	maxDiscoveryRetryMs        = 500.0   // ms; short, as the platform regards the planner as notified of a change after 6 s
 	maxEndpointListBytes       = 4 << 20 // bytes of a complete list, or of a line of a watch
 	maxHeaderBytes             = 1 << 14 // bytes of a response's header
 	maxLoggedBytes             = 1000    // bytes of a list that the debug log shows
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -60,8 +60,8 @@
 }
 
 // appendChunk returns the message up to the end of the chunk. A chunk that is a complete message is not copied.
-func (r *messageReader) appendChunk(chunk []byte, unended bool) []byte {
-	if len(r.partial) == 0 && !unended {
+func (r *messageReader) appendChunk(chunk []byte, incomplete bool) []byte {
+	if len(r.partial) == 0 && !incomplete {
 		return chunk
 	}
 	r.partial = append(r.partial, chunk...)
--- a/internal/platform/publisher.go
+++ b/internal/platform/publisher.go
@@ -17,6 +17,7 @@
 	requestAcknowledgement bool
 }
 
+// changedEntry names an entry of a table that has changed.
 type changedEntry struct {
 	table  *weighttable.Table[*proxy]
 	server string
