--- a/internal/discovery/filesource.go
+++ b/internal/discovery/filesource.go
@@ -46,7 +46,7 @@
 func (p *filePoller) poll() {
 	content, err := os.ReadFile(p.path)
 	if err != nil {
-		p.faults.failed(err)
+		p.faults.reportFailure(err)
 		return
 	}
 	checksum := sha256.Sum256(content)
@@ -57,10 +57,10 @@
 	p.lastChecksum = checksum
 	var list pb.List
 	if err := settings.Parse(p.path, content, &list); err != nil {
-		p.faults.failed(err)
+		p.faults.reportFailure(err)
 		return
 	}
-	p.faults.succeeded()
+	p.faults.reportSuccess()
 	p.version++
 	p.deliver(newFullUpdate(&list, p.version))
 }
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -62,7 +62,7 @@
 	lastFault string // empty: the last attempt succeeded
 }
 
-func (r *faultReporter) failed(err error) {
+func (r *faultReporter) reportFailure(err error) {
 	fault := err.Error()
 	if fault == r.lastFault {
 		return
@@ -71,4 +71,4 @@
 	r.deliver(Update{Kind: policy.FailedUpdate, Fault: fault})
 }
 
-func (r *faultReporter) succeeded() { r.lastFault = "" }
+func (r *faultReporter) reportSuccess() { r.lastFault = "" }
--- a/internal/discovery/streamsource.go
+++ b/internal/discovery/streamsource.go
@@ -40,11 +40,11 @@
 	faults := faultReporter{deliver: deliver}
 	for ctx.Err() == nil {
 		err := s.follow(ctx, func(update Update) {
-			faults.succeeded()
+			faults.reportSuccess()
 			deliver(update)
 		})
 		if ctx.Err() == nil && err != nil {
-			faults.failed(err)
+			faults.reportFailure(err)
 		}
 		if clock.Sleep(ctx, s.Clock, s.ReconnectDelayMs) != nil {
 			break
--- a/internal/discovery/tracker.go
+++ b/internal/discovery/tracker.go
@@ -15,11 +15,11 @@
 	// maxMissingShare is the part of the servers that may be missing from a full list at once and are believed gone. More is
 	// rather a fault of the source.
 	maxMissingShare = 0.3
-	// minUnverified is the number of missing servers from which on their removal may be delayed. Of a handful, one or two may well go
+	// minMissingToDelay is the number of missing servers from which on their removal may be delayed. Of a handful, one or two may well go
 	// together.
-	minUnverified = 3
-	// unverifiedMs is how long the removal of missing servers is delayed, in ms. A source that polls may lack them for a poll or two.
-	unverifiedMs = 10_000.0
+	minMissingToDelay = 3
+	// removalDelayMs is how long the removal of missing servers is delayed, in ms. A source that polls may lack them for a poll or two.
+	removalDelayMs = 10_000.0
 	// RemovedRetentionMs is how long a removed server is remembered, in ms. The policy forgets one earlier, so that no late decision
 	// of it is about an unknown server.
 	RemovedRetentionMs = 900_000.0
@@ -48,7 +48,7 @@
 
 // Tracker turns the updates of sources into those for the policy. A server that a source states to be draining or removed is
 // believed at once. One that is only missing from a full list is believed gone at once while few are, and after
-// unverifiedMs when many are. This guards against a source that answers with a part of its list, or with none, and a file
+// removalDelayMs when many are. This guards against a source that answers with a part of its list, or with none, and a file
 // that is read while it is written. It harms when a whole zone is really taken out of the list in one step: requests go
 // there until its servers are ejected or the time is over.
 //
@@ -64,7 +64,7 @@
 	sourceFailed bool    // a failed update is to be passed on
 	received     bool    // a first list came
 	restored     bool    // the first list is one from before a restart
-	announced    bool    // a first list was passed on
+	reported     bool    // a first list was passed on
 	dirty        bool    // an update came since the last evaluation
 	deadlineMs   float64 // when the next unverified endpoint is believed gone; infinite if none is
 
@@ -115,7 +115,7 @@
 func (t *Tracker) recordEndpoint(listed Endpoint, asOfUnixMs uint64) {
 	endpoint := t.endpoints[listed.Server]
 	_, zoneKnown := t.zones[listed.Zone]
-	if !zoneKnown || endpoint == nil && !t.hasRoom() {
+	if !zoneKnown || endpoint == nil && !t.ensureCapacity() {
 		t.Rejected++
 		return
 	}
@@ -147,8 +147,8 @@
 	return math.Max(t.nowMs-ageMs, earliestStartMs)
 }
 
-// hasRoom reports whether one more server can be held. If need be it forgets one that is removed and was reported so.
-func (t *Tracker) hasRoom() bool {
+// ensureCapacity reports whether one more server can be held. If need be it forgets one that is removed and was reported so.
+func (t *Tracker) ensureCapacity() bool {
 	if len(t.endpoints) < t.maxEndpoints {
 		return true
 	}
@@ -175,7 +175,7 @@
 		if !tooMany {
 			endpoint.removalMs = t.nowMs
 		} else if math.IsInf(endpoint.removalMs, 1) {
-			endpoint.removalMs = t.nowMs + unverifiedMs
+			endpoint.removalMs = t.nowMs + removalDelayMs
 		}
 		if endpoint.removalMs > t.nowMs {
 			t.Unverified++
@@ -196,7 +196,7 @@
 			missing++
 		}
 	}
-	return missing >= minUnverified && float64(missing) > maxMissingShare*float64(present)
+	return missing >= minMissingToDelay && float64(missing) > maxMissingShare*float64(present)
 }
 
 // Next passes on at most one update, and reports whether it did: callers call it until it does not.
@@ -214,14 +214,14 @@
 	changes := t.takeChanges()
 	kind := policy.DeltaUpdate
 	switch {
-	case t.announced && len(changes) == 0:
+	case t.reported && len(changes) == 0:
 		return false
-	case !t.announced && t.restored:
+	case !t.reported && t.restored:
 		kind = policy.RestoredUpdate
-	case !t.announced:
+	case !t.reported:
 		kind = policy.FullUpdate
 	}
-	t.announced = true
+	t.reported = true
 	host.UpdateEndpoints(kind, changes)
 	return true
 }
@@ -230,16 +230,16 @@
 // servers that were removed long ago.
 func (t *Tracker) takeChanges() []policy.Endpoint {
 	var changes []policy.Endpoint
-	remembered := t.order[:0]
+	retained := t.order[:0]
 	for _, server := range t.order {
 		endpoint := t.endpoints[server]
 		if endpoint.State == policy.Removed && !endpoint.changed && t.nowMs-endpoint.reportedMs > RemovedRetentionMs {
 			delete(t.endpoints, server)
 			continue
 		}
-		remembered = append(remembered, server)
-		t.verifyMissing(endpoint)
-		if !endpoint.changed && (t.announced || endpoint.State == policy.Removed) {
+		retained = append(retained, server)
+		t.removeOverdue(endpoint)
+		if !endpoint.changed && (t.reported || endpoint.State == policy.Removed) {
 			continue
 		}
 		endpoint.changed = false
@@ -252,12 +252,12 @@
 			StartedMs:        endpoint.startedMs,
 		})
 	}
-	t.order = remembered
+	t.order = retained
 	return changes
 }
 
-// verifyMissing removes a server that has been missing for long enough, and sets the deadline for one that has not.
-func (t *Tracker) verifyMissing(endpoint *trackedEndpoint) {
+// removeOverdue removes a server that has been missing for long enough, and sets the deadline for one that has not.
+func (t *Tracker) removeOverdue(endpoint *trackedEndpoint) {
 	if endpoint.listed || endpoint.State == policy.Removed {
 		return
 	}
--- a/internal/discovery/tracker_test.go
+++ b/internal/discovery/tracker_test.go
@@ -147,11 +147,11 @@
 	test := newTrackerTest()
 	test.at(1000, listOf(10))
 	test.at(2000, listOf(0))
-	if deadlineMs := test.tracker.Deadline(); deadlineMs != 2000+unverifiedMs {
+	if deadlineMs := test.tracker.Deadline(); deadlineMs != 2000+removalDelayMs {
 		t.Errorf("deadline %g", deadlineMs)
 	}
 	test.at(6000, listOf(0))
-	test.at(2000 + unverifiedMs)
+	test.at(2000 + removalDelayMs)
 	test.expectReady(t, 0)
 }
 
--- a/internal/lease/constants.go
+++ b/internal/lease/constants.go
@@ -42,10 +42,10 @@
 
 // Pace of transfers.
 const (
-	// settleMs is how long a better ranked controller must be reachable before proxies are transferred to it, in ms.
-	settleMs = 3000.0
-	// maxSettleDoublings bounds how often settleMs is doubled for a proxy that came back after a transfer: a minute and a half.
-	maxSettleDoublings = 5
+	// transferDelayMs is how long a better ranked controller must be reachable before proxies are transferred to it, in ms.
+	transferDelayMs = 3000.0
+	// maxTransferDelayDoublings bounds how often transferDelayMs is doubled for a proxy that came back after a transfer: a minute and a half.
+	maxTransferDelayDoublings = 5
 	// transfersPerSecond bounds the pace of transfers, as each has the next holder send the proxy a whole weight table.
 	transfersPerSecond = 20.0
 	transferIntervalMs = 1000 / transfersPerSecond
@@ -53,8 +53,8 @@
 
 // Reservation of epochs.
 const (
-	// reservedAhead is how many epochs one write to the store covers: a takeover of a thousand proxies takes one.
-	reservedAhead = 1000
+	// epochsPerReservation is how many epochs one write to the store covers: a takeover of a thousand proxies takes one.
+	epochsPerReservation = 1000
 	// reservationPollMs is how soon a proxy is evaluated again while a reservation is being written, in ms.
 	reservationPollMs = rankDelayMs / 4
 )
--- a/internal/lease/decisions.go
+++ b/internal/lease/decisions.go
@@ -28,8 +28,8 @@
 // Next carries out at most one decision, and reports whether it did: callers call it until it does not. What has been due
 // longest goes first.
 func (m *Manager) Next(host Host) bool {
-	if !m.openAnnounced {
-		m.openAnnounced = true
+	if !m.acceptsLeasesAnnounced {
+		m.acceptsLeasesAnnounced = true
 		host.SetAcceptsLeases(m.AcceptsLeases())
 		return true
 	}
@@ -137,7 +137,7 @@
 		return false
 	}
 	m.reservationPending = true
-	host.ReserveEpochs(epoch + reservedAhead)
+	host.ReserveEpochs(epoch + epochsPerReservation)
 	return true
 }
 
--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -7,7 +7,7 @@
 
 const (
 	faultsMs     = 20_000 // that faults are drawn for
-	healingMs    = 4000   // after that
+	recoveryMs   = 4000   // after that
 	requestLoss  = 0.02
 	redialChance = 0.004 // of each missing stream, in a step
 	meanPauseMs  = 2500
@@ -34,7 +34,7 @@
 	w.loss = requestLoss
 	for w.nowMs < faultsMs {
 		w.step()
-		w.drawFault()
+		w.injectRandomFault()
 		w.redial()
 	}
 	for _, name := range w.names {
@@ -45,7 +45,7 @@
 			controller.start()
 		}
 	}
-	for range healingMs {
+	for range recoveryMs {
 		w.step()
 		for _, proxy := range w.proxies {
 			for _, name := range w.names {
@@ -56,8 +56,8 @@
 	return w
 }
 
-// drawFault has a drawn controller meet a fault, or none.
-func (w *world) drawFault() {
+// injectRandomFault has a drawn controller meet a fault, or none.
+func (w *world) injectRandomFault() {
 	controller := w.controllers[w.names[w.random.Intn(len(w.names))]]
 	switch draw := w.random.Float64(); {
 	case draw < pauseBound && !controller.dead:
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -12,8 +12,8 @@
 const (
 	stepMs           = 5.0
 	runMs            = 40_000.0
-	healMs           = 32_000.0 // no faults from then on
-	digestMs         = 1000.0   // that each digest in the golden file covers
+	faultsEndMs      = 32_000.0 // no faults from then on
+	digestIntervalMs = 1000.0   // that each digest in the golden file covers
 	seed             = 20261202
 	plannerCount     = 3
 	proxyCount       = 15
@@ -51,7 +51,7 @@
 }
 
 func newSimulation() *simulation {
-	s := &simulation{digest: golden.NewDigest("leases", digestMs), random: rand.New(rand.NewSource(seed))}
+	s := &simulation{digest: golden.NewDigest("leases", digestIntervalMs), random: rand.New(rand.NewSource(seed))}
 	for number := range plannerCount {
 		planner := &simulatedPlanner{simulation: s, name: fmt.Sprint("planner-", number), open: true}
 		planner.start()
@@ -218,7 +218,7 @@
 func (s *simulation) advance() {
 	s.nowMs += stepMs
 	s.scheduledFaults()
-	if s.nowMs < healMs {
+	if s.nowMs < faultsEndMs {
 		s.randomFaults()
 	}
 	for _, proxy := range s.proxies {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -21,10 +21,10 @@
 	reservationFailed  bool    // the last write failed: no new lease can be requested
 	reservationRetryMs float64 // no write before that time
 
-	draining       bool
-	openAnnounced  bool    // whether proxies know the present value of AcceptsLeases
-	lastTransferMs float64 // minus infinity: never
-	timerMs        float64 // of the last Host.SetTimer
+	draining               bool
+	acceptsLeasesAnnounced bool    // whether proxies know the present value of AcceptsLeases
+	lastTransferMs         float64 // minus infinity: never
+	timerMs                float64 // of the last Host.SetTimer
 
 	Takeovers   int // leases gained, by grants under a new epoch
 	Transferred int // leases given back for another controller
@@ -37,15 +37,15 @@
 // clock that SetTime goes by.
 func NewManager(name string, incarnation, reservedEpoch uint64, nowMs float64) *Manager {
 	return &Manager{
-		name:               name,
-		incarnation:        incarnation,
-		nowMs:              nowMs,
-		proxies:            map[string]*proxyState{},
-		lastEpoch:          reservedEpoch,
-		reservedEpoch:      reservedEpoch,
-		reservationRetryMs: math.Inf(-1),
-		openAnnounced:      true,
-		lastTransferMs:     math.Inf(-1),
+		name:                   name,
+		incarnation:            incarnation,
+		nowMs:                  nowMs,
+		proxies:                map[string]*proxyState{},
+		lastEpoch:              reservedEpoch,
+		reservedEpoch:          reservedEpoch,
+		reservationRetryMs:     math.Inf(-1),
+		acceptsLeasesAnnounced: true,
+		lastTransferMs:         math.Inf(-1),
 	}
 }
 
@@ -108,7 +108,7 @@
 // EpochsReserved records that the store holds that epochs up to upTo may be used.
 func (m *Manager) EpochsReserved(upTo uint64) {
 	if m.reservationFailed {
-		m.openAnnounced = false
+		m.acceptsLeasesAnnounced = false
 	}
 	m.reservedEpoch = max(m.reservedEpoch, upTo)
 	m.reservationPending = false
@@ -121,7 +121,7 @@
 // against others that transfer proxies to it which it cannot take.
 func (m *Manager) ReservationFailed() {
 	if !m.reservationFailed {
-		m.openAnnounced = false
+		m.acceptsLeasesAnnounced = false
 	}
 	m.reservationPending = false
 	m.reservationFailed = true
@@ -132,7 +132,7 @@
 // SetDraining has the controller transfer all that it holds and request nothing, or ends that.
 func (m *Manager) SetDraining(draining bool) {
 	if m.draining != draining {
-		m.openAnnounced = false
+		m.acceptsLeasesAnnounced = false
 	}
 	m.draining = draining
 	m.rescheduleAll()
@@ -176,9 +176,9 @@
 	rank, first := rankControllers(m.name, proxy.name, view.Reachable)
 	proxy.rank = rank
 	if first == m.name || first == "" {
-		proxy.betterSinceMs = math.Inf(1)
+		proxy.outrankedSinceMs = math.Inf(1)
 	} else {
-		proxy.betterSinceMs = math.Min(proxy.betterSinceMs, m.nowMs)
+		proxy.outrankedSinceMs = math.Min(proxy.outrankedSinceMs, m.nowMs)
 	}
 	m.reschedule(proxy)
 }
@@ -200,7 +200,7 @@
 	}
 	if proxy.epoch != request.epoch {
 		m.Takeovers++
-		m.restartSettling(proxy)
+		m.restartTransferDelay(proxy)
 		proxy.epoch = request.epoch
 		proxy.heldUntilMs = math.Inf(-1)
 		proxy.commanded = false
@@ -208,15 +208,15 @@
 	proxy.heldUntilMs = max(proxy.heldUntilMs, heldUntilMs(request.sentMs, DurationMs))
 }
 
-// restartSettling has a better ranked controller that left a proxy free settle anew, for longer each time that the proxy
+// restartTransferDelay has a better ranked controller that left a proxy free settle anew, for longer each time that the proxy
 // comes back after a transfer. Guards against endless transfers to a controller that is paused with its streams up.
-func (m *Manager) restartSettling(proxy *proxyState) {
-	if math.IsInf(proxy.betterSinceMs, 1) {
-		proxy.settleDoublings = 0
+func (m *Manager) restartTransferDelay(proxy *proxyState) {
+	if math.IsInf(proxy.outrankedSinceMs, 1) {
+		proxy.transferDelayDoublings = 0
 		return
 	}
-	proxy.betterSinceMs = math.Max(proxy.betterSinceMs, m.nowMs)
-	if m.nowMs-proxy.transferredMs < settleMs {
-		proxy.settleDoublings = min(proxy.settleDoublings+1, maxSettleDoublings)
+	proxy.outrankedSinceMs = math.Max(proxy.outrankedSinceMs, m.nowMs)
+	if m.nowMs-proxy.transferredMs < transferDelayMs {
+		proxy.transferDelayDoublings = min(proxy.transferDelayDoublings+1, maxTransferDelayDoublings)
 	}
 }
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 const (
-	forever = 1e9 // ms
+	foreverMs = 1e9 // ms
 	// unknownEpoch is beyond what any controller of a new world has reserved.
 	unknownEpoch = 5_000_000
 )
@@ -46,7 +46,7 @@
 	if held := w.countHeld()["B"]; held != 0 {
 		t.Errorf("took %d at once", held)
 	}
-	w.run(int(settleMs) + 3000)
+	w.run(int(transferDelayMs) + 3000)
 	held := w.countHeld()
 	if held["B"] != before["B"] || restarted.manager.Takeovers != before["B"] {
 		t.Errorf("held %v, before %v, %d takeovers", held, before, restarted.manager.Takeovers)
@@ -54,8 +54,8 @@
 	w.checkRules(t)
 }
 
-// newWorldOfOne is three controllers of which only A has streams.
-func newWorldOfOne(t *testing.T) *world {
+// newWorldConnectedToA is three controllers of which only A has streams.
+func newWorldConnectedToA(t *testing.T) *world {
 	t.Helper()
 	w := newWorld(t, 3, 3, 60)
 	for _, proxy := range w.proxies {
@@ -67,7 +67,7 @@
 
 // At a start most proxies were once requested by the controller that they reached first, and transferred 3 s later.
 func testLateStreamsCauseNoTransfers(t *testing.T) {
-	w := newWorldOfOne(t)
+	w := newWorldConnectedToA(t)
 	w.run(100)
 	w.connectAll(w.controllers["B"])
 	w.run(200)
@@ -84,7 +84,7 @@
 
 // Waiting for the other controllers must not leave proxies free where these are dead.
 func testLoneControllerTakesAll(t *testing.T) {
-	w := newWorldOfOne(t)
+	w := newWorldConnectedToA(t)
 	w.run(int(connectGraceMs + 3*rankDelayMs))
 	if held := w.countHeld(); held["A"] != 60 {
 		t.Errorf("held %v", held)
@@ -131,7 +131,7 @@
 func testPausedControllerGetsNoTransfers(t *testing.T) {
 	w := newWorld(t, 7, 3, 30)
 	w.run(3000)
-	w.controllers["A"].pausedUntilMs = forever
+	w.controllers["A"].pausedUntilMs = foreverMs
 	w.run(30000)
 	takeovers := w.controllers["B"].manager.Takeovers + w.controllers["C"].manager.Takeovers
 	if takeovers > 130 || w.countHeld()["A"] != 0 {
--- a/internal/lease/model/explorer.go
+++ b/internal/lease/model/explorer.go
@@ -32,7 +32,7 @@
 	for number := range e.bounds.Proxies {
 		if next.links[0][number].heldRemaining > 0 && next.links[1][number].heldRemaining > 0 {
 			violation := fmt.Sprintf("both controllers believe that they hold proxy %d", number)
-			e.violate(violation, from, fmt.Sprintf(format, args...))
+			e.recordViolation(violation, from, fmt.Sprintf(format, args...))
 			return
 		}
 	}
@@ -43,8 +43,8 @@
 	e.discovered = append(e.discovered, next)
 }
 
-// violate records that a step broke a rule.
-func (e *explorer) violate(violation string, from state, step string) {
+// recordViolation records that a step broke a rule.
+func (e *explorer) recordViolation(violation string, from state, step string) {
 	e.violation = violation
 	e.lastState = from
 	e.lastStep = step
--- a/internal/lease/model/state.go
+++ b/internal/lease/model/state.go
@@ -5,7 +5,7 @@
 // Durations in ticks. A controller's clock may stand still for one tick in the time of a lease.
 const (
 	leaseTicks  = 3
-	beliefTicks = leaseTicks - 1 // part of a lease that its holder believes in
+	holderTicks = leaseTicks - 1 // part of a lease that its holder believes in
 )
 
 const (
@@ -30,9 +30,9 @@
 }
 
 type controller struct {
-	process     uint8 // number of restarts
-	lastEpoch   uint8 // the highest requested
-	steadyTicks uint8 // until its clock may stand still again
+	process           uint8 // number of restarts
+	lastEpoch         uint8 // the highest requested
+	stopCooldownTicks uint8 // until its clock may stand still again
 }
 
 // link is what a controller and a proxy have under way to each other, and what the controller believes of the proxy.
@@ -51,8 +51,8 @@
 	age     uint8 // ticks of the controller's clock since the request, up to leaseTicks
 }
 
-// grow lets a message under way age.
-func (m *message) grow() {
+// advanceAge lets a message under way age.
+func (m *message) advanceAge() {
 	if m.epoch > 0 {
 		m.age = min(m.age+1, leaseTicks)
 	}
--- a/internal/lease/model/transitions.go
+++ b/internal/lease/model/transitions.go
@@ -49,14 +49,14 @@
 	for number := range controllerCount {
 		controller := &next.controllers[number]
 		if !stop.includes(number) {
-			controller.steadyTicks -= min(controller.steadyTicks, 1)
+			controller.stopCooldownTicks -= min(controller.stopCooldownTicks, 1)
 			e.tickLinks(&next, number)
 			continue
 		}
-		if controller.steadyTicks > 0 {
+		if controller.stopCooldownTicks > 0 {
 			return current, false
 		}
-		controller.steadyTicks = leaseTicks
+		controller.stopCooldownTicks = leaseTicks
 	}
 	return next, true
 }
@@ -69,8 +69,8 @@
 		if link.heldRemaining == 0 {
 			link.heldEpoch = 0
 		}
-		link.request.grow()
-		link.answer.grow()
+		link.request.advanceAge()
+		link.answer.advanceAge()
 	}
 }
 
@@ -176,15 +176,15 @@
 	link := &next.links[number][proxyNumber]
 	link.answer = message{}
 	if answer.process == current.controllers[number].process {
-		e.believe(link, answer)
+		e.recordGrant(link, answer)
 	}
 	e.add(next, current, "%s learns that proxy %d granted epoch %d, asked for %d ticks ago",
 		controllerName(number), proxyNumber, answer.epoch, answer.age)
 }
 
-// believe has a controller take a lease to be held, as long as the answer allows.
-func (e *explorer) believe(link *link, answer message) {
-	remaining := uint8(beliefTicks)
+// recordGrant has a controller take a lease to be held, as long as the answer allows.
+func (e *explorer) recordGrant(link *link, answer message) {
+	remaining := uint8(holderTicks)
 	if e.mutation == WithoutClockRateBound {
 		remaining = leaseTicks
 	}
@@ -215,7 +215,7 @@
 	}
 	step := fmt.Sprintf("proxy %d %s an order of %s under epoch %d", proxyNumber, verb, controllerName(number), order.epoch)
 	if obeyed && isStale(&current, number, proxyNumber) && e.violation == "" {
-		e.violate("a stale order was obeyed", current, step)
+		e.recordViolation("a stale order was obeyed", current, step)
 		return
 	}
 	e.add(next, current, "%s", step)
--- a/internal/lease/proxystate.go
+++ b/internal/lease/proxystate.go
@@ -27,12 +27,12 @@
 	heldUntilMs float64        // when this controller stops believing that it holds the lease
 	commanded   bool           // whether Host.StartCommand was called for the lease
 
-	rank             int     // of this controller among those that the proxy can reach, from 0
-	betterSinceMs    float64 // since when a better ranked controller has been reachable; infinite while none is
-	transferredMs    float64 // when it was last transferred; minus infinity: never
-	settleDoublings  int     // transfers in a row after which no other controller requested the proxy
-	nextEvaluationMs float64 // when it is due for a decision
-	queueIndex       int     // in Manager.queue
+	rank                   int     // of this controller among those that the proxy can reach, from 0
+	outrankedSinceMs       float64 // since when a better ranked controller has been reachable; infinite while none is
+	transferredMs          float64 // when it was last transferred; minus infinity: never
+	transferDelayDoublings int     // transfers in a row after which no other controller requested the proxy
+	nextEvaluationMs       float64 // when it is due for a decision
+	queueIndex             int     // in Manager.queue
 }
 
 // leaseRequest is a request that has not been answered.
@@ -45,11 +45,11 @@
 // newProxyState returns the state of a proxy whose stream has just come up.
 func newProxyState(name string, nowMs float64) *proxyState {
 	return &proxyState{
-		name:          name,
-		connectedMs:   nowMs,
-		freeSinceMs:   math.Inf(1),
-		betterSinceMs: math.Inf(1),
-		transferredMs: math.Inf(-1),
+		name:             name,
+		connectedMs:      nowMs,
+		freeSinceMs:      math.Inf(1),
+		outrankedSinceMs: math.Inf(1),
+		transferredMs:    math.Inf(-1),
 	}
 }
 
--- a/internal/lease/schedule.go
+++ b/internal/lease/schedule.go
@@ -59,8 +59,8 @@
 // drains; infinite if it is not.
 func (m *Manager) transferDueMs(proxy *proxyState) float64 {
 	dueMs := math.Inf(1)
-	if !math.IsInf(proxy.betterSinceMs, 1) {
-		dueMs = proxy.betterSinceMs + settleMs*math.Exp2(float64(proxy.settleDoublings))
+	if !math.IsInf(proxy.outrankedSinceMs, 1) {
+		dueMs = proxy.outrankedSinceMs + transferDelayMs*math.Exp2(float64(proxy.transferDelayDoublings))
 	}
 	if m.draining && len(proxy.view.Reachable) > 0 {
 		dueMs = m.nowMs
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -67,7 +67,7 @@
 	w := &world{t: t, random: rand.New(rand.NewSource(seed)), controllers: map[string]*testController{}}
 	for number := range controllerCount {
 		controller := &testController{world: w, name: string(rune('A' + number)), open: true}
-		controller.clockRate = w.drawClockRate()
+		controller.clockRate = w.randomClockRate()
 		controller.clockSkewMs = w.random.Float64() * maxSkewMs
 		w.names = append(w.names, controller.name)
 		w.controllers[controller.name] = controller
@@ -75,7 +75,7 @@
 	}
 	for number := range proxyCount {
 		proxy := &testProxy{world: w, name: fmt.Sprint("p", number), connected: map[string]bool{}}
-		proxy.clockRate = w.drawClockRate()
+		proxy.clockRate = w.randomClockRate()
 		w.proxies = append(w.proxies, proxy)
 		for _, name := range w.names {
 			w.connect(proxy, w.controllers[name])
@@ -84,7 +84,7 @@
 	return w
 }
 
-func (w *world) drawClockRate() float64 {
+func (w *world) randomClockRate() float64 {
 	return 1 + (w.random.Float64()-0.5)*clockRateBound*testRateBound
 }
 
@@ -101,9 +101,9 @@
 
 // deliver has a controller's present process handle a message as soon as it runs.
 func (c *testController) deliver(message func()) {
-	addressee := c.manager
+	recipient := c.manager
 	c.inbox = append(c.inbox, func() {
-		if c.manager == addressee {
+		if c.manager == recipient {
 			message()
 		}
 	})
@@ -120,7 +120,7 @@
 	before := proxy.grantor.Lease
 	granted := proxy.grantor.Grant(c.name, c.incarnation, epoch, leaseMs)
 	if granted && proxy.grantor.Epoch < proxy.highestEpoch {
-		w.violate("epoch of %s fell to %d from %d", proxyName, proxy.grantor.Epoch, proxy.highestEpoch)
+		w.recordViolation("epoch of %s fell to %d from %d", proxyName, proxy.grantor.Epoch, proxy.highestEpoch)
 	}
 	proxy.highestEpoch = max(proxy.highestEpoch, proxy.grantor.Epoch)
 	if granted && before.Controller == "" && !math.IsInf(proxy.freeSinceMs, 1) {
@@ -236,7 +236,7 @@
 	return w.proxies[slices.IndexFunc(w.proxies, func(proxy *testProxy) bool { return proxy.name == name })]
 }
 
-func (w *world) violate(format string, args ...any) {
+func (w *world) recordViolation(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf("%.0f ms: ", w.nowMs) + fmt.Sprintf(format, args...)
 	}
@@ -303,7 +303,7 @@
 		}
 	}
 	if len(holders) > 1 {
-		w.violate("%v both command %s", holders, proxy.name)
+		w.recordViolation("%v both command %s", holders, proxy.name)
 	}
 }
 
@@ -328,7 +328,7 @@
 	}
 	w.obeyedOrders++
 	if epoch < proxy.grantor.Epoch || proxy.grantor.Controller != controller {
-		w.violate("%s obeyed %s under epoch %d; it has granted %d to %q",
+		w.recordViolation("%s obeyed %s under epoch %d; it has granted %d to %q",
 			proxy.name, controller, epoch, proxy.grantor.Epoch, proxy.grantor.Controller)
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -161,8 +161,8 @@
 	return damaged
 }
 
-// withoutFileGrowth runs operation while the kernel refuses each write to a file of this process.
-func withoutFileGrowth(t *testing.T, operation func() error) error {
+// withFailingWrites runs operation while the kernel refuses each write to a file of this process.
+func withFailingWrites(t *testing.T, operation func() error) error {
 	t.Helper()
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_FSIZE, &limit); err != nil {
@@ -184,7 +184,7 @@
 	path := newStoreFile(t)
 	store := openStore(t, path)
 	reserve(t, store, 1000)
-	err := withoutFileGrowth(t, func() error { return store.ReserveEpochs(2000) })
+	err := withFailingWrites(t, func() error { return store.ReserveEpochs(2000) })
 	if err == nil {
 		t.Fatal("epochs were reserved on a full disk")
 	}
