--- a/internal/lease/constants.go
+++ b/internal/lease/constants.go
@@ -1,60 +1,67 @@
 package lease
 
-// Times of the protocol that a host or the other end goes by too.
+// Protocol times that hosts use as well.
 const (
-	// DurationMs is how long a lease lasts from its grant, in ms. It bounds the time that a proxy has no commander after one
-	// died, apart from a request's way.
+	// DurationMs is how long a lease lasts from its grant, in ms. It bounds how long a proxy stays without a controller
+	// after its holder crashed, not counting the round trip of the next request.
 	DurationMs = 2000.0
-	// UnreachableAfterMs is the time without a frame, in ms, after which a proxy no longer names a controller reachable. It takes
-	// three lost heartbeats.
+	// UnreachableAfterMs is how long a proxy receives nothing from a controller before it no longer reports it
+	// as reachable, in ms: three heartbeat intervals.
 	UnreachableAfterMs = 1200.0
-	// HeartbeatIntervalMs is the longest time between two frames of a controller to a proxy, in ms.
+	// HeartbeatIntervalMs is the longest time between two frames that a controller sends to a proxy, in ms.
 	HeartbeatIntervalMs = 400.0
-	// DrainRetentionMs is how long a controller honours a drain that it knows from a proxy's earlier commander, in ms, while its
-	// own endpoint list does not show it.
+	// DrainRetentionMs is how long a new lease holder keeps a server draining, in ms, because the previous holder drained
+	// it, while the new holder's own endpoint list does not show the drain yet.
 	DrainRetentionMs = 30000.0
 )
 
-// Validity of a lease at its holder.
+// Limits on how long a holder considers its lease valid.
 const (
-	// clockRateBound is the part by which two clocks may run apart. Quartz stays within 0.0001; a clock that stands still
-	// while its machine is suspended is outside the bound.
+	// clockRateBound is the largest relative difference between the rates of two clocks that leases tolerate. Quartz clocks
+	// stay within 0.0001; a clock that stops while its machine is suspended exceeds the bound.
 	clockRateBound = 0.1
-	// safetyMarginMs is the last part of a lease, in ms, that its holder doesn't use. An order that was decided before is sent
-	// within that time.
+	// safetyMarginMs is the last part of a lease, in ms, that its holder does not use. It leaves time to send orders that
+	// were decided just before.
 	safetyMarginMs = 20.0
 )
 
-// Pace of requests.
+// Timing of lease requests.
 const (
-	// renewIntervalMs is the time from one request to the renewal, in ms. Four renewals may be lost before a lease expires.
+	// renewIntervalMs is the time from one request to the next renewal, in ms. A lease expires at its holder once four
+	// renewals in a row were lost.
 	renewIntervalMs = 400.0
 	// answerTimeoutMs is the time after which an unanswered request is repeated, in ms.
 	answerTimeoutMs = 600.0
-	// rankDelayMs is what each controller waits longer than the one ranked before it, in ms. A request and its answer take a
-	// tenth of it.
+	// rankDelayMs is how much longer each controller waits than the one ranked before it, in ms: ten times what a request
+	// and its answer take.
 	rankDelayMs = 150.0
-	// connectGraceMs is how long a new stream's proxy may take to reach the other controllers, in ms. A redial takes as long.
+	// connectGraceMs is how long a proxy whose stream has just come up may take to reach the other controllers, in ms. A
+	// redial takes about as long.
 	connectGraceMs = 500.0
-	// maxPendingRequests bounds the unanswered requests for one proxy. Older ones can no longer be of use.
+	// maxPendingRequests bounds the unanswered requests for one proxy. By the time that the oldest is dropped, a lease
+	// that it was granted would have expired.
 	maxPendingRequests = 8
 )
 
-// Pace of transfers.
+// Timing of transfers.
 const (
-	// transferDelayMs is how long a better ranked controller must be reachable before proxies are transferred to it, in ms.
+	// transferDelayMs is how long a better ranked controller must have been reachable before a proxy is transferred to
+	// it, in ms.
 	transferDelayMs = 3000.0
-	// maxTransferDelayDoublings bounds how often transferDelayMs is doubled for a proxy that came back after a transfer: a minute and a half.
+	// maxTransferDelayDoublings bounds how often transferDelayMs is doubled for a proxy that came back after a transfer.
+	// The delay then is about a minute and a half.
 	maxTransferDelayDoublings = 5
-	// transfersPerSecond bounds the pace of transfers, as each has the next holder send the proxy a whole weight table.
+	// transfersPerSecond limits the rate of transfers, as after each one the next holder sends the proxy a full weight
+	// table.
 	transfersPerSecond = 20.0
 	transferIntervalMs = 1000 / transfersPerSecond
 )
 
 // Reservation of epochs.
 const (
-	// epochsPerReservation is how many epochs one write to the store covers: a takeover of a thousand proxies takes one.
+	// epochsPerReservation is how many epochs one write to the store reserves, so that a takeover of a thousand proxies
+	// needs one write.
 	epochsPerReservation = 1000
-	// reservationPollMs is how soon a proxy is evaluated again while a reservation is being written, in ms.
+	// reservationPollMs is the time after which a proxy is evaluated again while a reservation is being written, in ms.
 	reservationPollMs = rankDelayMs / 4
 )
--- a/internal/lease/decisions.go
+++ b/internal/lease/decisions.go
@@ -5,35 +5,38 @@
 	"slices"
 )
 
-// Host carries out a controller's decisions. Each method is one decision. Manager.Next calls it, in its caller's goroutine;
-// a method may call the manager's input methods, but not Next.
+// Host carries out a controller's decisions; each method carries out one kind of decision. Manager.Next calls it in the
+// goroutine of its own caller. Methods may call the manager's input methods, but not Next.
 type Host interface {
-	// RequestLease sends a lease request of leaseMs to a proxy. The answer comes by Manager.HandleAnswer with the same nonce.
+	// RequestLease sends a proxy a request for a lease that lasts leaseMs. The host passes the answer to
+	// Manager.HandleAnswer with the same nonce.
 	RequestLease(proxy string, nonce, epoch uint64, leaseMs float64)
-	// ReleaseLease sends a proxy that its lease is released.
+	// ReleaseLease tells a proxy that the controller gives up its lease.
 	ReleaseLease(proxy string, epoch uint64)
-	// StartCommand states that the controller holds a proxy's lease from now on.
+	// StartCommand reports that the controller holds a proxy's lease from now on.
 	StartCommand(proxy string, epoch uint64)
-	// StopCommand states that the controller no longer holds a proxy's lease.
+	// StopCommand reports that the controller no longer holds a proxy's lease.
 	StopCommand(proxy string)
-	// ReserveEpochs writes to stable storage that epochs up to upTo may be used, and answers by Manager.EpochsReserved or
-	// Manager.ReservationFailed, at once or later.
+	// ReserveEpochs records in stable storage that epochs up to upTo may be used. It reports the outcome by a call of
+	// Manager.EpochsReserved or Manager.ReservationFailed, either before it returns or later.
 	ReserveEpochs(upTo uint64)
-	// SetAcceptsLeases notifies all proxies whether this controller is open to proxies.
-	SetAcceptsLeases(open bool)
-	// SetTimer has the host call Manager.SetTime and Next at a time, in ms of the controller's clock. It replaces the last.
+	// SetAcceptsLeases tells all proxies whether this controller accepts new leases.
+	SetAcceptsLeases(accepts bool)
+	// SetTimer schedules a call of Manager.SetTime and Next at a time, in ms of the controller's clock. It replaces the
+	// previous timer.
 	SetTimer(atMs float64)
 }
 
-// Next carries out at most one decision, and reports whether it did: callers call it until it does not. What has been due
-// longest goes first.
+// Next carries out at most one decision, the one that has been due longest, and reports whether it did. Callers repeat the
+// call until it returns false.
 func (m *Manager) Next(host Host) bool {
 	if !m.acceptsLeasesAnnounced {
 		m.acceptsLeasesAnnounced = true
 		host.SetAcceptsLeases(m.AcceptsLeases())
 		return true
 	}
-	// Guards against staying closed for good: while nothing can be requested, nothing else would try the store again.
+	// After a failed reservation no lease is requested, so nothing else would retry the write and the controller would
+	// never accept leases again.
 	if m.reservationFailed && m.reserveEpochs(m.lastEpoch+1, host) {
 		return true
 	}
@@ -43,7 +46,7 @@
 	return m.setTimer(host)
 }
 
-// decideDue carries out the decision that has been due longest, if there is one.
+// decideDue carries out the decision that has been due longest, and reports whether there was one.
 func (m *Manager) decideDue(host Host) bool {
 	for len(m.queue) > 0 && m.queue[0].nextEvaluationMs <= m.nowMs {
 		proxy := m.queue[0]
@@ -52,7 +55,8 @@
 		if decided {
 			return true
 		}
-		// Guards against a loop without end over a proxy that is due but waits for something else than its time.
+		// A proxy that stays due although there is nothing to decide for it would keep this loop running forever. It is
+		// evaluated again in a millisecond.
 		if proxy.nextEvaluationMs <= m.nowMs {
 			m.queue.setDue(proxy, m.nowMs+1)
 		}
@@ -60,7 +64,8 @@
 	return false
 }
 
-// setTimer has the host call again at the next time that something is due, if it does not know that time yet.
+// setTimer sets the host's timer to the next time that something is due, and reports whether it did. It does not if the
+// timer is already set to that time or nothing is due.
 func (m *Manager) setTimer(host Host) bool {
 	dueMs := math.Inf(1)
 	if len(m.queue) > 0 {
@@ -77,7 +82,7 @@
 	return true
 }
 
-// decide carries out at most one decision on a proxy, and reports whether it did.
+// decide carries out at most one decision for a proxy, and reports whether it did.
 func (m *Manager) decide(proxy *proxyState, host Host) bool {
 	if proxy.heldAt(m.nowMs) {
 		return m.decideHeld(proxy, host)
@@ -93,7 +98,7 @@
 	return m.requestNew(proxy, host)
 }
 
-// decideHeld decides on a proxy whose lease this controller holds.
+// decideHeld carries out at most one decision for a proxy whose lease this controller holds, and reports whether it did.
 func (m *Manager) decideHeld(proxy *proxyState, host Host) bool {
 	switch {
 	case !proxy.commanded:
@@ -109,7 +114,7 @@
 	return true
 }
 
-// expire drops a lease that this controller no longer believes in.
+// expire drops a lease that this controller no longer considers valid.
 func (m *Manager) expire(proxy *proxyState) {
 	proxy.epoch = 0
 	proxy.pending = nil
@@ -117,7 +122,8 @@
 	m.Expired++
 }
 
-// requestNew requests a proxy under a new epoch, or reserves epochs for that, once it is due.
+// requestNew requests a proxy's lease under a new epoch once that is due, or reserves epochs first. It reports whether it
+// did either.
 func (m *Manager) requestNew(proxy *proxyState, host Host) bool {
 	if m.draining || m.nowMs < m.requestDueMs(proxy) {
 		return false
@@ -131,7 +137,8 @@
 	return true
 }
 
-// reserveEpochs has epochs from a given one on reserved, unless that is under way or failed just now.
+// reserveEpochs has the host reserve an epoch and the epochsPerReservation that follow it, and reports whether it did. It
+// does not while a reservation is pending or the retry delay of a failed one has not passed.
 func (m *Manager) reserveEpochs(epoch uint64, host Host) bool {
 	if m.reservationPending || m.nowMs < m.reservationRetryMs {
 		return false
@@ -151,7 +158,7 @@
 	host.RequestLease(proxy.name, request.nonce, epoch, DurationMs)
 }
 
-// transfer gives a proxy back, for a better ranked controller to request it.
+// transfer releases a proxy's lease so that another controller can request it.
 func (m *Manager) transfer(proxy *proxyState, host Host) {
 	epoch := proxy.epoch
 	wasCommanded := proxy.commanded
@@ -160,7 +167,7 @@
 	proxy.pending = nil
 	proxy.commanded = false
 	proxy.transferredMs = m.nowMs
-	proxy.freeSinceMs = m.nowMs + answerTimeoutMs // the other controller has its turn first
+	proxy.freeSinceMs = m.nowMs + answerTimeoutMs // the other controller gets to request it first
 	proxy.view.Controller = ""
 	proxy.view.RemainingMs = 0
 	proxy.viewMs = m.nowMs
--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -25,8 +25,8 @@
 
 var seeds = flag.Int64("seeds", 15, "seeds of random faults")
 
-// runWithFaults draws pauses, kills, partitions and full disks for a while, and then ends all faults. Unfenced proxies don't
-// check epochs.
+// runWithFaults draws pauses, kills, partitions and full disks for a while, and then ends all faults. Unfenced proxies
+// don't check epochs.
 func runWithFaults(t *testing.T, seed int64, unfenced bool) *world {
 	t.Helper()
 	w := newWorld(t, seed, 3, 6)
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -70,7 +70,8 @@
 	p.manager = lease.NewManager(p.name, p.incarnation, p.reserved, p.simulation.nowMs)
 }
 
-// log adds an event to the digest. The words of its events are part of what the golden file covers, so they stay as they are.
+// log adds an event to the digest. The words of its events are part of what the golden file covers, so they stay as they
+// are.
 func (p *simulatedPlanner) log(format string, args ...any) {
 	p.simulation.digest.Add(p.simulation.nowMs, p.name+" "+format, args...)
 }
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -1,22 +1,22 @@
 package lease
 
-// Lease is what a proxy has granted.
+// Lease is the state of a proxy's lease as the proxy itself holds it.
 type Lease struct {
-	Epoch       uint64  // the highest granted; it never falls
+	Epoch       uint64  // the highest granted; it never decreases
 	Controller  string  // name of the holder; empty while the proxy is free
-	Incarnation uint64  // process of the holder; 0 while the proxy is free
-	ExpiresMs   float64 // by the proxy's clock; no meaning while the proxy is free
+	Incarnation uint64  // identifies the holder's process; 0 while the proxy is free
+	ExpiresMs   float64 // expiry time by the proxy's clock; meaningless while the proxy is free
 }
 
-// Grantor is a proxy's side of the protocol: it grants leases and checks orders. The zero value is a free proxy that has
-// granted nothing. It is a plain value: a copy is a snapshot. SetTime must be called before the other methods whenever time
-// has passed.
+// Grantor is the proxy's side of the protocol: it grants leases and checks orders. The zero value is a free proxy that has
+// granted nothing. A copy is an independent snapshot. Callers must call SetTime before the other methods whenever time has
+// passed.
 type Grantor struct {
 	Lease
 	nowMs float64
 }
 
-// SetTime states the time, in ms of a monotonic clock, and reports whether a lease expired by it.
+// SetTime sets the current time, in ms of a monotonic clock, and reports whether the lease expired, which frees the proxy.
 func (g *Grantor) SetTime(nowMs float64) (expired bool) {
 	g.nowMs = nowMs
 	if g.Controller == "" || nowMs < g.ExpiresMs {
@@ -26,20 +26,20 @@
 	return true
 }
 
-// Grant decides on a lease request of leaseMs and reports whether it is granted. It grants a renewal to the holder, and a
-// lease under a new epoch while nobody else holds one. The duration is cut to DurationMs.
+// Grant decides on a request for a lease of leaseMs, and reports whether it is granted. The holder may renew its lease; a
+// lease under a new epoch is granted while no other process holds one. The duration is limited to DurationMs.
 func (g *Grantor) Grant(controller string, incarnation, epoch uint64, leaseMs float64) (granted bool) {
 	isHolder := g.heldBy(controller, incarnation)
 	free := g.Controller == ""
 	switch {
 	case controller == "":
-		return false // the empty name stands for a free proxy
+		return false // an empty name denotes a free proxy
 	case !free && !isHolder:
-		return false // guards against two holders, also of one name
+		return false // another process, maybe of the same name, holds the lease
 	case epoch < g.Epoch:
-		return false // guards against a request that was delayed past a later grant
+		return false // the request was delayed until after a later grant
 	case epoch == g.Epoch && !isHolder:
-		return false // guards against an epoch's use by two holders
+		return false // no two holders may use the same epoch
 	}
 	g.Lease = Lease{
 		Epoch:       epoch,
@@ -50,7 +50,7 @@
 	return true
 }
 
-// Release frees the proxy if the caller holds its lease under the epoch, and reports whether it did.
+// Release frees the proxy if the given process holds its lease under the epoch, and reports whether it did.
 func (g *Grantor) Release(controller string, incarnation, epoch uint64) (released bool) {
 	if controller == "" || !g.heldBy(controller, incarnation) || g.Epoch != epoch {
 		return false
@@ -59,7 +59,7 @@
 	return true
 }
 
-// Accepts reports whether orders that a controller decided under an epoch are to be obeyed now.
+// Accepts reports whether the proxy must now obey orders that a controller process decided under an epoch.
 func (g *Grantor) Accepts(controller string, incarnation, epoch uint64) bool {
 	if g.Controller == "" || g.nowMs >= g.ExpiresMs {
 		return false
@@ -67,7 +67,7 @@
 	return g.heldBy(controller, incarnation) && g.Epoch == epoch
 }
 
-// RemainingMs is how long the lease lasts from the time set, in ms; 0 while the proxy is free.
+// RemainingMs returns the time until the lease expires, in ms; 0 while the proxy is free.
 func (g *Grantor) RemainingMs() float64 {
 	if g.Controller == "" {
 		return 0
@@ -75,7 +75,7 @@
 	return max(g.ExpiresMs-g.nowMs, 0)
 }
 
-// heldBy reports whether a process is the holder. A process of the holder's name with another incarnation is not.
+// heldBy reports whether a process holds the lease. A process with the holder's name but another incarnation does not.
 func (g *Grantor) heldBy(controller string, incarnation uint64) bool {
 	return g.Controller == controller && g.Incarnation == incarnation
 }
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -5,36 +5,37 @@
 	"slices"
 )
 
-// Manager is a controller's side of the protocol. Its input methods only update what it knows; Next carries out what follows
-// from that. It is not safe for use by two goroutines at once. Counts are since NewManager.
+// Manager is the controller's side of the protocol. Its input methods only update its state; Next carries out the decisions
+// that follow. It is not safe for concurrent use.
 type Manager struct {
 	name        string
 	incarnation uint64
 	nowMs       float64
 	proxies     map[string]*proxyState // connected ones, by name
-	queue       evaluationQueue        // the same
+	queue       evaluationQueue        // the same proxies, by when they are due
 	lastNonce   uint64
-	lastEpoch   uint64 // the highest requested
+	lastEpoch   uint64 // the highest one requested
 
-	reservedEpoch      uint64  // the highest that the store covers
-	reservationPending bool    // the host has been asked for more and has not answered
-	reservationFailed  bool    // the last write failed: no new lease can be requested
-	reservationRetryMs float64 // no write before that time
+	reservedEpoch      uint64  // the highest one that the store has reserved
+	reservationPending bool    // the host has been asked to reserve epochs and has not reported the outcome
+	reservationFailed  bool    // the last write to the store failed: no new lease can be requested
+	reservationRetryMs float64 // earliest time of the next write to the store
 
 	draining               bool
-	acceptsLeasesAnnounced bool    // whether proxies know the present value of AcceptsLeases
-	lastTransferMs         float64 // minus infinity: never
-	timerMs                float64 // of the last Host.SetTimer
-
-	Takeovers   int // leases gained, by grants under a new epoch
-	Transferred int // leases given back for another controller
-	Expired     int // leases lost, as they were not renewed in time or the proxy granted another
+	acceptsLeasesAnnounced bool    // whether proxies were notified of the current value of AcceptsLeases
+	lastTransferMs         float64 // minus infinity if there was none
+	timerMs                float64 // time of the last Host.SetTimer
+
+	// Counters since NewManager.
+	Takeovers   int // leases gained by grants under a new epoch
+	Transferred int // leases released for another controller to take over
+	Expired     int // leases lost because they were not renewed in time, or because the proxy granted another one
 	Rejections  int // requests and orders that proxies rejected
 }
 
-// NewManager returns the manager of a controller without proxies. The incarnation is to be drawn anew for each process;
-// reservedEpoch is what its store holds: it will use epochs above it only, once it has reserved them; nowMs is the time of the
-// clock that SetTime goes by.
+// NewManager returns the manager of a controller that has no proxies yet. The incarnation must be drawn anew for each
+// process. reservedEpoch is the value from the controller's store: the manager only uses epochs above it, once they are
+// reserved. nowMs is the current time of the clock that SetTime refers to.
 func NewManager(name string, incarnation, reservedEpoch uint64, nowMs float64) *Manager {
 	return &Manager{
 		name:                   name,
@@ -49,11 +50,11 @@
 	}
 }
 
-// SetTime states the time, in ms of a monotonic clock. It is to be called before other inputs and before Next.
+// SetTime sets the current time, in ms of a monotonic clock. Call it before other input methods and before Next.
 func (m *Manager) SetTime(nowMs float64) { m.nowMs = nowMs }
 
-// AddProxy records that a proxy's stream came up, with the proxy's view. It replaces an older stream, with all that was
-// believed of it.
+// AddProxy records that a proxy's stream came up, and the proxy's view. An older stream of the proxy is replaced, and all
+// state kept for it is dropped.
 func (m *Manager) AddProxy(proxyName string, view ProxyView) {
 	m.RemoveProxy(proxyName)
 	proxy := newProxyState(proxyName, m.nowMs)
@@ -62,8 +63,8 @@
 	m.recordView(proxy, view)
 }
 
-// RemoveProxy records that a proxy's stream ended. Its lease is no longer held, as no order can reach it; Host.StopCommand
-// is not called.
+// RemoveProxy records that a proxy's stream ended. The proxy's lease counts as no longer held, as no order can reach the
+// proxy. Host.StopCommand is not called.
 func (m *Manager) RemoveProxy(proxyName string) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil {
@@ -73,7 +74,7 @@
 	m.queue.remove(proxy)
 }
 
-// UpdateLease records a view that a proxy sent of its own accord. Proxies that are not connected are ignored.
+// UpdateLease records a view that a proxy sent without being asked. Proxies that are not connected are ignored.
 func (m *Manager) UpdateLease(proxyName string, view ProxyView) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil {
@@ -82,8 +83,8 @@
 	m.recordView(proxy, view)
 }
 
-// HandleAnswer records a proxy's answer to the lease request with a nonce, and its view. Proxies that are not connected and
-// nonces that are not pending are ignored, the view apart.
+// HandleAnswer records the view that a proxy sent with an answer, and the answer to the lease request with the given nonce.
+// Proxies that are not connected are ignored; of answers to requests that are not pending only the view is recorded.
 func (m *Manager) HandleAnswer(proxyName string, nonce uint64, granted bool, view ProxyView) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil {
@@ -94,7 +95,7 @@
 	m.reschedule(proxy)
 }
 
-// OrdersRejected records that a proxy rejected an order, as it has granted another epoch.
+// OrdersRejected records that a proxy rejected an order because it has granted another epoch.
 func (m *Manager) OrdersRejected(proxyName string) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil || proxy.epoch == 0 {
@@ -105,7 +106,7 @@
 	m.reschedule(proxy)
 }
 
-// EpochsReserved records that the store holds that epochs up to upTo may be used.
+// EpochsReserved records that the store has reserved epochs up to upTo.
 func (m *Manager) EpochsReserved(upTo uint64) {
 	if m.reservationFailed {
 		m.acceptsLeasesAnnounced = false
@@ -116,9 +117,9 @@
 	m.rescheduleAll()
 }
 
-// ReservationFailed records that epochs could not be reserved. It is tried again after answerTimeoutMs. Until a write
-// succeeds no new lease is requested, held ones are renewed, and proxies are notified that this controller is not open: guards
-// against others that transfer proxies to it which it cannot take.
+// ReservationFailed records that epochs could not be reserved; the write is retried after answerTimeoutMs. Until a write
+// succeeds, no new lease is requested and held leases are renewed. Proxies are notified that this controller does not
+// accept leases, so that other controllers do not transfer proxies to it.
 func (m *Manager) ReservationFailed() {
 	if !m.reservationFailed {
 		m.acceptsLeasesAnnounced = false
@@ -129,7 +130,7 @@
 	m.rescheduleAll()
 }
 
-// SetDraining has the controller transfer all that it holds and request nothing, or ends that.
+// SetDraining starts or ends draining: a draining controller transfers all leases that it holds and requests none.
 func (m *Manager) SetDraining(draining bool) {
 	if m.draining != draining {
 		m.acceptsLeasesAnnounced = false
@@ -138,8 +139,8 @@
 	m.rescheduleAll()
 }
 
-// HoldsLease reports whether orders may be sent to a proxy now, and under which epoch. It is to be asked right before each
-// order, after SetTime.
+// HoldsLease reports whether orders may be sent to a proxy now, and under which epoch. Call it right before each order,
+// after SetTime.
 func (m *Manager) HoldsLease(proxyName string) (epoch uint64, held bool) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil || !proxy.commanded || !proxy.heldAt(m.nowMs) {
@@ -148,10 +149,10 @@
 	return proxy.epoch, true
 }
 
-// AcceptsLeases reports whether this controller takes proxies.
+// AcceptsLeases reports whether this controller accepts new leases.
 func (m *Manager) AcceptsLeases() bool { return !m.draining && !m.reservationFailed }
 
-// CountHeld counts the proxies whose lease this controller holds, and all that are connected.
+// CountHeld returns the number of proxies whose lease this controller holds, and the number of connected proxies.
 func (m *Manager) CountHeld() (held, connected int) {
 	for _, proxy := range m.queue {
 		if proxy.heldAt(m.nowMs) {
@@ -161,7 +162,8 @@
 	return held, len(m.queue)
 }
 
-// recordView updates what follows from a proxy's view: since when it is free, and how this controller ranks for it.
+// recordView stores a proxy's view and what follows from it: since when the proxy is free, and how this controller ranks
+// for it.
 func (m *Manager) recordView(proxy *proxyState, view ProxyView) {
 	if !slices.Equal(view.Reachable, proxy.view.Reachable) {
 		proxy.reachableSinceMs = m.nowMs
@@ -183,14 +185,15 @@
 	m.reschedule(proxy)
 }
 
-// recordAnswer matches an answer with its request. A late answer to a request that was given up has no effect.
+// recordAnswer matches an answer with its request and updates the lease. An answer to a request that is no longer pending
+// has no effect.
 func (m *Manager) recordAnswer(proxy *proxyState, nonce uint64, granted bool) {
 	index := slices.IndexFunc(proxy.pending, func(request leaseRequest) bool { return request.nonce == nonce })
 	if index < 0 {
 		return
 	}
 	request := proxy.pending[index]
-	proxy.pending = slices.Delete(proxy.pending, 0, index+1) // answers come in order: earlier ones will not come
+	proxy.pending = slices.Delete(proxy.pending, 0, index+1) // answers arrive in order, so earlier requests stay unanswered
 	if !granted {
 		m.Rejections++
 		if request.epoch == proxy.epoch {
@@ -208,8 +211,9 @@
 	proxy.heldUntilMs = max(proxy.heldUntilMs, heldUntilMs(request.sentMs, DurationMs))
 }
 
-// restartTransferDelay has a better ranked controller that left a proxy free settle anew, for longer each time that the proxy
-// comes back after a transfer. Guards against endless transfers to a controller that is paused with its streams up.
+// restartTransferDelay starts the transfer delay anew for a proxy that a better ranked controller left free, and doubles
+// the delay if the proxy came back soon after a transfer. Otherwise proxies would be transferred over and over to a
+// controller that is paused while its streams stay up.
 func (m *Manager) restartTransferDelay(proxy *proxyState) {
 	if math.IsInf(proxy.outrankedSinceMs, 1) {
 		proxy.transferDelayDoublings = 0
--- a/internal/lease/model/explorer.go
+++ b/internal/lease/model/explorer.go
@@ -5,22 +5,23 @@
 	"slices"
 )
 
-// explorer searches breadth first. A step is added by add; the first violation ends the search.
+// explorer is the state of a breadth-first search. The first violation ends the search.
 type explorer struct {
 	bounds       Bounds
 	mutation     Mutation
-	predecessors map[state]state // of each state reached; the start is its own
-	discovered   []state         // reached first by the present depth
+	predecessors map[state]state // of each state reached; the initial state is its own predecessor
+	discovered   []state         // states first reached at the current depth
 
-	violation string // empty: none
-	lastState state  // before the step that broke a rule
-	lastStep  string // that step
+	violation string // empty if no rule was broken
+	lastState state  // state before the step that broke a rule
+	lastStep  string // description of that step
 
-	// describe, if set, is called for each step in place of searching. It is for traces.
+	// describe, if set, is called for each step instead of continuing the search. It is used to build the trace.
 	describe func(next state, step string)
 }
 
-// add records a step from one state to the next, and checks the rules of states.
+// add records a step from one state to the next, and checks that no two controllers hold one proxy's lease in the new
+// state.
 func (e *explorer) add(next, from state, format string, args ...any) {
 	if e.describe != nil {
 		e.describe(next, fmt.Sprintf(format, args...))
@@ -43,15 +44,15 @@
 	e.discovered = append(e.discovered, next)
 }
 
-// recordViolation records that a step broke a rule.
+// recordViolation records that a step from a state broke a rule.
 func (e *explorer) recordViolation(violation string, from state, step string) {
 	e.violation = violation
 	e.lastState = from
 	e.lastStep = step
 }
 
-// trace describes the way to the violation. Steps are not stored, so each state on the way is expanded once more to find the
-// one that leads to the next.
+// trace returns the steps that lead to the violation. Steps are not stored during the search, so each state on the path is
+// expanded once more to find the step to the next one.
 func (e *explorer) trace() []string {
 	steps := []string{e.lastStep}
 	current := e.lastState
--- a/internal/lease/model/model.go
+++ b/internal/lease/model/model.go
@@ -1,48 +1,50 @@
-// Package model explores the lease protocol of package lease exhaustively, at a small size and in whole ticks: two
-// controllers that request, renew, order and restart, proxies that decide by lease.Grantor itself, and messages that are lost
-// or take any time.
+// Package model checks the lease protocol of package lease by exhaustive search of a small model in which time advances in
+// whole ticks. Two controllers request and renew leases, send orders and restart; proxies decide by the real lease.Grantor;
+// messages are delayed for any time, and requests may be lost.
 //
-// A pause of a controller needs no state of its own: nobody must act at any time, and what was decided may arrive at any time
-// after. The exploration shows what random runs cannot: that no order of events breaks a rule, or the shortest one that does.
+// The model needs no state for a paused controller: no controller ever has to act, and a message may arrive any time
+// after it was sent. Unlike random runs, the search proves within its bounds that no sequence of events breaks a rule, or
+// finds the shortest one that does.
 package model
 
-// Bounds make the state space finite. There are always two controllers.
+// Bounds keep the state space finite. There are always two controllers.
 type Bounds struct {
-	Proxies   int   // 1 or 2
-	Epochs    uint8 // the highest that is requested
-	Restarts  uint8 // of each controller
+	Proxies   int   // number of proxies, 1 or 2
+	Epochs    uint8 // highest epoch that controllers request
+	Restarts  uint8 // how often each controller may restart
 	Losses    bool  // whether requests may be lost
-	MaxStates int   // exploration ends, incomplete, beyond this number of states
+	MaxStates int   // number of states above which the search is abandoned as incomplete
 }
 
-// Mutation is a part of the protocol that is left out, to show that the explorer finds the fault that it guards against.
+// Mutation disables a safeguard of the protocol, to test that the search finds the violation that the safeguard prevents.
 type Mutation int
 
-// Mutations, each by the guard that is left out.
+// Mutations, named after the safeguard that they disable or the fault that they introduce.
 const (
-	// NoMutation explores the protocol as it is.
+	// NoMutation checks the protocol as it is.
 	NoMutation Mutation = iota
-	// WithoutFencing has proxies obey whatever order arrives.
+	// WithoutFencing has proxies obey every order that arrives, whatever its epoch.
 	WithoutFencing
-	// LeaseFromAnswer has holders count their lease from the answer in place of the request.
+	// LeaseFromAnswer has holders measure their lease from the answer instead of the request.
 	LeaseFromAnswer
-	// WithoutIncarnation has a restarted controller pass for the process before, and forget which epochs it used.
+	// WithoutIncarnation makes a restarted controller indistinguishable from its previous process, and has it forget which
+	// epochs it used.
 	WithoutIncarnation
-	// WithoutClockRateBound has holders believe in the whole lease, though their clocks may be slow.
+	// WithoutClockRateBound has holders use a lease for its full duration, although their clocks may be slow.
 	WithoutClockRateBound
 )
 
-// Result is what an exploration found.
+// Result is the outcome of a search.
 type Result struct {
-	States    int      // distinct states that were reached
-	Depth     int      // steps to the last of them
-	Complete  bool     // all states within the bounds were reached, or the search ended at a violation
-	Violation string   // the rule that was broken; empty: none
-	Trace     []string // the shortest way to the violation, step by step
+	States    int      // number of distinct states reached
+	Depth     int      // number of completed levels of the breadth-first search
+	Complete  bool     // whether all states within the bounds were reached, or a violation ended the search
+	Violation string   // the rule that was broken; empty if none was
+	Trace     []string // the steps of a shortest path to the violation
 }
 
-// Explore goes through all states within the bounds, breadth first, until a rule is broken. It holds each state that it has
-// reached in memory, with its predecessor.
+// Explore searches all states within the bounds, breadth first, until a rule is broken. It keeps every state that it has
+// reached in memory, together with its predecessor.
 func Explore(bounds Bounds, mutation Mutation) Result {
 	start := state{}
 	explorer := &explorer{
--- a/internal/lease/model/state.go
+++ b/internal/lease/model/state.go
@@ -2,10 +2,10 @@
 
 import "lichenpick/internal/lease"
 
-// Durations in ticks. A controller's clock may stand still for one tick in the time of a lease.
+// Durations in ticks. A controller's clock may stop for one tick during the time of a lease.
 const (
 	leaseTicks  = 3
-	holderTicks = leaseTicks - 1 // part of a lease that its holder believes in
+	holderTicks = leaseTicks - 1 // how long a holder uses its lease, by its own clock
 )
 
 const (
@@ -13,45 +13,45 @@
 	maxProxies      = 2
 )
 
-// state is all that matters of the two controllers, the proxies and the messages between them. It is comparable, as the
-// explorer stores states as keys of a map. Epoch 0 stands for none.
+// state is the complete state of the controllers, the proxies and the messages between them. It must stay comparable, as
+// the explorer uses states as map keys. Epoch 0 means that there is no lease or message.
 type state struct {
 	proxies     [maxProxies]proxy
 	controllers [controllerCount]controller
 	links       [controllerCount][maxProxies]link
 }
 
-// proxy is what a proxy has granted.
+// proxy is the lease that a proxy has granted.
 type proxy struct {
-	epoch     uint8
-	remaining uint8 // ticks of the lease
-	holder    int8  // number of the controller, from 1; 0: free
-	process   uint8 // of the holder
+	epoch     uint8 // the highest granted
+	remaining uint8 // ticks until the lease expires
+	holder    int8  // number of the holding controller, counted from 1; 0 if the proxy is free
+	process   uint8 // process number of the holder
 }
 
 type controller struct {
-	process           uint8 // number of restarts
-	lastEpoch         uint8 // the highest requested
-	stopCooldownTicks uint8 // until its clock may stand still again
+	process           uint8 // process number: how often the controller has restarted
+	lastEpoch         uint8 // the highest epoch requested
+	stopCooldownTicks uint8 // ticks until its clock may stop again
 }
 
-// link is what a controller and a proxy have under way to each other, and what the controller believes of the proxy.
+// link holds the messages in transit between a controller and a proxy, and the proxy's lease as the controller sees it.
 type link struct {
 	request       message
-	answer        message // only grants are answered
-	order         message // its age does not matter and stays 0
-	heldEpoch     uint8   // of the lease that the controller believes to hold
-	heldRemaining uint8   // ticks that it believes so
+	answer        message // sent for granted requests only
+	order         message // its age is irrelevant and stays 0
+	heldEpoch     uint8   // of the lease that the controller considers itself to hold
+	heldRemaining uint8   // ticks for which the controller continues to do so
 }
 
-// message is one under way, or none.
+// message is a message in transit; there is none if its epoch is 0.
 type message struct {
 	epoch   uint8
-	process uint8 // of the controller that sent it, or that it answers
-	age     uint8 // ticks of the controller's clock since the request, up to leaseTicks
+	process uint8 // process number of the controller that sent it, or that it answers
+	age     uint8 // ticks of the controller's clock since the request, at most leaseTicks
 }
 
-// advanceAge lets a message under way age.
+// advanceAge makes a message in transit one tick older.
 func (m *message) advanceAge() {
 	if m.epoch > 0 {
 		m.age = min(m.age+1, leaseTicks)
@@ -60,7 +60,7 @@
 
 func controllerName(number int) string { return string(rune('A' + number)) }
 
-// grantor returns the proxy's grantor in this state, at time 0 of its clock.
+// grantor returns the proxy's grantor in this state, with its clock at 0.
 func (p *proxy) grantor() lease.Grantor {
 	grantor := lease.Grantor{Lease: lease.Lease{Epoch: uint64(p.epoch), ExpiresMs: float64(p.remaining)}}
 	if p.holder > 0 {
@@ -70,7 +70,7 @@
 	return grantor
 }
 
-// update takes over what a grantor of this proxy holds now.
+// update sets the proxy's lease to that of its grantor.
 func (p *proxy) update(grantor *lease.Grantor) {
 	p.epoch = uint8(grantor.Epoch)
 	if grantor.Controller == "" {
--- a/internal/lease/model/transitions.go
+++ b/internal/lease/model/transitions.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// clockStop is which controllers' clocks stand still in a tick: bit n for controller n.
+// clockStop is the set of controllers whose clocks stop for a tick: bit n stands for controller n.
 type clockStop uint
 
 func (c clockStop) includes(number int) bool { return c&(1<<number) != 0 }
 
 func (c clockStop) String() string {
-	return [...]string{"", ", not for A", ", not for B", ", for proxies only"}[c]
+	return [...]string{"", ", but not on A's clock", ", but not on B's clock", ", but only on the proxies' clocks"}[c]
 }
 
 const clockStops = 1 << controllerCount
 
-// expand adds all steps from a state.
+// expand adds all steps that are possible in a state.
 func (e *explorer) expand(current state) {
 	for stop := range clockStop(clockStops) {
 		if next, possible := e.tick(current, stop); possible {
@@ -32,8 +32,8 @@
 	}
 }
 
-// tick lets time pass for all but the controllers whose clocks stand still. It reports false if one of these has stood still
-// too lately.
+// tick advances the time by one tick, but not the clocks of the controllers in stop. It is not possible if one of these
+// clocks has stopped too recently.
 func (e *explorer) tick(current state, stop clockStop) (next state, possible bool) {
 	next = current
 	for number := range e.bounds.Proxies {
@@ -61,7 +61,8 @@
 	return next, true
 }
 
-// tickLinks lets time pass for what a controller believes and has asked for.
+// tickLinks advances a controller's clock by one tick: the leases that it holds, and the ages of its requests and their
+// answers.
 func (e *explorer) tickLinks(next *state, number int) {
 	for proxyNumber := range e.bounds.Proxies {
 		link := &next.links[number][proxyNumber]
@@ -74,7 +75,7 @@
 	}
 }
 
-// restart replaces a controller's process by one that believes nothing.
+// restart replaces a controller's process by one that holds no leases.
 func (e *explorer) restart(current state, number int) {
 	if current.controllers[number].process >= e.bounds.Restarts {
 		return
@@ -93,7 +94,7 @@
 	e.add(next, current, "%s restarts", controllerName(number))
 }
 
-// request has a controller renew a lease that it believes to hold, or ask for one under a new epoch.
+// request has a controller renew a lease that it considers itself to hold, or request one under a new epoch.
 func (e *explorer) request(current state, number, proxyNumber int) {
 	link := current.links[number][proxyNumber]
 	if link.request.epoch > 0 || link.answer.epoch > 0 {
@@ -105,7 +106,7 @@
 	request.age = 0
 	if link.heldRemaining > 0 {
 		request.epoch = link.heldEpoch
-		e.add(next, current, "%s asks proxy %d to renew epoch %d", controllerName(number), proxyNumber, request.epoch)
+		e.add(next, current, "%s requests proxy %d to renew the lease under epoch %d", controllerName(number), proxyNumber, request.epoch)
 		return
 	}
 	request.epoch = e.newEpoch(current.controllers[number].lastEpoch, current.proxies[proxyNumber].epoch)
@@ -113,10 +114,10 @@
 		return
 	}
 	next.controllers[number].lastEpoch = request.epoch
-	e.add(next, current, "%s requests proxy %d under epoch %d", controllerName(number), proxyNumber, request.epoch)
+	e.add(next, current, "%s requests the lease of proxy %d under epoch %d", controllerName(number), proxyNumber, request.epoch)
 }
 
-// newEpoch is above all that the controller requested and the proxy granted.
+// newEpoch returns an epoch higher than every one that the controller requested and the proxy granted.
 func (e *explorer) newEpoch(requested, granted uint8) uint8 {
 	if e.mutation == WithoutIncarnation {
 		return requested + 1
@@ -124,7 +125,8 @@
 	return max(requested, granted) + 1
 }
 
-// decideOrder has a controller send an order to a proxy whose lease it believes to hold. It may arrive at any time.
+// decideOrder has a controller send an order to a proxy whose lease it considers itself to hold. The order may arrive at
+// any later time.
 func (e *explorer) decideOrder(current state, number, proxyNumber int) {
 	link := current.links[number][proxyNumber]
 	if link.heldRemaining == 0 || link.order.epoch > 0 {
@@ -138,7 +140,7 @@
 	e.add(next, current, "%s decides an order for proxy %d under epoch %d", controllerName(number), proxyNumber, link.heldEpoch)
 }
 
-// deliverRequest has a request arrive, or be lost.
+// deliverRequest has a request arrive at its proxy, or be lost.
 func (e *explorer) deliverRequest(current state, number, proxyNumber int) {
 	request := current.links[number][proxyNumber].request
 	if request.epoch == 0 {
@@ -163,10 +165,11 @@
 	}
 	next = current
 	next.links[number][proxyNumber].request = message{}
-	e.add(next, current, "a request of %s for proxy %d is lost", name, proxyNumber)
+	e.add(next, current, "a request of %s to proxy %d is lost", name, proxyNumber)
 }
 
-// deliverAnswer has a controller learn of a grant. A process ignores what an earlier one asked for.
+// deliverAnswer has a controller receive a grant. A restarted controller ignores answers to requests of its earlier
+// processes.
 func (e *explorer) deliverAnswer(current state, number, proxyNumber int) {
 	answer := current.links[number][proxyNumber].answer
 	if answer.epoch == 0 {
@@ -178,11 +181,11 @@
 	if answer.process == current.controllers[number].process {
 		e.recordGrant(link, answer)
 	}
-	e.add(next, current, "%s learns that proxy %d granted epoch %d, asked for %d ticks ago",
+	e.add(next, current, "%s receives the grant by proxy %d of epoch %d, requested %d ticks ago",
 		controllerName(number), proxyNumber, answer.epoch, answer.age)
 }
 
-// recordGrant has a controller take a lease to be held, as long as the answer allows.
+// recordGrant has a controller consider itself the holder for the time that the answer leaves of the lease.
 func (e *explorer) recordGrant(link *link, answer message) {
 	remaining := uint8(holderTicks)
 	if e.mutation == WithoutClockRateBound {
@@ -200,7 +203,7 @@
 	}
 }
 
-// deliverOrder has an order arrive, and checks that no proxy obeys a stale one.
+// deliverOrder has an order arrive at its proxy, and checks that the proxy does not obey a stale one.
 func (e *explorer) deliverOrder(current state, number, proxyNumber int) {
 	order := current.links[number][proxyNumber].order
 	if order.epoch == 0 {
@@ -213,7 +216,7 @@
 	if obeyed {
 		verb = "obeys"
 	}
-	step := fmt.Sprintf("proxy %d %s an order of %s under epoch %d", proxyNumber, verb, controllerName(number), order.epoch)
+	step := fmt.Sprintf("proxy %d %s an order that %s decided under epoch %d", proxyNumber, verb, controllerName(number), order.epoch)
 	if obeyed && isStale(&current, number, proxyNumber) && e.violation == "" {
 		e.recordViolation("a stale order was obeyed", current, step)
 		return
@@ -229,8 +232,8 @@
 	return grantor.Accepts(controllerName(number), e.incarnation(order), uint64(order.epoch))
 }
 
-// isStale reports whether an order under way was decided under another epoch or by another controller than the proxy granted
-// last, or by an earlier process while the present one holds the same epoch.
+// isStale reports whether an order in transit was decided under another epoch than the proxy granted last, by a controller
+// other than the holder, or by an earlier process while the current one holds the same epoch.
 func isStale(current *state, number, proxyNumber int) bool {
 	proxy := current.proxies[proxyNumber]
 	link := current.links[number][proxyNumber]
@@ -240,7 +243,7 @@
 	return link.order.process != current.controllers[number].process && link.heldEpoch == link.order.epoch
 }
 
-// incarnation is what a message names as its process.
+// incarnation returns the incarnation that a message carries for its sender.
 func (e *explorer) incarnation(sent message) uint64 {
 	if e.mutation == WithoutIncarnation {
 		return 0
--- a/internal/lease/proxystate.go
+++ b/internal/lease/proxystate.go
@@ -2,42 +2,43 @@
 
 import "math"
 
-// ProxyView is how a proxy says that its lease stands. Times are spans, as the clocks of both ends differ.
+// ProxyView is the state of a proxy's lease as the proxy reports it. Times are durations, as the clocks of both ends
+// differ.
 type ProxyView struct {
 	Epoch             uint64   // the highest granted
 	Controller        string   // name of the holder; empty while the proxy is free
-	Incarnation       uint64   // process of the holder
+	Incarnation       uint64   // identifies the holder's process
 	RemainingMs       float64  // until the lease expires, in ms
-	Reachable         []string // controllers that it gets heartbeats of and that are open; not to be changed afterwards
-	DialedControllers int      // how many controllers the proxy dials
+	Reachable         []string // controllers that send it heartbeats and accept leases; must not be modified afterwards
+	DialedControllers int      // how many controllers the proxy is configured to dial
 }
 
-// proxyState is what a controller knows of one proxy. Times are in ms of the controller's clock.
+// proxyState is a controller's state of one connected proxy. Times are in ms of the controller's clock.
 type proxyState struct {
 	name string
 
 	view             ProxyView
-	viewMs           float64 // when the view came
-	connectedMs      float64 // when its stream came up
-	reachableSinceMs float64 // since when it has named the same controllers reachable
-	freeSinceMs      float64 // since when it has been free by its own view; infinite while it is not
+	viewMs           float64 // when the view arrived
+	connectedMs      float64 // when the proxy's stream came up
+	reachableSinceMs float64 // since when the proxy has reported the same reachable controllers
+	freeSinceMs      float64 // since when the proxy has been free by its own view; infinite while it is not
 
 	pending     []leaseRequest // unanswered, oldest first
-	epoch       uint64         // of the lease that this controller holds; 0: none
-	heldUntilMs float64        // when this controller stops believing that it holds the lease
+	epoch       uint64         // of the lease that this controller holds; 0 if it holds none
+	heldUntilMs float64        // until when this controller considers itself the holder
 	commanded   bool           // whether Host.StartCommand was called for the lease
 
-	rank                   int     // of this controller among those that the proxy can reach, from 0
+	rank                   int     // of this controller among those that the proxy can reach; 0 is the best
 	outrankedSinceMs       float64 // since when a better ranked controller has been reachable; infinite while none is
-	transferredMs          float64 // when it was last transferred; minus infinity: never
-	transferDelayDoublings int     // transfers in a row after which no other controller requested the proxy
-	nextEvaluationMs       float64 // when it is due for a decision
+	transferredMs          float64 // when the proxy was last transferred; minus infinity if never
+	transferDelayDoublings int     // transfers in a row after which the proxy soon came back; bounded
+	nextEvaluationMs       float64 // when the proxy is due for a decision
 	queueIndex             int     // in Manager.queue
 }
 
-// leaseRequest is a request that has not been answered.
+// leaseRequest is a lease request that has not been answered yet.
 type leaseRequest struct {
-	nonce  uint64 // names the request in its answer
+	nonce  uint64 // identifies the request in the proxy's answer
 	epoch  uint64
 	sentMs float64
 }
@@ -53,7 +54,7 @@
 	}
 }
 
-// lastRequestMs is when the last request went out; minus infinity if none is pending.
+// lastRequestMs returns when the latest pending request was sent; minus infinity if none is pending.
 func (p *proxyState) lastRequestMs() float64 {
 	if len(p.pending) == 0 {
 		return math.Inf(-1)
@@ -61,10 +62,11 @@
 	return p.pending[len(p.pending)-1].sentMs
 }
 
-// heldAt reports whether the controller believes at a time that it holds the lease.
+// heldAt reports whether the controller considers itself the holder of the lease at a given time.
 func (p *proxyState) heldAt(nowMs float64) bool { return p.epoch > 0 && nowMs < p.heldUntilMs }
 
-// heldUntilMs is when a holder stops believing in a lease that it asked for at a time, by its own clock.
-func heldUntilMs(askedMs, leaseMs float64) float64 {
-	return askedMs + leaseMs*(1-clockRateBound) - safetyMarginMs
+// heldUntilMs returns until when a holder may use a lease of leaseMs that it requested at requestedMs, both by its own
+// clock.
+func heldUntilMs(requestedMs, leaseMs float64) float64 {
+	return requestedMs + leaseMs*(1-clockRateBound) - safetyMarginMs
 }
--- a/internal/lease/queue.go
+++ b/internal/lease/queue.go
@@ -2,9 +2,9 @@
 
 import "container/heap"
 
-// evaluationQueue orders proxies by when they are due, and by name those that are due together, so that the same inputs
-// always lead to the same decisions. It implements heap.Interface; only the functions of container/heap and the methods
-// below may change it.
+// evaluationQueue is a heap of proxies, ordered by when they are due for a decision. Proxies that are due at the same
+// time are ordered by name, so that the same inputs always lead to the same decisions. It must only be modified by add,
+// remove and setDue.
 type evaluationQueue []*proxyState
 
 func (q evaluationQueue) Len() int { return len(q) }
@@ -41,7 +41,7 @@
 
 func (q *evaluationQueue) remove(proxy *proxyState) { heap.Remove(q, proxy.queueIndex) }
 
-// setDue moves a proxy to where it belongs by a new time.
+// setDue changes when a proxy is due, and moves it to its new position.
 func (q *evaluationQueue) setDue(proxy *proxyState, dueMs float64) {
 	if proxy.nextEvaluationMs == dueMs {
 		return
--- a/internal/lease/ranking.go
+++ b/internal/lease/ranking.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// rankControllers returns how many of the reachable controllers rank before own for a proxy, and the name of the first. It
-// ranks by rendezvous hashing: all that get the same view rank the same, and a controller that comes or goes moves its own
-// share of proxies only.
+// rankControllers returns how many of the reachable controllers rank before own for a proxy, and the name of the best
+// ranked one. It ranks by rendezvous hashing: all controllers that receive the same view compute the same ranking, and
+// when a controller joins or leaves, only its own share of the proxies moves.
 func rankControllers(own, proxy string, reachable []string) (ownRank int, first string) {
 	ownScore := rendezvousScore(own, proxy)
 	firstScore := uint64(0)
@@ -21,7 +21,8 @@
 	return ownRank, first
 }
 
-// rendezvousScore is the same in all controllers and releases: where two rank differently they transfer proxies in turns.
+// rendezvousScore returns a controller's score for a proxy. It must be the same in all releases: controllers that rank
+// differently would transfer proxies back and forth.
 func rendezvousScore(controller, proxy string) uint64 {
 	return xxhash.Sum64String(controller + "\x00" + proxy)
 }
--- a/internal/lease/schedule.go
+++ b/internal/lease/schedule.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// reschedule works out when a proxy is due for its next decision. It is to be called whenever its state or the manager's
-// changed.
+// reschedule computes when a proxy is due for its next decision. Call it whenever the state of the proxy or of the
+// manager has changed.
 func (m *Manager) reschedule(proxy *proxyState) {
 	dueMs := math.Inf(1)
 	switch {
@@ -15,7 +15,7 @@
 	case proxy.epoch > 0:
 		dueMs = min(proxy.heldUntilMs, m.renewalDueMs(proxy), m.transferDueMs(proxy))
 	case m.draining:
-		// nothing is requested
+		// a draining controller requests no leases
 	case m.reservationPending:
 		dueMs = max(m.requestDueMs(proxy), m.nowMs+reservationPollMs)
 	case m.reservationFailed:
@@ -32,31 +32,32 @@
 	}
 }
 
-// renewalDueMs is when a held lease is to be requested again: renewIntervalMs after the last request that is pending or
+// renewalDueMs returns when a held lease is due for renewal: renewIntervalMs after the latest request that is pending or
 // was granted.
 func (m *Manager) renewalDueMs(proxy *proxyState) float64 {
 	lastGrantedMs := proxy.heldUntilMs - heldUntilMs(0, DurationMs)
 	return renewIntervalMs + max(proxy.lastRequestMs(), lastGrantedMs)
 }
 
-// requestDueMs is when a proxy that this controller does not hold is to be requested: it is free, or its lease has expired
-// by its own view, and those that rank before had their time.
+// requestDueMs returns when a proxy that this controller does not hold is due for a request: once the proxy is free or its
+// lease must have expired, and the controllers that rank before this one have had time for their requests.
 func (m *Manager) requestDueMs(proxy *proxyState) float64 {
 	dueMs := proxy.lastRequestMs() + answerTimeoutMs
 	if proxy.view.Controller == m.name && proxy.view.Incarnation == m.incarnation {
-		return dueMs // this process was granted the lease over an earlier stream
+		return dueMs // the proxy granted this process the lease over an earlier stream
 	}
 	expiresMs := proxy.viewMs + proxy.view.RemainingMs*(1+clockRateBound) + safetyMarginMs
 	freeMs := math.Min(proxy.freeSinceMs, expiresMs)
-	// Guards against a start at which each proxy goes to whom it reached first, and most are transferred a while later.
+	// A proxy that has not reached all controllers yet has more time to do so. Otherwise, after a common start, each proxy
+	// would go to the controller that it reached first, and most would be transferred soon after.
 	if len(proxy.view.Reachable) < proxy.view.DialedControllers {
 		dueMs = max(dueMs, proxy.connectedMs+connectGraceMs)
 	}
 	return max(dueMs, max(freeMs, proxy.reachableSinceMs)+rankDelayMs*float64(proxy.rank))
 }
 
-// transferDueMs is when a held proxy is to be transferred to a better ranked controller, or to any other while this one
-// drains; infinite if it is not.
+// transferDueMs returns when a held proxy is due for a transfer: to a better ranked controller, or to any other while
+// this one drains. It returns infinity if no transfer is due.
 func (m *Manager) transferDueMs(proxy *proxyState) float64 {
 	dueMs := math.Inf(1)
 	if !math.IsInf(proxy.outrankedSinceMs, 1) {
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -284,7 +284,8 @@
 	}
 }
 
-// sendOrders has each controller that holds a proxy's lease send it an order now and then, and checks that at most one does.
+// sendOrders has each controller that holds a proxy's lease send it an order now and then, and checks that at most one
+// does.
 func (w *world) sendOrders(proxy *testProxy) {
 	var holders []string
 	for _, name := range w.names {
