--- a/internal/store/faults.go
+++ b/internal/store/faults.go
@@ -5,9 +5,9 @@
 	"runtime/debug"
 )
 
-// recoverFaults runs operation, and turns a panic or a fault of the memory map into ErrCorrupt. bbolt panics on inconsistent
-// pages, and follows offsets of damaged ones beyond the end of its map; without this a damaged file would end the process
-// with a stack trace in place of a message.
+// recoverFaults runs operation, and turns a panic or a memory fault in it into ErrCorrupt. bbolt panics on inconsistent
+// pages, and follows offsets in damaged pages beyond the end of its memory-mapped file. Without the recovery a damaged
+// file would end the process with a stack trace instead of an error message.
 func recoverFaults(operation func() error) (err error) {
 	before := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(before)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// recordedStore was written on 2026-12-02 by Init for planner-1, and by ReserveEpochs of 1001 and then of recordedEpoch. It
-	// stands for the stores of planners in service: don't write it anew.
+	// recordedStore was written on 2026-12-02 by Init for planner-1, then by ReserveEpochs with 1001 and with
+	// recordedEpoch. It represents the stores of deployed planners, so it must not be regenerated.
 	recordedStore = "testdata/planner-1.store"
 	recordedName  = "planner-1"
 	recordedEpoch = 123456789012
@@ -25,7 +25,7 @@
 	lockTimeout   = time.Second
 )
 
-// copyStore gives the path of a copy, as opening a store may write to it.
+// copyStore returns the path of a copy of the recorded store. Tests use a copy, as opening a store may write to it.
 func copyStore(t *testing.T) string {
 	t.Helper()
 	content, err := os.ReadFile(recordedStore)
@@ -39,7 +39,7 @@
 	return path
 }
 
-// records prints all buckets, keys and values of a store file.
+// records returns all buckets, keys and values of a store file as text.
 func records(t *testing.T, path string) []byte {
 	t.Helper()
 	database, err := bbolt.Open(path, ownerOnly, &bbolt.Options{ReadOnly: true, Timeout: lockTimeout})
@@ -67,19 +67,19 @@
 	return []byte(text.String())
 }
 
-// TestRecordedStore opens a store that an earlier release wrote: an epoch that is used twice has two planners command one
-// proxy, so the reserved epoch must be read as it was written, and the next reservation must be stored.
+// TestRecordedStore opens a store that an earlier release wrote. Its reserved epoch must be read as it was written, and the
+// next reservation must be stored: if an epoch were used twice, two planners could command one proxy.
 func TestRecordedStore(t *testing.T) {
 	path := copyStore(t)
 	if _, err := store.Open(path, "planner-2"); !errors.Is(err, store.ErrWrongController) {
-		t.Errorf("as another planner: %v, want %v", err, store.ErrWrongController)
+		t.Errorf("opened as another planner: %v, want %v", err, store.ErrWrongController)
 	}
 	opened, err := store.Open(path, recordedName)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if opened.ReservedEpoch() != recordedEpoch {
-		t.Errorf("epoch %d, want %d", opened.ReservedEpoch(), recordedEpoch)
+		t.Errorf("reserved epoch %d, want %d", opened.ReservedEpoch(), recordedEpoch)
 	}
 	const nextEpoch = recordedEpoch + 1000
 	if err := opened.ReserveEpochs(nextEpoch); err != nil {
@@ -98,11 +98,12 @@
 		}
 	})
 	if opened.ReservedEpoch() != nextEpoch {
-		t.Errorf("epoch %d after another was reserved, want %d", opened.ReservedEpoch(), nextEpoch)
+		t.Errorf("reserved epoch %d after the next reservation, want %d", opened.ReservedEpoch(), nextEpoch)
 	}
 }
 
-// TestGoldenRecords compares all records of the recorded store, and of one that is written now by the same calls.
+// TestGoldenRecords compares all records of the recorded store, and those of a store newly written by the same calls,
+// with the golden file.
 func TestGoldenRecords(t *testing.T) {
 	const recordsFile = "testdata/records.golden.txt"
 	golden.Check(t, recordsFile, records(t, copyStore(t)))
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// The file's bucket and the keys in it. Files in service hold them: they must stay as they are.
+// The file's bucket and its keys. They must not change, as the stores of deployed controllers contain them.
 var (
 	bucketName       = []byte("controller")
 	nameKey          = []byte("name")
@@ -37,11 +37,11 @@
 	return bucket.Put(reservedEpochKey, appendChecksum(value))
 }
 
-// readRecords checks all records, and that they are this controller's. It returns the reserved epoch.
+// readRecords checks that all records are intact and belong to the controller, and returns the reserved epoch.
 func readRecords(tx *bbolt.Tx, controller string) (reservedEpoch uint64, err error) {
 	bucket := tx.Bucket(bucketName)
 	if bucket == nil {
-		return 0, fmt.Errorf("%w (it is empty)", ErrCorrupt)
+		return 0, fmt.Errorf("%w (its bucket of records is missing)", ErrCorrupt)
 	}
 	name, nameIntact := verifyChecksum(bucket.Get(nameKey))
 	epoch, epochIntact := verifyChecksum(bucket.Get(reservedEpochKey))
@@ -54,14 +54,15 @@
 	return binary.BigEndian.Uint64(epoch), nil
 }
 
-// appendChecksum returns a copy of a value with its checksum.
+// appendChecksum returns a copy of a value, followed by its checksum.
 func appendChecksum(value []byte) []byte {
 	record := make([]byte, 0, len(value)+checksumSize)
 	record = append(record, value...)
 	return binary.BigEndian.AppendUint32(record, crc32.ChecksumIEEE(value))
 }
 
-// verifyChecksum returns the value of a record, and whether its checksum matches. The value shares the record's memory.
+// verifyChecksum splits a record into its value and checksum. It returns the value, which shares the record's memory, and
+// whether the checksum matches.
 func verifyChecksum(record []byte) (value []byte, intact bool) {
 	if len(record) < checksumSize {
 		return nil, false
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,21 +1,22 @@
-// Package store holds on disk what a controller must not forget over a crash: who it is, and up to which epoch it may have
-// requested leases. Two uses of one epoch could have two controllers command one proxy, so a store whose state is not
-// certain is not opened: a controller without its store must not command.
+// Package store keeps on disk what a controller must know after a crash: its name, and the highest epoch under which it
+// may have requested leases. If an epoch were used twice, two controllers could command one proxy. Therefore a store
+// whose content is not certain cannot be opened, and a controller must not command proxies without its store.
 //
 // # File
 //
-// The file is a bbolt database with one bucket, "controller", of two records:
+// The file is a bbolt database with one bucket, "controller", that holds two records:
 //
 //	name   the controller's name, UTF-8
 //	mark   the highest epoch that may have been used, 8 bytes, big endian
 //
-// Each value is followed by its CRC-32 (IEEE), 4 bytes, big endian, as bbolt's own checksum covers its two meta pages only.
+// Each value is followed by its CRC-32 (IEEE), 4 bytes, big endian, because bbolt's own checksums only cover its two meta
+// pages.
 //
-// bbolt syncs the file before a write returns. Where the meta page of the last write is damaged it falls back to the state
-// before that write; so each reservation is written by two transactions, and both states hold it.
+// bbolt syncs the file before a write returns. If the meta page of the last write is damaged, bbolt falls back to the state
+// before that write. Therefore each reservation is written by two transactions, so that both states contain it.
 //
-// The file is locked while it is open. It is made once by Init, for a controller that is new: a copy, an older version, or
-// a new file under a used name would allow epochs to be used again.
+// The file is locked while it is open. Init creates it once, for a new controller: a copy of another store, an older
+// version, or a new file for a name that has been in use would allow epochs to be used again.
 package store
 
 import (
@@ -31,17 +32,17 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Errors of Init and Open, to be tested by errors.Is.
+// Errors that Init and Open wrap; test for them with errors.Is.
 var (
-	// ErrNotFound is that the file is missing.
-	ErrNotFound = errors.New("there is no store; 'lichenpick store init' makes one for a new controller")
-	// ErrExists is that Init would overwrite a file.
-	ErrExists = errors.New("there is a store already")
-	// ErrCorrupt is that the file is no store, or that a part of it is damaged.
-	ErrCorrupt = errors.New("the store is damaged; if this controller's other state is gone too, give it a new name and a new store")
-	// ErrWrongController is that the store holds another name than it was opened with.
+	// ErrNotFound means that the file does not exist.
+	ErrNotFound = errors.New("there is no store; create one for a new controller with 'lichenpick store init'")
+	// ErrExists means that Init would overwrite a file.
+	ErrExists = errors.New("a store already exists")
+	// ErrCorrupt means that the file is not a store, or that a part of it is damaged.
+	ErrCorrupt = errors.New("the store is damaged; give this controller a new name and create a new store; never copy another or an older one")
+	// ErrWrongController means that the store contains another controller name than the one passed to Open.
 	ErrWrongController = errors.New("the store belongs to another controller")
-	// ErrLocked is that another process, or this one, has the store open.
+	// ErrLocked means that the store is already open, in another process or in this one.
 	ErrLocked = errors.New("the store is in use by another process")
 )
 
@@ -50,13 +51,13 @@
 	ownerOnly   fs.FileMode = 0o600
 )
 
-// Store is the open store of one controller. Its methods are to be called by one goroutine at a time.
+// Store is the open store of one controller. It is not safe for concurrent use.
 type Store struct {
 	database      *bbolt.DB
 	reservedEpoch uint64
 }
 
-// Init makes the store of a new controller, without reserved epochs. The file must not exist: ErrExists.
+// Init creates the store of a new controller, without reserved epochs. It returns ErrExists if the file exists.
 func Init(path, controller string) error {
 	_, err := os.Stat(path)
 	if err == nil {
@@ -77,14 +78,14 @@
 	return nil
 }
 
-// Open opens the store of a controller, and locks it until Close. It fails by ErrNotFound, ErrLocked, ErrCorrupt or
-// ErrWrongController. From then on the process ignores SIGXFSZ, by which the kernel would end it at a limit on file sizes:
-// the write is to fail instead.
+// Open opens the store of a controller and locks it until Close. It returns ErrNotFound, ErrLocked, ErrCorrupt or
+// ErrWrongController if it cannot. From then on the process ignores SIGXFSZ, so that a write beyond a limit on file sizes
+// fails instead of ending the process.
 func Open(path, controller string) (*Store, error) {
 	signal.Ignore(syscall.SIGXFSZ)
 	_, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		err = ErrNotFound // bbolt would make an empty file
+		err = ErrNotFound // bbolt would create an empty file
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -101,7 +102,7 @@
 	return store, nil
 }
 
-// open opens a file that exists and checks all that it holds.
+// open opens an existing file and checks its content.
 func open(path, controller string) (*Store, error) {
 	database, err := openDatabase(path)
 	if errors.Is(err, bbolterrors.ErrTimeout) {
@@ -122,17 +123,17 @@
 	return &Store{database: database, reservedEpoch: reservedEpoch}, nil
 }
 
-// openDatabase opens a bbolt file, or makes it.
+// openDatabase opens a bbolt file, and creates it if it does not exist.
 func openDatabase(path string) (*bbolt.DB, error) {
 	return bbolt.Open(path, ownerOnly, &bbolt.Options{Timeout: lockTimeout})
 }
 
-// ReservedEpoch is the highest epoch that may have been used.
+// ReservedEpoch returns the highest epoch that may have been used.
 func (s *Store) ReservedEpoch() uint64 { return s.reservedEpoch }
 
-// ReserveEpochs records that epochs up to upTo may be used. Once it returns nil that is on the disk, and outlives damage to
-// either meta page of the file. After an error ReservedEpoch is as before, and it may be called again. A bound that is not
-// above ReservedEpoch changes nothing.
+// ReserveEpochs records that epochs up to upTo may be used. Once it returns nil, the record is on disk and survives
+// damage to either meta page of the file. After an error, ReservedEpoch is unchanged and the call may be repeated. The
+// call has no effect if upTo is not above ReservedEpoch.
 func (s *Store) ReserveEpochs(upTo uint64) error {
 	if upTo <= s.reservedEpoch {
 		return nil
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// writeReservation writes a bound to both states that the file may be opened with.
+// writeReservation writes the reserved epoch once for each meta page, so that both states that bbolt may open contain it.
 func (s *Store) writeReservation(upTo uint64) error {
 	const metaPages = 2
 	for range metaPages {
@@ -157,5 +158,5 @@
 	return nil
 }
 
-// Close unlocks the file. The store is not to be used afterwards.
+// Close closes and unlocks the file. The store must not be used afterwards.
 func (s *Store) Close() error { return s.database.Close() }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -11,7 +11,7 @@
 
 const testController = "a"
 
-// newStoreFile returns the path of a new store of testController.
+// newStoreFile creates a store for testController and returns its path.
 func newStoreFile(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "store")
@@ -52,9 +52,9 @@
 }
 
 func TestStore(t *testing.T) {
-	t.Run("the reserved epoch outlives its process and never falls", testReservationPersists)
-	t.Run("a missing store, another controller's and an existing one have errors of their own", testErrors)
-	t.Run("a damaged file never opens with an older epoch", testDamage)
+	t.Run("the reserved epoch persists across restarts and never decreases", testReservationPersists)
+	t.Run("a missing store, one of another controller and an existing one return distinct errors", testErrors)
+	t.Run("a damaged file never opens with an older reserved epoch", testDamage)
 }
 
 func testReservationPersists(t *testing.T) {
@@ -69,7 +69,7 @@
 	store := openStore(t, path)
 	expectReserved(t, store, 2000)
 	if _, err := Open(path, testController); !errors.Is(err, ErrLocked) {
-		t.Errorf("opened twice: %v, want %v", err, ErrLocked)
+		t.Errorf("the store was opened a second time: %v, want %v", err, ErrLocked)
 	}
 	closeStore(t, store)
 }
@@ -77,23 +77,23 @@
 func testErrors(t *testing.T) {
 	path := newStoreFile(t)
 	if _, err := Open(path+"x", testController); !errors.Is(err, ErrNotFound) {
-		t.Errorf("a missing store: %v, want %v", err, ErrNotFound)
+		t.Errorf("opening a missing store: %v, want %v", err, ErrNotFound)
 	}
 	if _, err := Open(path, "b"); !errors.Is(err, ErrWrongController) {
-		t.Errorf("another controller's: %v, want %v", err, ErrWrongController)
+		t.Errorf("opening the store of another controller: %v, want %v", err, ErrWrongController)
 	}
 	if err := Init(path, testController); !errors.Is(err, ErrExists) {
-		t.Errorf("an existing one: %v, want %v", err, ErrExists)
+		t.Errorf("creating a store that exists: %v, want %v", err, ErrExists)
 	}
 }
 
-// damageTrial opens damaged copies of a store, and counts what became of them.
+// damageTrial opens damaged copies of a store, and counts how many open and how many are rejected.
 type damageTrial struct {
-	reservedEpoch    uint64 // the only one that a copy may open with
+	reservedEpoch    uint64 // the only reserved epoch that a copy may open with
 	opened, rejected int
 }
 
-// open tries one damaged file. It opens with the acknowledged epoch, or it does not open.
+// open checks that a store file with the given damaged content either opens with the last reserved epoch or is rejected.
 func (d *damageTrial) open(t *testing.T, damage string, offset int, content []byte) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "damaged")
@@ -110,15 +110,15 @@
 	}
 	d.opened++
 	if store.ReservedEpoch() != d.reservedEpoch {
-		t.Errorf("%s at %d: opened with epoch %d", damage, offset, store.ReservedEpoch())
+		t.Errorf("%s at byte %d: opened with reserved epoch %d", damage, offset, store.ReservedEpoch())
 	}
 	closeStore(t, store)
 }
 
 func testDamage(t *testing.T) {
 	const (
-		truncateStep  = 127 // bytes between the places that are tried
-		metaPageStep  = 16  // densely over the two meta pages, each of which alone says which state is the last
+		truncateStep  = 127 // bytes between the offsets that are tried, as the steps below
+		metaPageStep  = 16  // small, as either of the two meta pages alone decides which state is the latest
 		dataPageStep  = 251
 		overwriteSize = 64
 		reservations  = 5
@@ -146,12 +146,12 @@
 		trial.open(t, "overwritten", offset, overwrite(intact, offset, overwriteSize))
 	}
 	if trial.rejected == 0 || trial.opened == 0 {
-		t.Errorf("%d opened, %d rejected", trial.opened, trial.rejected)
+		t.Errorf("%d damaged copies opened and %d were rejected, want some of each", trial.opened, trial.rejected)
 	}
-	t.Logf("%d opened with the right epoch, %d rejected", trial.opened, trial.rejected)
+	t.Logf("%d damaged copies opened and %d were rejected", trial.opened, trial.rejected)
 }
 
-// overwrite returns a copy with some bits flipped in each byte from offset on.
+// overwrite returns a copy of content with some bits flipped in each of the size bytes from offset on.
 func overwrite(content []byte, offset, size int) []byte {
 	const flippedBits = 0x5a
 	damaged := append([]byte(nil), content...)
@@ -161,7 +161,7 @@
 	return damaged
 }
 
-// withFailingWrites runs operation while the kernel refuses each write to a file of this process.
+// withFailingWrites runs operation while the kernel refuses all file writes of this process, by a file size limit of 0.
 func withFailingWrites(t *testing.T, operation func() error) error {
 	t.Helper()
 	var limit unix.Rlimit
@@ -178,15 +178,15 @@
 	return operationErr
 }
 
-// TestFullDisk has the kernel refuse writes, as on a full disk: nothing is reserved, what was reserved stays, and the store
-// works again once there is room.
+// TestFullDisk has the kernel refuse writes, as on a full disk. A reservation must then fail without a change to the
+// reserved epoch, and the store must work again once writes succeed.
 func TestFullDisk(t *testing.T) {
 	path := newStoreFile(t)
 	store := openStore(t, path)
 	reserve(t, store, 1000)
 	err := withFailingWrites(t, func() error { return store.ReserveEpochs(2000) })
 	if err == nil {
-		t.Fatal("epochs were reserved on a full disk")
+		t.Fatal("epochs were reserved although writes fail")
 	}
 	expectReserved(t, store, 1000)
 	reserve(t, store, 3000)
