--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -12,8 +12,8 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Save writes a list to a file for Restore. It writes another file and renames it, so that a crash leaves the old list or the
-// new one, never a part.
+// Save writes a list to a file for Restore. It writes a temporary file and renames it, so that after a crash the file
+// contains either the old or the new list, never a part.
 func Save(path string, list *pb.List) error {
 	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
@@ -24,13 +24,13 @@
 		err = os.Rename(file.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(file.Name()) // the error before says why the list is not saved
+		_ = os.Remove(file.Name()) // the error that is returned tells why the list is not saved
 		return fmt.Errorf("save the endpoint list: %w", err)
 	}
 	return nil
 }
 
-// writeAndClose writes a file through to the disk. It returns the first error.
+// writeAndClose writes the content of a file, syncs it to disk and closes the file. It returns the first error.
 func writeAndClose(file *os.File, content string) error {
 	_, writeErr := file.WriteString(content)
 	syncErr := file.Sync()
@@ -38,8 +38,8 @@
 	return cmp.Or(writeErr, syncErr, closeErr)
 }
 
-// Restore reads the list that Save wrote; found is false if there is no file. Servers have aged by the time from then to
-// wallMs (unix), as far as this machine's date can be trusted: a date that was set back counts as no time.
+// Restore reads the list that Save wrote; found is false if there is no file. wallMs is the current Unix time. The ages of
+// servers increase by the time since the list was saved; if the machine's clock was set back meanwhile, they stay the same.
 func Restore(path string, wallMs uint64) (update Update, found bool, err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return Update{}, false, nil
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -8,7 +8,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// TestSaveFailure states that a list that cannot take its place leaves what was there, and no other file.
+// TestSaveFailure checks that a failed Save leaves what was at the path unchanged, and no temporary file.
 func TestSaveFailure(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "list")
@@ -17,21 +17,21 @@
 		t.Fatal(err)
 	}
 	if err := Save(path, &pb.List{}); err == nil {
-		t.Error("a list replaced a directory")
+		t.Error("Save replaced a directory that is not empty")
 	}
 	entries, err := os.ReadDir(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(entries) != 1 || !entries[0].IsDir() {
-		t.Errorf("left %v", entries)
+		t.Errorf("directory contains %v after a failed Save, want only the directory that was there", entries)
 	}
 }
 
-// TestRestoreWithoutFile states that a first start, without a cached list, is no error.
+// TestRestoreWithoutFile checks that a missing file, as at a planner's first start, is not an error.
 func TestRestoreWithoutFile(t *testing.T) {
 	_, found, err := Restore(filepath.Join(t.TempDir(), "list"), 0)
 	if found || err != nil {
-		t.Errorf("found %t, error %v", found, err)
+		t.Errorf("found %t, error %v, want false and no error", found, err)
 	}
 }
--- a/internal/discovery/filesource.go
+++ b/internal/discovery/filesource.go
@@ -10,9 +10,9 @@
 	pb "lichenpick/proto/settings"
 )
 
-// FileSource polls a file with a list, and delivers it in full when its content changed. A file that cannot be read or parsed
-// is a failed update: the list before stands. Whoever writes the file should write another one and rename it. All fields
-// must be set.
+// FileSource polls a file that contains a list, and delivers the full list whenever the content has changed. If the file
+// cannot be read or parsed, it delivers a failed update, and the previous list remains valid. Writers should write a
+// temporary file and rename it. All fields must be set.
 type FileSource struct {
 	Path           string
 	PollIntervalMs float64
@@ -34,13 +34,13 @@
 	}
 }
 
-// filePoller is what a FileSource knows of the last poll.
+// filePoller is the state of a running FileSource.
 type filePoller struct {
 	path         string
 	deliver      func(Update)
 	faults       faultReporter
 	lastChecksum [sha256.Size]byte
-	version      uint64 // of the last list
+	version      uint64 // of the last list delivered
 }
 
 func (p *filePoller) poll() {
@@ -50,7 +50,7 @@
 		return
 	}
 	checksum := sha256.Sum256(content)
-	// After a fault the list is delivered even if it is the same, to state that it is true again.
+	// After a fault the list is delivered even if it has not changed, as that shows that the source works again.
 	if checksum == p.lastChecksum && p.faults.lastFault == "" {
 		return
 	}
--- a/internal/discovery/filesource_test.go
+++ b/internal/discovery/filesource_test.go
@@ -10,7 +10,7 @@
 	"lichenpick/policy"
 )
 
-// replaceFile writes a file as the doc of FileSource asks for.
+// replaceFile writes a temporary file and renames it, as the comment of FileSource recommends.
 func replaceFile(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(content), 0o600); err != nil {
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestFileSource states that a truncated file is one failed update that names the place, and that the complete file is
-// delivered again afterwards, though it is the same as before.
+// TestFileSource checks that a truncated file results in one failed update that names the position of the fault, and that
+// the complete file is delivered again afterwards, although its content is the same as before.
 func TestFileSource(t *testing.T) {
 	const complete = `servers { server: "127.0.0.1:1" zone: "a" }`
 	const truncated = `servers { server: "127.0.0.1:1" zone: "a`
@@ -34,18 +34,18 @@
 	go func() { ended <- source.Run(t.Context(), func(update Update) { updates <- update }) }()
 	t.Cleanup(func() { // the context has ended by now
 		if err := <-ended; err != nil {
-			t.Errorf("the source ended by %v", err)
+			t.Errorf("the source ended with error %v", err)
 		}
 	})
 	if update := <-updates; update.Kind != policy.FullUpdate || len(update.Endpoints) != 1 {
-		t.Errorf("the complete file: %v", update)
+		t.Errorf("complete file: %v, want a full update with one endpoint", update)
 	}
 	replaceFile(t, path, truncated)
 	if update := <-updates; update.Kind != policy.FailedUpdate || !strings.Contains(update.Fault, "list.txtpb:1:") {
-		t.Errorf("the truncated file: %v", update)
+		t.Errorf("truncated file: %v, want a failed update that names the position", update)
 	}
 	replaceFile(t, path, complete)
 	if update := <-updates; update.Kind != policy.FullUpdate || update.Version != 2 {
-		t.Errorf("the complete file again: %v", update)
+		t.Errorf("complete file again: %v, want a full update with version 2", update)
 	}
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// recordedList was written on 2026-12-02 by Save, from the tracker of recordedTracker. It stands for the files of planners
-	// in service: don't write it anew.
+	// recordedList was written on 2026-12-02 by Save, from the tracker of recordedTracker. It represents the files of
+	// deployed planners, so it must not be regenerated.
 	recordedList = "testdata/cached-list.txtpb"
-	writtenMs    = 1_790_000_100_000 // unix, when the list was cached
-	sourceMs     = 1_790_000_000_000 // unix, when it was true
-	restartMs    = 7_500             // from the caching to the reading
+	writtenMs    = 1_790_000_100_000 // Unix time when the list was cached
+	sourceMs     = 1_790_000_000_000 // Unix time when the list was valid at its source
+	restartMs    = 7_500             // time from caching the list to reading it
 	serverLimit  = 100
 )
 
 var zones = []string{"east", "west"}
 
-// recordingHost prints what a tracker makes known.
+// recordingHost records the updates of a tracker as text. The golden files contain its wording, so it must not change.
 type recordingHost struct{ text strings.Builder }
 
 func (h *recordingHost) UpdateEndpoints(form policy.UpdateKind, entries []policy.Endpoint) {
@@ -35,9 +35,10 @@
 	}
 }
 
-// recordedTracker holds servers of each state, with and without a birth, after a while.
+// recordedTracker returns a tracker with servers of each state, with and without a known start time, some time after they
+// were listed.
 func recordedTracker() *discovery.Tracker {
-	const firstMs, cachedMs = 60_000, 160_000 // of the planner's clock
+	const firstMs, cachedMs = 60_000, 160_000 // by the planner's clock
 	tracker := discovery.NewTracker(zones, serverLimit)
 	tracker.SetTime(firstMs)
 	tracker.RecordUpdate(discovery.Update{Kind: policy.FullUpdate, AsOfMs: sourceMs, Version: 4, Endpoints: []discovery.Endpoint{
@@ -45,7 +46,7 @@
 		{Server: "10.0.0.2:80", Zone: "west", State: policy.Draining, RelativeCapacity: 2.5},
 		{Server: "10.0.0.3:80", Zone: "west", State: policy.Removed, RelativeCapacity: 1},
 		{Server: "10.0.0.4:80", Zone: "east", State: policy.Ready, RelativeCapacity: 1.0 / 3, StartedUnixMs: sourceMs - 12_345},
-		{Server: "10.0.0.5:80", Zone: "south", State: policy.Ready, RelativeCapacity: 1}, // a zone that is not known
+		{Server: "10.0.0.5:80", Zone: "south", State: policy.Ready, RelativeCapacity: 1}, // unknown zone
 	}})
 	host := &recordingHost{}
 	for tracker.Next(host) {
@@ -54,7 +55,7 @@
 	return tracker
 }
 
-// TestGoldenCachedList compares the file that is written now with the recorded one, byte for byte.
+// TestGoldenCachedList compares a newly written file with the golden one, byte for byte.
 func TestGoldenCachedList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := discovery.Save(path, recordedTracker().Snapshot(writtenMs)); err != nil {
@@ -67,8 +68,8 @@
 	golden.Check(t, "testdata/cached-list.golden.txt", content)
 }
 
-// TestRecordedCachedList reads a list that an earlier release cached, as a planner does at its start, and records it in a
-// tracker: servers must be of the same state, size and age as when it was written.
+// TestRecordedCachedList reads a list that an earlier release cached, as a planner does at its start, and passes it to a
+// tracker. Servers must have the same state, capacity and start time as when the list was written.
 func TestRecordedCachedList(t *testing.T) {
 	update, found, err := discovery.Restore(recordedList, writtenMs+restartMs)
 	if err != nil || !found {
@@ -81,7 +82,7 @@
 		fmt.Fprintf(&host.text, "  %s zone %s state %d size %g born %d ms\n",
 			entry.Server, entry.Zone, int(entry.State), entry.RelativeCapacity, entry.StartedUnixMs)
 	}
-	const startMs = 300_000 // of the planner's clock
+	const startMs = 300_000 // by the planner's clock
 	tracker := discovery.NewTracker(zones, serverLimit)
 	tracker.SetTime(startMs)
 	tracker.RecordUpdate(update)
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -1,11 +1,11 @@
 // Package discovery supplies a planner with the list of endpoints, the servers that proxies send requests to.
 //
-// A Source delivers what some registry lists: FileSource polls a file, StreamSource follows a stream of full lists and
-// changes. A Tracker stands between a source and the policy: it turns updates into changes for the policy, works out when
-// servers started by the planner's clock, and takes a list that lacks many servers at once for a fault of its source for a
-// while. Save and Restore cache the list in a file over a restart.
+// A Source delivers the list of a service registry: FileSource polls a file, StreamSource follows a stream of full lists
+// and changes. A Tracker sits between a source and the policy. It turns updates into changes for the policy, converts the
+// start times of servers to the planner's clock, and delays removals when a list suddenly lacks many servers, as that is
+// more likely a fault of the source. Save and Restore cache the list in a file across a restart.
 //
-// Sources do I/O and run in a goroutine of their own; the tracker does none, and is used by one goroutine at a time.
+// Sources do I/O and run in their own goroutine. The tracker does no I/O and is not safe for concurrent use.
 package discovery
 
 import (
@@ -18,30 +18,30 @@
 // Endpoint is one server as a source lists it.
 type Endpoint struct {
 	Server           string // host:port
-	Zone             string // by name, as in the settings
+	Zone             string // name of the zone, as in the settings
 	State            policy.State
 	RelativeCapacity float64
-	StartedUnixMs    uint64 // by the source's clock, when the server last started; 0: long ago or not known
+	StartedUnixMs    uint64 // when the server last started, by the source's clock; 0 if long ago or unknown
 }
 
-// Update is what a source delivers.
+// Update is one message of a source.
 type Update struct {
-	Kind      policy.UpdateKind // policy.RestoredUpdate is not delivered: see Restored
-	AsOfMs    uint64            // unix, by the source's clock: when the list was true; ages of servers are counted to it
-	Version   uint64            // rises with each list of a source
-	Endpoints []Endpoint        // all of them in a full update, those that changed in a delta
-	Fault     string            // of a failed update: what went wrong
-	Restored  bool              // a full list that was cached before a restart, perhaps stale
+	Kind      policy.UpdateKind // never policy.RestoredUpdate; see Restored
+	AsOfMs    uint64            // Unix time when the list was valid, by the source's clock; ages of servers refer to it
+	Version   uint64            // increases with each list of a source
+	Endpoints []Endpoint        // all endpoints in a full update, the changed ones in a delta
+	Fault     string            // in a failed update: what went wrong
+	Restored  bool              // whether this is a full list that was cached before a restart, and may be stale
 }
 
-// Source delivers the updates of a list until the context ends. It delivers in order and from one goroutine, and may block
-// in deliver. Faults that may pass are delivered as failed updates, once each; Run returns early, with an error, only for
-// those that will not.
+// Source delivers the updates of a list until the context ends. It calls deliver in order and from one goroutine; deliver
+// may block. A transient fault is delivered as one failed update. Run returns early, with an error, only for a permanent
+// fault.
 type Source interface {
 	Run(ctx context.Context, deliver func(Update)) error
 }
 
-// newFullUpdate returns the update of a list in the form of a file.
+// newFullUpdate converts a list, as stored in a file, to a full update.
 func newFullUpdate(list *pb.List, version uint64) Update {
 	update := Update{Kind: policy.FullUpdate, AsOfMs: list.AsOfUnixMs, Version: version}
 	for _, entry := range list.Servers {
@@ -56,10 +56,10 @@
 	return update
 }
 
-// faultReporter delivers a fault once, not at each attempt that meets it.
+// faultReporter delivers a fault once, even if several attempts in a row fail with it.
 type faultReporter struct {
 	deliver   func(Update)
-	lastFault string // empty: the last attempt succeeded
+	lastFault string // empty if the last attempt succeeded
 }
 
 func (r *faultReporter) reportFailure(err error) {
--- a/internal/discovery/streamsource.go
+++ b/internal/discovery/streamsource.go
@@ -14,22 +14,22 @@
 	"lichenpick/proto/order"
 )
 
-// Faults of a list stream.
+// Faults of an endpoint stream.
 var (
-	// errVersionGap is that a change was lost, which may have been a drain: the stream is dialled again for a full list.
-	errVersionGap = errors.New("a change does not follow the last list; reconnecting for a full list")
-	// errSourceFailed is that the source says that it could not get its list.
-	errSourceFailed = errors.New("the source reported a failure")
+	// errVersionGap means that a change was lost. As it may have been a drain, the source reconnects to get a full list.
+	errVersionGap = errors.New("a change of the endpoint list was lost; reconnecting for a full list")
+	// errSourceFailed means that the source reported that it could not get its list.
+	errSourceFailed = errors.New("the endpoint source reported that it could not get its list")
 )
 
 const readBufferBytes = 1 << 15
 
-// StreamSource follows a source that pushes full lists and changes over TCP, in the frames of package controlstream. All
-// fields must be set.
+// StreamSource connects to a source that pushes full lists and changes over TCP, in the frames of package controlstream.
+// All fields must be set.
 type StreamSource struct {
 	Address            string  // host:port
-	ReconnectDelayMs   float64 // from the end of a stream, or a dial that failed, to the next
-	HeartbeatTimeoutMs float64 // to connect, for a handshake, and without a frame: then the stream is given up
+	ReconnectDelayMs   float64 // from the end of a stream or a failed dial to the next dial
+	HeartbeatTimeoutMs float64 // limit on each dial, on the handshake, and on the time without a frame
 	MaxFrameBytes      int
 	Clock              clock.Clock
 	Network            clock.Network
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// follow delivers the updates of one stream until it ends.
+// follow opens one stream and delivers its updates until it ends.
 func (s *StreamSource) follow(ctx context.Context, deliver func(Update)) error {
 	connection, err := s.dial(ctx)
 	if err != nil {
 		return fmt.Errorf("connect to the endpoint source: %w", err)
 	}
-	closeConnection := func() { _ = connection.Close() } // nothing is written, so nothing can be lost
+	closeConnection := func() { _ = connection.Close() } // the connection is only read from, so no data can be lost
 	defer closeConnection()
 	stopWatching := context.AfterFunc(ctx, closeConnection)
 	defer stopWatching()
@@ -98,14 +98,14 @@
 	return s.Network.Dial(dialContext, netip.Addr{}, s.Address)
 }
 
-// updateDecoder turns the frames of one stream into updates. It implements controlstream.EndpointHost.
+// updateDecoder converts the frames of one stream to updates. It implements controlstream.EndpointHost.
 type updateDecoder struct {
 	deliver    func(Update)
-	version    uint64 // of the last list or change; 0: none
-	versionGap bool   // a change was lost: nothing more is delivered
+	version    uint64 // of the last list or change; 0 if there was none
+	versionGap bool   // whether a change was lost; nothing is delivered from then on
 }
 
-// OnEndpoints delivers a list, a change, or a failure of the source.
+// OnEndpoints delivers a full list, a change, or a failure of the source.
 func (d *updateDecoder) OnEndpoints(listing *order.Listing) {
 	if d.versionGap {
 		return
@@ -121,7 +121,7 @@
 		d.deliverEndpoints(policy.DeltaUpdate, listing)
 	case order.Listing_WHOLE:
 		d.deliverEndpoints(policy.FullUpdate, listing)
-	default: // a form of a later release is passed on without its entries
+	default: // an unknown form, of a later release, is delivered without its entries
 		d.deliver(Update{Kind: policy.UpdateKind(listing.Form), AsOfMs: listing.AsOfUnixMs, Version: listing.Version})
 	}
 }
--- a/internal/discovery/streamsource_test.go
+++ b/internal/discovery/streamsource_test.go
@@ -13,7 +13,8 @@
 	"lichenpick/proto/order"
 )
 
-// TestUpdateDecoderStopsAtVersionGap states that nothing is delivered once a change was lost, as that may have been a drain.
+// TestUpdateDecoderStopsAtVersionGap checks that nothing is delivered once a change was lost, as that may have been a
+// drain.
 func TestUpdateDecoderStopsAtVersionGap(t *testing.T) {
 	var updates []Update
 	decoder := &updateDecoder{deliver: func(update Update) { updates = append(updates, update) }}
@@ -22,11 +23,11 @@
 	decoder.OnEndpoints(&order.Listing{Form: order.Listing_CHANGE, Version: 7}) // 6 was lost
 	decoder.OnEndpoints(&order.Listing{Form: order.Listing_CHANGE, Version: 8})
 	if len(updates) != 2 || !decoder.versionGap {
-		t.Errorf("%v, version gap %t", updates, decoder.versionGap)
+		t.Errorf("delivered %v, version gap %t; want the first two updates and a version gap", updates, decoder.versionGap)
 	}
 }
 
-// failingNetwork fails each dial by the next error, and ends the source after the last.
+// failingNetwork fails each dial with the next error. With the last error it ends the source.
 type failingNetwork struct {
 	errs []error
 	stop context.CancelFunc
@@ -46,12 +47,12 @@
 	return nil, errors.ErrUnsupported
 }
 
-// TestStreamSourceReportsFaultOnce states that a fault is delivered once, not at each attempt that meets it.
+// TestStreamSourceReportsFaultOnce checks that a fault is delivered once, even if several dials in a row fail with it.
 func TestStreamSourceReportsFaultOnce(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	refused := errors.New("refused")
 	unreachable := errors.New("unreachable")
-	ended := errors.New("after the end")
+	ended := errors.New("after the context ended")
 	network := &failingNetwork{errs: []error{refused, refused, refused, unreachable, unreachable, refused, ended}, stop: cancel}
 	source := &StreamSource{
 		Address:            "registry:1",
@@ -71,7 +72,7 @@
 	}
 	for index, update := range updates {
 		if update.Kind != policy.FailedUpdate || !strings.HasSuffix(update.Fault, want[index].Error()) {
-			t.Errorf("update %d is %v, want the fault %q", index, update, want[index])
+			t.Errorf("update %d is %v, want a failed update with fault %q", index, update, want[index])
 		}
 	}
 }
--- a/internal/discovery/tracker.go
+++ b/internal/discovery/tracker.go
@@ -10,69 +10,71 @@
 	pb "lichenpick/proto/settings"
 )
 
-// How missing servers are treated.
+// Handling of missing and removed servers.
 const (
-	// maxMissingShare is the part of the servers that may be missing from a full list at once and are believed gone. More is
-	// rather a fault of the source.
+	// maxMissingShare is the share of the servers up to which servers missing from a full list are removed at once. If
+	// more are missing, a fault of the source is more likely.
 	maxMissingShare = 0.3
-	// minMissingToDelay is the number of missing servers from which on their removal may be delayed. Of a handful, one or two may well go
-	// together.
+	// minMissingToDelay is the number of missing servers from which their removal may be delayed. In a small fleet one or
+	// two servers may well be taken out together.
 	minMissingToDelay = 3
-	// removalDelayMs is how long the removal of missing servers is delayed, in ms. A source that polls may lack them for a poll or two.
+	// removalDelayMs is how long the removal of missing servers is delayed, in ms. It outlasts a source that polls and
+	// lacks them for a poll or two.
 	removalDelayMs = 10_000.0
-	// RemovedRetentionMs is how long a removed server is remembered, in ms. The policy forgets one earlier, so that no late decision
-	// of it is about an unknown server.
+	// RemovedRetentionMs is how long a removed server is retained, in ms. The policy drops a removed server earlier, so
+	// that none of its late decisions is about a server that is unknown here.
 	RemovedRetentionMs = 900_000.0
 )
 
-// earliestStartMs is what starts before the origin of the planner's clock count as, in ms. 0 would mean that the start is not
-// known; any server is warm by far by the time that this is decided on.
+// earliestStartMs replaces start times before the origin of the planner's clock, in ms. 0 would mean that the start is
+// unknown. A server that started that early has long completed its slow start, so the difference does not matter.
 const earliestStartMs = 1.0
 
-// Host takes what a tracker decided. It is called by Tracker.Next, in its caller's goroutine.
+// Host receives a tracker's updates. Tracker.Next calls it in the goroutine of its own caller.
 type Host interface {
-	// UpdateEndpoints states the endpoints that changed, or all in the first call that is no failed update. Starts are in ms
-	// of the planner's clock. A failed update has no endpoints.
+	// UpdateEndpoints reports the endpoints that changed, or all of them in the first call other than a failed update.
+	// Start times are in ms of the planner's clock. A failed update has no endpoints.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint)
 }
 
-// trackedEndpoint is what the tracker knows of one server.
+// trackedEndpoint is the tracker's state of one server.
 type trackedEndpoint struct {
-	Endpoint           // as last listed; State is Removed once it is believed gone
-	startedMs  float64 // by the planner's clock, worked out when StartedUnixMs was first listed; 0: not known
-	listed     bool    // in the last update that covers it
-	removalMs  float64 // when it is believed gone if it is not listed; infinite while it is listed
-	changed    bool    // since it was reported to the host
-	reportedMs float64 // when it was reported to the host last
+	Endpoint           // as last listed, except that State is Removed once the server is missing for too long
+	startedMs  float64 // start by the planner's clock, computed when StartedUnixMs last changed; 0 if unknown
+	listed     bool    // whether the server was in the last update that covers it
+	removalMs  float64 // when the server is removed unless it is listed by then; infinite while it is listed
+	changed    bool    // whether the server has changed since it was reported to the host
+	reportedMs float64 // when the server was last reported to the host
 }
 
-// Tracker turns the updates of sources into those for the policy. A server that a source states to be draining or removed is
-// believed at once. One that is only missing from a full list is believed gone at once while few are, and after
-// removalDelayMs when many are. This guards against a source that answers with a part of its list, or with none, and a file
-// that is read while it is written. It harms when a whole zone is really taken out of the list in one step: requests go
-// there until its servers are ejected or the time is over.
+// Tracker converts the updates of sources to those for the policy. A server that a source lists as draining or removed
+// takes that state at once. Servers that are only missing from a full list are removed at once while they are few, and
+// after removalDelayMs when they are many. This tolerates a source that returns a part of its list or an empty one, and a
+// file that is read while it is written. The drawback: if a whole zone really is taken out of the list in one step,
+// requests still go there until its servers are ejected or the delay has passed.
 //
-// Input methods only update what the tracker knows; Next passes on what follows from it. A tracker is not safe for use by
-// two goroutines at once. Times are in ms of the planner's monotonic clock, unless said otherwise.
+// Input methods only update the tracker's state; Next reports the resulting changes. A tracker is not safe for concurrent
+// use. Times are in ms of the planner's monotonic clock, unless stated otherwise.
 type Tracker struct {
-	zones        map[string]int // index by name
+	zones        map[string]int // zone index by name
 	maxEndpoints int
 	nowMs        float64
 	endpoints    map[string]*trackedEndpoint // by server
-	order        []string                    // servers as first listed, so that reports have the same order each time
+	order        []string                    // servers in the order of their first listing, in which they are reported
 
-	sourceFailed bool    // a failed update is to be passed on
-	received     bool    // a first list came
-	restored     bool    // the first list is one from before a restart
-	reported     bool    // a first list was passed on
-	dirty        bool    // an update came since the last evaluation
-	deadlineMs   float64 // when the next unverified endpoint is believed gone; infinite if none is
+	sourceFailed bool    // whether a failed update has yet to be reported
+	received     bool    // whether a list has been received
+	restored     bool    // whether the first list is one that was cached before a restart
+	reported     bool    // whether a list has been reported to the host
+	dirty        bool    // whether an update was received since the last evaluation
+	deadlineMs   float64 // when the next unverified endpoint is removed; infinite if there is none
 
-	Rejected   int // endpoints over the limit or of unknown zones, since the start
+	Rejected   int // endpoints rejected as over the limit or of an unknown zone, since the start
 	Unverified int // endpoints that are missing from the last list and whose removal is delayed
 }
 
-// NewTracker returns a tracker for zones, by name in the order of the policy's indices, that holds at most maxEndpoints.
+// NewTracker returns a tracker that holds at most maxEndpoints. The names of the zones are in the order of the policy's
+// zone indices.
 func NewTracker(zones []string, maxEndpoints int) *Tracker {
 	tracker := &Tracker{
 		zones:        map[string]int{},
@@ -86,7 +88,7 @@
 	return tracker
 }
 
-// SetTime states the time. It is to be called before other inputs and before Next.
+// SetTime sets the current time. Call it before other input methods and before Next.
 func (t *Tracker) SetTime(nowMs float64) { t.nowMs = nowMs }
 
 // RecordUpdate records an update of a source.
@@ -124,8 +126,8 @@
 		t.endpoints[listed.Server] = endpoint
 		t.order = append(t.order, listed.Server)
 	}
-	// The start is worked out once, and by the source's clock alone. Guards against steps of this machine's date or the
-	// source's, which would otherwise look like restarts of all servers.
+	// The start is computed only when the listed start time changes, and from the source's clock alone. Otherwise a step of
+	// this machine's clock or of the source's would look like a restart of all servers.
 	if listed.StartedUnixMs != endpoint.StartedUnixMs {
 		endpoint.startedMs = t.startedMs(listed, asOfUnixMs)
 		endpoint.changed = true
@@ -138,7 +140,7 @@
 	endpoint.removalMs = math.Inf(1)
 }
 
-// startedMs is when a server started by the planner's clock; 0: not known.
+// startedMs returns when a server started, by the planner's clock; 0 if unknown.
 func (t *Tracker) startedMs(listed Endpoint, asOfUnixMs uint64) float64 {
 	if listed.StartedUnixMs == 0 {
 		return 0
@@ -147,7 +149,8 @@
 	return math.Max(t.nowMs-ageMs, earliestStartMs)
 }
 
-// ensureCapacity reports whether one more server can be held. If need be it forgets one that is removed and was reported so.
+// ensureCapacity reports whether one more server can be added. If the limit is reached, it drops a removed server whose
+// removal was reported to the host, if there is one.
 func (t *Tracker) ensureCapacity() bool {
 	if len(t.endpoints) < t.maxEndpoints {
 		return true
@@ -163,7 +166,7 @@
 	return false
 }
 
-// scheduleRemovals sets when each server that is missing from a full list is believed gone.
+// scheduleRemovals sets when each server that is missing from a full list is due for removal.
 func (t *Tracker) scheduleRemovals() {
 	tooMany := t.tooManyMissing()
 	t.Unverified = 0
@@ -183,7 +186,7 @@
 	}
 }
 
-// tooManyMissing reports whether more servers are missing from the last full list than are likely gone.
+// tooManyMissing reports whether so many servers are missing from the last full list that a fault of the source is likely.
 func (t *Tracker) tooManyMissing() bool {
 	missing := 0
 	present := 0
@@ -199,7 +202,7 @@
 	return missing >= minMissingToDelay && float64(missing) > maxMissingShare*float64(present)
 }
 
-// Next passes on at most one update, and reports whether it did: callers call it until it does not.
+// Next passes at most one update to the host, and returns whether it did. Callers repeat the call until it returns false.
 func (t *Tracker) Next(host Host) bool {
 	if t.sourceFailed {
 		t.sourceFailed = false
@@ -226,8 +229,8 @@
 	return true
 }
 
-// takeChanges returns the endpoints that are to be reported to the host, and records that they are reported. It forgets
-// servers that were removed long ago.
+// takeChanges returns the endpoints to report to the host, and marks them as reported. It drops servers that were removed
+// more than RemovedRetentionMs ago.
 func (t *Tracker) takeChanges() []policy.Endpoint {
 	var changes []policy.Endpoint
 	retained := t.order[:0]
@@ -256,7 +259,8 @@
 	return changes
 }
 
-// removeOverdue removes a server that has been missing for long enough, and sets the deadline for one that has not.
+// removeOverdue removes a missing server that is due for removal. If a missing server is not due yet, it lowers
+// deadlineMs to its removal time.
 func (t *Tracker) removeOverdue(endpoint *trackedEndpoint) {
 	if endpoint.listed || endpoint.State == policy.Removed {
 		return
@@ -270,8 +274,8 @@
 	t.Unverified = max(t.Unverified-1, 0)
 }
 
-// Deadline is when Next may have something to pass on: now after an update, when a missing server is believed gone
-// otherwise. It is infinite if no server is missing.
+// Deadline returns when Next may have an update to report: now if an update was received, otherwise when the next missing
+// server is due for removal. It is infinite if no server is missing.
 func (t *Tracker) Deadline() float64 {
 	if t.dirty {
 		return t.nowMs
@@ -279,7 +283,7 @@
 	return t.deadlineMs
 }
 
-// CountByState counts the servers that are held, the removed ones that are remembered among them.
+// CountByState counts the tracked servers by state. Removed servers count as long as they are retained.
 func (t *Tracker) CountByState() (ready, draining, removed int) {
 	for _, endpoint := range t.endpoints {
 		switch endpoint.State {
@@ -294,7 +298,8 @@
 	return ready, draining, removed
 }
 
-// Snapshot returns the servers that are not removed, for Save, with starts by this machine's date, which is wallMs (unix) now.
+// Snapshot returns the servers that are not removed, for Save. wallMs is the current Unix time; start times are computed
+// from it and the ages of the servers.
 func (t *Tracker) Snapshot(wallMs uint64) *pb.List {
 	list := &pb.List{KeptUnixMs: wallMs, AsOfUnixMs: wallMs}
 	for _, server := range t.order {
--- a/internal/discovery/tracker_test.go
+++ b/internal/discovery/tracker_test.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	testAsOfMs       = 1e12 // unix, of the lists of listOf
+	testAsOfMs       = 1e12 // Unix time when the lists of listOf are valid
 	testMaxEndpoints = 100
 )
 
-// trackerTest is a tracker, and what the policy would hold by what it passes on.
+// trackerTest is a tracker and, as its host, records the state that the policy would have.
 type trackerTest struct {
 	tracker *Tracker
 	states  map[string]policy.State
@@ -37,7 +37,7 @@
 	}
 }
 
-// at sets the time, records updates, and has the tracker pass on all that follows.
+// at sets the time, passes updates to the tracker, and has it report all changes.
 func (h *trackerTest) at(nowMs float64, updates ...Update) {
 	h.tracker.SetTime(nowMs)
 	for _, update := range updates {
@@ -60,21 +60,21 @@
 func (h *trackerTest) expectReady(t *testing.T, want int) {
 	t.Helper()
 	if ready := h.countReady(); ready != want {
-		t.Errorf("%d ready, want %d", ready, want)
+		t.Errorf("%d servers ready, want %d", ready, want)
 	}
 }
 
 func (h *trackerTest) expectUnverified(t *testing.T, want int) {
 	t.Helper()
 	if h.tracker.Unverified != want {
-		t.Errorf("%d unverified, want %d", h.tracker.Unverified, want)
+		t.Errorf("%d endpoints unverified, want %d", h.tracker.Unverified, want)
 	}
 }
 
 func (h *trackerTest) expectRejected(t *testing.T, want int) {
 	t.Helper()
 	if h.tracker.Rejected != want {
-		t.Errorf("%d rejected, want %d", h.tracker.Rejected, want)
+		t.Errorf("%d endpoints rejected, want %d", h.tracker.Rejected, want)
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// listOf is a full list of the servers s0, s1, ... in zone a.
+// listOf returns a full update with the servers s0, s1, ... in zone a.
 func listOf(count int) Update {
 	update := Update{Kind: policy.FullUpdate, AsOfMs: testAsOfMs}
 	for number := range count {
@@ -103,18 +103,18 @@
 }
 
 func TestTracker(t *testing.T) {
-	t.Run("an empty list leaves servers unverified for a while, and a full one verifies them", testEmptyListIsUnverified)
-	t.Run("a server that was removed long ago is forgotten, and may come back", testRemovedServerIsForgotten)
-	t.Run("an empty list is believed in the end", testEmptyListIsBelievedInTheEnd)
-	t.Run("a draining state is believed at once, in a list that lacks many servers", testDrainingIsBelievedAtOnce)
-	t.Run("one missing server of many is removed at once", testOneMissingServerIsRemoved)
-	t.Run("starts go by the source's clock, and steps of a clock are no restarts", testStartsGoByTheSourcesClock)
-	t.Run("a start before the clock's origin is long ago, neither unknown nor negative", testStartBeforeOrigin)
-	t.Run("endpoints over the limit are rejected, and removed ones make room", testEndpointLimit)
+	t.Run("an empty list leaves servers unverified until a complete list contains them", testEmptyListLeavesServersUnverified)
+	t.Run("a removed server is dropped after the retention time, and may come back", testRemovedServerIsDropped)
+	t.Run("all servers are removed once a list has been empty for the removal delay", testEmptyListRemovesServersAfterDelay)
+	t.Run("a listed draining state takes effect at once, even in a list that lacks many servers", testDrainingTakesEffectAtOnce)
+	t.Run("one missing server among many is removed at once", testOneMissingServerIsRemoved)
+	t.Run("start times follow the source's clock, and a clock step is not a restart", testStartsFollowSourceClock)
+	t.Run("a start before the clock's origin is neither unknown nor negative", testStartBeforeOrigin)
+	t.Run("endpoints over the limit are rejected, and a removed one is replaced by a new one", testEndpointLimit)
 	t.Run("a failed update changes no endpoint", testFailedUpdate)
 }
 
-func testEmptyListIsUnverified(t *testing.T) {
+func testEmptyListLeavesServersUnverified(t *testing.T) {
 	test := newTrackerTest()
 	test.at(1000, listOf(10))
 	test.at(1500, listOf(0))
@@ -127,35 +127,35 @@
 	test.expectUnverified(t, 0)
 }
 
-func testRemovedServerIsForgotten(t *testing.T) {
+func testRemovedServerIsDropped(t *testing.T) {
 	test := newTrackerTest()
 	test.at(1000, listOf(10))
 	test.at(2000, listOf(9))
 	test.at(2000+RemovedRetentionMs/2, listOf(9))
 	if test.tracker.endpoints["s9"] == nil {
-		t.Error("forgotten at once")
+		t.Error("removed server s9 was dropped before the retention time")
 	}
 	test.at(3000+RemovedRetentionMs, listOf(9))
 	if len(test.tracker.endpoints) != 9 || len(test.tracker.order) != 9 {
-		t.Errorf("%d known, %d in order", len(test.tracker.endpoints), len(test.tracker.order))
+		t.Errorf("%d endpoints and %d in order, want 9 of each", len(test.tracker.endpoints), len(test.tracker.order))
 	}
 	test.at(4000+RemovedRetentionMs, listOf(10))
 	test.expectReady(t, 10)
 }
 
-func testEmptyListIsBelievedInTheEnd(t *testing.T) {
+func testEmptyListRemovesServersAfterDelay(t *testing.T) {
 	test := newTrackerTest()
 	test.at(1000, listOf(10))
 	test.at(2000, listOf(0))
 	if deadlineMs := test.tracker.Deadline(); deadlineMs != 2000+removalDelayMs {
-		t.Errorf("deadline %g", deadlineMs)
+		t.Errorf("deadline at %g ms, want removalDelayMs after the first empty list", deadlineMs)
 	}
 	test.at(6000, listOf(0))
 	test.at(2000 + removalDelayMs)
 	test.expectReady(t, 0)
 }
 
-func testDrainingIsBelievedAtOnce(t *testing.T) {
+func testDrainingTakesEffectAtOnce(t *testing.T) {
 	test := newTrackerTest()
 	test.at(1000, listOf(10))
 	update := listOf(3)
@@ -172,18 +172,18 @@
 	test.expectState(t, "s9", policy.Removed)
 }
 
-func testStartsGoByTheSourcesClock(t *testing.T) {
+func testStartsFollowSourceClock(t *testing.T) {
 	const beginMs = 1e9
 	test := newTrackerTest()
 	update := listOf(1)
 	update.Endpoints[0].StartedUnixMs = testAsOfMs - 4000
 	test.at(beginMs, update)
 	test.at(beginMs+500, update)
-	update.AsOfMs += 3600e3 // the same start, from a clock that was set forward
+	update.AsOfMs += 3600e3 // the same start time, from a source clock that was set forward by an hour
 	test.at(beginMs+1000, update)
 	test.expectStarted(t, "s0", beginMs-4000)
 	if len(test.kinds) != 1 {
-		t.Errorf("passed on %v", test.kinds)
+		t.Errorf("reported updates of kinds %v, want one update", test.kinds)
 	}
 	update.Endpoints[0].StartedUnixMs = update.AsOfMs - 100
 	test.at(beginMs+2000, update)
@@ -219,6 +219,6 @@
 	test.expectReady(t, 4)
 	want := []policy.UpdateKind{policy.FullUpdate, policy.FailedUpdate}
 	if !slices.Equal(test.kinds, want) {
-		t.Errorf("passed on %v, want %v", test.kinds, want)
+		t.Errorf("reported updates of kinds %v, want %v", test.kinds, want)
 	}
 }
