--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	faultsMs     = 20_000 // that faults are drawn for
-	recoveryMs   = 4000   // after that
-	requestLoss  = 0.02
-	redialChance = 0.004 // of each missing stream, in a step
-	meanPauseMs  = 2500
+	faultsMs     = 20_000 // duration of the random faults
+	recoveryMs   = 4000   // time without faults after that
+	requestLoss  = 0.02   // share of requests that are lost with their stream
+	redialChance = 0.004  // probability per step that a missing stream is dialed again
+	meanPauseMs  = 2500   // mean duration of a controller's pause
 )
 
-// Chances of each fault in a step, as bounds of one draw.
+// Faults are chosen by one random number in [0, 1) per step: the first fault occurs whose bound is above the number and
+// that is possible for the chosen controller.
 const (
 	pauseBound         = 0.0007
 	killBound          = 0.0010
@@ -23,10 +24,10 @@
 	diskBound          = 0.0044
 )
 
-var seeds = flag.Int64("seeds", 15, "seeds of random faults")
+var seeds = flag.Int64("seeds", 15, "number of seeds to run TestRandomFaults with")
 
-// runWithFaults draws pauses, kills, partitions and full disks for a while, and then ends all faults. Unfenced proxies
-// don't check epochs.
+// runWithFaults runs three controllers and six proxies with random pauses, crashes, partitions and full disks, and then
+// for a while without faults. If unfenced, proxies obey orders without checking their epoch.
 func runWithFaults(t *testing.T, seed int64, unfenced bool) *world {
 	t.Helper()
 	w := newWorld(t, seed, 3, 6)
@@ -56,12 +57,12 @@
 	return w
 }
 
-// injectRandomFault has a drawn controller meet a fault, or none.
+// injectRandomFault injects a random fault, or none, at a random controller.
 func (w *world) injectRandomFault() {
 	controller := w.controllers[w.names[w.random.Intn(len(w.names))]]
 	switch draw := w.random.Float64(); {
 	case draw < pauseBound && !controller.dead:
-		controller.pausedUntilMs = w.nowMs + w.random.ExpFloat64()*meanPauseMs // as by SIGSTOP
+		controller.pausedUntilMs = w.nowMs + w.random.ExpFloat64()*meanPauseMs // as after SIGSTOP
 	case draw < killBound && !controller.dead:
 		w.kill(controller)
 	case draw < restartBound && controller.dead:
@@ -89,8 +90,9 @@
 	}
 }
 
-// TestRandomFaults plays hundreds of pauses, kills and partitions by seed. After each step at most one controller believes
-// that it holds a proxy's lease, and no proxy obeys an order of a past epoch. Afterwards all proxies have a holder again.
+// TestRandomFaults runs hundreds of random pauses, crashes and partitions per seed. After each step at most one
+// controller may believe that it holds a proxy's lease, and no proxy may obey an order of a past epoch. After the faults,
+// each proxy must have a lease holder again.
 func TestRandomFaults(t *testing.T) {
 	takeovers := 0
 	for seed := range *seeds {
@@ -99,16 +101,17 @@
 			t.Fatalf("seed %d: %s", seed, w.violation)
 		}
 		if held := w.countHeld(); held[""] > 0 {
-			t.Fatalf("seed %d: held %v at the end", seed, held)
+			t.Fatalf("seed %d: proxies without a lease holder at the end: held %v", seed, held)
 		}
 		takeovers += len(w.takeoverGapMs)
 	}
 	t.Logf("%d takeovers", takeovers)
-	// The same with proxies that don't check epochs must be seen to fail, else the check above shows nothing.
+	// The same faults must cause a violation if proxies do not check epochs. Otherwise the checks above would prove
+	// nothing.
 	for seed := range *seeds {
 		if runWithFaults(t, seed, true).violation != "" {
 			return
 		}
 	}
-	t.Error("no seed shows that an epoch check is left out")
+	t.Error("no seed causes a violation although proxies do not check epochs")
 }
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -12,18 +12,18 @@
 const (
 	stepMs           = 5.0
 	runMs            = 40_000.0
-	faultsEndMs      = 32_000.0 // no faults from then on
-	digestIntervalMs = 1000.0   // that each digest in the golden file covers
+	faultsEndMs      = 32_000.0 // end of the random faults
+	digestIntervalMs = 1000.0   // time that each digest in the golden file covers
 	seed             = 20261202
 	plannerCount     = 3
 	proxyCount       = 15
-	disconnectChance = 0.02 // of one random stream, in a step
-	dialChance       = 0.05 // of each missing stream, in a step
-	pauseMs          = 1500 // that a paused planner is away
+	disconnectChance = 0.02 // probability per step that one random stream ends
+	dialChance       = 0.05 // probability per step that a missing stream is dialed
+	pauseMs          = 1500 // duration of a planner's pause
 )
 
-// simulation is three planners that share fifteen proxies, in simulated time, with seeded faults. What a planner says
-// reaches its proxy at once; what a proxy says reaches planners in the next step.
+// simulation runs three planners that share fifteen proxies, in simulated time, with random faults from a fixed seed.
+// Messages of a planner reach their proxy at once; messages of a proxy reach a planner when it next decides.
 type simulation struct {
 	digest   *golden.Digest
 	random   *rand.Rand
@@ -37,11 +37,11 @@
 	name        string
 	incarnation uint64
 	manager     *lease.Manager
-	reserved    uint64 // what its store holds
+	reserved    uint64 // reserved epoch in the planner's store
 	diskFull    bool
 	open        bool
-	resumeMs    float64 // paused until then
-	inbox       []func()
+	resumeMs    float64  // the planner is paused until then
+	inbox       []func() // messages that it has not handled yet
 }
 
 type simulatedProxy struct {
@@ -63,15 +63,14 @@
 	return s
 }
 
-// start begins a new incarnation, which knows only what the store holds.
+// start begins a new incarnation, which keeps only the content of the store.
 func (p *simulatedPlanner) start() {
 	p.incarnation++
 	p.inbox, p.open, p.resumeMs = nil, true, 0
 	p.manager = lease.NewManager(p.name, p.incarnation, p.reserved, p.simulation.nowMs)
 }
 
-// log adds an event to the digest. The words of its events are part of what the golden file covers, so they stay as they
-// are.
+// log adds an event to the digest. The golden file depends on the wording of the events, so it must not change.
 func (p *simulatedPlanner) log(format string, args ...any) {
 	p.simulation.digest.Add(p.simulation.nowMs, p.name+" "+format, args...)
 }
@@ -151,7 +150,7 @@
 	return view
 }
 
-// broadcast sends a proxy's view to all planners that it has streams to.
+// broadcast sends a proxy's view to all planners that it is connected to.
 func (s *simulation) broadcast(proxy *simulatedProxy) {
 	view := s.viewOf(proxy)
 	for _, planner := range s.planners {
@@ -177,7 +176,7 @@
 	s.broadcast(proxy)
 }
 
-// restart ends a planner with all its streams, and starts it anew.
+// restart ends a planner and all its streams, and starts it again.
 func (s *simulation) restart(planner *simulatedPlanner) {
 	for _, proxy := range s.proxies {
 		s.disconnect(proxy, planner)
@@ -185,7 +184,7 @@
 	planner.start()
 }
 
-// scheduledFaults plays what is stated for a time.
+// scheduledFaults starts and ends the faults that are due at the current time.
 func (s *simulation) scheduledFaults() {
 	switch s.nowMs {
 	case 6000:
@@ -205,7 +204,7 @@
 	case 28000:
 		s.planners[1].resumeMs = s.nowMs + 3*pauseMs
 	case 29000:
-		s.proxies[3].grantor.Epoch += 5_000_000 // beyond what any planner has reserved
+		s.proxies[3].grantor.Epoch += 5_000_000 // above any epoch that a planner has reserved
 	}
 }
 
@@ -257,8 +256,8 @@
 	}
 }
 
-// TestGoldenLeases compares every decision of lease holders and grantors in a run with pauses, restarts, drains, cuts and a
-// full disk.
+// TestGoldenLeases compares every decision of lease managers and grantors with the golden file, in a run with pauses,
+// restarts, a drain, broken streams and a full disk.
 func TestGoldenLeases(t *testing.T) {
 	s := newSimulation()
 	for s.nowMs < runMs {
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -4,20 +4,20 @@
 
 const (
 	foreverMs = 1e9 // ms
-	// unknownEpoch is beyond what any controller of a new world has reserved.
+	// unknownEpoch is above any epoch that a controller of a new world has reserved.
 	unknownEpoch = 5_000_000
 )
 
 func TestManager(t *testing.T) {
-	t.Run("proxies are divided among controllers, and each has a lease holder soon", testProxiesAreDivided)
-	t.Run("a dead controller is replaced within a lease, and regains its share gradually", testDeadControllerIsReplaced)
-	t.Run("streams that come up one after the other cause no transfers", testLateStreamsCauseNoTransfers)
-	t.Run("one controller of three takes all proxies soon", testLoneControllerTakesAll)
-	t.Run("a draining controller transfers all and leaves no proxy free for long", testDrainingControllerTransfersAll)
-	t.Run("a full disk stops new requests and preserves held leases", testFullDiskPreservesLeases)
-	t.Run("proxies are not transferred again and again to a paused controller", testPausedControllerGetsNoTransfers)
-	t.Run("a proxy whose epoch is beyond what any controller knows gets a higher one", testUnknownEpochIsExceeded)
-	t.Run("two controllers of one name break no rule", testTwoControllersOfOneName)
+	t.Run("proxies are divided among the controllers, and each soon has a lease holder", testProxiesAreDivided)
+	t.Run("a crashed controller is replaced within a lease's duration, and regains its proxies gradually", testDeadControllerIsReplaced)
+	t.Run("streams that connect one after the other cause no transfers", testLateStreamsCauseNoTransfers)
+	t.Run("one controller of three soon holds all proxies if the others are not connected", testLoneControllerTakesAll)
+	t.Run("a draining controller transfers all its leases, and no proxy is free for long", testDrainingControllerTransfersAll)
+	t.Run("a full disk prevents new requests, and held leases are renewed", testFullDiskPreservesLeases)
+	t.Run("proxies are not transferred repeatedly to a paused controller", testPausedControllerGetsNoTransfers)
+	t.Run("a proxy whose epoch is above all epochs of the controllers gets a higher one", testUnknownEpochIsExceeded)
+	t.Run("two controllers of the same name break no rule", testTwoControllersOfOneName)
 }
 
 func testProxiesAreDivided(t *testing.T) {
@@ -38,23 +38,23 @@
 	w.kill(restarted)
 	w.run(int(DurationMs*1.1 + 3*rankDelayMs))
 	if held := w.countHeld(); held["B"] != 0 || held[""] != 0 {
-		t.Errorf("held %v after a death", held)
+		t.Errorf("held %v after B crashed", held)
 	}
 	restarted.start()
 	w.connectAll(restarted)
 	w.run(1000)
 	if held := w.countHeld()["B"]; held != 0 {
-		t.Errorf("took %d at once", held)
+		t.Errorf("B took %d proxies at once after its restart, want 0", held)
 	}
 	w.run(int(transferDelayMs) + 3000)
 	held := w.countHeld()
 	if held["B"] != before["B"] || restarted.manager.Takeovers != before["B"] {
-		t.Errorf("held %v, before %v, %d takeovers", held, before, restarted.manager.Takeovers)
+		t.Errorf("held %v, before the crash %v, %d takeovers by B", held, before, restarted.manager.Takeovers)
 	}
 	w.checkRules(t)
 }
 
-// newWorldConnectedToA is three controllers of which only A has streams.
+// newWorldConnectedToA returns a world of three controllers of which only A is connected to the proxies.
 func newWorldConnectedToA(t *testing.T) *world {
 	t.Helper()
 	w := newWorld(t, 3, 3, 60)
@@ -65,7 +65,7 @@
 	return w
 }
 
-// At a start most proxies were once requested by the controller that they reached first, and transferred 3 s later.
+// Guards against a start at which proxies go to the controller that they reach first, and most are transferred 3 s later.
 func testLateStreamsCauseNoTransfers(t *testing.T) {
 	w := newWorldConnectedToA(t)
 	w.run(100)
@@ -82,7 +82,7 @@
 	}
 }
 
-// Waiting for the other controllers must not leave proxies free where these are dead.
+// Guards against proxies that stay free because a controller waits for others that are down.
 func testLoneControllerTakesAll(t *testing.T) {
 	w := newWorldConnectedToA(t)
 	w.run(int(connectGraceMs + 3*rankDelayMs))
@@ -115,7 +115,7 @@
 	}
 	w.run(2000)
 	if held := w.countHeld(); held[""] != 20 {
-		t.Errorf("leases were requested without a reservation: held %v", held)
+		t.Errorf("leases were granted without a reservation of epochs: held %v", held)
 	}
 	w.controllers["A"].diskFull = false
 	w.run(3000)
@@ -127,7 +127,8 @@
 	w.checkRules(t)
 }
 
-// A paused controller's streams stay up, so proxies name it reachable for a while, and the others rank it.
+// The streams of a paused controller stay up, and the proxies here report it as reachable throughout, so the other
+// controllers rank it before themselves for its share of the proxies.
 func testPausedControllerGetsNoTransfers(t *testing.T) {
 	w := newWorld(t, 7, 3, 30)
 	w.run(3000)
@@ -157,7 +158,7 @@
 	}
 	w.run(2000)
 	if proxy.grantor.Controller == "" || proxy.grantor.Epoch <= unknownEpoch {
-		t.Errorf("%+v", proxy.grantor)
+		t.Errorf("grantor %+v, want a holder under an epoch above unknownEpoch", proxy.grantor)
 	}
 	w.checkRules(t)
 }
--- a/internal/lease/model/model_test.go
+++ b/internal/lease/model/model_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-var large = flag.Bool("large", false, "explore larger spaces, for some minutes")
+var large = flag.Bool("large", false, "search larger state spaces, which takes some minutes")
 
-// smallSpace is where each mutation breaks a rule.
+// smallSpace bounds a state space in which every mutation causes a violation.
 var smallSpace = Bounds{Proxies: 1, Epochs: 2, Restarts: 1, Losses: true, MaxStates: 5e6}
 
 func TestExplore(t *testing.T) {
@@ -23,17 +23,17 @@
 		}
 	}
 	for name, bounds := range spaces {
-		t.Run(name+": no state breaks a rule", func(t *testing.T) {
+		t.Run(name+": the protocol breaks no rule", func(t *testing.T) {
 			result := Explore(bounds, NoMutation)
-			t.Logf("%d states, %d steps deep, complete: %t", result.States, result.Depth, result.Complete)
+			t.Logf("%d states in %d levels, complete: %t", result.States, result.Depth, result.Complete)
 			if result.Violation != "" {
 				t.Errorf("%s\n%s", result.Violation, strings.Join(result.Trace, "\n"))
 			}
 			if !result.Complete && !*large {
-				t.Error("the space was not explored to its end")
+				t.Error("the search is incomplete")
 			}
 			if result.States < 1000 {
-				t.Errorf("only %d states", result.States)
+				t.Errorf("%d states, want at least 1000", result.States)
 			}
 		})
 	}
@@ -43,16 +43,16 @@
 		violation string
 	}{
 		{"without fencing", WithoutFencing, "a stale order was obeyed"},
-		{"with leases counted from the answer", LeaseFromAnswer, "both controllers believe"},
+		{"with leases measured from the answer", LeaseFromAnswer, "both controllers believe"},
 		{"without incarnations", WithoutIncarnation, "a stale order was obeyed"},
 		{"without a bound on clock rates", WithoutClockRateBound, "both controllers believe"},
 	}
 	for _, test := range mutations {
 		t.Run(test.name+" a violation is found: "+test.violation, func(t *testing.T) {
 			result := Explore(smallSpace, test.mutation)
-			t.Logf("%d states until:\n%s\n%s", result.States, result.Violation, strings.Join(result.Trace, "\n"))
+			t.Logf("%d states until the violation:\n%s\n%s", result.States, result.Violation, strings.Join(result.Trace, "\n"))
 			if !strings.Contains(result.Violation, test.violation) || len(result.Trace) < 3 {
-				t.Errorf("%q in %d states, %v", result.Violation, result.States, result.Trace)
+				t.Errorf("violation %q in %d states, trace %v", result.Violation, result.States, result.Trace)
 			}
 		})
 	}
--- a/internal/lease/ranking_test.go
+++ b/internal/lease/ranking_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestRankControllers states that controllers agree on who is first, and that one that goes moves its own proxies only.
+// TestRankControllers checks that all controllers compute the same ranking, and that only the proxies of a controller that
+// leaves move to others.
 func TestRankControllers(t *testing.T) {
 	const proxyCount = 300
 	all := []string{"A", "B", "C"}
@@ -20,16 +21,16 @@
 		for _, controller := range all {
 			rank, agreed := rankControllers(controller, proxy, all)
 			if agreed != first || (rank == 0) != (controller == first) {
-				t.Fatalf("%s: %s ranks itself %d, %s first; A ranks %s first", proxy, controller, rank, agreed, first)
+				t.Fatalf("proxy %s: %s ranks itself %d and %s first, but A ranks %s first", proxy, controller, rank, agreed, first)
 			}
 			ranks = append(ranks, rank)
 		}
 		slices.Sort(ranks)
 		if !slices.Equal(ranks, []int{0, 1, 2}) {
-			t.Fatalf("%s: ranks %v", proxy, ranks)
+			t.Fatalf("proxy %s: controllers rank themselves %v, want 0, 1 and 2", proxy, ranks)
 		}
 		if _, next := rankControllers("A", proxy, withoutB); first != "B" && next != first {
-			t.Fatalf("%s moves from %s to %s as B goes", proxy, first, next)
+			t.Fatalf("proxy %s moves from %s to %s when B leaves", proxy, first, next)
 		}
 	}
 	for _, controller := range all {
@@ -38,6 +39,6 @@
 		}
 	}
 	if rank, first := rankControllers("A", "p", nil); rank != 0 || first != "" {
-		t.Errorf("rank %d, first %q of no controllers", rank, first)
+		t.Errorf("without reachable controllers: rank %d, first %q; want 0 and none", rank, first)
 	}
 }
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	orderChance   = 0.3     // that a holder sends a proxy an order, in a step
-	delayedChance = 0.01    // that it sends one that is delayed, of the others
-	arrivalChance = 0.002   // that a delayed order arrives, in a step
-	maxDecisions  = 10_000  // of one controller in a step
-	maxSkewMs     = 1e6     // of a controller's clock
-	testRateBound = 1.0 / 2 // part of clockRateBound that clocks use
+	orderChance   = 0.3     // probability per step that a holder sends a proxy an order
+	delayedChance = 0.01    // probability that it sends a delayed order otherwise
+	arrivalChance = 0.002   // probability per step that a proxy's oldest delayed order arrives
+	maxDecisions  = 10_000  // limit on the decisions of one controller in a step
+	maxSkewMs     = 1e6     // largest offset of a controller's clock
+	testRateBound = 1.0 / 2 // part of clockRateBound by which the rates of clocks differ at most
 )
 
-// world is some controllers and proxies in simulated time, which counts in ms: links that lose and delay, clocks that run
-// apart, pauses. Everything is drawn from one seed.
+// world simulates controllers and proxies in steps of 1 ms: lost requests, delayed orders, clocks with different rates, and
+// pauses. All random choices come from one seed.
 type world struct {
 	t             testing.TB
 	random        *rand.Rand
 	nowMs         float64
-	names         []string // of controllers, in order
+	names         []string // names of the controllers, in order
 	controllers   map[string]*testController
 	proxies       []*testProxy
 	obeyedOrders  int
-	takeoverGapMs []float64 // time that a proxy was free, for each lease that ended that
-	longestFreeMs float64   // of any proxy
-	loss          float64   // share of requests whose stream breaks
-	unfenced      bool      // proxies obey whatever arrives
-	violation     string    // the first rule broken; empty: none
+	takeoverGapMs []float64 // for each takeover, how long the proxy had been free
+	longestFreeMs float64   // longest time that any proxy has been free
+	loss          float64   // share of requests that are lost with their stream
+	unfenced      bool      // whether proxies obey orders without checking their epoch
+	violation     string    // the first violation of a rule; empty if there was none
 }
 
 // testController is one controller with its store and clock. It is the Host of its manager.
@@ -39,7 +39,7 @@
 	world         *world
 	name          string
 	incarnation   uint64
-	reservedEpoch uint64 // what its store holds
+	reservedEpoch uint64 // reserved epoch in the controller's store
 	manager       *Manager
 	clockRate     float64
 	clockSkewMs   float64
@@ -47,7 +47,7 @@
 	dead          bool
 	diskFull      bool
 	open          bool
-	inbox         []func() // messages that it handles once it runs
+	inbox         []func() // messages that it has not handled yet
 }
 
 // testProxy is one proxy with its clock and its streams to controllers.
@@ -56,10 +56,10 @@
 	name          string
 	grantor       Grantor
 	clockRate     float64
-	connected     map[string]bool // by controller
+	connected     map[string]bool // whether there is a stream, by controller
 	highestEpoch  uint64
 	freeSinceMs   float64  // infinite while a lease is held
-	delayedOrders []func() // on their way, oldest first
+	delayedOrders []func() // orders in transit, oldest first
 }
 
 func newWorld(t testing.TB, seed int64, controllerCount, proxyCount int) *world {
@@ -88,7 +88,7 @@
 	return 1 + (w.random.Float64()-0.5)*clockRateBound*testRateBound
 }
 
-// start begins a new process, which knows only what the store holds.
+// start begins a new process, which keeps only the content of the store.
 func (c *testController) start() {
 	c.incarnation = c.world.random.Uint64()
 	c.manager = NewManager(c.name, c.incarnation, c.reservedEpoch, c.clockMs())
@@ -99,7 +99,8 @@
 
 func (c *testController) running() bool { return !c.dead && c.world.nowMs >= c.pausedUntilMs }
 
-// deliver has a controller's present process handle a message as soon as it runs.
+// deliver queues a message for the controller's current process, which handles it the next time that it runs. A later
+// process ignores it.
 func (c *testController) deliver(message func()) {
 	recipient := c.manager
 	c.inbox = append(c.inbox, func() {
@@ -120,7 +121,7 @@
 	before := proxy.grantor.Lease
 	granted := proxy.grantor.Grant(c.name, c.incarnation, epoch, leaseMs)
 	if granted && proxy.grantor.Epoch < proxy.highestEpoch {
-		w.recordViolation("epoch of %s fell to %d from %d", proxyName, proxy.grantor.Epoch, proxy.highestEpoch)
+		w.recordViolation("the epoch of %s decreased to %d from %d", proxyName, proxy.grantor.Epoch, proxy.highestEpoch)
 	}
 	proxy.highestEpoch = max(proxy.highestEpoch, proxy.grantor.Epoch)
 	if granted && before.Controller == "" && !math.IsInf(proxy.freeSinceMs, 1) {
@@ -226,7 +227,7 @@
 	}
 }
 
-// kill ends a controller with all its streams.
+// kill ends a controller and all its streams.
 func (w *world) kill(controller *testController) {
 	controller.dead = true
 	w.disconnectAll(controller)
@@ -266,7 +267,7 @@
 	}
 }
 
-// decide has a running controller handle its messages and carry out all its decisions.
+// decide has a controller handle its messages and carry out all due decisions, unless it is paused or dead.
 func (c *testController) decide() {
 	if !c.running() {
 		return
@@ -279,13 +280,13 @@
 	}
 	for decisions := 0; c.manager.Next(c); decisions++ {
 		if decisions > maxDecisions {
-			c.world.t.Fatal("decisions without end")
+			c.world.t.Fatal("a controller does not stop making decisions")
 		}
 	}
 }
 
-// sendOrders has each controller that holds a proxy's lease send it an order now and then, and checks that at most one
-// does.
+// sendOrders has the controller that holds a proxy's lease send it an order now and then. It records a violation if more
+// than one controller considers itself the holder.
 func (w *world) sendOrders(proxy *testProxy) {
 	var holders []string
 	for _, name := range w.names {
@@ -293,7 +294,7 @@
 		if controller.dead {
 			continue
 		}
-		controller.manager.SetTime(controller.clockMs()) // a paused one's clock goes on, so it will not believe more once it runs
+		controller.manager.SetTime(controller.clockMs()) // a paused controller's clock runs on: resuming extends no lease
 		epoch, held := controller.manager.HoldsLease(proxy.name)
 		if !held {
 			continue
@@ -308,7 +309,7 @@
 	}
 }
 
-// sendOrder delivers an order now, has it delayed, or sends none.
+// sendOrder delivers an order at once, delays it, or sends none, at random.
 func (w *world) sendOrder(proxy *testProxy, controller *testController, epoch uint64) {
 	name := controller.name
 	incarnation := controller.incarnation
@@ -322,7 +323,8 @@
 	}
 }
 
-// deliverOrder checks that a proxy obeys an order only if it was decided under the epoch that it granted last.
+// deliverOrder delivers an order to a proxy, and checks that the proxy obeys it only if it was decided under the epoch
+// that the proxy granted last.
 func (w *world) deliverOrder(proxy *testProxy, controller string, incarnation, epoch uint64) {
 	if !w.unfenced && !proxy.grantor.Accepts(controller, incarnation, epoch) {
 		return
@@ -340,7 +342,7 @@
 	}
 }
 
-// countHeld counts proxies by the controller that they have granted their lease to; free ones by "".
+// countHeld counts proxies by the controller that holds their lease; free proxies count under "".
 func (w *world) countHeld() map[string]int {
 	counts := map[string]int{}
 	for _, proxy := range w.proxies {
@@ -349,7 +351,7 @@
 	return counts
 }
 
-// checkRules fails the test if a rule was broken so far.
+// checkRules fails the test if a rule has been broken so far.
 func (w *world) checkRules(t *testing.T) {
 	t.Helper()
 	if w.violation != "" {
