--- a/internal/controlstream/decoder.go
+++ b/internal/controlstream/decoder.go
@@ -17,7 +17,7 @@
 	buffer       []byte
 	consumed     int    // bytes at the start of buffer that earlier frames took
 	lastSequence uint64 // of the last frame; 0 before the first
-	closed       *CloseError
+	closeErr     *CloseError
 }
 
 // NewDecoder makes a Decoder that rejects bodies above a size in bytes.
@@ -26,7 +26,7 @@
 // Feed adds bytes that came in; it copies them. Pull all frames by Next before feeding again, as Feed overwrites their
 // bodies. After an error it does nothing.
 func (d *Decoder) Feed(data []byte) {
-	if d.closed != nil {
+	if d.closeErr != nil {
 		return
 	}
 	rest := copy(d.buffer, d.buffer[d.consumed:])
@@ -41,21 +41,21 @@
 // Next returns the next complete frame; ok is false when there is none yet. The error is a *CloseError with one of the
 // reasons of decoding; after one, each call returns it again.
 func (d *Decoder) Next() (frame Frame, ok bool, err error) {
-	frame, ok, closed := d.next()
-	if closed != nil {
-		return Frame{}, false, closed
+	frame, ok, closeErr := d.next()
+	if closeErr != nil {
+		return Frame{}, false, closeErr
 	}
 	return frame, ok, nil
 }
 
 // next is Next with its error as the type that it always has.
-func (d *Decoder) next() (frame Frame, ok bool, closed *CloseError) {
-	if d.closed != nil {
-		return Frame{}, false, d.closed
+func (d *Decoder) next() (frame Frame, ok bool, closeErr *CloseError) {
+	if d.closeErr != nil {
+		return Frame{}, false, d.closeErr
 	}
 	unread := d.buffer[d.consumed:]
-	if closed := d.checkPrefix(unread); closed != nil {
-		return d.fail(closed)
+	if closeErr := d.checkPrefix(unread); closeErr != nil {
+		return d.fail(closeErr)
 	}
 	if len(unread) < FrameHeaderBytes {
 		return Frame{}, false, nil
@@ -64,9 +64,9 @@
 	if len(unread) < size {
 		return Frame{}, false, nil
 	}
-	frame, closed = d.parse(unread[:size])
-	if closed != nil {
-		return d.fail(closed)
+	frame, closeErr = d.parse(unread[:size])
+	if closeErr != nil {
+		return d.fail(closeErr)
 	}
 	d.lastSequence = frame.Sequence
 	d.consumed += size
@@ -125,11 +125,11 @@
 }
 
 // fail ends the Decoder for good and frees its buffer.
-func (d *Decoder) fail(closed *CloseError) (Frame, bool, *CloseError) {
-	d.closed = closed
+func (d *Decoder) fail(closeErr *CloseError) (Frame, bool, *CloseError) {
+	d.closeErr = closeErr
 	d.buffer = nil
 	d.consumed = 0
-	return Frame{}, false, closed
+	return Frame{}, false, closeErr
 }
 
 // Buffered is the number of bytes that wait for the rest of their frame.
--- a/internal/controlstream/endpointsession.go
+++ b/internal/controlstream/endpointsession.go
@@ -21,16 +21,16 @@
 // Next takes at most one frame and delivers it to the host. It returns false when there is no complete frame, or the stream
 // ended, which CloseCause then tells.
 func (e *EndpointSession) Next(host EndpointHost) bool {
-	if e.closed != nil {
+	if e.closeErr != nil {
 		return false
 	}
-	frame, ok, closed := e.decoder.next()
-	if closed != nil {
-		e.closed = closed
+	frame, ok, closeErr := e.decoder.next()
+	if closeErr != nil {
+		e.closeErr = closeErr
 		return false
 	}
 	if !ok {
-		e.closed = e.checkSilence()
+		e.closeErr = e.checkHeartbeatTimeout()
 		return false
 	}
 	e.lastFrameMs = e.nowMs
@@ -45,8 +45,8 @@
 	}
 }
 
-// checkSilence says whether too much time went by without a frame. There is no handshake, so its time-out does not count.
-func (e *EndpointSession) checkSilence() *CloseError {
+// checkHeartbeatTimeout says whether too much time went by without a frame. There is no handshake, so its time-out does not count.
+func (e *EndpointSession) checkHeartbeatTimeout() *CloseError {
 	if e.nowMs < e.lastFrameMs+e.limits.HeartbeatTimeoutMs {
 		return nil
 	}
--- a/internal/controlstream/fuzz_test.go
+++ b/internal/controlstream/fuzz_test.go
@@ -33,8 +33,8 @@
 	for {
 		frame, ok, err := decoder.Next()
 		if err != nil {
-			var closed *CloseError
-			if !errors.As(err, &closed) || decoder.Buffered() != 0 {
+			var closeErr *CloseError
+			if !errors.As(err, &closeErr) || decoder.Buffered() != 0 {
 				t.Fatalf("%v, %d bytes held", err, decoder.Buffered())
 			}
 		}
--- a/internal/controlstream/golden_test.go
+++ b/internal/controlstream/golden_test.go
@@ -43,16 +43,16 @@
 }
 
 const (
-	startMs       = 0
-	hexChunkBytes = 32 // bytes
-	frameLimit    = 1 << 16
-	handshakeMs   = 1000
-	heartbeatMs   = 5000
-	unixMs        = 1_790_000_000_000
-	incarnation   = 0xfedcba9876543210
+	startMs            = 0
+	hexChunkBytes      = 32 // bytes
+	maxFrameBytes      = 1 << 16
+	handshakeTimeoutMs = 1000
+	heartbeatTimeoutMs = 5000
+	timestampUnixMs    = 1_790_000_000_000
+	incarnation        = 0xfedcba9876543210
 )
 
-var conversationLimits = controlstream.Limits{MaxFrameBytes: frameLimit, HandshakeTimeoutMs: handshakeMs, HeartbeatTimeoutMs: heartbeatMs}
+var conversationLimits = controlstream.Limits{MaxFrameBytes: maxFrameBytes, HandshakeTimeoutMs: handshakeTimeoutMs, HeartbeatTimeoutMs: heartbeatTimeoutMs}
 
 func weightTable() *order.Holding {
 	return &order.Holding{
@@ -129,7 +129,7 @@
 		Planner: "planner-1", Incarnation: incarnation, ReportEveryMs: 1000, Withdrawn: []string{"10.0.0.3:80"}, Sharing: true,
 	}
 	message := &order.Orders{
-		Planner: "planner-1", Incarnation: incarnation, DecidedUnixUs: unixMs * 1000, Lines: 12.5, Orders: everyOrder(),
+		Planner: "planner-1", Incarnation: incarnation, DecidedUnixUs: timestampUnixMs * 1000, Lines: 12.5, Orders: everyOrder(),
 		Number: 1, Epoch: 1 << 40,
 	}
 	claim := &order.Claim{Nonce: 7, Epoch: 1 << 40, Controller: "planner-1", Incarnation: incarnation, LeaseMs: 2000}
@@ -146,12 +146,12 @@
 	}
 }
 
-func listFrames() []frame {
+func endpointFrames() []frame {
 	entries := []*order.Listing_Entry{
-		{Server: "10.0.0.1:80", Zone: "east", State: 1, Size: 2.5, BornUnixMs: unixMs},
+		{Server: "10.0.0.1:80", Zone: "east", State: 1, Size: 2.5, BornUnixMs: timestampUnixMs},
 		{Server: "10.0.0.2:80", State: 2},
 	}
-	whole := &order.Listing{Form: order.Listing_WHOLE, AsOfUnixMs: unixMs, Version: 41, Entries: entries}
+	whole := &order.Listing{Form: order.Listing_WHOLE, AsOfUnixMs: timestampUnixMs, Version: 41, Entries: entries}
 	return []frame{
 		{"endpoint list", controlstream.FrameEndpoints, whole},
 		{"endpoint change", controlstream.FrameEndpoints, &order.Listing{Form: order.Listing_CHANGE, Version: 42, Entries: entries[1:]}},
@@ -160,8 +160,8 @@
 	}
 }
 
-// write gives the bytes of frames as an end writes them, and adds them to a text with one frame after the other.
-func write(t *testing.T, text *strings.Builder, who string, from sender, frames []frame) []byte {
+// writeFrames gives the bytes of frames as an end writes them, and adds them to a text with one frame after the other.
+func writeFrames(t *testing.T, text *strings.Builder, end string, from sender, frames []frame) []byte {
 	t.Helper()
 	var stream []byte
 	for _, f := range frames {
@@ -169,9 +169,9 @@
 		var err error
 		stream, err = from.Append(stream, f.kind, f.body)
 		if err != nil {
-			t.Fatalf("%s: %s: %v", who, f.label, err)
+			t.Fatalf("%s: %s: %v", end, f.label, err)
 		}
-		fmt.Fprintf(text, "%s: %s\n", who, f.label)
+		fmt.Fprintf(text, "%s: %s\n", end, f.label)
 		for rest := stream[before:]; len(rest) > 0; {
 			size := min(hexChunkBytes, len(rest))
 			fmt.Fprintf(text, "  %s\n", hex.EncodeToString(rest[:size]))
@@ -183,7 +183,7 @@
 
 // checkReceived compares the calls on a host with what the other end wrote, but for heartbeats and the goodbye, of which
 // hosts are not notified.
-func checkReceived(t *testing.T, who string, got []proto.Message, frames []frame) {
+func checkReceived(t *testing.T, end string, got []proto.Message, frames []frame) {
 	t.Helper()
 	var want []proto.Message
 	for _, f := range frames {
@@ -192,11 +192,11 @@
 		}
 	}
 	if len(got) != len(want) {
-		t.Fatalf("%s was told of %d messages, want %d", who, len(got), len(want))
+		t.Fatalf("%s was told of %d messages, want %d", end, len(got), len(want))
 	}
 	for index := range want {
 		if !proto.Equal(got[index], want[index]) {
-			t.Errorf("%s, message %d: got %v, want %v", who, index, got[index], want[index])
+			t.Errorf("%s, message %d: got %v, want %v", end, index, got[index], want[index])
 		}
 	}
 }
@@ -206,34 +206,34 @@
 func TestGoldenConversation(t *testing.T) {
 	planner := controlstream.NewPlannerSession(conversationLimits, startMs)
 	proxy := controlstream.NewProxySession(conversationLimits, startMs)
-	listSource := controlstream.NewPlannerSession(conversationLimits, startMs) // only its writing side is used
-	listReader := controlstream.NewEndpointSession(conversationLimits, startMs)
+	endpointSource := controlstream.NewPlannerSession(conversationLimits, startMs) // only its writing side is used
+	endpointReader := controlstream.NewEndpointSession(conversationLimits, startMs)
 	var text strings.Builder
-	fromProxy := write(t, &text, "proxy", proxy, proxyFrames())
-	fromPlanner := write(t, &text, "planner", planner, plannerFrames())
-	fromList := write(t, &text, "list source", listSource, listFrames())
+	fromProxy := writeFrames(t, &text, "proxy", proxy, proxyFrames())
+	fromPlanner := writeFrames(t, &text, "planner", planner, plannerFrames())
+	fromEndpointSource := writeFrames(t, &text, "list source", endpointSource, endpointFrames())
 	golden.Check(t, "testdata/conversation.golden.txt", []byte(text.String()))
 
-	atPlanner, atProxy, atListReader := &receiver{}, &receiver{}, &receiver{}
+	atPlanner, atProxy, atEndpointReader := &receiver{}, &receiver{}, &receiver{}
 	planner.Feed(startMs, fromProxy)
 	for planner.Next(atPlanner) {
 	}
 	proxy.Feed(startMs, fromPlanner)
 	for proxy.Next(atProxy) {
 	}
-	listReader.Feed(startMs, fromList)
-	for listReader.Next(atListReader) {
+	endpointReader.Feed(startMs, fromEndpointSource)
+	for endpointReader.Next(atEndpointReader) {
 	}
 	checkReceived(t, "the planner", atPlanner.messages, proxyFrames())
 	checkReceived(t, "the proxy", atProxy.messages, plannerFrames())
-	checkReceived(t, "the list reader", atListReader.messages, listFrames())
-	for who, ended := range map[string]*controlstream.CloseError{"planner": planner.CloseCause(), "proxy": proxy.CloseCause()} {
+	checkReceived(t, "the list reader", atEndpointReader.messages, endpointFrames())
+	for end, ended := range map[string]*controlstream.CloseError{"planner": planner.CloseCause(), "proxy": proxy.CloseCause()} {
 		if ended == nil || ended.Reason != controlstream.ReasonPeerClosed {
-			t.Errorf("the %s's stream ended with %v, want %s", who, ended, controlstream.ReasonPeerClosed)
+			t.Errorf("the %s's stream ended with %v, want %s", end, ended, controlstream.ReasonPeerClosed)
 		}
 	}
-	if listReader.CloseCause() != nil {
-		t.Errorf("the list reader's stream ended with %v", listReader.CloseCause())
+	if endpointReader.CloseCause() != nil {
+		t.Errorf("the list reader's stream ended with %v", endpointReader.CloseCause())
 	}
 }
 
@@ -243,7 +243,7 @@
 	const kinds = 12
 	seenKinds := map[controlstream.FrameKind]bool{}
 	seenFields := map[protoreflect.FullName]bool{}
-	for _, frames := range [][]frame{proxyFrames(), plannerFrames(), listFrames()} {
+	for _, frames := range [][]frame{proxyFrames(), plannerFrames(), endpointFrames()} {
 		for _, f := range frames {
 			seenKinds[f.kind] = true
 			if f.body != nil {
--- a/internal/controlstream/sendqueue.go
+++ b/internal/controlstream/sendqueue.go
@@ -43,11 +43,11 @@
 // exceeds its limits. It enforces them whatever the policy estimates. It is used by one goroutine at a time; times that it
 // is handed must not go back.
 type SendQueue[T any] struct {
-	limits  SendQueueLimits
-	queue   []Message[T]
-	backlog float64 // entries of the queue
-	freeMs  float64 // when the message before the first of the queue has left
-	peak    float64 // the highest backlog since PeakBacklog was last called
+	limits      SendQueueLimits
+	queue       []Message[T]
+	backlog     float64 // entries of the queue
+	headStartMs float64 // when the message before the first of the queue has left
+	peak        float64 // the highest backlog since PeakBacklog was last called
 }
 
 // NewSendQueue makes an empty queue.
@@ -73,7 +73,7 @@
 	}
 	if len(q.queue) == 0 {
 		// An idle queue saves up nothing: the message starts to leave now.
-		q.freeMs = max(q.freeMs, nowMs)
+		q.headStartMs = max(q.headStartMs, nowMs)
 	}
 	q.queue = append(q.queue, Message[T]{To: to, Entries: entries, QueuedMs: nowMs, Payload: payload})
 	q.backlog += entries
@@ -87,7 +87,7 @@
 		return message, false
 	}
 	message = q.queue[0]
-	q.freeMs = q.NextDeparture()
+	q.headStartMs = q.NextDeparture()
 	q.queue[0] = Message[T]{} // the slice's array must not keep the payload alive
 	q.queue = q.queue[1:]
 	q.backlog -= message.Entries
@@ -101,9 +101,9 @@
 // NextDeparture is when the first message has left, in ms. It has no meaning while the queue is empty.
 func (q *SendQueue[T]) NextDeparture() float64 {
 	if len(q.queue) == 0 {
-		return q.freeMs
+		return q.headStartMs
 	}
-	return q.freeMs + q.queue[0].Entries/q.limits.EntriesPerSecond*msPerSecond
+	return q.headStartMs + q.queue[0].Entries/q.limits.EntriesPerSecond*msPerSecond
 }
 
 // Remove drops the messages to a proxy whose stream ended; they take no sending time.
--- a/internal/controlstream/session.go
+++ b/internal/controlstream/session.go
@@ -23,7 +23,7 @@
 	openedMs     float64
 	lastFrameMs  float64
 	established  bool // the first frame came
-	closed       *CloseError
+	closeErr     *CloseError
 	lastSequence uint64 // of the frames that this end appended
 }
 
@@ -56,7 +56,7 @@
 }
 
 // CloseCause is why the stream ended, or nil while it goes on.
-func (s *session) CloseCause() *CloseError { return s.closed }
+func (s *session) CloseCause() *CloseError { return s.closeErr }
 
 // Append appends a frame of this end, with the next sequence number, and returns the extended slice. What it returns must be
 // sent in the order of the calls. If the body does not encode, the sequence number is not used up.
@@ -71,22 +71,22 @@
 // next takes the next frame. It ends the stream on a fault of decoding, a time-out, FrameClose, or when the stream does not
 // start with the handshake's frame, and takes that one only once.
 func (s *session) next(handshake FrameKind) (frame Frame, ok bool) {
-	if s.closed != nil {
+	if s.closeErr != nil {
 		return Frame{}, false
 	}
-	frame, ok, closed := s.decoder.next()
+	frame, ok, closeErr := s.decoder.next()
 	switch {
-	case closed != nil:
-		s.closed = closed
+	case closeErr != nil:
+		s.closeErr = closeErr
 		return Frame{}, false
 	case !ok:
-		s.closed = s.checkTimeout()
+		s.closeErr = s.checkTimeout()
 		return Frame{}, false
 	case frame.Kind == FrameClose:
-		s.closed = closeOfPeer(frame)
+		s.closeErr = peerCloseError(frame)
 		return Frame{}, false
 	case s.established == (frame.Kind == handshake):
-		s.closed = unexpected(frame)
+		s.closeErr = unexpectedFrameError(frame)
 		return Frame{}, false
 	}
 	s.lastFrameMs = s.nowMs
@@ -109,20 +109,20 @@
 	}
 }
 
-// closeOfPeer reads a FrameClose.
-func closeOfPeer(frame Frame) *CloseError {
+// peerCloseError reads a FrameClose.
+func peerCloseError(frame Frame) *CloseError {
 	var body order.Bye
 	if err := proto.Unmarshal(frame.Body, &body); err != nil {
-		return badBody(frame, err)
+		return badBodyError(frame, err)
 	}
 	return newCloseError(ReasonPeerClosed, "%s", truncate(body.Reason))
 }
 
-func unexpected(frame Frame) *CloseError {
+func unexpectedFrameError(frame Frame) *CloseError {
 	return newCloseError(ReasonUnexpectedFrame, "%s", frame.Kind)
 }
 
-func badBody(frame Frame, err error) *CloseError {
+func badBodyError(frame Frame, err error) *CloseError {
 	return newCloseError(ReasonBadBody, "%s: %v", frame.Kind, err)
 }
 
@@ -130,12 +130,12 @@
 // sees a part of a message that is invalid elsewhere: a proxy that applied half of one would hold a table that nobody knows.
 func receive[M proto.Message](s *session, frame Frame, message M, check func(M) error, deliver func(M)) bool {
 	if err := proto.Unmarshal(frame.Body, message); err != nil {
-		s.closed = badBody(frame, err)
+		s.closeErr = badBodyError(frame, err)
 		return false
 	}
 	if check != nil {
 		if err := check(message); err != nil {
-			s.closed = badBody(frame, err)
+			s.closeErr = badBodyError(frame, err)
 			return false
 		}
 	}
@@ -145,6 +145,6 @@
 
 // reject ends the stream on a frame that the peer may not send.
 func (s *session) reject(frame Frame) bool {
-	s.closed = unexpected(frame)
+	s.closeErr = unexpectedFrameError(frame)
 	return false
 }
--- a/internal/controlstream/validate.go
+++ b/internal/controlstream/validate.go
@@ -28,8 +28,8 @@
 // isName says whether a text may name a proxy, server or controller.
 func isName(text string) bool { return text != "" && len(text) <= maxNameBytes }
 
-// isFinite says whether a quantity is a number from 0 on. NaN is not: it would pass each comparison with a limit.
-func isFinite(quantity float64) bool { return quantity >= 0 && !math.IsInf(quantity, 0) }
+// isFiniteNonNegative says whether a quantity is a number from 0 on. NaN is not: it would pass each comparison with a limit.
+func isFiniteNonNegative(quantity float64) bool { return quantity >= 0 && !math.IsInf(quantity, 0) }
 
 func checkJoin(join *order.Join) error {
 	switch {
@@ -37,7 +37,7 @@
 		return fmt.Errorf("a proxy's name of %d bytes", len(join.Proxy))
 	case len(join.Zone) > maxNameBytes:
 		return fmt.Errorf("a zone's name of %d bytes", len(join.Zone))
-	case !isFinite(join.UsualPerS):
+	case !isFiniteNonNegative(join.UsualPerS):
 		return fmt.Errorf("a usual demand of %g requests/s", join.UsualPerS)
 	case len(join.Holds) > maxTables:
 		return fmt.Errorf("%d tables", len(join.Holds))
@@ -57,7 +57,7 @@
 
 func checkLease(lease *order.Lease) error {
 	switch {
-	case !isFinite(lease.LeftMs):
+	case !isFiniteNonNegative(lease.LeftMs):
 		return fmt.Errorf("a lease of %g ms", lease.LeftMs)
 	case len(lease.Reachable) > maxControllers:
 		return fmt.Errorf("%d reachable controllers", len(lease.Reachable))
@@ -69,7 +69,7 @@
 		return fmt.Errorf("%d tables", len(lease.Holds))
 	}
 	for _, agoMs := range lease.MessagesAgoMs {
-		if !isFinite(agoMs) {
+		if !isFiniteNonNegative(agoMs) {
 			return fmt.Errorf("a message %g ms ago", agoMs)
 		}
 	}
@@ -84,11 +84,11 @@
 }
 
 func checkLoadReport(report *order.Sums) error {
-	if !isFinite(report.CoversMs) || len(report.Servers) > maxEntries || len(report.Groups) > maxEntries {
+	if !isFiniteNonNegative(report.CoversMs) || len(report.Servers) > maxEntries || len(report.Groups) > maxEntries {
 		return fmt.Errorf("%d servers, %d traffic classes over %g ms", len(report.Servers), len(report.Groups), report.CoversMs)
 	}
 	for _, server := range report.Servers {
-		if !isName(server.Server) || server.Dropped > server.Tries || !isFinite(server.LatencyMs) {
+		if !isName(server.Server) || server.Dropped > server.Tries || !isFiniteNonNegative(server.LatencyMs) {
 			return fmt.Errorf("%d of %d attempts failed, %g ms", server.Dropped, server.Tries, server.LatencyMs)
 		}
 	}
@@ -102,25 +102,25 @@
 
 // checkOrders rejects a message with any invalid order.
 func checkOrders(message *order.Orders) error {
-	for _, one := range message.Orders {
-		if !isValidOrder(one) {
-			return fmt.Errorf("an invalid order: %v", one)
+	for _, ord := range message.Orders {
+		if !isValidOrder(ord) {
+			return fmt.Errorf("an invalid order: %v", ord)
 		}
 	}
 	return nil
 }
 
 // isValidOrder says whether an order is of a known kind, and its values are in range.
-func isValidOrder(one *order.Order) bool {
-	switch what := one.What.(type) {
+func isValidOrder(ord *order.Order) bool {
+	switch variant := ord.What.(type) {
 	case *order.Order_Line:
-		return isValidEntry(what.Line.GetLine())
+		return isValidEntry(variant.Line.GetLine())
 	case *order.Order_Bind:
-		return isValidAssignment(what.Bind)
+		return isValidAssignment(variant.Bind)
 	case *order.Order_Withdraw:
-		return what.Withdraw != nil && isName(what.Withdraw.Server)
+		return variant.Withdraw != nil && isName(variant.Withdraw.Server)
 	case *order.Order_Level:
-		return isValidAdmission(what.Level)
+		return isValidAdmission(variant.Level)
 	case *order.Order_Receipt:
 		return true
 	default: // nil, or a kind of a later version, which a proxy cannot apply
@@ -146,17 +146,17 @@
 }
 
 func isValidEntry(entry *order.Line) bool {
-	return entry != nil && isName(entry.Server) && isFinite(entry.Weight)
+	return entry != nil && isName(entry.Server) && isFiniteNonNegative(entry.Weight)
 }
 
 func isValidAdmission(admission *order.Level) bool {
-	return admission != nil && isFinite(admission.Share) && admission.Retry <= maxRetryMode
+	return admission != nil && isFiniteNonNegative(admission.Share) && admission.Retry <= maxRetryMode
 }
 
 func checkEndpoints(list *order.Listing) error {
 	for _, endpoint := range list.Entries {
 		valid := isName(endpoint.Server) && len(endpoint.Zone) <= maxNameBytes &&
-			endpoint.State <= maxEndpointState && isFinite(endpoint.Size)
+			endpoint.State <= maxEndpointState && isFiniteNonNegative(endpoint.Size)
 		if !valid {
 			return fmt.Errorf("server %q in state %d, size %g", truncate(endpoint.Server), endpoint.State, endpoint.Size)
 		}
--- a/internal/proxy/controlclient.go
+++ b/internal/proxy/controlclient.go
@@ -24,11 +24,11 @@
 
 // Limits of a control stream, at the proxy's end.
 const (
-	readBufferBytes    = 16 << 10
-	writeTimeoutMs     = 2000.0 // ms that the write of a frame may take
-	handshakeTimeoutMs = 2000.0 // ms until the connection stands, and then until the planner's welcome
-	outboxFrames       = 256    // frames that wait for a planner that does not read
-	leaseCheckMs       = 100.0  // ms between checks of the lease, at the most
+	readBufferBytes      = 16 << 10
+	writeTimeoutMs       = 2000.0 // ms that the write of a frame may take
+	handshakeTimeoutMs   = 2000.0 // ms until the connection stands, and then until the planner's welcome
+	maxOutboxFrames      = 256    // frames that wait for a planner that does not read
+	leaseCheckIntervalMs = 100.0  // ms between checks of the lease, at the most
 )
 
 // Keys of log attributes.
@@ -64,9 +64,9 @@
 	// not called.
 	OnTakeover func(withoutHolderMs float64)
 
-	from        netip.Addr // local address to dial from; invalid: any
-	incarnation uint64     // of this process, towards planners
-	ordersDone  func()     // like OnOrders, for Proxy; may be nil
+	localAddress netip.Addr // local address to dial from; invalid: any
+	incarnation  uint64     // of this process, towards planners
+	afterOrders  func()     // like OnOrders, for Proxy; may be nil
 
 	mu   sync.Mutex // guards what follows
 	core *Core
@@ -74,14 +74,14 @@
 	// The rest is used only where controllers share the fleet.
 	sessions           []*session // those that joined
 	announcedReachable []string   // controllers that were last announced as reachable
-	lastHolder         holder
+	lastHolder         leaseHolder
 }
 
-// holder is the controller that last held the lease.
-type holder struct {
-	controller  string
-	incarnation uint64
-	lastBytesMs float64 // when it last sent anything while it held the lease; 0: there was no holder yet
+// leaseHolder is the controller that last held the lease.
+type leaseHolder struct {
+	controller     string
+	incarnation    uint64
+	lastReceivedMs float64 // when it last sent anything while it held the lease; 0: there was no holder yet
 }
 
 // NewControlClient makes a client that has no streams yet.
@@ -90,7 +90,7 @@
 		Options: options,
 		core:    NewCore(options.Settings, options.Clock.Monotonic()),
 	}
-	client.from, _ = netip.ParseAddr(options.Settings.From) // checked by settings; empty: any address
+	client.localAddress, _ = netip.ParseAddr(options.Settings.From) // checked by settings; empty: any address
 	random := rand.New(rand.NewSource(int64(options.Settings.GetSeed())))
 	client.incarnation = uint64(options.Clock.WallTime().UnixNano()) ^ random.Uint64()>>20
 	return client
@@ -142,8 +142,8 @@
 			c.Log.Info("control stream ended; keeping the tables held", slog.String(logProxy, c.Settings.Name),
 				slog.String(logPlanner, planner), slog.Any(logCause, err))
 		}
-		var closed *controlstream.CloseError
-		if !joined || errors.As(err, &closed) {
+		var closeErr *controlstream.CloseError
+		if !joined || errors.As(err, &closeErr) {
 			next++ // a planner that closed the stream, or could not be joined, is not the first to be tried again
 		}
 		if clock.Sleep(ctx, c.Clock, redialMs*(0.5+random.Float64())) != nil {
@@ -172,9 +172,9 @@
 		c.announceLease(nil)
 	}
 	if remainingMs := c.core.grantor.RemainingMs(); remainingMs > 0 {
-		return min(remainingMs+1, leaseCheckMs)
+		return min(remainingMs+1, leaseCheckIntervalMs)
 	}
-	return leaseCheckMs
+	return leaseCheckIntervalMs
 }
 
 // leaseState is the Core's lease state with the controllers that the proxy can reach. The lock must be held.
@@ -189,7 +189,7 @@
 // must be held.
 func (c *ControlClient) reachable(nowMs float64) (controllers []string) {
 	for _, session := range c.sessions {
-		if session.takesLeases && nowMs-session.lastBytesMs < lease.ReachableMs {
+		if session.takesLeases && nowMs-session.lastReceivedMs < lease.ReachableMs {
 			controllers = append(controllers, session.controller)
 		}
 	}
@@ -227,7 +227,7 @@
 		UsualPerS:   settings.PerSecond(c.Settings.Usual),
 		Incarnation: c.incarnation,
 		Stream:      streamNumber,
-		Standing:    !c.core.assigned,
+		Standing:    !c.core.tableAssigned,
 		Groups:      uint32(len(c.Settings.Groups)),
 	}
 	if c.Settings.Sharing {
@@ -242,7 +242,7 @@
 func (c *ControlClient) dial(ctx context.Context, planner string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(handshakeTimeoutMs)*time.Millisecond)
 	defer cancel()
-	conn, err := c.Network.Dial(ctx, c.from, planner)
+	conn, err := c.Network.Dial(ctx, c.localAddress, planner)
 	if err != nil {
 		return nil, fmt.Errorf("dialling a planner: %w", err)
 	}
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -18,7 +18,7 @@
 // Limits of the connections to one server.
 const (
 	maxIdleConnections = 64
-	ioBufferBytes      = 4 << 10
+	connBufferBytes    = 4 << 10
 	minAttemptMs       = 1
 )
 
@@ -30,28 +30,28 @@
 	"Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-// answer is a server's, read whole: a connection that breaks halfway is a failure, not half an answer to the client.
-type answer struct {
+// bufferedResponse is a server's, read whole: a connection that breaks halfway is a failure, not half an bufferedResponse to the client.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
 // writeTo passes the answer on to the client.
-func (a *answer) writeTo(response http.ResponseWriter) {
-	for name, values := range a.header {
+func (b *bufferedResponse) writeTo(response http.ResponseWriter) {
+	for name, values := range b.header {
 		response.Header()[name] = values
 	}
-	response.WriteHeader(a.status)
-	_, _ = response.Write(a.body) // fails when the client is gone, which is nobody's concern then
+	response.WriteHeader(b.status)
+	_, _ = response.Write(b.body) // fails when the client is gone, which is nobody's concern then
 }
 
 // outcome says what an answer means for the attempt.
-func (a *answer) outcome() Outcome {
+func (b *bufferedResponse) outcome() Outcome {
 	switch {
-	case a.status < http.StatusInternalServerError:
+	case b.status < http.StatusInternalServerError:
 		return Succeeded
-	case a.header.Get(ProcessedHeader) == notProcessed:
+	case b.header.Get(ProcessedHeader) == notProcessed:
 		return Unprocessed
 	default:
 		return Failed
@@ -59,16 +59,16 @@
 }
 
 // attempt sends a request to a server once. The answer is nil if there was none.
-func (p *Proxy) attempt(incoming *http.Request, body []byte, to destination, number int) (*answer, Outcome) {
-	limit := time.Duration(max(to.limitMs, minAttemptMs) * float64(time.Millisecond))
-	ctx, cancel := context.WithTimeout(incoming.Context(), limit)
+func (p *Proxy) attempt(incoming *http.Request, body []byte, target destination, attemptNumber int) (*bufferedResponse, Outcome) {
+	timeout := time.Duration(max(target.limitMs, minAttemptMs) * float64(time.Millisecond))
+	ctx, cancel := context.WithTimeout(incoming.Context(), timeout)
 	defer cancel()
 	ctx, written := forbidResend(ctx, cancel)
-	outgoing, err := p.outgoingRequest(ctx, incoming, body, to.server, number)
+	outgoing, err := p.outgoingRequest(ctx, incoming, body, target.server, attemptNumber)
 	if err != nil {
 		return nil, Unprocessed
 	}
-	response, err := to.transport.RoundTrip(outgoing)
+	response, err := target.transport.RoundTrip(outgoing)
 	if err != nil {
 		if isDialError(err) && !written.Load() { // a dial after bytes were written is the library's second attempt
 			return nil, Unprocessed
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, Failed
 	}
-	received := &answer{status: response.StatusCode, header: response.Header, body: content}
+	received := &bufferedResponse{status: response.StatusCode, header: response.Header, body: content}
 	return received, received.outcome()
 }
 
@@ -101,7 +101,7 @@
 }
 
 func (p *Proxy) outgoingRequest(
-	ctx context.Context, incoming *http.Request, body []byte, server string, number int,
+	ctx context.Context, incoming *http.Request, body []byte, server string, attemptNumber int,
 ) (*http.Request, error) {
 	url := "http://" + server + incoming.URL.RequestURI()
 	outgoing, err := http.NewRequestWithContext(ctx, incoming.Method, url, bytes.NewReader(body))
@@ -113,7 +113,7 @@
 		outgoing.Header.Del(name)
 	}
 	outgoing.Header.Set(ProxyHeader, p.Settings.Name)
-	outgoing.Header.Set(AttemptHeader, strconv.Itoa(number))
+	outgoing.Header.Set(AttemptHeader, strconv.Itoa(attemptNumber))
 	return outgoing, nil
 }
 
@@ -137,8 +137,8 @@
 		IdleConnTimeout:     settings.Duration(p.Settings.ConnectionIdle),
 		MaxIdleConnsPerHost: maxIdleConnections,
 		DisableCompression:  true,
-		WriteBufferSize:     ioBufferBytes,
-		ReadBufferSize:      ioBufferBytes,
+		WriteBufferSize:     connBufferBytes,
+		ReadBufferSize:      connBufferBytes,
 		DialContext:         p.dialServer,
 	}
 	p.transports[server] = added
@@ -149,7 +149,7 @@
 func (p *Proxy) dialServer(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, settings.Duration(p.Settings.ConnectWithin))
 	defer cancel()
-	conn, err := p.Network.Dial(ctx, p.from, address)
+	conn, err := p.Network.Dial(ctx, p.localAddress, address)
 	if err != nil {
 		return nil, &net.OpError{Op: dialOperation, Net: network, Err: err}
 	}
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	runMs         = 20_000.0
-	digestMs      = 1000.0 // one line of a golden file
-	reportMs      = 1000.0
-	orderMs       = 150.0
-	leaseEveryMs  = 700.0
-	leaseMs       = 1200
-	requestMs     = 5.0 // from one request to the next
-	serverCount   = 9
-	classCount    = 4
-	tableCount    = 3
-	highestRetry  = 3
-	seed          = 20261202
-	failChance    = 0.25
-	rejectChance  = 0.2
-	welcomeChance = 0.03
+	runMs                       = 20_000.0
+	digestIntervalMs            = 1000.0 // one line of a golden file
+	reportIntervalMs            = 1000.0
+	orderIntervalMs             = 150.0
+	leaseRequestIntervalMs      = 700.0
+	leaseDurationMs             = 1200
+	requestIntervalMs           = 5.0 // from one request to the next
+	serverCount                 = 9
+	classCount                  = 4
+	tableCount                  = 3
+	maxRetryMode                = 3
+	seed                        = 20261202
+	failureProbability          = 0.25
+	partialAdmissionProbability = 0.2
+	welcomeProbability          = 0.03
 )
 
 const proxySettings = `name: "edge-1" listen: "127.0.0.1:0" planners: "127.0.0.1:1" sharing: true seed: 3
@@ -48,8 +48,8 @@
 	limitMs float64
 }
 
-// conversation is a proxy core with a planner and clients that act at random by a seed.
-type conversation struct {
+// simulation is a proxy core with a planner and clients that act at random by a seed.
+type simulation struct {
 	t        *testing.T
 	core     *proxy.Core
 	digest   *golden.Digest
@@ -61,23 +61,23 @@
 
 func serverName(number int) string { return fmt.Sprintf("10.0.0.%d:80", number) }
 
-func newConversation(t *testing.T, name, more string) *conversation {
+func newSimulation(t *testing.T, name, extraSettings string) *simulation {
 	t.Helper()
 	configuration := &pb.Proxy{}
-	if err := settings.Parse(name, []byte(proxySettings+more), configuration); err != nil {
+	if err := settings.Parse(name, []byte(proxySettings+extraSettings), configuration); err != nil {
 		t.Fatal(err)
 	}
-	return &conversation{
+	return &simulation{
 		t:      t,
 		core:   proxy.NewCore(configuration, 0),
-		digest: golden.NewDigest(name, digestMs),
+		digest: golden.NewDigest(name, digestIntervalMs),
 		random: rand.New(rand.NewSource(seed)),
 	}
 }
 
-func (c *conversation) log(format string, args ...any) { c.digest.Add(c.nowMs, format, args...) }
+func (c *simulation) log(format string, args ...any) { c.digest.Add(c.nowMs, format, args...) }
 
-func (c *conversation) logMessage(what string, message proto.Message) {
+func (c *simulation) logMessage(what string, message proto.Message) {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
 		c.t.Fatal(err)
@@ -85,17 +85,17 @@
 	c.log("%s %x", what, body)
 }
 
-func (c *conversation) randomServer() string { return serverName(c.random.Intn(serverCount)) }
+func (c *simulation) randomServer() string { return serverName(c.random.Intn(serverCount)) }
 
-func (c *conversation) randomAdmission() *order.Level {
-	level := &order.Level{Group: uint32(c.random.Intn(classCount)), Share: 1, Retry: uint32(c.random.Intn(highestRetry + 1))}
-	if c.random.Float64() < rejectChance {
+func (c *simulation) randomAdmission() *order.Level {
+	level := &order.Level{Group: uint32(c.random.Intn(classCount)), Share: 1, Retry: uint32(c.random.Intn(maxRetryMode + 1))}
+	if c.random.Float64() < partialAdmissionProbability {
 		level.Share = c.random.Float64()
 	}
 	return level
 }
 
-func (c *conversation) randomAssignment() *order.Bind {
+func (c *simulation) randomAssignment() *order.Bind {
 	bind := &order.Bind{Table: uint32(c.random.Intn(tableCount)), Levels: []*order.Level{c.randomAdmission()}}
 	for class := range classCount {
 		if c.random.Intn(2) == 0 {
@@ -112,7 +112,7 @@
 	return bind
 }
 
-func (c *conversation) randomOrder() *order.Order {
+func (c *simulation) randomOrder() *order.Order {
 	switch c.random.Intn(6) {
 	case 0:
 		return &order.Order{What: &order.Order_Bind{Bind: c.randomAssignment()}}
@@ -135,8 +135,8 @@
 }
 
 // sendOrders has the planner send one message of orders, or start over with a welcome.
-func (c *conversation) sendOrders() {
-	if c.random.Float64() < welcomeChance {
+func (c *simulation) sendOrders() {
+	if c.random.Float64() < welcomeProbability {
 		c.core.StartSession(&order.Welcome{Withdrawn: []string{c.randomServer()}})
 		c.log("welcome")
 		return
@@ -151,19 +151,19 @@
 	c.log("receipts %v", c.core.ApplyOrders(message))
 }
 
-func (c *conversation) requestLease() {
+func (c *simulation) requestLease() {
 	request := &order.Claim{
 		Controller:  []string{"planner-1", "planner-2"}[c.random.Intn(2)],
 		Epoch:       c.message/8 + uint64(c.random.Intn(2)),
 		Incarnation: 1,
-		LeaseMs:     leaseMs,
+		LeaseMs:     leaseDurationMs,
 	}
-	granted, fresh := c.core.HandleLeaseRequest(c.nowMs, request)
-	c.log("granted %t, fresh %t", granted, fresh)
-	c.logMessage("lease", c.core.LeaseState(c.nowMs, fresh))
+	granted, newlyGranted := c.core.HandleLeaseRequest(c.nowMs, request)
+	c.log("granted %t, fresh %t", granted, newlyGranted)
+	c.logMessage("lease", c.core.LeaseState(c.nowMs, newlyGranted))
 }
 
-func (c *conversation) request() {
+func (c *simulation) request() {
 	class := c.random.Intn(classCount)
 	request, admitted := c.core.Admit(c.nowMs, class)
 	c.log("class %d admitted %t", class, admitted)
@@ -172,7 +172,7 @@
 	}
 }
 
-func (c *conversation) attempt(request *proxy.Request) {
+func (c *simulation) attempt(request *proxy.Request) {
 	server, limitMs, found := c.core.Pick(c.nowMs, request)
 	c.log("attempt %d goes to %q for %g ms", request.Attempts, server, limitMs)
 	if !found {
@@ -183,7 +183,7 @@
 }
 
 // finish ends an open attempt: at its limit, or before in one of three ways.
-func (c *conversation) finish() {
+func (c *simulation) finish() {
 	if len(c.attempts) == 0 {
 		return
 	}
@@ -195,7 +195,7 @@
 	switch {
 	case tookMs >= attempt.limitMs:
 		outcome = proxy.Failed
-	case c.random.Float64() < failChance:
+	case c.random.Float64() < failureProbability:
 		outcome = []proxy.Outcome{proxy.Unprocessed, proxy.Failed}[c.random.Intn(2)]
 	}
 	retry := c.core.FinishAttempt(c.nowMs, attempt.request, attempt.server, outcome, tookMs)
@@ -206,23 +206,23 @@
 }
 
 // every says whether an interval ends at this time.
-func (c *conversation) every(intervalMs float64) bool {
+func (c *simulation) every(intervalMs float64) bool {
 	return int(c.nowMs)%int(intervalMs) == 0
 }
 
-func (c *conversation) advance() {
-	c.nowMs += requestMs
-	if c.every(orderMs) {
+func (c *simulation) advance() {
+	c.nowMs += requestIntervalMs
+	if c.every(orderIntervalMs) {
 		c.sendOrders()
 	}
-	if c.every(leaseEveryMs) {
+	if c.every(leaseRequestIntervalMs) {
 		c.requestLease()
 	}
 	c.request()
 	for c.random.Intn(40) < len(c.attempts) { // the more are open, the sooner one ends
 		c.finish()
 	}
-	if c.every(reportMs) {
+	if c.every(reportIntervalMs) {
 		c.logMessage("report", c.core.TakeLoadReport(c.nowMs))
 		for _, holding := range c.core.HeldTables() {
 			c.logMessage("holds", holding)
@@ -237,7 +237,7 @@
 func TestGoldenCore(t *testing.T) {
 	for _, pick := range []string{"WEIGHTED", "ROUND", "TWO"} {
 		t.Run(pick, func(t *testing.T) {
-			c := newConversation(t, pick, "pick: "+pick)
+			c := newSimulation(t, pick, "pick: "+pick)
 			for c.nowMs < runMs {
 				c.advance()
 			}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -43,12 +43,12 @@
 	className := incoming.Header.Get(ClassHeader)
 	class, known := p.classByName[className]
 	if !known && className != "" {
-		malformed(response, fmt.Sprintf("no traffic class %q", className), http.StatusBadRequest)
+		rejectMalformed(response, fmt.Sprintf("no traffic class %q", className), http.StatusBadRequest)
 		return
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(response, incoming.Body, maxBodyBytes))
 	if err != nil {
-		malformed(response, "reading the body: "+err.Error(), http.StatusRequestEntityTooLarge)
+		rejectMalformed(response, "reading the body: "+err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
 	request, admitted := p.admit(class)
@@ -129,8 +129,8 @@
 	return max(waitMs/msPerSecond, 1)
 }
 
-// malformed answers a request that no proxy can handle.
-func malformed(response http.ResponseWriter, cause string, status int) {
+// rejectMalformed answers a request that no proxy can handle.
+func rejectMalformed(response http.ResponseWriter, cause string, status int) {
 	response.Header().Set(OutcomeHeader, outcomeMalformed)
 	http.Error(response, cause, status)
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -11,12 +11,12 @@
 const testTable = 1
 
 // newTestCore makes a Core of two classes, "check" (idempotent) and "charge" (not), with more settings appended.
-func newTestCore(t *testing.T, more string) *Core {
+func newTestCore(t *testing.T, extraSettings string) *Core {
 	t.Helper()
 	set := &pb.Proxy{}
 	text := `name: "x" listen: "127.0.0.1:0" planners: "127.0.0.1:1" standing: "127.0.0.1:1" standing: "127.0.0.1:2"
 		groups { name: "check" latency_budget: "600ms" expiry: "1.5s" repeat: RETRIABLE }
-		groups { name: "charge" latency_budget: "800ms" expiry: "2.5s" }` + more
+		groups { name: "charge" latency_budget: "800ms" expiry: "2.5s" }` + extraSettings
 	if err := settings.Parse("test", []byte(text), set); err != nil {
 		t.Fatal(err)
 	}
@@ -24,9 +24,9 @@
 }
 
 // newAssignedCore makes a Core that a planner has assigned a table.
-func newAssignedCore(t *testing.T, more string, entries ...*order.Line) *Core {
+func newAssignedCore(t *testing.T, extraSettings string, entries ...*order.Line) *Core {
 	t.Helper()
-	core := newTestCore(t, more)
+	core := newTestCore(t, extraSettings)
 	core.StartSession(&order.Welcome{})
 	core.ApplyOrders(assignOrder(nil, entries...))
 	return core
--- a/internal/proxy/leasestate.go
+++ b/internal/proxy/leasestate.go
@@ -9,9 +9,9 @@
 
 // Bounds of what a proxy remembers for its next lease holder.
 const (
-	recentOrdersMs  = 60000.0  // ms that messages of orders are remembered; a planner's window for them is seldom longer
-	maxRecentOrders = 1000     // messages of orders that are remembered
-	drainMemoryMs   = 600000.0 // ms that a drain is stated to a next holder; its endpoint list shows it long before
+	recentOrdersWindowMs = 60000.0  // ms that messages of orders are remembered; a planner's window for them is seldom longer
+	maxRecentOrders      = 1000     // messages of orders that are remembered
+	drainRetentionMs     = 600000.0 // ms that a drain is stated to a next holder; its endpoint list shows it long before
 )
 
 // HandleLeaseRequest grants or rejects a controller's request for the proxy's lease, or its renewal. A newly granted lease
@@ -42,7 +42,7 @@
 // window that limits messages to the proxy.
 func (c *Core) RecordOrders(nowMs float64) {
 	c.recentOrdersMs = append(c.recentOrdersMs, nowMs)
-	for c.recentOrdersMs[0] <= nowMs-recentOrdersMs || len(c.recentOrdersMs) > maxRecentOrders {
+	for c.recentOrdersMs[0] <= nowMs-recentOrdersWindowMs || len(c.recentOrdersMs) > maxRecentOrders {
 		c.recentOrdersMs = c.recentOrdersMs[1:]
 	}
 }
@@ -51,9 +51,9 @@
 // came lately. The caller owns it.
 func (c *Core) LeaseState(nowMs float64, toNewHolder bool) *order.Lease {
 	c.grantor.SetTime(nowMs)
-	c.leaseMessages++
+	c.leaseStateCount++
 	state := &order.Lease{
-		Count:       c.leaseMessages,
+		Count:       c.leaseStateCount,
 		Epoch:       c.grantor.Epoch,
 		Controller:  c.grantor.Controller,
 		Incarnation: c.grantor.Incarnation,
@@ -71,7 +71,7 @@
 	for _, receivedMs := range c.recentOrdersMs {
 		state.MessagesAgoMs = append(state.MessagesAgoMs, nowMs-receivedMs)
 	}
-	maps.DeleteFunc(c.drainingMs, func(_ string, sinceMs float64) bool { return nowMs-sinceMs > drainMemoryMs })
-	state.Going = slices.Sorted(maps.Keys(c.drainingMs))
+	maps.DeleteFunc(c.drainingSinceMs, func(_ string, sinceMs float64) bool { return nowMs-sinceMs > drainRetentionMs })
+	state.Going = slices.Sorted(maps.Keys(c.drainingSinceMs))
 	return state
 }
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -8,7 +8,7 @@
 	for _, entry := range candidates {
 		total += entry.weight
 	}
-	switch c.pick {
+	switch c.pickMethod {
 	case pb.Pick_ROUND:
 		return chooseRoundRobin(candidates, total)
 	case pb.Pick_TWO:
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -20,12 +20,12 @@
 )
 
 // startProxy runs a proxy without a planner, whose standing table holds some servers, and gives its address.
-func startProxy(t *testing.T, more string, servers ...string) (running *Proxy, address string) {
+func startProxy(t *testing.T, extraSettings string, servers ...string) (running *Proxy, address string) {
 	t.Helper()
 	text := `name: "x" listen: "127.0.0.1:0" planners: "127.0.0.1:1" default_retry: ONCE
 		groups { name: "check" latency_budget: "600ms" expiry: "1.5s" repeat: RETRIABLE }
 		groups { name: "start" latency_budget: "600ms" expiry: "1.5s" repeat: DEDUPED }
-		groups { name: "charge" latency_budget: "800ms" expiry: "2.5s" } ` + more
+		groups { name: "charge" latency_budget: "800ms" expiry: "2.5s" } ` + extraSettings
 	for _, server := range servers {
 		text += fmt.Sprintf(" standing: %q", server)
 	}
@@ -279,7 +279,7 @@
 	for client := range clientCount {
 		clients.Go(func() {
 			for number := range requestsPerClient {
-				status, err := charge(t.Context(), address, fmt.Sprint(client, "-", number))
+				status, err := sendCharge(t.Context(), address, fmt.Sprint(client, "-", number))
 				if err != nil {
 					t.Error(err)
 					return
@@ -304,8 +304,8 @@
 	}
 }
 
-// charge sends a request that is not idempotent, with an id, and gives the status of its answer.
-func charge(ctx context.Context, address, id string) (status int, err error) {
+// sendCharge sends a request that is not idempotent, with an id, and gives the status of its answer.
+func sendCharge(ctx context.Context, address, id string) (status int, err error) {
 	request, err := http.NewRequestWithContext(ctx, "POST", "http://"+address+"/", strings.NewReader("x"))
 	if err != nil {
 		return 0, err
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -18,9 +18,9 @@
 	Failed                     // failed, and may have been processed
 )
 
-// minRemaining is the part of a request's deadline that must be left for a retry. One with less would not be answered in
+// minRemainingFraction is the part of a request's deadline that must be left for a retry. One with less would not be answered in
 // time either, and only add load.
-const minRemaining = 0.1
+const minRemainingFraction = 0.1
 
 // retriesByMode is how many retries a mode allows.
 var retriesByMode = [...]int{
@@ -40,7 +40,7 @@
 
 // Admit counts a request of a class and says whether it is admitted. The caller rejects it otherwise.
 func (c *Core) Admit(nowMs float64, class int) (request *Request, admitted bool) {
-	c.classSamples[class].requests++
+	c.statsByClass[class].requests++
 	fraction := c.admissions[class].fraction
 	if fraction < 1 && c.random.Float64() >= fraction {
 		return nil, false
@@ -62,7 +62,7 @@
 	class := c.classes[request.Class]
 	limitMs = request.admittedMs + settings.Milliseconds(class.Expiry) - nowMs
 	if c.remainingRetries(request, Failed) > 0 && len(candidates) > 1 {
-		limitMs = min(limitMs, c.firstAttempts*settings.Milliseconds(class.LatencyBudget))
+		limitMs = min(limitMs, c.attemptLimitFactor*settings.Milliseconds(class.LatencyBudget))
 	}
 	return server, limitMs, true
 }
@@ -117,7 +117,7 @@
 	if c.mayRetry(nowMs, request, outcome) {
 		return true
 	}
-	c.classSamples[request.Class].failed++
+	c.statsByClass[request.Class].failed++
 	return false
 }
 
@@ -125,8 +125,8 @@
 func (c *Core) mayRetry(nowMs float64, request *Request, outcome Outcome) bool {
 	deadlineMs := settings.Milliseconds(c.classes[request.Class].Expiry)
 	remainingMs := request.admittedMs + deadlineMs - nowMs
-	return c.remainingRetries(request, outcome) > 0 && remainingMs > minRemaining*deadlineMs && c.hasCandidate(request)
+	return c.remainingRetries(request, outcome) > 0 && remainingMs > minRemainingFraction*deadlineMs && c.hasCandidate(request)
 }
 
 // RecordNoServer records that an admitted request found no server.
-func (c *Core) RecordNoServer(request *Request) { c.classSamples[request.Class].failed++ }
+func (c *Core) RecordNoServer(request *Request) { c.statsByClass[request.Class].failed++ }
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -36,7 +36,7 @@
 		transports:    map[string]*http.Transport{},
 		classByName:   map[string]int{},
 	}
-	proxy.ordersDone = proxy.closeUnusedTransports
+	proxy.afterOrders = proxy.closeUnusedTransports
 	for index, class := range options.Settings.Groups {
 		proxy.classByName[class.Name] = index
 	}
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -20,33 +20,33 @@
 // lock, but for fault, which only the reading goroutine uses.
 type session struct {
 	client       *ControlClient
-	outbox       chan outgoing
+	outbox       chan queuedFrame
 	overflowed   chan struct{} // closed when the outbox was full
 	overflowOnce sync.Once
 
-	joined      bool
-	controller  string
-	incarnation uint64
-	takesLeases bool    // whether the controller says so
-	lastBytesMs float64 // when bytes last came
-	fault       error   // of the planner; ends the stream
+	joined         bool
+	controller     string
+	incarnation    uint64
+	takesLeases    bool    // whether the controller says so
+	lastReceivedMs float64 // when bytes last came
+	protocolErr    error   // of the planner; ends the stream
 }
 
-// outgoing is a frame that waits to be sent; a nil body is none.
-type outgoing struct {
+// queuedFrame is a frame that waits to be sent; a nil body is none.
+type queuedFrame struct {
 	kind controlstream.FrameKind
 	body proto.Message
 }
 
 func newSession(client *ControlClient) *session {
-	return &session{client: client, outbox: make(chan outgoing, outboxFrames), overflowed: make(chan struct{})}
+	return &session{client: client, outbox: make(chan queuedFrame, maxOutboxFrames), overflowed: make(chan struct{})}
 }
 
 // send queues a frame. It never waits, as the client's lock is held: a planner that does not read must not hold up requests.
 // When the outbox is full the stream ends.
 func (s *session) send(kind controlstream.FrameKind, body proto.Message) {
 	select {
-	case s.outbox <- outgoing{kind: kind, body: body}:
+	case s.outbox <- queuedFrame{kind: kind, body: body}:
 	default:
 		s.overflowOnce.Do(func() { close(s.overflowed) })
 	}
@@ -55,14 +55,14 @@
 // isHolder says whether this session's controller holds the lease. The client's lock must be held.
 func (s *session) isHolder() bool { return s.client.core.isHolder(s.controller, s.incarnation) }
 
-// recordBytes notes that the planner sent something, also less than a frame.
-func (s *session) recordBytes() {
+// recordActivity notes that the planner sent something, also less than a frame.
+func (s *session) recordActivity() {
 	client := s.client
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	s.lastBytesMs = client.Clock.Monotonic()
+	s.lastReceivedMs = client.Clock.Monotonic()
 	if s.joined && s.isHolder() {
-		client.lastHolder.lastBytesMs = s.lastBytesMs
+		client.lastHolder.lastReceivedMs = s.lastReceivedMs
 	}
 }
 
@@ -72,7 +72,7 @@
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if welcome.Sharing != client.Settings.Sharing {
-		s.fault = errSharingMismatch
+		s.protocolErr = errSharingMismatch
 		return
 	}
 	s.joined = true
@@ -103,8 +103,8 @@
 	if client.OnOrders != nil {
 		client.OnOrders(message)
 	}
-	if client.ordersDone != nil {
-		client.ordersDone()
+	if client.afterOrders != nil {
+		client.afterOrders()
 	}
 	s.send(controlstream.FrameAck, &order.Applied{
 		Number: message.Number, Receipts: acknowledgements, Epoch: client.core.grantor.Epoch,
@@ -117,7 +117,7 @@
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if !client.Settings.Sharing || request.Controller != s.controller || request.Incarnation != s.incarnation {
-		s.fault = errForeignLeaseRequest
+		s.protocolErr = errForeignLeaseRequest
 		return
 	}
 	nowMs := client.Clock.Monotonic()
@@ -139,11 +139,11 @@
 func (s *session) recordTakeover(nowMs float64) {
 	client := s.client
 	last := client.lastHolder
-	another := last.controller != s.controller || last.incarnation != s.incarnation
-	if client.OnTakeover != nil && last.lastBytesMs > 0 && another {
-		client.OnTakeover(nowMs - last.lastBytesMs)
+	holderChanged := last.controller != s.controller || last.incarnation != s.incarnation
+	if client.OnTakeover != nil && last.lastReceivedMs > 0 && holderChanged {
+		client.OnTakeover(nowMs - last.lastReceivedMs)
 	}
-	client.lastHolder = holder{controller: s.controller, incarnation: s.incarnation, lastBytesMs: nowMs}
+	client.lastHolder = leaseHolder{controller: s.controller, incarnation: s.incarnation, lastReceivedMs: nowMs}
 }
 
 // OnLeaseRelease frees the lease if its holder gives it back.
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -48,7 +48,7 @@
 		c.removeSession(session)
 	}()
 	err = session.read(conn, codec)
-	return session.joined && session.fault == nil, err
+	return session.joined && session.protocolErr == nil, err
 }
 
 // closeConnection closes a connection that is of no more use. An error has no consequence: nothing is written after it.
@@ -64,13 +64,13 @@
 		size, err := conn.Read(buffer)
 		codec.Feed(timeSource.Monotonic(), buffer[:size])
 		if size > 0 {
-			s.recordBytes()
+			s.recordActivity()
 		}
-		for s.fault == nil && codec.Next(s) {
+		for s.protocolErr == nil && codec.Next(s) {
 		}
 		switch {
-		case s.fault != nil:
-			return s.fault
+		case s.protocolErr != nil:
+			return s.protocolErr
 		case codec.CloseCause() != nil:
 			return codec.CloseCause()
 		case err != nil && !isTimeout(err):
--- a/internal/proxy/tables.go
+++ b/internal/proxy/tables.go
@@ -33,18 +33,18 @@
 // ApplyOrders applies a message whole, and returns the acknowledgements that it asks for. The orders must be valid, as a
 // controlstream.ProxySession delivers them.
 func (c *Core) ApplyOrders(message *order.Orders) (acknowledgements []uint32) {
-	for _, one := range message.Orders {
-		switch what := one.What.(type) {
+	for _, ord := range message.Orders {
+		switch variant := ord.What.(type) {
 		case *order.Order_Line:
-			c.setEntry(what.Line)
+			c.setEntry(variant.Line)
 		case *order.Order_Bind:
-			c.assignTable(what.Bind)
+			c.assignTable(variant.Bind)
 		case *order.Order_Withdraw:
-			c.setEjected(what.Withdraw)
+			c.setEjected(variant.Withdraw)
 		case *order.Order_Level:
-			c.setAdmission(what.Level)
+			c.setAdmission(variant.Level)
 		case *order.Order_Receipt:
-			acknowledgements = append(acknowledgements, what.Receipt)
+			acknowledgements = append(acknowledgements, variant.Receipt)
 		}
 	}
 	return acknowledgements
@@ -75,8 +75,8 @@
 }
 
 func (c *Core) assignTable(assignment *order.Bind) {
-	if !c.assigned { // admission rates of an earlier planner end with its tables
-		c.assigned = true
+	if !c.tableAssigned { // admission rates of an earlier planner end with its tables
+		c.tableAssigned = true
 		for class := range c.admissions {
 			c.admissions[class] = c.admitAll()
 		}
@@ -93,13 +93,13 @@
 		}
 	}
 	for _, entry := range assignment.Lines {
-		delete(c.drainingMs, entry.Server)
+		delete(c.drainingSinceMs, entry.Server)
 	}
 	for _, server := range assignment.Withdrawn {
 		c.ejected[server] = true
 	}
 	for _, server := range assignment.Going {
-		c.drainingMs[server] = c.reportedMs
+		c.drainingSinceMs[server] = c.lastReportMs
 	}
 	for _, class := range assignment.Groups {
 		if int(class) < len(c.tableByClass) {
@@ -118,9 +118,9 @@
 		delete(c.ejected, ejection.Server)
 	}
 	if ejection.Going {
-		c.drainingMs[ejection.Server] = c.reportedMs // orders carry no time of the proxy's clock; the last report's is near enough
+		c.drainingSinceMs[ejection.Server] = c.lastReportMs // orders carry no time of the proxy's clock; the last report's is near enough
 	} else {
-		delete(c.drainingMs, ejection.Server)
+		delete(c.drainingSinceMs, ejection.Server)
 	}
 }
 
@@ -134,8 +134,8 @@
 
 // isEjected says whether a server may get no request by a table: ejected by the session that assigned the table, or by the
 // present one.
-func (c *Core) isEjected(by *table, server string) bool {
-	return by.ejected[server] || c.ejected[server]
+func (c *Core) isEjected(assigned *table, server string) bool {
+	return assigned.ejected[server] || c.ejected[server]
 }
 
 // MayReceive says whether requests of any class may be sent to a server.
@@ -147,12 +147,12 @@
 
 // HeldTables gives the tables that the proxy goes by, for a join or a new lease holder. The caller owns them.
 func (c *Core) HeldTables() (tables []*order.Holding) {
-	held := map[*table]*order.Holding{}
+	holdingByTable := map[*table]*order.Holding{}
 	for class, assigned := range c.tableByClass {
-		holding := held[assigned]
+		holding := holdingByTable[assigned]
 		if holding == nil {
-			holding = c.describe(assigned)
-			held[assigned] = holding
+			holding = c.newHolding(assigned)
+			holdingByTable[assigned] = holding
 			tables = append(tables, holding)
 		}
 		holding.Groups = append(holding.Groups, uint32(class))
@@ -160,7 +160,7 @@
 	return tables
 }
 
-func (c *Core) describe(assigned *table) *order.Holding {
+func (c *Core) newHolding(assigned *table) *order.Holding {
 	holding := &order.Holding{}
 	for _, entry := range assigned.entries {
 		holding.Lines = append(holding.Lines, &order.Line{Server: entry.server, Weight: entry.weight})
