--- a/internal/controlstream/bench_test.go
+++ b/internal/controlstream/bench_test.go
@@ -9,7 +9,7 @@
 	"lichenpick/proto/order"
 )
 
-// benchmarkOrders is a message of 20 weight entries.
+// benchmarkOrders returns a message that sets 20 weights.
 func benchmarkOrders() *order.Orders {
 	message := &order.Orders{Planner: "p", Incarnation: 7, DecidedUnixUs: 1 << 50, Lines: 24}
 	for number := range 20 {
@@ -19,7 +19,8 @@
 	return message
 }
 
-// BenchmarkFrames measures one message of orders: writing its frame, cutting it from a stream, and decoding its body.
+// BenchmarkFrames measures three steps for one Orders message: encoding its frame ("write"), extracting the frame from a
+// stream ("cut") and decoding its body ("read").
 func BenchmarkFrames(b *testing.B) {
 	message := benchmarkOrders()
 	b.Run("write", func(b *testing.B) {
@@ -46,7 +47,7 @@
 }
 
 func benchmarkDecoder(b *testing.B, message proto.Message) {
-	const frames = 256 // after which a new decoder starts from the first again
+	const frames = 256 // encoded in advance; a new decoder starts again from the first one
 	var raw []byte
 	ends := []int{0}
 	for index := range frames {
--- a/internal/controlstream/closereason.go
+++ b/internal/controlstream/closereason.go
@@ -2,49 +2,50 @@
 
 import "fmt"
 
-// CloseReason is why a stream ended. There are few, so that they can be counted: logs, metrics and the planner's /status
-// carry them, and a Close frame tells the peer. Their texts are therefore part of the protocol and do not change.
+// CloseReason is the reason why a stream ended. The set of reasons is small and fixed, so that closed streams can be counted
+// by reason. The texts are part of the protocol and must not change: they are sent to the peer in Close frames and appear in
+// logs, metrics and the planner's /status.
 type CloseReason string
 
-// Reasons that a Decoder finds.
+// Reasons that a Decoder reports.
 const (
-	ReasonBadMagic    CloseReason = "magic"    // the bytes are no frame: the peer speaks something else
-	ReasonBadVersion  CloseReason = "version"  // a frame of another version
-	ReasonBadSize     CloseReason = "size"     // a body above Limits.MaxFrameBytes
-	ReasonBadChecksum CloseReason = "checksum" // damaged on the way
+	ReasonBadMagic    CloseReason = "magic"    // the bytes do not start a frame: the peer speaks another protocol
+	ReasonBadVersion  CloseReason = "version"  // the frame has another protocol version
+	ReasonBadSize     CloseReason = "size"     // the body is larger than Limits.MaxFrameBytes
+	ReasonBadChecksum CloseReason = "checksum" // the frame was corrupted
 	ReasonBadSequence CloseReason = "sequence" // a frame was lost, repeated or reordered
-	ReasonBadKind     CloseReason = "kind"     // a kind that this version does not know
+	ReasonBadKind     CloseReason = "kind"     // this version does not know the frame's kind
 )
 
-// Reasons that a session finds.
+// Reasons that a session reports.
 const (
-	ReasonBadBody          CloseReason = "body"    // does not decode, or holds values out of range
-	ReasonUnexpectedFrame  CloseReason = "state"   // a kind that the peer may not send, or not now
-	ReasonHandshakeTimeout CloseReason = "no join" // no handshake within Limits.HandshakeTimeoutMs
-	ReasonHeartbeatTimeout CloseReason = "silent"  // no frame for Limits.HeartbeatTimeoutMs
+	ReasonBadBody          CloseReason = "body"    // the body does not decode or holds a value out of range
+	ReasonUnexpectedFrame  CloseReason = "state"   // the peer may not send this kind of frame, or not in this state
+	ReasonHandshakeTimeout CloseReason = "no join" // no Join or Welcome came within Limits.HandshakeTimeoutMs
+	ReasonHeartbeatTimeout CloseReason = "silent"  // no frame came for Limits.HeartbeatTimeoutMs
 	ReasonPeerClosed       CloseReason = "left"    // the peer sent FrameClose
 )
 
-// Reasons for which a user of this package ends a stream.
+// Reasons for which a caller of this package ends a stream.
 const (
-	ReasonAckTimeout     CloseReason = "answer"   // orders were not acknowledged in time
-	ReasonSlowReader     CloseReason = "reader"   // the peer does not read what it is sent
+	ReasonAckTimeout     CloseReason = "answer"   // the proxy did not acknowledge orders in time
+	ReasonSlowReader     CloseReason = "reader"   // the peer reads too slowly or not at all
 	ReasonNameInUse      CloseReason = "taken"    // another process with the proxy's name is connected
-	ReasonSuperseded     CloseReason = "replaced" // the same proxy process has a newer stream
-	ReasonUnknownPeer    CloseReason = "strange"  // a zone, address or number of traffic classes unknown to the planner
+	ReasonSuperseded     CloseReason = "replaced" // the same proxy process opened a newer stream
+	ReasonUnknownPeer    CloseReason = "strange"  // the proxy's zone, address or traffic classes do not match the settings
 	ReasonLimitExceeded  CloseReason = "full"     // more streams, entries or messages than the settings allow
 	ReasonConnectionLost CloseReason = "lost"     // the connection broke
-	ReasonShutdown       CloseReason = "stopping" // this side shuts down
-	ReasonInternalError  CloseReason = "fault"    // this side failed
+	ReasonShutdown       CloseReason = "stopping" // this process shuts down
+	ReasonInternalError  CloseReason = "fault"    // this process failed
 )
 
-// CloseError is why a stream ended, as an error. Tell it apart by errors.As and its Reason.
+// CloseError is the error with which a stream ended. Callers find it with errors.As and distinguish causes by Reason.
 type CloseError struct {
 	Reason CloseReason
-	Detail string // for logs; may be empty, and may quote what the peer sent
+	Detail string // text for logs; may be empty, and may quote what the peer sent
 }
 
-// Error gives the reason and its detail.
+// Error returns the reason and the detail.
 func (e *CloseError) Error() string {
 	if e.Detail == "" {
 		return string(e.Reason)
@@ -52,7 +53,7 @@
 	return string(e.Reason) + ": " + e.Detail
 }
 
-// newCloseError makes a CloseError whose detail is formatted.
+// newCloseError returns a CloseError with a formatted detail.
 func newCloseError(reason CloseReason, format string, args ...any) *CloseError {
 	return &CloseError{Reason: reason, Detail: fmt.Sprintf(format, args...)}
 }
--- a/internal/controlstream/decoder.go
+++ b/internal/controlstream/decoder.go
@@ -2,29 +2,30 @@
 
 import "encoding/binary"
 
-// A Decoder's buffer is replaced by a smaller one once it is above largeBufferBytes and more than bufferSlack times what it
-// holds, so that one large frame does not keep its memory for the life of the stream.
+// A Decoder replaces its buffer by a smaller one when the capacity exceeds largeBufferBytes and is more than bufferSlack
+// times the size needed. Otherwise one large frame would occupy its memory for the life of the stream.
 const (
 	largeBufferBytes = 1 << 16
 	bufferSlack      = 4
-	spareBytes       = 1 << 12 // room in the smaller buffer for what comes next
+	spareBytes       = 1 << 12 // free capacity of the smaller buffer
 )
 
-// Decoder cuts a stream of bytes into frames and checks their headers. What it holds is bounded by the limit of a body plus
-// one feed: nothing is allocated for what a header only claims. It is used by one goroutine at a time.
+// Decoder splits a stream of bytes into frames and checks their headers. It buffers at most one frame of the maximum size
+// plus the bytes of one Feed, and allocates nothing for a length that a header announces before the bytes have arrived. It
+// must not be used by several goroutines at the same time.
 type Decoder struct {
 	maxBodyBytes int
 	buffer       []byte
-	consumed     int    // bytes at the start of buffer that earlier frames took
-	lastSequence uint64 // of the last frame; 0 before the first
-	closeErr     *CloseError
+	consumed     int         // bytes at the start of buffer that belong to frames already returned
+	lastSequence uint64      // sequence number of the last frame; 0 before the first
+	closeErr     *CloseError // the error that ended decoding, or nil
 }
 
-// NewDecoder makes a Decoder that rejects bodies above a size in bytes.
+// NewDecoder returns a Decoder that rejects frames with a body of more than maxBodyBytes.
 func NewDecoder(maxBodyBytes int) *Decoder { return &Decoder{maxBodyBytes: maxBodyBytes} }
 
-// Feed adds bytes that came in; it copies them. Pull all frames by Next before feeding again, as Feed overwrites their
-// bodies. After an error it does nothing.
+// Feed adds received bytes, which it copies. Call Next for all complete frames before the next Feed, which overwrites the
+// bodies of the frames returned so far. After an error, Feed does nothing.
 func (d *Decoder) Feed(data []byte) {
 	if d.closeErr != nil {
 		return
@@ -38,8 +39,8 @@
 	}
 }
 
-// Next returns the next complete frame; ok is false when there is none yet. The error is a *CloseError with one of the
-// reasons of decoding; after one, each call returns it again.
+// Next returns the next complete frame; ok is false if there is none yet. The error is a *CloseError with one of the reasons
+// that a Decoder reports. After an error, each call returns the same error.
 func (d *Decoder) Next() (frame Frame, ok bool, err error) {
 	frame, ok, closeErr := d.next()
 	if closeErr != nil {
@@ -48,7 +49,7 @@
 	return frame, ok, nil
 }
 
-// next is Next with its error as the type that it always has.
+// next is Next with the concrete error type.
 func (d *Decoder) next() (frame Frame, ok bool, closeErr *CloseError) {
 	if d.closeErr != nil {
 		return Frame{}, false, d.closeErr
@@ -73,26 +74,26 @@
 	return frame, true, nil
 }
 
-// checkPrefix checks as much of a header as came in. It guards against waiting for the rest of a frame from a peer that
-// speaks another protocol, another version, or announces more than is allowed.
+// checkPrefix checks the part of a header that has arrived. Without it, a Decoder would wait for the rest of a frame from a
+// peer that speaks another protocol or version, or that announces a body above the limit.
 func (d *Decoder) checkPrefix(unread []byte) *CloseError {
 	if !startsWithMagic(unread) {
-		return newCloseError(ReasonBadMagic, "bytes % x", unread[:min(len(unread), 2)])
+		return newCloseError(ReasonBadMagic, "frame starts with bytes % x", unread[:min(len(unread), 2)])
 	}
 	if len(unread) > versionOffset && unread[versionOffset] != version {
-		return newCloseError(ReasonBadVersion, "%d; this side speaks %d", unread[versionOffset], version)
+		return newCloseError(ReasonBadVersion, "frame has version %d, want %d", unread[versionOffset], version)
 	}
 	if len(unread) < sequenceOffset {
 		return nil
 	}
 	length := binary.BigEndian.Uint32(unread[lengthOffset:])
 	if uint64(length) > uint64(d.maxBodyBytes) {
-		return newCloseError(ReasonBadSize, "%d bytes; at most %d", length, d.maxBodyBytes)
+		return newCloseError(ReasonBadSize, "body has %d bytes, limit is %d", length, d.maxBodyBytes)
 	}
 	return nil
 }
 
-// startsWithMagic says whether what came in, be it a part of the magic, is the start of a frame.
+// startsWithMagic reports whether the bytes, which may be fewer than the magic has, can be the start of a frame.
 func startsWithMagic(unread []byte) bool {
 	switch len(unread) {
 	case 0:
@@ -104,11 +105,11 @@
 	}
 }
 
-// parse reads a complete frame whose prefix was checked.
+// parse decodes a complete frame that has passed checkPrefix.
 func (d *Decoder) parse(raw []byte) (Frame, *CloseError) {
 	stated := binary.BigEndian.Uint32(raw[checksumOffset:])
 	if computed := checksum(raw); stated != computed {
-		return Frame{}, newCloseError(ReasonBadChecksum, "%08x, computed %08x", stated, computed)
+		return Frame{}, newCloseError(ReasonBadChecksum, "frame has checksum %08x, computed %08x", stated, computed)
 	}
 	frame := Frame{
 		Kind:     FrameKind(raw[kindOffset]),
@@ -116,15 +117,15 @@
 		Body:     raw[FrameHeaderBytes:],
 	}
 	if !frame.Kind.known() {
-		return Frame{}, newCloseError(ReasonBadKind, "%s", frame.Kind)
+		return Frame{}, newCloseError(ReasonBadKind, "unknown frame %s", frame.Kind)
 	}
 	if frame.Sequence != d.lastSequence+1 {
-		return Frame{}, newCloseError(ReasonBadSequence, "%d after %d", frame.Sequence, d.lastSequence)
+		return Frame{}, newCloseError(ReasonBadSequence, "frame %d follows frame %d", frame.Sequence, d.lastSequence)
 	}
 	return frame, nil
 }
 
-// fail ends the Decoder for good and frees its buffer.
+// fail ends decoding permanently and frees the buffer.
 func (d *Decoder) fail(closeErr *CloseError) (Frame, bool, *CloseError) {
 	d.closeErr = closeErr
 	d.buffer = nil
@@ -132,5 +133,5 @@
 	return Frame{}, false, closeErr
 }
 
-// Buffered is the number of bytes that wait for the rest of their frame.
+// Buffered returns the number of bytes fed that are not yet part of a returned frame.
 func (d *Decoder) Buffered() int { return len(d.buffer) - d.consumed }
--- a/internal/controlstream/endpointsession.go
+++ b/internal/controlstream/endpointsession.go
@@ -2,24 +2,24 @@
 
 import "lichenpick/proto/order"
 
-// EndpointHost receives what an endpoint source sent, one call for each frame, from within EndpointSession.Next. It may keep
+// EndpointHost handles the messages of an endpoint source. EndpointSession.Next calls it once for each message. It may keep
 // the messages.
 type EndpointHost interface {
-	// OnEndpoints is called for each list, and for each change of one.
+	// OnEndpoints is called for each endpoint list and each change to one.
 	OnEndpoints(*order.Listing)
 }
 
-// EndpointSession is the reading end of an endpoint source's stream, which has no handshake. It is used by one goroutine at
-// a time.
+// EndpointSession is the receiving end of a stream from an endpoint source. The stream has no handshake. An EndpointSession
+// must not be used by several goroutines at the same time.
 type EndpointSession struct{ session }
 
-// NewEndpointSession makes the end of a stream that opens at a time in ms.
+// NewEndpointSession returns the receiving end of a stream that opens at nowMs.
 func NewEndpointSession(limits Limits, nowMs float64) *EndpointSession {
 	return &EndpointSession{newSession(limits, nowMs)}
 }
 
-// Next takes at most one frame and delivers it to the host. It returns false when there is no complete frame, or the stream
-// ended, which CloseCause then tells.
+// Next processes at most one frame and passes its message to the host. It returns false if there is no complete frame or the
+// stream has ended; in the latter case CloseCause returns the error.
 func (e *EndpointSession) Next(host EndpointHost) bool {
 	if e.closeErr != nil {
 		return false
@@ -45,10 +45,11 @@
 	}
 }
 
-// checkHeartbeatTimeout says whether too much time went by without a frame. There is no handshake, so its time-out does not count.
+// checkHeartbeatTimeout returns an error if no complete frame has been received for too long, else nil. Unlike checkTimeout,
+// it applies the heartbeat time-out also before the first frame, because there is no handshake.
 func (e *EndpointSession) checkHeartbeatTimeout() *CloseError {
 	if e.nowMs < e.lastFrameMs+e.limits.HeartbeatTimeoutMs {
 		return nil
 	}
-	return newCloseError(ReasonHeartbeatTimeout, "no frame for %g ms", e.limits.HeartbeatTimeoutMs)
+	return newCloseError(ReasonHeartbeatTimeout, "no complete frame for %g ms", e.limits.HeartbeatTimeoutMs)
 }
--- a/internal/controlstream/frame.go
+++ b/internal/controlstream/frame.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Layout of a frame's header, as the package's documentation describes it: offsets in bytes.
+// Offsets of the fields of a frame's header, in bytes. The package documentation describes the layout.
 const (
 	versionOffset  = 2
 	kindOffset     = 3
@@ -17,37 +17,37 @@
 	checksumOffset = 16
 )
 
-// FrameHeaderBytes is the length of a frame's header; the body follows it.
+// FrameHeaderBytes is the length of a frame's header in bytes. The body follows it.
 const FrameHeaderBytes = 20
 
-// First bytes of each frame.
+// The first three bytes of each frame: two bytes of magic and the protocol version.
 const (
 	magic0  = 'L'
 	magic1  = 'P'
 	version = 1
 )
 
-// FrameKind says what a frame's body holds. The numbers are part of the protocol.
+// FrameKind identifies the message in a frame's body. The numbers are part of the protocol.
 type FrameKind uint8
 
-// Kinds of frames, each with the end that sends it and the message that is its body.
+// Kinds of frames. Each comment names the sender, the type of the body and the purpose.
 const (
 	FrameJoin             FrameKind = 1 + iota // proxy, order.Join: opens the stream
-	FrameWelcome                               // planner, order.Welcome: answers FrameJoin
-	FrameOrders                                // planner, order.Orders: changes of weight tables, ejections, admission rates
-	FrameAck                                   // proxy, order.Applied: answers FrameWelcome and each FrameOrders
-	FrameLoadReport                            // proxy, order.Sums: load of its servers and traffic classes
-	FrameHeartbeat                             // both, no body: sent while there is nothing else to say
+	FrameWelcome                               // planner, order.Welcome: accepts a FrameJoin
+	FrameOrders                                // planner, order.Orders: changes of weight tables, ejections and admission rates
+	FrameAck                                   // proxy, order.Applied: acknowledges FrameWelcome and each FrameOrders
+	FrameLoadReport                            // proxy, order.Sums: load per server and traffic class
+	FrameHeartbeat                             // both, no body: keeps the stream alive when there is nothing else to send
 	FrameClose                                 // both, order.Bye: ends the stream with a reason
-	FrameEndpoints                             // endpoint source, order.Listing: its list, or changes of it
-	FrameLeaseRequest                          // planner, order.Claim: asks for the lease of the proxy, or renews it
+	FrameEndpoints                             // endpoint source, order.Listing: the full endpoint list or changes to it
+	FrameLeaseRequest                          // planner, order.Claim: requests or renews the proxy's lease
 	FrameLeaseRelease                          // planner, order.Release: gives the lease back
-	FrameLease                                 // proxy, order.Lease: who holds its lease
-	FrameControllerStatus                      // planner, order.Standing: whether it takes leases
-	frameKindEnd                               // one beyond the last kind
+	FrameLease                                 // proxy, order.Lease: the state of its lease
+	FrameControllerStatus                      // planner, order.Standing: whether it accepts leases
+	frameKindEnd                               // number after the last kind
 )
 
-// frameKindNames are for logs and error texts. They are indexed by FrameKind.
+// frameKindNames are the names of the kinds in logs and error texts, indexed by FrameKind.
 var frameKindNames = [frameKindEnd]string{
 	0:                     "none",
 	FrameJoin:             "join",
@@ -64,7 +64,7 @@
 	FrameControllerStatus: "controller status",
 }
 
-// String names the kind for logs and error texts.
+// String returns the name of the kind for logs and error texts.
 func (k FrameKind) String() string {
 	if int(k) < len(frameKindNames) {
 		return frameKindNames[k]
@@ -72,28 +72,28 @@
 	return fmt.Sprint("kind ", uint8(k))
 }
 
-// known says whether the protocol has this kind.
+// known reports whether this version of the protocol defines the kind.
 func (k FrameKind) known() bool { return k > 0 && k < frameKindEnd }
 
-// Frame is one frame as a Decoder gives it. Body belongs to the Decoder and is valid until its next Feed.
+// Frame is a frame returned by a Decoder. Body points into the Decoder's buffer and is valid until the next call of Feed.
 type Frame struct {
 	Kind     FrameKind
-	Sequence uint64 // from 1 in each direction of a stream, without gaps
+	Sequence uint64 // 1, 2, 3 and so on, counted separately in each direction of a stream
 	Body     []byte // an encoded protobuf message; empty for FrameHeartbeat
 }
 
-// castagnoli is the polynomial of the checksum.
+// castagnoli is the table for computing the CRC-32C checksum.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// AppendFrame appends a frame to dst and returns the extended slice. The body may be nil, for none. It fails only when the
-// body does not encode, and then returns dst with its length unchanged.
+// AppendFrame appends a frame to dst and returns the extended slice. A nil body stands for an empty one. AppendFrame fails
+// only if the body cannot be encoded, and then returns dst with its length unchanged.
 func AppendFrame(dst []byte, kind FrameKind, sequence uint64, body proto.Message) ([]byte, error) {
 	start := len(dst)
 	dst = append(dst, make([]byte, FrameHeaderBytes)...)
 	if body != nil {
 		encoded, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(dst, body)
 		if err != nil {
-			return dst[:start], fmt.Errorf("encoding a frame of kind %s: %w", kind, err)
+			return dst[:start], fmt.Errorf("encoding the body of a %s frame: %w", kind, err)
 		}
 		dst = encoded
 	}
@@ -108,7 +108,7 @@
 	return dst, nil
 }
 
-// checksum computes the CRC-32C of a whole frame, without the four bytes that hold it.
+// checksum computes the CRC-32C of a complete frame, leaving out the four bytes of the checksum field.
 func checksum(frame []byte) uint32 {
 	header := crc32.Checksum(frame[:checksumOffset], castagnoli)
 	return crc32.Update(header, castagnoli, frame[FrameHeaderBytes:])
--- a/internal/controlstream/fuzz_test.go
+++ b/internal/controlstream/fuzz_test.go
@@ -8,7 +8,8 @@
 	"lichenpick/proto/order"
 )
 
-// FuzzDecoder feeds bytes in two pieces: no panic, no more held than was fed, and frames that read back equal.
+// FuzzDecoder feeds arbitrary bytes in two pieces. The decoder must not panic, must hold no bytes after an error, and must
+// return frames equal to the bytes that it was fed.
 func FuzzDecoder(f *testing.F) {
 	f.Add(encode(f, testFrame{FrameJoin, &order.Join{Proxy: "x"}}, testFrame{FrameHeartbeat, nil}), 7)
 	f.Add([]byte("LP\x01\x01\xff\xff\xff\xff"), 3)
@@ -21,13 +22,13 @@
 			decoded = appendDecoded(t, decoded, decoder, input)
 		}
 		if string(decoded) != string(input[:len(decoded)]) {
-			t.Fatal("frames differ from what was fed")
+			t.Fatal("the decoded frames differ from the bytes fed")
 		}
 	})
 }
 
-// appendDecoded appends each frame that a decoder gives, as it stood in the input; what a Frame does not tell of its header,
-// between the kind and the checksum's end, is taken from there.
+// appendDecoded appends the encoding of each frame that a decoder returns. The header fields that a Frame does not contain
+// (from the length to the checksum) are copied from the input.
 func appendDecoded(t *testing.T, decoded []byte, decoder *Decoder, input []byte) []byte {
 	t.Helper()
 	for {
@@ -35,7 +36,7 @@
 		if err != nil {
 			var closeErr *CloseError
 			if !errors.As(err, &closeErr) || decoder.Buffered() != 0 {
-				t.Fatalf("%v, %d bytes held", err, decoder.Buffered())
+				t.Fatalf("error %v with %d bytes buffered, want a CloseError and an empty buffer", err, decoder.Buffered())
 			}
 		}
 		if !ok {
@@ -47,7 +48,8 @@
 	}
 }
 
-// FuzzSessions feeds complete frames with arbitrary bodies to both ends: no panic, and an end of each loop.
+// FuzzSessions feeds a handshake and a valid frame with an arbitrary kind and body to both ends of a stream. They must not
+// panic or loop forever.
 func FuzzSessions(f *testing.F) {
 	f.Add(uint8(FrameLoadReport), []byte{0x0a, 0x00})
 	f.Add(uint8(FrameOrders), []byte{0x2a, 0x02, 0x0a, 0x00})
@@ -63,7 +65,7 @@
 	})
 }
 
-// rawFrame is a frame with bytes for its body that need not be a message.
+// rawFrame returns a frame with a valid header whose body need not be an encoded message.
 func rawFrame(t *testing.T, kind FrameKind, sequence uint64, body []byte) []byte {
 	t.Helper()
 	frame, err := AppendFrame(nil, kind, sequence, nil)
--- a/internal/controlstream/golden_test.go
+++ b/internal/controlstream/golden_test.go
@@ -14,12 +14,12 @@
 	"lichenpick/proto/order"
 )
 
-// sender is one end of a stream as far as writing goes.
+// sender is the sending side of a session.
 type sender interface {
 	Append(dst []byte, kind controlstream.FrameKind, body proto.Message) ([]byte, error)
 }
 
-// receiver collects each message that an end hands to its host.
+// receiver implements the hosts of all sessions and collects the messages.
 type receiver struct{ messages []proto.Message }
 
 func (r *receiver) add(message proto.Message) { r.messages = append(r.messages, message) }
@@ -35,16 +35,17 @@
 func (r *receiver) OnControllerStatus(m *order.Standing) { r.add(m) }
 func (r *receiver) OnEndpoints(m *order.Listing)         { r.add(m) }
 
-// frame is one frame of the conversation. The label is the test's own, so that renamed Go names change no golden file.
+// frame is one frame of the recorded conversation. The label appears in the golden file instead of a Go name, so that
+// renaming an identifier does not change the file.
 type frame struct {
 	label string
 	kind  controlstream.FrameKind
-	body  proto.Message // nil: an empty frame
+	body  proto.Message // nil for an empty body
 }
 
 const (
 	startMs            = 0
-	hexChunkBytes      = 32 // bytes
+	hexChunkBytes      = 32 // bytes per line of the golden file
 	maxFrameBytes      = 1 << 16
 	handshakeTimeoutMs = 1000
 	heartbeatTimeoutMs = 5000
@@ -101,7 +102,7 @@
 	}
 }
 
-// everyOrder has each kind of order, with all fields and with none.
+// everyOrder returns each kind of order, most of them both with all fields set and with few or none.
 func everyOrder() []*order.Order {
 	bind := &order.Bind{
 		Table:     9,
@@ -160,7 +161,7 @@
 	}
 }
 
-// writeFrames gives the bytes of frames as an end writes them, and adds them to a text with one frame after the other.
+// writeFrames returns the frames as encoded by one end of a stream, and appends a hex dump of each to text.
 func writeFrames(t *testing.T, text *strings.Builder, end string, from sender, frames []frame) []byte {
 	t.Helper()
 	var stream []byte
@@ -181,8 +182,8 @@
 	return stream
 }
 
-// checkReceived compares the calls on a host with what the other end wrote, but for heartbeats and the goodbye, of which
-// hosts are not notified.
+// checkReceived compares the messages that a host received with the frames sent by the other end. Heartbeats and the close
+// frame are left out, as they are not passed to hosts.
 func checkReceived(t *testing.T, end string, got []proto.Message, frames []frame) {
 	t.Helper()
 	var want []proto.Message
@@ -192,7 +193,7 @@
 		}
 	}
 	if len(got) != len(want) {
-		t.Fatalf("%s was told of %d messages, want %d", end, len(got), len(want))
+		t.Fatalf("%s received %d messages, want %d", end, len(got), len(want))
 	}
 	for index := range want {
 		if !proto.Equal(got[index], want[index]) {
@@ -201,12 +202,13 @@
 	}
 }
 
-// TestGoldenConversation compares a conversation that has every kind of frame, byte for byte, and reads it back. Proxies and
-// planners of different releases run side by side, so the bytes may not change with a rename.
+// TestGoldenConversation encodes frames of every kind, compares the bytes with a golden file and decodes them again. It
+// guards against accidental changes of the protocol, for example by a rename, which would break streams between proxies and
+// planners of different releases.
 func TestGoldenConversation(t *testing.T) {
 	planner := controlstream.NewPlannerSession(conversationLimits, startMs)
 	proxy := controlstream.NewProxySession(conversationLimits, startMs)
-	endpointSource := controlstream.NewPlannerSession(conversationLimits, startMs) // only its writing side is used
+	endpointSource := controlstream.NewPlannerSession(conversationLimits, startMs) // used only to encode frames
 	endpointReader := controlstream.NewEndpointSession(conversationLimits, startMs)
 	var text strings.Builder
 	fromProxy := writeFrames(t, &text, "proxy", proxy, proxyFrames())
@@ -226,19 +228,19 @@
 	}
 	checkReceived(t, "the planner", atPlanner.messages, proxyFrames())
 	checkReceived(t, "the proxy", atProxy.messages, plannerFrames())
-	checkReceived(t, "the list reader", atEndpointReader.messages, endpointFrames())
+	checkReceived(t, "the endpoint reader", atEndpointReader.messages, endpointFrames())
 	for end, ended := range map[string]*controlstream.CloseError{"planner": planner.CloseCause(), "proxy": proxy.CloseCause()} {
 		if ended == nil || ended.Reason != controlstream.ReasonPeerClosed {
 			t.Errorf("the %s's stream ended with %v, want %s", end, ended, controlstream.ReasonPeerClosed)
 		}
 	}
 	if endpointReader.CloseCause() != nil {
-		t.Errorf("the list reader's stream ended with %v", endpointReader.CloseCause())
+		t.Errorf("the endpoint reader's stream ended with %v, want it open", endpointReader.CloseCause())
 	}
 }
 
-// TestConversationIsComplete guards the test above: a message, field or kind that is added to the protocol must be added to
-// the conversation.
+// TestConversationIsComplete checks that TestGoldenConversation covers every frame kind and every field of the protocol, so
+// that additions to the protocol are added there too.
 func TestConversationIsComplete(t *testing.T) {
 	const kinds = 12
 	seenKinds := map[controlstream.FrameKind]bool{}
@@ -252,10 +254,10 @@
 		}
 	}
 	if len(seenKinds) != kinds {
-		t.Errorf("%d kinds of frames are in the conversation, want %d", len(seenKinds), kinds)
+		t.Errorf("the conversation has %d kinds of frames, want %d", len(seenKinds), kinds)
 	}
 	if next := controlstream.FrameKind(kinds + 1).String(); !strings.HasPrefix(next, "kind ") {
-		t.Errorf("the protocol has another kind, %q, that the conversation lacks", next)
+		t.Errorf("the protocol has another kind of frame, %q, that is missing in the conversation", next)
 	}
 	checkFields(t, order.File_proto_order_order_proto.Messages(), seenFields)
 }
@@ -266,7 +268,7 @@
 		message := messages.Get(index)
 		for number := range message.Fields().Len() {
 			if name := message.Fields().Get(number).FullName(); !seen[name] {
-				t.Errorf("the conversation has no value of %s", name)
+				t.Errorf("field %s is not set in any message of the conversation", name)
 			}
 		}
 		checkFields(t, message.Messages(), seen)
--- a/internal/controlstream/helpers_test.go
+++ b/internal/controlstream/helpers_test.go
@@ -11,7 +11,7 @@
 
 var testLimits = Limits{MaxFrameBytes: 4096, HandshakeTimeoutMs: 1000, HeartbeatTimeoutMs: 5000}
 
-// recorder is a host of both ends that notes each call as a text.
+// recorder implements PlannerHost and ProxyHost and records each call as text.
 type recorder struct {
 	NoopLeaseHandler
 	calls []string
@@ -28,13 +28,13 @@
 	r.record("orders ", message.Number, " ", len(message.Orders))
 }
 
-// testFrame is one frame to encode.
+// testFrame is a frame for encode.
 type testFrame struct {
 	kind FrameKind
-	body proto.Message // nil: none
+	body proto.Message // nil for an empty body
 }
 
-// encode gives the bytes of frames, with sequence numbers from 1 on.
+// encode returns the encoded frames with sequence numbers from 1.
 func encode(t testing.TB, frames ...testFrame) []byte {
 	t.Helper()
 	var encoded []byte
@@ -48,7 +48,7 @@
 	return encoded
 }
 
-// concatenate gives all pieces as one new slice.
+// concatenate returns a new slice with the contents of all pieces.
 func concatenate(pieces ...[]byte) []byte {
 	var all []byte
 	for _, piece := range pieces {
@@ -57,19 +57,19 @@
 	return all
 }
 
-// drainPlanner pulls all frames of a planner's session.
+// drainPlanner processes all complete frames of a planner's session.
 func drainPlanner(session *PlannerSession, host PlannerHost) {
 	for session.Next(host) {
 	}
 }
 
-// drainProxy pulls all frames of a proxy's session.
+// drainProxy processes all complete frames of a proxy's session.
 func drainProxy(session *ProxySession, host ProxyHost) {
 	for session.Next(host) {
 	}
 }
 
-// checkClosed fails the test unless a stream ended for a reason.
+// checkClosed fails the test unless the stream ended with the wanted reason.
 func checkClosed(t *testing.T, cause *CloseError, want CloseReason) {
 	t.Helper()
 	if cause == nil || cause.Reason != want {
--- a/internal/controlstream/plannersession.go
+++ b/internal/controlstream/plannersession.go
@@ -2,29 +2,30 @@
 
 import "lichenpick/proto/order"
 
-// PlannerHost receives what a proxy sent, one call for each frame, from within PlannerSession.Next. It may keep the
+// PlannerHost handles the messages of a proxy. PlannerSession.Next calls one method for each message. The host may keep the
 // messages.
 type PlannerHost interface {
-	// OnJoin is called first, and once.
+	// OnJoin is called exactly once, before all other methods.
 	OnJoin(*order.Join)
-	// OnLoadReport is called for each report of the load that the proxy sent on.
+	// OnLoadReport is called for each load report.
 	OnLoadReport(*order.Sums)
-	// OnAck is called for the acknowledgement of the welcome, as number 0, and of each message of orders.
+	// OnAck is called for the acknowledgement of the Welcome, which has number 0, and of each Orders message.
 	OnAck(*order.Applied)
-	// OnLease is called for an answer to a lease request, and when the holder of the proxy's lease changes.
+	// OnLease is called for the response to a lease request, and when the state of the proxy's lease changes.
 	OnLease(*order.Lease)
 }
 
-// PlannerSession is a planner's end of a stream to a proxy. It is used by one goroutine at a time, but for Append.
+// PlannerSession is a planner's end of a stream to a proxy. Except for Append, its methods must not be called by several
+// goroutines at the same time.
 type PlannerSession struct{ session }
 
-// NewPlannerSession makes the end of a stream that opens at a time in ms.
+// NewPlannerSession returns the planner's end of a stream that opens at nowMs.
 func NewPlannerSession(limits Limits, nowMs float64) *PlannerSession {
 	return &PlannerSession{newSession(limits, nowMs)}
 }
 
-// Next takes at most one frame and delivers it to the host. It returns false when there is no complete frame, or the stream
-// ended, which CloseCause then tells.
+// Next processes at most one frame and passes its message to the host. It returns false if there is no complete frame or the
+// stream has ended; in the latter case CloseCause returns the error.
 func (p *PlannerSession) Next(host PlannerHost) bool {
 	frame, ok := p.next(FrameJoin)
 	if !ok {
--- a/internal/controlstream/plannersession_test.go
+++ b/internal/controlstream/plannersession_test.go
@@ -12,17 +12,17 @@
 
 func testJoin() *order.Join { return &order.Join{Proxy: "edge-1", UsualPerS: 5} }
 
-// withByte gives a copy of a frame with one byte changed.
+// withByte returns a copy of a frame with one byte replaced.
 func withByte(frame []byte, offset int, value byte) []byte {
 	changed := concatenate(frame)
 	changed[offset] = value
 	return changed
 }
 
-// misbehaviour is what a peer sends, or fails to send for some time, and how the stream must end.
+// misbehaviour is a case of bytes that a peer sends before it stays silent, and the reason with which the stream must end.
 type misbehaviour struct {
 	sent   []byte
-	waitMs float64
+	waitMs float64 // duration of the silence after the bytes
 	want   CloseReason
 }
 
@@ -34,28 +34,28 @@
 	moreFailedThanTried := &order.Sums{Servers: []*order.ServerSum{{Server: "a", Tries: 1, Dropped: 2}}}
 	notANumber := &order.Join{Proxy: "x", UsualPerS: math.NaN()}
 	return map[string]misbehaviour{
-		"bytes that are no frame":              {[]byte("GET / HTTP/1.1\r\n\r\n"), 0, ReasonBadMagic},
-		"another version":                      {withByte(joined, versionOffset, 9), 0, ReasonBadVersion},
-		"a body above the limit":               {withByte(joined, lengthOffset, 0xff), 0, ReasonBadSize},
-		"a flipped bit":                        {withByte(joined, 25, joined[25]^1), 0, ReasonBadChecksum},
-		"an unknown kind":                      {encode(t, testFrame{frameKindEnd, nil}), 0, ReasonBadKind},
-		"a load report before the join":        {encode(t, testFrame{FrameLoadReport, &order.Sums{}}), 0, ReasonUnexpectedFrame},
-		"a frame that only planners send":      {afterJoin(FrameOrders, &order.Orders{}), 0, ReasonUnexpectedFrame},
-		"a second join":                        {afterJoin(FrameJoin, testJoin()), 0, ReasonUnexpectedFrame},
-		"a frame sent twice":                   {concatenate(joined, joined), 0, ReasonBadSequence},
-		"half a join":                          {joined[:len(joined)/2], 1000, ReasonHandshakeTimeout},
-		"silence after the join":               {joined, 5000, ReasonHeartbeatTimeout},
-		"a value that is not a number":         {encode(t, testFrame{FrameJoin, notANumber}), 0, ReasonBadBody},
-		"a join without a name":                {encode(t, testFrame{FrameJoin, &order.Join{}}), 0, ReasonBadBody},
-		"more failed attempts than were tried": {afterJoin(FrameLoadReport, moreFailedThanTried), 0, ReasonBadBody},
-		"a close frame":                        {afterJoin(FrameClose, &order.Bye{Reason: "done"}), 0, ReasonPeerClosed},
+		"another protocol":                   {[]byte("GET / HTTP/1.1\r\n\r\n"), 0, ReasonBadMagic},
+		"another version":                    {withByte(joined, versionOffset, 9), 0, ReasonBadVersion},
+		"a body above the limit":             {withByte(joined, lengthOffset, 0xff), 0, ReasonBadSize},
+		"a flipped bit":                      {withByte(joined, 25, joined[25]^1), 0, ReasonBadChecksum},
+		"an unknown kind":                    {encode(t, testFrame{frameKindEnd, nil}), 0, ReasonBadKind},
+		"a load report before the join":      {encode(t, testFrame{FrameLoadReport, &order.Sums{}}), 0, ReasonUnexpectedFrame},
+		"a frame that only planners send":    {afterJoin(FrameOrders, &order.Orders{}), 0, ReasonUnexpectedFrame},
+		"a second join":                      {afterJoin(FrameJoin, testJoin()), 0, ReasonUnexpectedFrame},
+		"a frame sent twice":                 {concatenate(joined, joined), 0, ReasonBadSequence},
+		"half a join":                        {joined[:len(joined)/2], 1000, ReasonHandshakeTimeout},
+		"silence after the join":             {joined, 5000, ReasonHeartbeatTimeout},
+		"a value that is not a number":       {encode(t, testFrame{FrameJoin, notANumber}), 0, ReasonBadBody},
+		"a join without a name":              {encode(t, testFrame{FrameJoin, &order.Join{}}), 0, ReasonBadBody},
+		"more failed attempts than attempts": {afterJoin(FrameLoadReport, moreFailedThanTried), 0, ReasonBadBody},
+		"a close frame":                      {afterJoin(FrameClose, &order.Bye{Reason: "done"}), 0, ReasonPeerClosed},
 	}
 }
 
-// TestPlannerSession checks that frames are read whatever pieces they come in, and that each way in which a peer can
-// misbehave ends the stream with one reason, after which the host is called no more.
+// TestPlannerSession checks that frames are decoded however their bytes are split into reads, and that each kind of
+// misbehaviour of a peer ends the stream with its own reason, after which the host is not called any more.
 func TestPlannerSession(t *testing.T) {
-	t.Run("frames come in any pieces", checkFramesInPieces)
+	t.Run("frames are split at any byte", checkFramesInPieces)
 	for name, test := range misbehaviours(t) {
 		t.Run(name, func(t *testing.T) {
 			session := NewPlannerSession(testLimits, 0)
@@ -68,17 +68,18 @@
 			calls := len(host.calls)
 			session.Feed(test.waitMs, encode(t, testFrame{FrameJoin, testJoin()}))
 			if session.Next(host) || len(host.calls) != calls {
-				t.Error("an ended stream goes on")
+				t.Error("the session delivered a frame after the stream had ended")
 			}
 		})
 	}
-	t.Run("nothing is allocated for what a header only claims", func(t *testing.T) {
+	t.Run("nothing is allocated for an announced body", func(t *testing.T) {
 		decoder := NewDecoder(1 << 30)
 		header := withByte(encode(t, testFrame{FrameJoin, testJoin()}), lengthOffset, 0x3f)
 		decoder.Feed(header[:FrameHeaderBytes])
 		_, ok, err := decoder.Next()
 		if ok || err != nil || cap(decoder.buffer) > 4096 {
-			t.Errorf("frame %t, error %v, %d bytes held", ok, err, cap(decoder.buffer))
+			t.Errorf("Next returned ok %t and error %v, and the buffer has %d bytes; want false, nil and at most 4096",
+				ok, err, cap(decoder.buffer))
 		}
 	})
 }
@@ -100,7 +101,7 @@
 		}
 		got := fmt.Sprint(host.calls)
 		if got != "[join edge-1 load report 0 acknowledgement 3]" || session.CloseCause() != nil {
-			t.Fatalf("in pieces of %d bytes: %s %v", size, got, session.CloseCause())
+			t.Fatalf("in pieces of %d bytes: calls are %s, close cause is %v", size, got, session.CloseCause())
 		}
 	}
 }
--- a/internal/controlstream/proxysession.go
+++ b/internal/controlstream/proxysession.go
@@ -2,22 +2,23 @@
 
 import "lichenpick/proto/order"
 
-// ProxyHost receives what a planner sent, one call for each frame, from within ProxySession.Next. It may keep the messages.
+// ProxyHost handles the messages of a planner. ProxySession.Next calls one method for each message. The host may keep the
+// messages.
 type ProxyHost interface {
-	// OnWelcome is called first, and once.
+	// OnWelcome is called exactly once, before all other methods.
 	OnWelcome(*order.Welcome)
-	// OnOrders is called for each message of orders; all of its orders are valid.
+	// OnOrders is called for each Orders message. All orders in it are valid.
 	OnOrders(*order.Orders)
-	// OnLeaseRequest is called when the planner asks for the proxy's lease, or renews it.
+	// OnLeaseRequest is called when the planner requests or renews the proxy's lease.
 	OnLeaseRequest(*order.Claim)
 	// OnLeaseRelease is called when the planner gives the lease back.
 	OnLeaseRelease(*order.Release)
-	// OnControllerStatus is called when the planner starts or stops to take leases.
+	// OnControllerStatus is called when the planner states whether it accepts leases.
 	OnControllerStatus(*order.Standing)
 }
 
-// NoopLeaseHandler implements the part of a ProxyHost that is needed only where several controllers share a fleet. Its
-// methods do nothing; embed it in a host of one planner.
+// NoopLeaseHandler implements the lease methods of a ProxyHost, which are needed only where several controllers share a
+// fleet, as no-ops. Embed it in a host that talks to a single planner.
 type NoopLeaseHandler struct{}
 
 // OnLeaseRequest does nothing.
@@ -29,16 +30,17 @@
 // OnControllerStatus does nothing.
 func (NoopLeaseHandler) OnControllerStatus(*order.Standing) {}
 
-// ProxySession is a proxy's end of a stream to a planner. It is used by one goroutine at a time, but for Append.
+// ProxySession is a proxy's end of a stream to a planner. Except for Append, its methods must not be called by several
+// goroutines at the same time.
 type ProxySession struct{ session }
 
-// NewProxySession makes the end of a stream that opens at a time in ms.
+// NewProxySession returns the proxy's end of a stream that opens at nowMs.
 func NewProxySession(limits Limits, nowMs float64) *ProxySession {
 	return &ProxySession{newSession(limits, nowMs)}
 }
 
-// Next takes at most one frame and delivers it to the host. It returns false when there is no complete frame, or the stream
-// ended, which CloseCause then tells.
+// Next processes at most one frame and passes its message to the host. It returns false if there is no complete frame or the
+// stream has ended; in the latter case CloseCause returns the error.
 func (p *ProxySession) Next(host ProxyHost) bool {
 	frame, ok := p.next(FrameWelcome)
 	if !ok {
--- a/internal/controlstream/proxysession_test.go
+++ b/internal/controlstream/proxysession_test.go
@@ -8,12 +8,12 @@
 	"lichenpick/proto/order"
 )
 
-// TestProxySession checks that a proxy never sees a part of a message that is invalid elsewhere.
+// TestProxySession checks that no part of an Orders message is delivered if any order in it is invalid or of an unknown kind.
 func TestProxySession(t *testing.T) {
 	welcome := testFrame{FrameWelcome, &order.Welcome{}}
 	entry := &order.SetLine{Table: 1, Line: &order.Line{Server: "a", Weight: 0.5}}
 	valid := &order.Order{What: &order.Order_Line{Line: entry}}
-	t.Run("a message is delivered whole or not at all", func(t *testing.T) {
+	t.Run("a message is delivered completely or not at all", func(t *testing.T) {
 		infinite := &order.Order{What: &order.Order_Level{Level: &order.Level{Share: math.Inf(1)}}}
 		session := NewProxySession(testLimits, 0)
 		host := &recorder{}
@@ -25,7 +25,7 @@
 		))
 		drainProxy(session, host)
 		if got := fmt.Sprint(host.calls); got != "[welcome orders 2 1]" {
-			t.Errorf("the host was called with %s", got)
+			t.Errorf("calls are %s, want only the welcome and the valid message", got)
 		}
 		checkClosed(t, session.CloseCause(), ReasonBadBody)
 	})
--- a/internal/controlstream/sendqueue.go
+++ b/internal/controlstream/sendqueue.go
@@ -4,75 +4,78 @@
 
 const msPerSecond = 1000
 
-// SendQueueLimits say what a planner may send to its proxies. They come from the settings' channel block.
+// SendQueueLimits limit what a planner sends to its proxies. They are set in the channel block of the settings. Sizes are in
+// weight entries; orders of other kinds count as a number of entries too.
 type SendQueueLimits struct {
-	EntriesPerSecond float64 // weight entries, or what counts as one, that leave per second; above 0
-	MessageOverhead  float64 // entries that a message counts for beyond its own
-	MaxBacklog       float64 // entries queued, overhead included
-	MaxMessages      int     // messages to one proxy within WindowMs; 0: no limit
-	WindowMs         float64 // ms; unused without MaxMessages
+	EntriesPerSecond float64 // rate at which entries are sent; positive
+	MessageOverhead  float64 // entries that each message counts for in addition to its own
+	MaxBacklog       float64 // largest number of entries queued, overhead included
+	MaxMessages      int     // most messages to one proxy within WindowMs; 0 means no limit
+	WindowMs         float64 // length of the window in ms; unused if MaxMessages is 0
 }
 
-// MessageWindow holds when a proxy was sent its last messages, as SendQueueLimits.MaxMessages counts them. The caller owns
-// one for each stream of a proxy and makes a new one at each join; it also identifies the proxy in the queue. Its zero value
-// has no messages.
+// MessageWindow holds the times of the latest messages to a proxy, as needed for SendQueueLimits.MaxMessages. The caller
+// creates one for each stream of a proxy when the proxy joins. Its address also identifies the proxy in the queue. The zero
+// value is a window without messages.
 type MessageWindow struct {
 	sentMs []float64 // in ascending order
 }
 
-// NewMessageWindow makes a window with the times, in ms and ascending, at which other planners sent the proxy messages: its
-// limit counts those too. The slice is copied.
+// NewMessageWindow returns a window that starts with the times, in ms and ascending, of messages that other planners sent to
+// the proxy, because the limit counts those too. The slice is copied.
 func NewMessageWindow(sentMs []float64) *MessageWindow {
 	return &MessageWindow{sentMs: slices.Clone(sentMs)}
 }
 
-// expire forgets messages that are older than a window.
+// expire removes messages that are windowMs old or older.
 func (w *MessageWindow) expire(nowMs, windowMs float64) {
 	w.sentMs = slices.DeleteFunc(w.sentMs, func(sentMs float64) bool { return sentMs <= nowMs-windowMs })
 }
 
-// Message is what one proxy is sent at one time.
+// Message is a queued message to one proxy.
 type Message[T any] struct {
 	To       *MessageWindow
-	Entries  float64 // overhead included
-	QueuedMs float64 // when it was queued
+	Entries  float64 // size in entries, overhead included
+	QueuedMs float64 // time of the call of Push
 	Payload  T
 }
 
-// SendQueue holds messages until their entries have been sent at the stated rate, first in, first out, and rejects what
-// exceeds its limits. It enforces them whatever the policy estimates. It is used by one goroutine at a time; times that it
-// is handed must not go back.
+// SendQueue is a first-in, first-out queue that releases each message when its entries have been sent at the configured
+// rate, and rejects messages that exceed its limits. The policy plans within the same limits by estimates; the queue
+// enforces them. A SendQueue must not be used by several goroutines at the same time, and the times passed to it must not
+// decrease.
 type SendQueue[T any] struct {
 	limits      SendQueueLimits
 	queue       []Message[T]
-	backlog     float64 // entries of the queue
-	headStartMs float64 // when the message before the first of the queue has left
-	peak        float64 // the highest backlog since PeakBacklog was last called
+	backlog     float64 // sum of Entries in the queue
+	headStartMs float64 // time at which sending the first message starts: the departure of the message before it
+	peak        float64 // highest backlog since the last call of PeakBacklog
 }
 
-// NewSendQueue makes an empty queue.
+// NewSendQueue returns an empty queue.
 func NewSendQueue[T any](limits SendQueueLimits) *SendQueue[T] {
 	return &SendQueue[T]{limits: limits}
 }
 
-// Push queues a message with some entries, its overhead not included. If that would exceed a limit, it queues nothing and
-// returns a CloseError with ReasonLimitExceeded. The caller must then end that proxy's stream, because the proxy would miss
-// an order that the policy takes for sent.
+// Push queues a message; entries is its size without the overhead. If the message would exceed a limit, Push does not queue
+// it and returns a CloseError with ReasonLimitExceeded. The caller must then end that proxy's stream, because the policy
+// assumes that the proxy receives every order.
 func (q *SendQueue[T]) Push(nowMs float64, to *MessageWindow, entries float64, payload T) *CloseError {
 	entries += q.limits.MessageOverhead
 	if q.backlog+entries > q.limits.MaxBacklog {
-		return newCloseError(ReasonLimitExceeded, "%g entries queued and %g added; at most %g", q.backlog, entries, q.limits.MaxBacklog)
+		return newCloseError(ReasonLimitExceeded, "%g entries queued and %g more would exceed the backlog limit of %g",
+			q.backlog, entries, q.limits.MaxBacklog)
 	}
 	if q.limits.MaxMessages > 0 {
 		to.expire(nowMs, q.limits.WindowMs)
 		if len(to.sentMs) >= q.limits.MaxMessages {
-			return newCloseError(ReasonLimitExceeded, "%d messages within %g ms; at most %d",
+			return newCloseError(ReasonLimitExceeded, "%d messages to one proxy within %g ms, limit is %d",
 				len(to.sentMs)+1, q.limits.WindowMs, q.limits.MaxMessages)
 		}
 		to.sentMs = append(to.sentMs, nowMs)
 	}
 	if len(q.queue) == 0 {
-		// An idle queue saves up nothing: the message starts to leave now.
+		// An idle queue does not accumulate send capacity: sending the message starts now.
 		q.headStartMs = max(q.headStartMs, nowMs)
 	}
 	q.queue = append(q.queue, Message[T]{To: to, Entries: entries, QueuedMs: nowMs, Payload: payload})
@@ -81,24 +84,26 @@
 	return nil
 }
 
-// Pop removes and returns the first message if it has left by now; ok is false if it has not, or there is none.
+// Pop removes and returns the first message if its departure time has come; ok is false if it has not, or if the queue is
+// empty.
 func (q *SendQueue[T]) Pop(nowMs float64) (message Message[T], ok bool) {
 	if len(q.queue) == 0 || nowMs < q.NextDeparture() {
 		return message, false
 	}
 	message = q.queue[0]
 	q.headStartMs = q.NextDeparture()
-	q.queue[0] = Message[T]{} // the slice's array must not keep the payload alive
+	q.queue[0] = Message[T]{} // lets the garbage collector free the payload while the array is in use
 	q.queue = q.queue[1:]
 	q.backlog -= message.Entries
 	if len(q.queue) == 0 {
 		q.queue = nil
-		q.backlog = 0 // no rest of rounding
+		q.backlog = 0 // discards accumulated rounding errors
 	}
 	return message, true
 }
 
-// NextDeparture is when the first message has left, in ms. It has no meaning while the queue is empty.
+// NextDeparture returns the time in ms at which the first message can be popped. The result has no meaning while the queue
+// is empty.
 func (q *SendQueue[T]) NextDeparture() float64 {
 	if len(q.queue) == 0 {
 		return q.headStartMs
@@ -106,7 +111,7 @@
 	return q.headStartMs + q.queue[0].Entries/q.limits.EntriesPerSecond*msPerSecond
 }
 
-// Remove drops the messages to a proxy whose stream ended; they take no sending time.
+// Remove discards the messages to a proxy whose stream has ended. They do not delay the messages behind them.
 func (q *SendQueue[T]) Remove(to *MessageWindow) {
 	q.queue = slices.DeleteFunc(q.queue, func(message Message[T]) bool { return message.To == to })
 	q.backlog = 0
@@ -115,13 +120,13 @@
 	}
 }
 
-// Backlog is the number of entries queued, overhead included.
+// Backlog returns the number of entries queued, overhead included.
 func (q *SendQueue[T]) Backlog() float64 { return q.backlog }
 
-// Len is the number of messages queued.
+// Len returns the number of messages queued.
 func (q *SendQueue[T]) Len() int { return len(q.queue) }
 
-// PeakBacklog is the highest backlog since its last call, in entries.
+// PeakBacklog returns the highest backlog since its previous call, in entries.
 func (q *SendQueue[T]) PeakBacklog() float64 {
 	peak := q.peak
 	q.peak = q.backlog
--- a/internal/controlstream/session.go
+++ b/internal/controlstream/session.go
@@ -6,25 +6,26 @@
 	"lichenpick/proto/order"
 )
 
-// Limits bound what a peer may do to a session. All must be set.
+// Limits are the limits that a session enforces on its peer. All fields must be set.
 type Limits struct {
-	MaxFrameBytes      int     // bytes of a body
-	HandshakeTimeoutMs float64 // a planner's: from the opening to FrameJoin; a proxy's: to FrameWelcome
-	HeartbeatTimeoutMs float64 // without a frame, once the stream is established
+	MaxFrameBytes      int     // largest body of a frame, in bytes
+	HandshakeTimeoutMs float64 // longest time from the opening of the stream to FrameJoin or FrameWelcome
+	HeartbeatTimeoutMs float64 // longest time between two frames once the stream is established
 }
 
-// session is what the ends of a stream share: decoding in sequence, time-outs, and the sequence of what is sent. Its methods
-// are those of PlannerSession, ProxySession and EndpointSession, and are called by one goroutine at a time; only Append may
-// be called by another one at the same time, as it shares nothing with the rest.
+// session holds the state that all ends of a stream have in common: the decoder, the time-outs and the sequence numbers of
+// sent frames. PlannerSession, ProxySession and EndpointSession embed it. Its methods must not be called by several
+// goroutines at the same time, except for Append, which shares no state with the others: one goroutine may call Append
+// while another one receives.
 type session struct {
 	decoder      *Decoder
 	limits       Limits
 	nowMs        float64
 	openedMs     float64
 	lastFrameMs  float64
-	established  bool // the first frame came
+	established  bool // whether the first frame has been received
 	closeErr     *CloseError
-	lastSequence uint64 // of the frames that this end appended
+	lastSequence uint64 // sequence number of the last frame that Append encoded
 }
 
 func newSession(limits Limits, nowMs float64) session {
@@ -37,17 +38,17 @@
 	}
 }
 
-// Feed adds bytes that came in by a time in ms, none if there were none. Call Next until it returns false before the next
-// Feed: messages refer to bytes of the one before.
+// Feed sets the time in ms and adds the bytes received by then; data may be empty. Call Next until it returns false before
+// the next Feed, which overwrites the bytes of frames that have not been processed yet.
 func (s *session) Feed(nowMs float64, data []byte) {
 	s.nowMs = nowMs
 	s.decoder.Feed(data)
 }
 
-// SetTime sets the time in ms, so that the next call of Next notices a time-out.
+// SetTime sets the time in ms, by which the next call of Next checks the time-outs.
 func (s *session) SetTime(nowMs float64) { s.nowMs = nowMs }
 
-// Deadline is the time in ms at which the stream ends if no frame comes before.
+// Deadline returns the time in ms at which the stream times out unless a frame is received before.
 func (s *session) Deadline() float64 {
 	if !s.established {
 		return s.openedMs + s.limits.HandshakeTimeoutMs
@@ -55,11 +56,11 @@
 	return s.lastFrameMs + s.limits.HeartbeatTimeoutMs
 }
 
-// CloseCause is why the stream ended, or nil while it goes on.
+// CloseCause returns the error with which the stream ended, or nil while it is open.
 func (s *session) CloseCause() *CloseError { return s.closeErr }
 
-// Append appends a frame of this end, with the next sequence number, and returns the extended slice. What it returns must be
-// sent in the order of the calls. If the body does not encode, the sequence number is not used up.
+// Append appends a frame with this end's next sequence number to dst and returns the extended slice. Frames must be sent in
+// the order of the calls. If the body cannot be encoded, the next call uses the same sequence number.
 func (s *session) Append(dst []byte, kind FrameKind, body proto.Message) ([]byte, error) {
 	dst, err := AppendFrame(dst, kind, s.lastSequence+1, body)
 	if err == nil {
@@ -68,8 +69,8 @@
 	return dst, err
 }
 
-// next takes the next frame. It ends the stream on a fault of decoding, a time-out, FrameClose, or when the stream does not
-// start with the handshake's frame, and takes that one only once.
+// next returns the next frame; ok is false if there is none or the stream has ended. It ends the stream on a decoding error,
+// a time-out, a FrameClose, a first frame of another kind than the handshake, and a second handshake.
 func (s *session) next(handshake FrameKind) (frame Frame, ok bool) {
 	if s.closeErr != nil {
 		return Frame{}, false
@@ -94,22 +95,22 @@
 	return frame, true
 }
 
-// checkTimeout says whether too much time went by without a complete frame. It guards against peers that connect and say
-// nothing, die without closing the connection, or send a frame byte by byte.
+// checkTimeout returns an error if no complete frame has been received for too long, else nil. It guards against peers that
+// connect and send nothing, that die without closing the connection, or that send a frame byte by byte.
 func (s *session) checkTimeout() *CloseError {
 	switch {
 	case s.nowMs < s.Deadline():
 		return nil
 	case s.established:
-		return newCloseError(ReasonHeartbeatTimeout, "no frame for %g ms; %d bytes of one",
+		return newCloseError(ReasonHeartbeatTimeout, "no complete frame for %g ms, %d bytes buffered",
 			s.limits.HeartbeatTimeoutMs, s.decoder.Buffered())
 	default:
-		return newCloseError(ReasonHandshakeTimeout, "no frame within %g ms; %d bytes of one",
+		return newCloseError(ReasonHandshakeTimeout, "no complete frame within %g ms, %d bytes buffered",
 			s.limits.HandshakeTimeoutMs, s.decoder.Buffered())
 	}
 }
 
-// peerCloseError reads a FrameClose.
+// peerCloseError returns the error for a received FrameClose, with the peer's reason as its detail.
 func peerCloseError(frame Frame) *CloseError {
 	var body order.Bye
 	if err := proto.Unmarshal(frame.Body, &body); err != nil {
@@ -126,8 +127,9 @@
 	return newCloseError(ReasonBadBody, "%s: %v", frame.Kind, err)
 }
 
-// receive decodes a frame's body into a message, checks it and delivers it to the host; check may be nil. The host never
-// sees a part of a message that is invalid elsewhere: a proxy that applied half of one would hold a table that nobody knows.
+// receive decodes a frame's body into message, validates it with check, which may be nil, and passes it to deliver. A
+// message with any invalid part is not delivered at all: a proxy that applied the valid part of one would hold a table that
+// its planner does not know.
 func receive[M proto.Message](s *session, frame Frame, message M, check func(M) error, deliver func(M)) bool {
 	if err := proto.Unmarshal(frame.Body, message); err != nil {
 		s.closeErr = badBodyError(frame, err)
@@ -143,7 +145,7 @@
 	return true
 }
 
-// reject ends the stream on a frame that the peer may not send.
+// reject ends the stream because of a frame that the peer may not send. It returns false, as the result of Next.
 func (s *session) reject(frame Frame) bool {
 	s.closeErr = unexpectedFrameError(frame)
 	return false
--- a/internal/controlstream/validate.go
+++ b/internal/controlstream/validate.go
@@ -7,40 +7,42 @@
 	"lichenpick/proto/order"
 )
 
-// Bounds of what a message may hold. A frame's size bounds its memory; these guard the hosts against names that no settings
-// file allows, and against loops that are far longer than any fleet needs.
+// Limits of the contents of a message. The frame size already limits its memory. These limits protect the hosts from names
+// that no settings file allows and from loops that are far longer than any fleet needs.
 const (
-	maxNameBytes   = 256   // of a proxy's, server's, zone's or controller's name
-	maxTables      = 256   // that one proxy holds
-	maxControllers = 256   // that one proxy reaches
-	maxEntries     = 65536 // entries, servers or traffic classes of one message
+	maxNameBytes   = 256   // length of a proxy, server, zone or controller name
+	maxTables      = 256   // tables held by one proxy
+	maxControllers = 256   // controllers reachable from one proxy
+	maxEntries     = 65536 // elements of each list of entries, servers, traffic classes or times in a message
 )
 
-// Highest numbers of enumerations that are plain numbers on the wire.
+// Largest values of enumerations that are plain integers on the wire.
 const (
-	maxRetryMode     = 3 // twice
-	maxEndpointState = 2 // gone
+	maxRetryMode     = 3 // two retries
+	maxEndpointState = 2 // endpoint removed
 )
 
-// truncate bounds what is quoted of a peer's text, so that it cannot flood a log.
+// truncate shortens a text from a peer for quoting, so that it cannot flood a log.
 func truncate(text string) string { return text[:min(len(text), maxNameBytes)] }
 
-// isName says whether a text may name a proxy, server or controller.
+// isName reports whether a text is a valid name of a proxy, server or controller.
 func isName(text string) bool { return text != "" && len(text) <= maxNameBytes }
 
-// isFiniteNonNegative says whether a quantity is a number from 0 on. NaN is not: it would pass each comparison with a limit.
+// isFiniteNonNegative reports whether a quantity is at least 0, finite and not NaN. A NaN would pass a check of the form
+// "reject if above the limit", because every comparison with it is false.
 func isFiniteNonNegative(quantity float64) bool { return quantity >= 0 && !math.IsInf(quantity, 0) }
 
+// checkJoin returns an error if a value of the message is out of range; so do the check functions below.
 func checkJoin(join *order.Join) error {
 	switch {
 	case !isName(join.Proxy):
-		return fmt.Errorf("a proxy's name of %d bytes", len(join.Proxy))
+		return fmt.Errorf("invalid length of the proxy name: %d bytes", len(join.Proxy))
 	case len(join.Zone) > maxNameBytes:
-		return fmt.Errorf("a zone's name of %d bytes", len(join.Zone))
+		return fmt.Errorf("invalid length of the zone name: %d bytes", len(join.Zone))
 	case !isFiniteNonNegative(join.UsualPerS):
-		return fmt.Errorf("a usual demand of %g requests/s", join.UsualPerS)
+		return fmt.Errorf("invalid usual demand: %g requests/s", join.UsualPerS)
 	case len(join.Holds) > maxTables:
-		return fmt.Errorf("%d tables", len(join.Holds))
+		return fmt.Errorf("too many tables: %d", len(join.Holds))
 	}
 	if join.Lease != nil {
 		if err := checkLease(join.Lease); err != nil {
@@ -49,7 +51,7 @@
 	}
 	for _, table := range join.Holds {
 		if len(table.Lines) > maxEntries || len(table.Withdrawn) > maxEntries {
-			return fmt.Errorf("a table of %d entries and %d ejected servers", len(table.Lines), len(table.Withdrawn))
+			return fmt.Errorf("table too large: %d entries, %d ejected servers", len(table.Lines), len(table.Withdrawn))
 		}
 	}
 	return nil
@@ -58,19 +60,19 @@
 func checkLease(lease *order.Lease) error {
 	switch {
 	case !isFiniteNonNegative(lease.LeftMs):
-		return fmt.Errorf("a lease of %g ms", lease.LeftMs)
+		return fmt.Errorf("invalid remaining lease time: %g ms", lease.LeftMs)
 	case len(lease.Reachable) > maxControllers:
-		return fmt.Errorf("%d reachable controllers", len(lease.Reachable))
+		return fmt.Errorf("too many reachable controllers: %d", len(lease.Reachable))
 	case len(lease.MessagesAgoMs) > maxEntries:
-		return fmt.Errorf("%d recent messages", len(lease.MessagesAgoMs))
+		return fmt.Errorf("too many recent messages: %d", len(lease.MessagesAgoMs))
 	case len(lease.Going) > maxEntries:
-		return fmt.Errorf("%d draining servers", len(lease.Going))
+		return fmt.Errorf("too many draining servers: %d", len(lease.Going))
 	case len(lease.Holds) > maxTables:
-		return fmt.Errorf("%d tables", len(lease.Holds))
+		return fmt.Errorf("too many held tables: %d", len(lease.Holds))
 	}
 	for _, agoMs := range lease.MessagesAgoMs {
 		if !isFiniteNonNegative(agoMs) {
-			return fmt.Errorf("a message %g ms ago", agoMs)
+			return fmt.Errorf("invalid age of a recent message: %g ms", agoMs)
 		}
 	}
 	return nil
@@ -78,39 +80,41 @@
 
 func checkLeaseRequest(request *order.Claim) error {
 	if !isName(request.Controller) || request.Epoch == 0 {
-		return fmt.Errorf("epoch %d of controller %q", request.Epoch, truncate(request.Controller))
+		return fmt.Errorf("invalid lease request: epoch %d, controller %q", request.Epoch, truncate(request.Controller))
 	}
 	return nil
 }
 
 func checkLoadReport(report *order.Sums) error {
 	if !isFiniteNonNegative(report.CoversMs) || len(report.Servers) > maxEntries || len(report.Groups) > maxEntries {
-		return fmt.Errorf("%d servers, %d traffic classes over %g ms", len(report.Servers), len(report.Groups), report.CoversMs)
+		return fmt.Errorf("invalid load report: %d servers, %d traffic classes, interval of %g ms",
+			len(report.Servers), len(report.Groups), report.CoversMs)
 	}
 	for _, server := range report.Servers {
 		if !isName(server.Server) || server.Dropped > server.Tries || !isFiniteNonNegative(server.LatencyMs) {
-			return fmt.Errorf("%d of %d attempts failed, %g ms", server.Dropped, server.Tries, server.LatencyMs)
+			return fmt.Errorf("invalid load of a server: %d of %d attempts failed, latency %g ms",
+				server.Dropped, server.Tries, server.LatencyMs)
 		}
 	}
 	for _, class := range report.Groups {
 		if class.Dropped > class.Came {
-			return fmt.Errorf("%d of %d requests failed", class.Dropped, class.Came)
+			return fmt.Errorf("invalid load of a traffic class: %d of %d requests failed", class.Dropped, class.Came)
 		}
 	}
 	return nil
 }
 
-// checkOrders rejects a message with any invalid order.
+// checkOrders returns an error if any order of the message is invalid.
 func checkOrders(message *order.Orders) error {
 	for _, ord := range message.Orders {
 		if !isValidOrder(ord) {
-			return fmt.Errorf("an invalid order: %v", ord)
+			return fmt.Errorf("invalid order: %v", ord)
 		}
 	}
 	return nil
 }
 
-// isValidOrder says whether an order is of a known kind, and its values are in range.
+// isValidOrder reports whether an order is of a known kind and its values are in range.
 func isValidOrder(ord *order.Order) bool {
 	switch variant := ord.What.(type) {
 	case *order.Order_Line:
@@ -123,7 +127,7 @@
 		return isValidAdmission(variant.Level)
 	case *order.Order_Receipt:
 		return true
-	default: // nil, or a kind of a later version, which a proxy cannot apply
+	default: // nil, or an order kind of a later version, which this proxy cannot apply
 		return false
 	}
 }
@@ -158,7 +162,8 @@
 		valid := isName(endpoint.Server) && len(endpoint.Zone) <= maxNameBytes &&
 			endpoint.State <= maxEndpointState && isFiniteNonNegative(endpoint.Size)
 		if !valid {
-			return fmt.Errorf("server %q in state %d, size %g", truncate(endpoint.Server), endpoint.State, endpoint.Size)
+			return fmt.Errorf("invalid endpoint: server %q, state %d, size %g",
+				truncate(endpoint.Server), endpoint.State, endpoint.Size)
 		}
 	}
 	return nil
--- a/internal/weighttable/registry.go
+++ b/internal/weighttable/registry.go
@@ -1,28 +1,30 @@
-// Package weighttable records what a planner's policy has decided and proxies are to be notified of: weight tables and which
-// proxies use them, ejected servers, and admission rates.
+// Package weighttable stores the decisions of a planner's policy of which proxies must be notified: weight tables, the
+// proxies that use each of them, ejected servers and admission rates.
 //
-// It decides and sends nothing. The front ends that speak to proxies write the policy's decisions into a Registry and read
-// from it what a proxy has to be notified of; each has its own type of proxies, P. A registry and its tables are used by one
-// goroutine at a time.
+// The package makes no decisions and sends nothing. The code that talks to proxies writes the policy's decisions to a
+// Registry and reads from it what to send to a proxy. The type parameter P is the type by which that code identifies a proxy.
+// A registry and its tables must not be used by several goroutines at the same time.
 package weighttable
 
 import "slices"
 
-// AdmissionRate is what proxies are to admit of one traffic class. The zero value is that the policy has not decided.
+// AdmissionRate is the admission rate and retry mode of one traffic class. The zero value means that the policy has not
+// decided yet.
 type AdmissionRate struct {
-	Fraction float64 // part of the requests that is admitted, from 0 to 1
-	Retry    int     // a retry mode of package policy
+	Fraction float64 // fraction of the requests that proxies admit, from 0 to 1
+	Retry    int     // retry mode, such as policy.RetryOnce
 	Set      bool    // whether the policy has decided
 }
 
-// Registry is all that one planner's policy has decided. Users may write Admission, and read Ejected.
+// Registry holds the current decisions of one planner's policy. Callers may write Admission directly. They may read Ejected
+// but must change it through SetEjected.
 type Registry[P comparable] struct {
-	Ejected   map[string]bool // servers that are ejected; others have no key
-	Admission []AdmissionRate // by traffic class
-	tables    map[int]*Table[P]
+	Ejected   map[string]bool   // set of the ejected servers; other servers have no key
+	Admission []AdmissionRate   // indexed by traffic class
+	tables    map[int]*Table[P] // by table number
 }
 
-// NewRegistry returns an empty registry for a number of traffic classes.
+// NewRegistry returns an empty registry for the given number of traffic classes.
 func NewRegistry[P comparable](classes int) *Registry[P] {
 	return &Registry[P]{
 		Ejected:   map[string]bool{},
@@ -31,7 +33,7 @@
 	}
 }
 
-// Table returns the table with a number of the policy. It makes an empty one if there is none.
+// Table returns the table with the policy's table number. It adds an empty one if there is none.
 func (r *Registry[P]) Table(number int) *Table[P] {
 	table := r.tables[number]
 	if table == nil {
@@ -41,7 +43,7 @@
 	return table
 }
 
-// SetEjected records that a server is ejected, or no longer.
+// SetEjected records whether a server is ejected.
 func (r *Registry[P]) SetEjected(server string, ejected bool) {
 	if ejected {
 		r.Ejected[server] = true
@@ -50,8 +52,8 @@
 	delete(r.Ejected, server)
 }
 
-// Assign has a proxy use a table for some traffic classes. The caller holds which table the proxy uses by class, nil for
-// none; Assign updates that in place.
+// Assign makes a proxy use a table for the given traffic classes. The caller owns tableByClass, the proxy's current table of
+// each traffic class (nil for none), and Assign updates it in place. The proxy is removed from tables that it no longer uses.
 func (r *Registry[P]) Assign(proxy P, tableByClass []*Table[P], table *Table[P], classes []int) {
 	for _, class := range classes {
 		previous := tableByClass[class]
@@ -63,7 +65,7 @@
 	table.addProxy(proxy)
 }
 
-// RemoveProxy has a proxy use no table, and clears the caller's record of its tables by class.
+// RemoveProxy removes a proxy from all of its tables and sets each element of tableByClass to nil.
 func (r *Registry[P]) RemoveProxy(proxy P, tableByClass []*Table[P]) {
 	for class, table := range tableByClass {
 		if table != nil {
--- a/internal/weighttable/registry_test.go
+++ b/internal/weighttable/registry_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestAssignByClass states that a proxy of which one class moves to another table is a user of both tables, and of the first no
-// longer once all classes have moved.
+// TestAssignByClass checks that a proxy stays in its old table's list of proxies until the last of its traffic classes has
+// moved to another table.
 func TestAssignByClass(t *testing.T) {
 	const proxy = "p"
 	registry := NewRegistry[string](2)
@@ -13,27 +13,27 @@
 	registry.Assign(proxy, tableByClass, first, []int{0, 1})
 	registry.Assign(proxy, tableByClass, second, []int{0})
 	if len(first.Proxies) != 1 || len(second.Proxies) != 1 || tableByClass[0] != second || tableByClass[1] != first {
-		t.Errorf("one class moved: proxies %v and %v", first.Proxies, second.Proxies)
+		t.Errorf("after one class moved: first table has proxies %v, second has %v", first.Proxies, second.Proxies)
 	}
 	registry.Assign(proxy, tableByClass, second, []int{1})
 	if len(first.Proxies) != 0 || len(second.Proxies) != 1 {
-		t.Errorf("all classes moved: proxies %v and %v", first.Proxies, second.Proxies)
+		t.Errorf("after all classes moved: first table has proxies %v, second has %v", first.Proxies, second.Proxies)
 	}
 	registry.RemoveProxy(proxy, tableByClass)
 	if len(second.Proxies) != 0 || tableByClass[0] != nil || tableByClass[1] != nil {
-		t.Errorf("removed: proxies %v, tables %v", second.Proxies, tableByClass)
+		t.Errorf("after RemoveProxy: second table has proxies %v, the proxy's tables are %v", second.Proxies, tableByClass)
 	}
 }
 
-// TestSetEjected states that a server has a key only while it is ejected, as users go through all keys.
+// TestSetEjected checks that a readmitted server has no key in Ejected, because callers iterate over all keys.
 func TestSetEjected(t *testing.T) {
 	registry := NewRegistry[string](1)
 	registry.SetEjected("r", true)
 	if !registry.Ejected["r"] {
-		t.Error("not ejected")
+		t.Error("the server is not ejected after SetEjected(true)")
 	}
 	registry.SetEjected("r", false)
 	if len(registry.Ejected) != 0 {
-		t.Errorf("ejected after the end of the ejection: %v", registry.Ejected)
+		t.Errorf("after SetEjected(false): Ejected = %v, want an empty map", registry.Ejected)
 	}
 }
--- a/internal/weighttable/table.go
+++ b/internal/weighttable/table.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// Entry is a server with its weight, which is above 0.
+// Entry is a server and its weight.
 type Entry struct {
 	Server string
-	Weight float64 // share of requests, in relation to the other entries of the table
+	Weight float64 // positive; the server's share of requests is its weight divided by the sum of the table's weights
 }
 
-// Table is one weight table of the policy. P is a front end's own type of proxies. Users may read the fields and must not
-// change them.
+// Table is one weight table of the policy. P is the type by which the caller identifies a proxy. Callers may read the fields
+// but must not change them.
 type Table[P comparable] struct {
-	Number  int     // as in the policy
-	Entries []Entry // by when they were added, one for each server
-	Proxies []P     // those that use the table for any traffic class, each once
+	Number  int     // table number in the policy
+	Entries []Entry // one per server, in insertion order
+	Proxies []P     // proxies that use the table for at least one traffic class, without duplicates
 }
 
-// Index returns the position of a server's entry, -1 if it has none.
+// Index returns the index of a server's entry, or -1 if it has none.
 func (t *Table[P]) Index(server string) int {
 	return slices.IndexFunc(t.Entries, func(entry Entry) bool { return entry.Server == server })
 }
 
-// Weight returns a server's weight, 0 if it has no entry.
+// Weight returns a server's weight, or 0 if it has no entry.
 func (t *Table[P]) Weight(server string) float64 {
 	index := t.Index(server)
 	if index < 0 {
@@ -30,14 +30,14 @@
 	return t.Entries[index].Weight
 }
 
-// Set sets a server's weight. A weight of 0 or below removes the entry.
+// Set sets a server's weight and adds an entry if there is none. A weight of 0 or less removes the entry.
 func (t *Table[P]) Set(server string, weight float64) {
 	index := t.Index(server)
 	switch {
 	case index < 0 && weight > 0:
 		t.Entries = append(t.Entries, Entry{Server: server, Weight: weight})
 	case index < 0:
-		// a server without an entry stays without
+		// There is no entry to remove.
 	case weight <= 0:
 		t.Entries = slices.Delete(t.Entries, index, index+1)
 	default:
