--- a/internal/proxy/controlclient.go
+++ b/internal/proxy/controlclient.go
@@ -22,16 +22,16 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Limits of a control stream, at the proxy's end.
+// Limits at the proxy's end of a control stream.
 const (
 	readBufferBytes      = 16 << 10
-	writeTimeoutMs       = 2000.0 // ms that the write of a frame may take
-	handshakeTimeoutMs   = 2000.0 // ms until the connection stands, and then until the planner's welcome
-	maxOutboxFrames      = 256    // frames that wait for a planner that does not read
-	leaseCheckIntervalMs = 100.0  // ms between checks of the lease, at the most
+	writeTimeoutMs       = 2000.0 // time limit for writing a frame, in ms
+	handshakeTimeoutMs   = 2000.0 // time limit for the dial, and then for the planner's Welcome, in ms
+	maxOutboxFrames      = 256    // frames queued for a planner that reads slowly
+	leaseCheckIntervalMs = 100.0  // longest interval between checks of the lease, in ms
 )
 
-// Keys of log attributes.
+// Log attribute keys.
 const (
 	logProxy   = "proxy"
 	logPlanner = "planner"
@@ -39,41 +39,42 @@
 	logAddress = "address"
 )
 
-// Options are what a proxy runs on. Without a note, a field must be set.
+// Options configure a ControlClient or a Proxy. All fields must be set unless noted otherwise.
 type Options struct {
-	Settings *pb.Proxy // checked and with its defaults, as settings.Load gives them; not changed
+	Settings *pb.Proxy // validated and with defaults applied, as returned by settings.Load; never modified
 	Clock    clock.Clock
 	Network  clock.Network
 	Log      *slog.Logger
 
-	// Ready is called once when a Proxy listens, from the goroutine of Run. Nil: not called.
+	// Ready, if not nil, is called once with the address on which a Proxy listens, from the goroutine of Run.
 	Ready func(address net.Addr)
-	// DisableFencing has the proxy apply orders of any epoch, so that tests can show that checkers notice. False: orders of
-	// another epoch than the granted one are rejected.
+	// DisableFencing makes the proxy apply orders from any controller and of any epoch, so that tests can show that their
+	// checks detect the fault. Otherwise the proxy rejects orders unless the sender holds the lease under the orders' epoch.
 	DisableFencing bool
 }
 
-// ControlClient is a proxy's part towards planners: it keeps the control streams, applies orders and reports load. It
-// forwards no requests. Set the callbacks before Connect; they run with the client's lock held and must not block.
+// ControlClient is the part of a proxy that talks to planners: it maintains the control streams, applies orders and sends
+// load reports. It forwards no requests. Set the callbacks before calling Connect. They are called with the client's mutex
+// held and must not block.
 type ControlClient struct {
 	Options
 
-	// OnOrders is called after each message of orders that was applied. Nil: not called.
+	// OnOrders, if not nil, is called after each Orders message that was applied.
 	OnOrders func(message *order.Orders)
-	// OnTakeover is called when a new controller gets the lease, with the ms since the last bytes of the holder before. Nil:
-	// not called.
+	// OnTakeover, if not nil, is called when another controller process gets the lease, with the time in ms since the
+	// previous holder last sent anything.
 	OnTakeover func(withoutHolderMs float64)
 
-	localAddress netip.Addr // local address to dial from; invalid: any
-	incarnation  uint64     // of this process, towards planners
-	afterOrders  func()     // like OnOrders, for Proxy; may be nil
+	localAddress netip.Addr // local address to dial from; the zero value means any
+	incarnation  uint64     // identifies this process to planners
+	afterOrders  func()     // if not nil, called by session.OnOrders after OnOrders; for the use of Proxy
 
-	mu   sync.Mutex // guards what follows
+	mu   sync.Mutex // guards the fields below
 	core *Core
 
-	// The rest is used only where controllers share the fleet.
-	sessions           []*session // those that joined
-	announcedReachable []string   // controllers that were last announced as reachable
+	// The fields below are used only where several controllers share the fleet.
+	sessions           []*session // sessions whose planner has welcomed the proxy
+	announcedReachable []string   // reachable controllers in the last announcement
 	lastHolder         leaseHolder
 }
 
@@ -81,30 +82,30 @@
 type leaseHolder struct {
 	controller     string
 	incarnation    uint64
-	lastReceivedMs float64 // when it last sent anything while it held the lease; 0: there was no holder yet
+	lastReceivedMs float64 // when it last sent anything while it held the lease; 0 if nobody has held it yet
 }
 
-// NewControlClient makes a client that has no streams yet.
+// NewControlClient returns a client without streams.
 func NewControlClient(options Options) *ControlClient {
 	client := &ControlClient{
 		Options: options,
 		core:    NewCore(options.Settings, options.Clock.Monotonic()),
 	}
-	client.localAddress, _ = netip.ParseAddr(options.Settings.From) // checked by settings; empty: any address
+	client.localAddress, _ = netip.ParseAddr(options.Settings.From) // fails only if empty, as the settings are validated
 	random := rand.New(rand.NewSource(int64(options.Settings.GetSeed())))
 	client.incarnation = uint64(options.Clock.WallTime().UnixNano()) ^ random.Uint64()>>20
 	return client
 }
 
-// WithCore calls a function with the client's Core, while nothing else uses it. The function must not keep it or block.
+// WithCore calls a function with the client's Core while holding the mutex. The function must not retain the Core or block.
 func (c *ControlClient) WithCore(use func(core *Core)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	use(c.core)
 }
 
-// Connect keeps a stream to one planner at a time, and dials the next one when it breaks; where controllers share the fleet,
-// it keeps a stream to each. It returns nil when the context ends.
+// Connect maintains a stream to one of the planners: when it ends, Connect dials the same or the next planner. Where several
+// controllers share the fleet, it maintains a stream to each. It returns nil when the context ends.
 func (c *ControlClient) Connect(ctx context.Context) error {
 	if !c.Settings.Sharing {
 		c.keepConnected(ctx, c.Settings.Planners, 0)
@@ -124,8 +125,8 @@
 	return group.Wait()
 }
 
-// keepConnected holds a stream to one of some planners until the context ends. The index tells apart loops of one client, so
-// that they do not redial in step.
+// keepConnected maintains a stream to one of the planners until the context ends. Concurrent calls for one client must have
+// different indexes, which seed the random redial delays, so that the calls do not redial at the same times.
 func (c *ControlClient) keepConnected(ctx context.Context, planners []string, index int) {
 	redialMs := settings.Milliseconds(c.Settings.Redial)
 	random := rand.New(rand.NewSource(int64(c.Settings.GetSeed()) + 1 + int64(index)))
@@ -137,14 +138,14 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if cause := err.Error(); joined || cause != lastCause { // one line, not one for each attempt
+		if cause := err.Error(); joined || cause != lastCause { // logs repeated failures of the same cause only once
 			lastCause = cause
 			c.Log.Info("control stream ended; keeping the tables held", slog.String(logProxy, c.Settings.Name),
 				slog.String(logPlanner, planner), slog.Any(logCause, err))
 		}
 		var closeErr *controlstream.CloseError
 		if !joined || errors.As(err, &closeErr) {
-			next++ // a planner that closed the stream, or could not be joined, is not the first to be tried again
+			next++ // tries another planner next, unless a joined stream only lost its connection
 		}
 		if clock.Sleep(ctx, c.Clock, redialMs*(0.5+random.Float64())) != nil {
 			return
@@ -152,7 +153,8 @@
 	}
 }
 
-// watchLease announces to all controllers when the lease expires, or other controllers are reachable, until the context ends.
+// watchLease sends the lease state to all controllers whenever the lease expires or the set of reachable controllers changes,
+// until the context ends.
 func (c *ControlClient) watchLease(ctx context.Context) {
 	for {
 		waitMs := c.checkLease()
@@ -162,7 +164,7 @@
 	}
 }
 
-// checkLease announces what changed, and says for how many ms nothing can expire.
+// checkLease announces the lease state if it has changed, and returns the time in ms until the next check is due.
 func (c *ControlClient) checkLease() (waitMs float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,7 +179,7 @@
 	return leaseCheckIntervalMs
 }
 
-// leaseState is the Core's lease state with the controllers that the proxy can reach. The lock must be held.
+// leaseState returns the Core's lease state with the controllers that the proxy can reach. The mutex must be held.
 func (c *ControlClient) leaseState(nowMs float64, toNewHolder bool) *order.Lease {
 	state := c.core.LeaseState(nowMs, toNewHolder)
 	state.Reachable = c.reachable(nowMs)
@@ -185,8 +187,8 @@
 	return state
 }
 
-// reachable names the controllers that take leases and sent something lately: a paused process keeps its streams. The lock
-// must be held.
+// reachable returns the names of the controllers that accept leases and have sent something recently. An open stream is not
+// sufficient, because it stays open while the controller's process is paused. The mutex must be held.
 func (c *ControlClient) reachable(nowMs float64) (controllers []string) {
 	for _, session := range c.sessions {
 		if session.takesLeases && nowMs-session.lastReceivedMs < lease.ReachableMs {
@@ -196,7 +198,7 @@
 	return controllers
 }
 
-// announceLease sends who holds the lease to all controllers but one, which may be nil. The lock must be held.
+// announceLease sends the lease state to all controllers except one, which may be nil. The mutex must be held.
 func (c *ControlClient) announceLease(except *session) {
 	state := c.leaseState(c.Clock.Monotonic(), false)
 	c.announcedReachable = state.Reachable
@@ -207,7 +209,8 @@
 	}
 }
 
-// removeSession ends a session's part in the sharing of the fleet.
+// removeSession removes an ended session from the list and announces that its controller is no longer reachable. It does
+// nothing unless several controllers share the fleet.
 func (c *ControlClient) removeSession(ended *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -217,7 +220,7 @@
 	}
 }
 
-// join is the first message of a stream.
+// join returns the first message of a stream.
 func (c *ControlClient) join(streamNumber uint64) *order.Join {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -238,7 +241,7 @@
 	return join
 }
 
-// dial connects to a planner.
+// dial connects to a planner within handshakeTimeoutMs.
 func (c *ControlClient) dial(ctx context.Context, planner string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(handshakeTimeoutMs)*time.Millisecond)
 	defer cancel()
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -9,37 +9,37 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Core is a proxy's state and its decisions. Its methods do no I/O and are called by one goroutine at a time. Methods that
-// take a time want ms of a clock that never jumps.
+// Core holds a proxy's state and makes its decisions. Its methods do no I/O and must not be called by several goroutines at
+// the same time. Times are in ms of a monotonic clock.
 type Core struct {
 	classes            []*pb.Group
 	pickMethod         pb.Pick
-	attemptLimitFactor float64 // latency objectives that an attempt may take if a retry can follow
-	defaultRetry       int     // retry mode of classes without one of their own
+	attemptLimitFactor float64 // longest duration of an attempt that can be retried, as a multiple of the latency objective
+	defaultRetry       int     // retry mode of classes for which no planner has set one
 	random             *rand.Rand
 
-	// What planners ordered.
-	tableByClass  []*table
-	tables        map[uint32]*table // of the present session, by number
-	ejected       map[string]bool   // by the present session
-	admissions    []admission       // by class
-	tableAssigned bool              // the present session has assigned a table
+	// Orders received from planners.
+	tableByClass  []*table          // the table in force for each traffic class, perhaps from an earlier session
+	tables        map[uint32]*table // tables assigned in the current session, by table number
+	ejected       map[string]bool   // servers ejected in the current session
+	admissions    []admission       // by traffic class
+	tableAssigned bool              // whether the current session has assigned a table
 
-	// Load: what is in flight, and what was met since the last load report.
-	inFlight      map[string]int // attempts by server
+	// Load: attempts in flight, and statistics since the last load report.
+	inFlight      map[string]int // number of attempts in flight by server
 	statsByServer map[string]*serverStats
-	statsByClass  []classStats // by class
-	lastReportMs  float64      // when the last load report was taken
+	statsByClass  []classStats // by traffic class
+	lastReportMs  float64      // time of the last load report
 
-	// Leases, where controllers share the fleet.
+	// Lease state, used only where several controllers share the fleet.
 	grantor         lease.Grantor
-	drainingSinceMs map[string]float64 // servers ejected as they drain or are removed, by any controller, and when
-	leaseStateCount uint64             // lease states made so far; it numbers them
-	recentOrdersMs  []float64          // times of the last messages of orders, ascending
+	drainingSinceMs map[string]float64 // servers that controllers ejected because they drain or were removed, and since when
+	leaseStateCount uint64             // number of lease states created so far, used to number them
+	recentOrdersMs  []float64          // times of the latest Orders messages, ascending
 }
 
-// NewCore makes a proxy at a time in ms that goes by the standing table of its settings, which must have been checked, and
-// admits everything.
+// NewCore returns a Core that uses the standing table of its settings and admits all requests. The settings must have been
+// validated.
 func NewCore(config *pb.Proxy, nowMs float64) *Core {
 	core := &Core{
 		classes:            config.Groups,
@@ -66,11 +66,11 @@
 	return core
 }
 
-// admitAll is the admission of a class that no planner spoke of.
+// admitAll returns the admission of a class for which no planner has set one.
 func (c *Core) admitAll() admission { return admission{fraction: 1, retry: c.defaultRetry} }
 
-// StartSession starts a session with a planner: tables and ejections of earlier ones stay in force until this one assigns
-// tables of its own.
+// StartSession starts a session with a planner. The tables and ejections of earlier sessions stay in force until the new
+// session assigns its own tables.
 func (c *Core) StartSession(welcome *order.Welcome) {
 	c.tables = map[uint32]*table{}
 	c.ejected = map[string]bool{}
--- a/internal/proxy/core_test.go
+++ b/internal/proxy/core_test.go
@@ -10,21 +10,22 @@
 )
 
 func TestCore(t *testing.T) {
-	t.Run("picks follow the weights, in each way of picking", checkPicksFollowWeights)
-	t.Run("a standing table holds until another is assigned, and tables hold over a session's end with all ejections",
+	t.Run("picks follow the weights with each pick method", checkPicksFollowWeights)
+	t.Run("tables and ejections stay in force after their session until the next session assigns a table",
 		checkTablesOutliveSessions)
-	t.Run("an ejected server gets nothing until the ejection ends", checkEjection)
-	t.Run("a fraction is admitted, and that ends with its planner's tables", checkAdmission)
+	t.Run("an ejected server gets no requests until it is readmitted", checkEjection)
+	t.Run("an admission rate applies until another session assigns a table", checkAdmission)
 	t.Run("retries depend on mode, outcome and idempotency", checkRetries)
-	t.Run("orders that come between two attempts apply to the second", checkOrdersBetweenAttempts)
-	t.Run("no retry when little time remains, and an attempt that a retry can follow gets less time", checkAttemptLimits)
-	t.Run("a load report holds what was met, once", checkLoadReport)
-	t.Run("orders of a past epoch, or of another controller, are rejected", checkFencing)
-	t.Run("a table without entries leaves nothing to pick", func(t *testing.T) {
+	t.Run("orders received between two attempts apply to the second", checkOrdersBetweenAttempts)
+	t.Run("an attempt that can be retried has a shorter limit, and there is no retry shortly before the deadline",
+		checkAttemptLimits)
+	t.Run("each attempt and request is reported exactly once", checkLoadReport)
+	t.Run("orders of a past epoch or of another controller are rejected", checkFencing)
+	t.Run("Pick finds no server in an empty table", func(t *testing.T) {
 		core := newAssignedCore(t, "", entry("a", 0))
 		request, _ := core.Admit(0, 0)
 		if server, _, ok := core.Pick(0, request); ok {
-			t.Errorf("picked %q", server)
+			t.Errorf("picked %q from an empty table", server)
 		}
 	})
 }
@@ -34,10 +35,10 @@
 		core := newAssignedCore(t, "pick: "+pick, entry("a", 0.6), entry("b", 0.3), entry("c", 0.1))
 		counts := countPicks(core, 0, 10000)
 		if math.Abs(float64(counts["a"])-6000) > 300 || math.Abs(float64(counts["c"])-1000) > 200 {
-			t.Errorf("%s: %v", pick, counts)
+			t.Errorf("%s: picks are %v, want about 6000, 3000 and 1000", pick, counts)
 		}
 		if pick == "ROUND" && (counts["a"] != 6000 || counts["c"] != 1000) {
-			t.Errorf("round robin is not exact: %v", counts)
+			t.Errorf("round robin: picks are %v, want exactly 6000, 3000 and 1000", counts)
 		}
 	}
 }
@@ -45,20 +46,20 @@
 func checkTablesOutliveSessions(t *testing.T) {
 	core := newTestCore(t, "")
 	if counts := countPicks(core, 0, 100); counts["127.0.0.1:1"] == 0 || counts["127.0.0.1:2"] == 0 {
-		t.Errorf("the standing table is not used: %v", counts)
+		t.Errorf("picks before the first session are %v, want both servers of the standing table", counts)
 	}
 	core.StartSession(&order.Welcome{Withdrawn: []string{"127.0.0.1:1"}})
 	if counts := countPicks(core, 0, 100); counts["127.0.0.1:1"] != 0 {
-		t.Errorf("an ejection of the welcome is not applied: %v", counts)
+		t.Errorf("picks are %v, want none of the server that the Welcome ejects", counts)
 	}
 	core.ApplyOrders(assignOrder([]string{"a"}, entry("a", 0.5), entry("b", 0.5)))
-	core.StartSession(&order.Welcome{}) // another planner, which knows of no drain
+	core.StartSession(&order.Welcome{}) // a session with another planner, which has not ejected a
 	if counts := countPicks(core, 0, 100); counts["b"] != 100 {
-		t.Errorf("an ejection ended with its session: %v", counts)
+		t.Errorf("picks after the session are %v, want only b, as a stays ejected", counts)
 	}
-	core.ApplyOrders(assignOrder(nil, entry("a", 0.5), entry("c", 0.5))) // its ejections count from its tables on
+	core.ApplyOrders(assignOrder(nil, entry("a", 0.5), entry("c", 0.5))) // replaces the table and its ejections
 	if counts := countPicks(core, 0, 100); counts["a"] == 0 || counts["c"] == 0 || counts["b"] != 0 {
-		t.Errorf("another planner's table is not used: %v", counts)
+		t.Errorf("picks are %v, want a and c from the new session's table", counts)
 	}
 }
 
@@ -66,11 +67,11 @@
 	core := newAssignedCore(t, "", entry("a", 0.5), entry("b", 0.5))
 	core.ApplyOrders(ejectionOrder("a", true))
 	if counts := countPicks(core, 1, 100); counts["b"] != 100 || core.MayReceive("a") {
-		t.Errorf("an ejected server was picked: %v", counts)
+		t.Errorf("picks are %v, want only b while a is ejected, and MayReceive must be false for a", counts)
 	}
 	core.ApplyOrders(ejectionOrder("a", false))
 	if counts := countPicks(core, 1, 100); counts["a"] == 0 {
-		t.Errorf("a server is not picked after its ejection: %v", counts)
+		t.Errorf("picks are %v, want some of the readmitted server a", counts)
 	}
 }
 
@@ -78,15 +79,15 @@
 	core := newAssignedCore(t, "", entry("a", 1))
 	core.ApplyOrders(admissionOrder(0, 0.3, 1))
 	if admitted := countPicks(core, 0, 10000)["a"]; math.Abs(float64(admitted)-3000) > 200 {
-		t.Errorf("%d of 10000 admitted", admitted)
+		t.Errorf("%d of 10000 requests admitted, want about 3000", admitted)
 	}
 	core.StartSession(&order.Welcome{})
 	if admitted := countPicks(core, 0, 1000)["a"]; admitted > 500 {
-		t.Errorf("%d of 1000 admitted before another planner's tables", admitted)
+		t.Errorf("%d of 1000 requests admitted before the new session's table, want about 300", admitted)
 	}
 	core.ApplyOrders(assignOrder(nil, entry("a", 1)))
 	if admitted := countPicks(core, 0, 1000)["a"]; admitted != 1000 {
-		t.Errorf("%d of 1000 admitted", admitted)
+		t.Errorf("%d of 1000 requests admitted after the new session's table, want all", admitted)
 	}
 }
 
@@ -95,7 +96,7 @@
 		class   int
 		retry   uint32
 		outcome Outcome
-		want    int // attempts in all
+		want    int // number of attempts
 	}{
 		"never":                                {0, policy.RetryNever, Unprocessed, 1},
 		"unprocessed, with proof":              {0, policy.RetryUnprocessed, Unprocessed, 2},
@@ -113,7 +114,7 @@
 		for retry := true; retry; {
 			server, _, ok := core.Pick(0, request)
 			if !ok || attempted[server] {
-				t.Fatalf("%s: picked %q again", name, server)
+				t.Fatalf("%s: picked %q, want a server not attempted before", name, server)
 			}
 			attempted[server] = true
 			retry = core.FinishAttempt(0, request, server, test.outcome, 1)
@@ -130,7 +131,7 @@
 	server, _, _ := core.Pick(0, request)
 	core.ApplyOrders(ejectionOrder("b", true))
 	if core.FinishAttempt(0, request, server, Unprocessed, 1) {
-		t.Error("retries though the other server is ejected")
+		t.Error("FinishAttempt wants a retry although the only other server is ejected")
 	}
 }
 
@@ -140,10 +141,10 @@
 	request, _ := core.Admit(0, 0)
 	server, limitMs, _ := core.Pick(0, request)
 	if limitMs != 720 {
-		t.Errorf("an attempt may take %g ms, not 1.2 latency objectives", limitMs)
+		t.Errorf("the limit of the first attempt is %g ms, want 720 ms (1.2 times the latency objective)", limitMs)
 	}
 	if core.FinishAttempt(1400, request, server, Failed, 1400) {
-		t.Error("retries 100 ms before the deadline")
+		t.Error("FinishAttempt wants a retry 100 ms before the deadline")
 	}
 }
 
@@ -158,10 +159,10 @@
 	server, class := report.Servers[0], report.Groups[1]
 	got := fmt.Sprint(server.Tries, server.Dropped, server.LatencyMs, class.Came, class.Dropped, report.CoversMs)
 	if got != "3 1 30 3 1 1000" {
-		t.Errorf("%v", report)
+		t.Errorf("load report is %v, want 3 attempts with 1 failed and 30 ms mean latency, 3 requests with 1 failed", report)
 	}
 	if next := core.TakeLoadReport(2000); len(next.Servers) != 0 {
-		t.Errorf("reported again: %v", next)
+		t.Errorf("the next load report is %v, want no servers", next)
 	}
 }
 
@@ -176,16 +177,16 @@
 		return core.AcceptsOrders(nowMs, controller, &order.Orders{Incarnation: 1, Epoch: epoch})
 	}
 	if !requestLease(0, "A", 1) || requestLease(100, "B", 2) || !requestLease(1500, "A", 1) {
-		t.Error("the lease is not the first controller's alone while it lasts")
+		t.Error("the first controller did not get or keep the lease, or another one got it before it expired")
 	}
 	if !accepts(3000, "A", 1) || accepts(3000, "B", 1) || accepts(3600, "A", 1) {
-		t.Error("orders are not accepted from the holder alone while its lease lasts")
+		t.Error("the holder's orders were rejected before its lease expired, or others' or later ones were accepted")
 	}
 	if !requestLease(3700, "B", 2) || accepts(3800, "A", 1) || !accepts(3800, "B", 2) {
-		t.Error("orders are not accepted from the next holder alone")
+		t.Error("the next holder got no lease or its orders were rejected, or the previous holder's were accepted")
 	}
 	state := core.LeaseState(3800, true)
 	if state.Epoch != 2 || state.Controller != "B" || len(state.Holds) != 1 || len(state.Holds[0].Lines) != 2 {
-		t.Errorf("%v", state)
+		t.Errorf("lease state is %v, want epoch 2, controller B and one table of 2 entries", state)
 	}
 }
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,17 +1,18 @@
-// Package proxy is a plain proxy of the control plane: it decides nothing itself, applies the weight tables, ejections and
-// admission rates that a planner sends, and keeps them while no planner is connected.
+// Package proxy implements an HTTP proxy that distributes requests as a planner directs. It applies the weight tables,
+// ejections and admission rates that the planner sends, and keeps the last ones in force while no planner is connected.
 //
-// Core holds the orders that the proxy received and decides on each request without I/O: whether it is admitted, which server it goes
-// to, and whether a failed attempt is retried. Times are handed to it, in milliseconds of a clock that never jumps.
+// Core holds these orders and makes the decisions for each request: whether to admit it, which server to send it to, and
+// whether to retry a failed attempt. It does no I/O and reads no clock; callers pass in times in milliseconds of a monotonic
+// clock.
 //
-// ControlClient connects a Core to planners: it keeps the control streams, applies orders, acknowledges them and reports
-// load. Where controllers share the fleet it keeps a stream to each, and the Core's lease.Grantor decides which of them
-// commands the proxy. It forwards nothing, so tests can run thousands of them.
+// ControlClient connects a Core to planners: it maintains the control streams, applies and acknowledges orders and sends load
+// reports. Where several controllers share the fleet, it maintains a stream to each of them, and the Core's lease.Grantor
+// decides which of them commands the proxy. A ControlClient forwards no requests, so that tests can run thousands of them.
 //
-// Proxy adds an HTTP server in front and connections to servers behind.
+// Proxy adds an HTTP server for clients and the connections to servers.
 //
 // # Locking
 //
-// One mutex, ControlClient's, guards the Core, the sessions and the transports to servers. It is never held during I/O: what
-// is sent to a planner goes through a bounded outbox, and a planner that does not read loses its stream.
+// The mutex of ControlClient guards the Core, the sessions and the transports to servers. It is never held during I/O. Frames
+// for a planner go through a bounded outbox; if a planner reads so slowly that the outbox overflows, its stream is closed.
 package proxy
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -15,38 +15,39 @@
 	"lichenpick/internal/settings"
 )
 
-// Limits of the connections to one server.
+// Limits of the connections and attempts to one server.
 const (
 	maxIdleConnections = 64
-	connBufferBytes    = 4 << 10
-	minAttemptMs       = 1
+	connBufferBytes    = 4 << 10 // size of each connection's read buffer and write buffer
+	minAttemptMs       = 1       // shortest time limit of an attempt, in ms
 )
 
-// dialOperation marks an error of a dial, which proves that a server processed nothing.
+// dialOperation is the net.OpError.Op of failed dials. A failed dial proves that the server did not process the request.
 const dialOperation = "dial"
 
-// hopByHopHeaders concern one connection only and are not forwarded.
+// hopByHopHeaders are valid for a single connection only and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-// bufferedResponse is a server's, read whole: a connection that breaks halfway is a failure, not half an bufferedResponse to the client.
+// bufferedResponse is a server's response, read completely before any of it is sent to the client. If the connection breaks
+// halfway, the attempt fails instead of the client getting half a response.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// writeTo passes the answer on to the client.
+// writeTo sends the response to the client.
 func (b *bufferedResponse) writeTo(response http.ResponseWriter) {
 	for name, values := range b.header {
 		response.Header()[name] = values
 	}
 	response.WriteHeader(b.status)
-	_, _ = response.Write(b.body) // fails when the client is gone, which is nobody's concern then
+	_, _ = response.Write(b.body) // fails only if the client has disconnected, so there is nobody to report it to
 }
 
-// outcome says what an answer means for the attempt.
+// outcome returns the outcome of the attempt that got the response.
 func (b *bufferedResponse) outcome() Outcome {
 	switch {
 	case b.status < http.StatusInternalServerError:
@@ -58,7 +59,7 @@
 	}
 }
 
-// attempt sends a request to a server once. The answer is nil if there was none.
+// attempt sends a request to a server once. The response is nil if none was received.
 func (p *Proxy) attempt(incoming *http.Request, body []byte, target destination, attemptNumber int) (*bufferedResponse, Outcome) {
 	timeout := time.Duration(max(target.limitMs, minAttemptMs) * float64(time.Millisecond))
 	ctx, cancel := context.WithTimeout(incoming.Context(), timeout)
@@ -70,7 +71,7 @@
 	}
 	response, err := target.transport.RoundTrip(outgoing)
 	if err != nil {
-		if isDialError(err) && !written.Load() { // a dial after bytes were written is the library's second attempt
+		if isDialError(err) && !written.Load() { // a dial after the request was written is a resend by the HTTP library
 			return nil, Unprocessed
 		}
 		return nil, Failed
@@ -84,9 +85,10 @@
 	return received, received.outcome()
 }
 
-// forbidResend guards against repeated effects. The HTTP library resends some requests by itself when a kept connection
-// breaks under them, after which nobody knows how often they were processed; it may do so only while nothing was written.
-// The flag says whether anything was.
+// forbidResend guards against processing a request twice. The HTTP library resends some requests by itself when a reused
+// connection breaks, although the server may already have processed the first copy. The returned context is cancelled when
+// the library gets a connection after the request was written, so it can resend only while nothing has been written. The
+// returned flag tells whether the headers of the request were written.
 func forbidResend(ctx context.Context, cancel context.CancelFunc) (context.Context, *atomic.Bool) {
 	written := &atomic.Bool{}
 	trace := &httptrace.ClientTrace{
@@ -117,17 +119,18 @@
 	return outgoing, nil
 }
 
-// isDialError says whether an error is of a transport's dial.
+// isDialError reports whether an error comes from dialServer.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == dialOperation
 }
 
-// closeBody releases the connection of an answer that was read; an error has no consequence.
+// closeBody releases the connection of a response that has been read. An error at this point has no consequence.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
-// transport gives the connections to a server. They dial once and wait no longer than the settings say: an overloaded or dead
-// server costs one short wait, after which there is proof that it processed nothing. The lock must be held.
+// transport returns the transport of a server and creates it if necessary. It dials once per attempt, with the settings' time
+// limit: an overloaded or dead server then costs one short wait, after which it is certain that the server did not process
+// the request. The lock must be held.
 func (p *Proxy) transport(server string) *http.Transport {
 	existing := p.transports[server]
 	if existing != nil {
@@ -145,7 +148,8 @@
 	return added
 }
 
-// dialServer is a transport's dial. Each error is marked as one of dialling, whatever the network makes of it.
+// dialServer is the DialContext of the transports. It wraps each error such that isDialError recognizes it, whatever type of
+// error the network returns.
 func (p *Proxy) dialServer(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, settings.Duration(p.Settings.ConnectWithin))
 	defer cancel()
@@ -156,7 +160,8 @@
 	return conn, nil
 }
 
-// closeUnusedTransports closes connections to servers that may receive nothing any more. The lock must be held.
+// closeUnusedTransports closes the connections to servers that have no attempt in flight and get no further requests. The
+// lock must be held.
 func (p *Proxy) closeUnusedTransports() {
 	for server, transport := range p.transports {
 		if !p.core.MayReceive(server) && p.core.inFlight[server] == 0 {
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -16,12 +16,12 @@
 
 const (
 	runMs                       = 20_000.0
-	digestIntervalMs            = 1000.0 // one line of a golden file
+	digestIntervalMs            = 1000.0 // time covered by each line of a golden file
 	reportIntervalMs            = 1000.0
 	orderIntervalMs             = 150.0
 	leaseRequestIntervalMs      = 700.0
 	leaseDurationMs             = 1200
-	requestIntervalMs           = 5.0 // from one request to the next
+	requestIntervalMs           = 5.0
 	serverCount                 = 9
 	classCount                  = 4
 	tableCount                  = 3
@@ -40,7 +40,7 @@
 standing: "10.0.0.1:80" standing: "10.0.0.2:80"
 `
 
-// openAttempt is one that was sent to a server.
+// openAttempt is an attempt in flight.
 type openAttempt struct {
 	request *proxy.Request
 	server  string
@@ -48,7 +48,7 @@
 	limitMs float64
 }
 
-// simulation is a proxy core with a planner and clients that act at random by a seed.
+// simulation runs a Core with a planner and clients whose actions are random, from a fixed seed.
 type simulation struct {
 	t        *testing.T
 	core     *proxy.Core
@@ -134,7 +134,7 @@
 	}
 }
 
-// sendOrders has the planner send one message of orders, or start over with a welcome.
+// sendOrders applies a random Orders message or, more rarely, starts a new session with a Welcome.
 func (c *simulation) sendOrders() {
 	if c.random.Float64() < welcomeProbability {
 		c.core.StartSession(&order.Welcome{Withdrawn: []string{c.randomServer()}})
@@ -182,7 +182,7 @@
 	c.attempts = append(c.attempts, openAttempt{request, server, c.nowMs, limitMs})
 }
 
-// finish ends an open attempt: at its limit, or before in one of three ways.
+// finish ends a random open attempt. It fails if it has reached its time limit, else it has a random outcome.
 func (c *simulation) finish() {
 	if len(c.attempts) == 0 {
 		return
@@ -205,7 +205,7 @@
 	}
 }
 
-// every says whether an interval ends at this time.
+// every reports whether the current time is a multiple of an interval.
 func (c *simulation) every(intervalMs float64) bool {
 	return int(c.nowMs)%int(intervalMs) == 0
 }
@@ -219,7 +219,7 @@
 		c.requestLease()
 	}
 	c.request()
-	for c.random.Intn(40) < len(c.attempts) { // the more are open, the sooner one ends
+	for c.random.Intn(40) < len(c.attempts) { // the more attempts are open, the more likely one ends
 		c.finish()
 	}
 	if c.every(reportIntervalMs) {
@@ -233,7 +233,7 @@
 	}
 }
 
-// TestGoldenCore compares every decision of a proxy's core, by the way in which it picks servers.
+// TestGoldenCore compares every decision of a Core in a simulation with a golden file, for each pick method.
 func TestGoldenCore(t *testing.T) {
 	for _, pick := range []string{"WEIGHTED", "ROUND", "TWO"} {
 		t.Run(pick, func(t *testing.T) {
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -10,7 +10,7 @@
 
 const testTable = 1
 
-// newTestCore makes a Core of two classes, "check" (idempotent) and "charge" (not), with more settings appended.
+// newTestCore returns a Core with two traffic classes, "check" (idempotent) and "charge" (not idempotent).
 func newTestCore(t *testing.T, extraSettings string) *Core {
 	t.Helper()
 	set := &pb.Proxy{}
@@ -23,7 +23,7 @@
 	return NewCore(set, 0)
 }
 
-// newAssignedCore makes a Core that a planner has assigned a table.
+// newAssignedCore returns a Core to which a planner has assigned a table for both classes.
 func newAssignedCore(t *testing.T, extraSettings string, entries ...*order.Line) *Core {
 	t.Helper()
 	core := newTestCore(t, extraSettings)
@@ -36,7 +36,7 @@
 	return &order.Line{Server: server, Weight: weight}
 }
 
-// assignOrder assigns a table to both classes.
+// assignOrder returns a message that assigns a table to both classes and ejects servers.
 func assignOrder(ejected []string, entries ...*order.Line) *order.Orders {
 	assignment := &order.Bind{Table: testTable, Groups: []uint32{0, 1}, Withdrawn: ejected, Lines: entries}
 	return &order.Orders{Orders: []*order.Order{{What: &order.Order_Bind{Bind: assignment}}}}
@@ -52,7 +52,7 @@
 	return &order.Orders{Orders: []*order.Order{{What: &order.Order_Withdraw{Withdraw: ejection}}}}
 }
 
-// countPicks sends requests of a class that all succeed, and counts where they went.
+// countPicks admits requests of a class, whose attempts all succeed, and counts the admitted ones by server.
 func countPicks(core *Core, class, requests int) map[string]int {
 	counts := map[string]int{}
 	for range requests {
--- a/internal/proxy/leasestate.go
+++ b/internal/proxy/leasestate.go
@@ -7,15 +7,21 @@
 	"lichenpick/proto/order"
 )
 
-// Bounds of what a proxy remembers for its next lease holder.
+// Limits of the history that a proxy keeps for its next lease holder.
 const (
-	recentOrdersWindowMs = 60000.0  // ms that messages of orders are remembered; a planner's window for them is seldom longer
-	maxRecentOrders      = 1000     // messages of orders that are remembered
-	drainRetentionMs     = 600000.0 // ms that a drain is stated to a next holder; its endpoint list shows it long before
+	// recentOrdersWindowMs is how long the time of an Orders message is kept. The planners' own window for limiting messages
+	// is seldom longer.
+	recentOrdersWindowMs = 60000.0
+	// maxRecentOrders is the largest number of Orders messages whose times are kept.
+	maxRecentOrders = 1000
+	// drainRetentionMs is how long the drain of a server is reported to a new lease holder. The endpoint list of the holder
+	// shows the drain long before that.
+	drainRetentionMs = 600000.0
 )
 
-// HandleLeaseRequest grants or rejects a controller's request for the proxy's lease, or its renewal. A newly granted lease
-// starts over like a new session: what the proxy holds stays in force until the new holder assigns other tables.
+// HandleLeaseRequest decides on a controller's request to get or renew the proxy's lease. A newly granted lease starts a new
+// session: the proxy's tables and ejections stay in force until the new holder assigns tables. newlyGranted is false for a
+// renewal.
 func (c *Core) HandleLeaseRequest(nowMs float64, request *order.Claim) (granted, newlyGranted bool) {
 	c.grantor.SetTime(nowMs)
 	previousEpoch := c.grantor.Epoch
@@ -27,19 +33,20 @@
 	return granted, newlyGranted
 }
 
-// AcceptsOrders says whether a controller's orders are to be applied: it holds the lease, under the epoch that they carry.
+// AcceptsOrders reports whether a controller's orders are to be applied: the controller must hold the lease under the epoch
+// that the orders state.
 func (c *Core) AcceptsOrders(nowMs float64, controller string, message *order.Orders) bool {
 	c.grantor.SetTime(nowMs)
 	return c.grantor.Accepts(controller, message.Incarnation, message.Epoch)
 }
 
-// isHolder says whether a controller's process holds the lease, as of the last time that the grantor was given.
+// isHolder reports whether a controller process holds the lease at the time last passed to the grantor.
 func (c *Core) isHolder(controller string, incarnation uint64) bool {
 	return c.grantor.Controller == controller && c.grantor.Incarnation == incarnation
 }
 
-// RecordOrders remembers that a message of orders came, whoever sent it and whether it is applied: each counts in the
-// window that limits messages to the proxy.
+// RecordOrders records the time of an Orders message. It must be called for each one, from any controller and whether or not
+// it is applied, because all of them count in the window that limits the messages to a proxy.
 func (c *Core) RecordOrders(nowMs float64) {
 	c.recentOrdersMs = append(c.recentOrdersMs, nowMs)
 	for c.recentOrdersMs[0] <= nowMs-recentOrdersWindowMs || len(c.recentOrdersMs) > maxRecentOrders {
@@ -47,8 +54,9 @@
 	}
 }
 
-// LeaseState says who holds the proxy's lease; to a new holder also what the proxy goes by, and which messages of orders
-// came lately. The caller owns it.
+// LeaseState returns a message that states who holds the proxy's lease. For a new holder, it also contains the tables,
+// ejections and admission rates in force, the draining servers, and the times of the latest Orders messages. The caller may
+// change the message.
 func (c *Core) LeaseState(nowMs float64, toNewHolder bool) *order.Lease {
 	c.grantor.SetTime(nowMs)
 	c.leaseStateCount++
--- a/internal/proxy/loadreport.go
+++ b/internal/proxy/loadreport.go
@@ -7,17 +7,17 @@
 	"lichenpick/proto/order"
 )
 
-// serverStats is what attempts at one server met since the last load report.
+// serverStats counts the attempts at one server that ended since the last load report.
 type serverStats struct {
 	attempts  int
 	failed    int
-	latencyMs float64 // summed over those that succeeded
+	latencyMs float64 // sum over the successful attempts
 }
 
-// classStats is what became of one traffic class's requests since the last load report.
+// classStats counts the requests of one traffic class since the last load report.
 type classStats struct {
-	requests int
-	failed   int // admitted, and without an answer
+	requests int // arrived, whether or not admitted
+	failed   int // admitted, but without a successful attempt
 }
 
 func (c *Core) recordAttempt(server string, outcome Outcome, tookMs float64) {
@@ -34,7 +34,7 @@
 	}
 }
 
-// TakeLoadReport gives what was met since the last call, servers by name, and starts anew.
+// TakeLoadReport returns the statistics since the previous call, with the servers sorted by name, and resets them.
 func (c *Core) TakeLoadReport(nowMs float64) *order.Sums {
 	report := &order.Sums{CoversMs: nowMs - c.lastReportMs}
 	for name, stats := range c.statsByServer {
@@ -46,7 +46,8 @@
 	}
 	slices.SortFunc(report.Servers, func(a, b *order.ServerSum) int { return cmp.Compare(a.Server, b.Server) })
 	for class, stats := range c.statsByClass {
-		// A request may fail in a later interval than it came in; planners reject more failures than requests.
+		// A request can fail in a later interval than it arrived in, but planners reject a report with more failures than
+		// requests.
 		failed := min(stats.failed, stats.requests)
 		report.Groups = append(report.Groups, &order.GroupSum{
 			Group: uint32(class), Came: uint32(stats.requests), Dropped: uint32(failed),
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -2,7 +2,7 @@
 
 import pb "lichenpick/proto/settings"
 
-// choose picks one of the candidates, at least one, in the way that the settings say.
+// choose picks one of the candidates by the configured method. There must be at least one candidate.
 func (c *Core) choose(candidates []*weightEntry) *weightEntry {
 	total := 0.0
 	for _, entry := range candidates {
@@ -18,7 +18,7 @@
 	}
 }
 
-// chooseRandom picks at random by weight.
+// chooseRandom picks a candidate at random, with a probability proportional to its weight.
 func (c *Core) chooseRandom(candidates []*weightEntry, total float64) *weightEntry {
 	point := c.random.Float64() * total
 	for _, entry := range candidates {
@@ -27,10 +27,11 @@
 			return entry
 		}
 	}
-	return candidates[len(candidates)-1] // rounding may leave a rest
+	return candidates[len(candidates)-1] // reached only if rounding errors leave point at 0 or above
 }
 
-// chooseOfTwo draws two at random by weight and picks the one with fewer attempts in flight: the power of two choices.
+// chooseOfTwo draws two candidates at random by weight and picks the one with fewer attempts in flight ("power of two
+// choices"). Both draws may give the same candidate.
 func (c *Core) chooseOfTwo(candidates []*weightEntry, total float64) *weightEntry {
 	first := c.chooseRandom(candidates, total)
 	if len(candidates) == 1 {
@@ -43,8 +44,8 @@
 	return first
 }
 
-// chooseRoundRobin picks by smooth weighted round robin: each entry gains its weight at each pick, and the picked one pays
-// the total.
+// chooseRoundRobin picks by smooth weighted round robin: each pick adds every candidate's weight to its credit, chooses the
+// candidate with the highest credit and subtracts the sum of the weights from that credit.
 func chooseRoundRobin(candidates []*weightEntry, total float64) *weightEntry {
 	var best *weightEntry
 	for _, entry := range candidates {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -19,7 +19,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// startProxy runs a proxy without a planner, whose standing table holds some servers, and gives its address.
+// startProxy runs a proxy without a planner and with a standing table of the given servers, and returns its address.
 func startProxy(t *testing.T, extraSettings string, servers ...string) (running *Proxy, address string) {
 	t.Helper()
 	text := `name: "x" listen: "127.0.0.1:0" planners: "127.0.0.1:1" default_retry: ONCE
@@ -39,7 +39,7 @@
 		Settings: set, Clock: clock.NewReal(), Network: clock.TCP{}, Log: slog.New(slog.DiscardHandler),
 		Ready: func(address net.Addr) { ready <- address.String() },
 	})
-	go func() { done <- running.Run(t.Context()) }() // the context ends before the first cleanup
+	go func() { done <- running.Run(t.Context()) }() // the context is cancelled before the cleanup functions run
 	t.Cleanup(func() {
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -48,18 +48,18 @@
 	return running, <-ready
 }
 
-// listen opens a port that is closed at the test's end.
+// listen returns a listener on a free local port that is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // often closed by then
+	t.Cleanup(func() { _ = listener.Close() }) // fails if the test has closed it already
 	return listener
 }
 
-// closedAddress is one at which nothing listens.
+// closedAddress returns an address at which nothing listens.
 func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener := listen(t)
@@ -69,18 +69,18 @@
 	return listener.Addr().String()
 }
 
-// startServer serves requests by a handler and gives the address.
+// startServer runs an HTTP server and returns its address.
 func startServer(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	listener := listen(t)
 	server := &http.Server{Handler: handler, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
-	go func() { _ = server.Serve(listener) }() // ends by Close
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-// send has a client send a request, and gives the status and the proxy's outcome of the answer. Headers are name and value
-// in turn.
+// send sends a request as a client and returns the status and the OutcomeHeader of the response. The headers are given as
+// alternating names and values.
 func send(t *testing.T, address, method, class, body string, headers ...string) (status int, outcome string) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+address+"/x", strings.NewReader(body))
@@ -102,7 +102,7 @@
 	return response.StatusCode, response.Header.Get(OutcomeHeader)
 }
 
-// checkSend sends a request without a body and checks how it is answered.
+// checkSend sends a request without a body and checks the status and the OutcomeHeader of the response.
 func checkSend(t *testing.T, address, class string, wantStatus int, wantOutcome string) {
 	t.Helper()
 	status, outcome := send(t, address, "GET", class, "")
@@ -111,8 +111,8 @@
 	}
 }
 
-// startBreakingServer serves one connection: it answers the first request, and at the second one reads it, closes the
-// listener and breaks.
+// startBreakingServer starts a server that accepts a single connection. It responds to the first request. It reads the second
+// request and then closes the listener and the connection without a response.
 func startBreakingServer(t *testing.T, received *atomic.Int32) string {
 	t.Helper()
 	listener := listen(t)
@@ -140,19 +140,21 @@
 }
 
 func TestProxy(t *testing.T) {
-	// A kept connection that breaks under a written request is no proof, also when the library then dials again and is
-	// refused. Guards against the repeat of a processed request; covers all that the library takes for safe to resend.
+	// A reused connection that breaks after the request was written does not prove that the server did not process it, even
+	// if the HTTP library then dials again and that dial is refused. The cases are the kinds of requests that the library
+	// considers safe to resend: those with an idempotent method and those with an Idempotency-Key header. Without the
+	// protection of forbidResend, a request that was already processed would be sent to another server.
 	for _, test := range []struct{ method, class, idempotencyKey string }{
 		{"GET", "charge", ""},
 		{"POST", "start", "k1"},
 		{"POST", "charge", "k2"},
 	} {
-		t.Run("a request that was written is not repeated: "+test.method+" "+test.class, func(t *testing.T) {
+		t.Run("a request that was written is not sent again: "+test.method+" "+test.class, func(t *testing.T) {
 			checkWrittenNotRepeated(t, test.method, test.class, test.idempotencyKey)
 		})
 	}
-	t.Run("a server that does not listen is proof, and the request goes to another with its body", checkRetryAfterRefusedDial)
-	t.Run("what is not admitted, or has no server, is rejected at once with a time to retry after", func(t *testing.T) {
+	t.Run("after a refused dial a request is retried at another server with its body", checkRetryAfterRefusedDial)
+	t.Run("a request that is not admitted, has no server or is of an unknown class is rejected", func(t *testing.T) {
 		running, address := startProxy(t, "")
 		checkSend(t, address, "check", http.StatusServiceUnavailable, "bare")
 		running.mu.Lock()
@@ -161,7 +163,7 @@
 		checkSend(t, address, "check", http.StatusServiceUnavailable, "blocked")
 		checkSend(t, address, "no such", http.StatusBadRequest, "odd")
 	})
-	t.Run("tables change under thousands of requests, and none that is not idempotent is processed twice", checkChangesUnderLoad)
+	t.Run("no request that is not idempotent is processed twice while tables change", checkChangesUnderLoad)
 }
 
 func checkWrittenNotRepeated(t *testing.T, method, class, idempotencyKey string) {
@@ -173,16 +175,16 @@
 		headers = []string{"Idempotency-Key", idempotencyKey}
 	}
 	send(t, address, method, class, "", headers...)
-	running.mu.Lock() // now the table holds another server, to which a repeat could go
+	running.mu.Lock() // adds another server to the table, to which a retry could go
 	assigned := running.core.tableByClass[0]
 	assigned.entries = append(assigned.entries, &weightEntry{server: second, weight: 1e-9})
 	running.mu.Unlock()
 	status, outcome := send(t, address, method, class, "", headers...)
 	if received.Load() != 2 || other.Load() != 0 {
-		t.Errorf("received %d times, by the other server %d", received.Load(), other.Load())
+		t.Errorf("the server received %d requests and the other server %d, want 2 and 0", received.Load(), other.Load())
 	}
 	if status != http.StatusBadGateway || outcome != "dropped" {
-		t.Errorf("status %d, outcome %q", status, outcome)
+		t.Errorf("status %d, outcome %q, want 502, dropped", status, outcome)
 	}
 }
 
@@ -195,21 +197,21 @@
 	_, address := startProxy(t, "pick: ROUND", closedAddress(t), server)
 	for range 4 {
 		if status, _ := send(t, address, "POST", "charge", "amount=5"); status != http.StatusOK {
-			t.Errorf("status %d", status)
+			t.Errorf("status %d, want 200", status)
 		}
 	}
 	if text, _ := received.Load().(string); !strings.HasSuffix(text, " amount=5") {
-		t.Errorf("received %q", text)
+		t.Errorf("the server received attempt number and body %q, want the body amount=5", text)
 	}
 }
 
-// processedCounter counts how often each request was processed, by its id.
+// processedCounter counts how often each request was processed, by its identifier.
 type processedCounter struct {
 	mu    sync.Mutex
 	times map[string]int
 }
 
-// record counts a request and gives how many were processed so far.
+// record counts a request and returns the number of distinct requests processed so far.
 func (p *processedCounter) record(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,8 +219,8 @@
 	return len(p.times)
 }
 
-// startServers starts four servers, of which the first aborts some requests after it processed them, and the second answers
-// some with a failure, and adds the address of one that no longer listens.
+// startServers returns the addresses of four running servers and of one that does not listen. The first server aborts some
+// requests after processing them, and the second responds to some with an error.
 func startServers(t *testing.T, processed *processedCounter) []string {
 	t.Helper()
 	var servers []string
@@ -236,7 +238,7 @@
 	return append(servers, closedAddress(t))
 }
 
-// changeTables has a planner change a proxy's tables as fast as it can, until the returned function is called.
+// changeTables changes a proxy's tables and ejections as fast as possible, as a planner would, until stop is called.
 func changeTables(running *Proxy, servers []string) (stop func()) {
 	done := make(chan struct{})
 	var changes sync.WaitGroup
@@ -300,11 +302,11 @@
 		}
 	}
 	if succeeded.Load() < wantSucceeded {
-		t.Errorf("%d of %d succeeded", succeeded.Load(), clientCount*requestsPerClient)
+		t.Errorf("%d of %d requests succeeded, want at least wantSucceeded", succeeded.Load(), clientCount*requestsPerClient)
 	}
 }
 
-// sendCharge sends a request that is not idempotent, with an id, and gives the status of its answer.
+// sendCharge sends a request of the class "charge", which is not idempotent, and returns the status of the response.
 func sendCharge(ctx context.Context, address, id string) (status int, err error) {
 	request, err := http.NewRequestWithContext(ctx, "POST", "http://"+address+"/", strings.NewReader("x"))
 	if err != nil {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -8,21 +8,21 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome int
 
 // Outcomes of an attempt.
 const (
-	Succeeded   Outcome = iota // answered
-	Unprocessed                // failed, with proof that no server processed it: no connection, or the server said so
-	Failed                     // failed, and may have been processed
+	Succeeded   Outcome = iota // the server responded, and not with a failure
+	Unprocessed                // failed with proof that the server did not process it: no connection, or the server's statement
+	Failed                     // failed, and the server may have processed it
 )
 
-// minRemainingFraction is the part of a request's deadline that must be left for a retry. One with less would not be answered in
-// time either, and only add load.
+// minRemainingFraction is the fraction of a request's time limit that must remain for a retry. With less time left, the retry
+// would most likely miss the deadline too and only add load.
 const minRemainingFraction = 0.1
 
-// retriesByMode is how many retries a mode allows.
+// retriesByMode is the number of retries that each retry mode allows.
 var retriesByMode = [...]int{
 	policy.RetryNever:       0,
 	policy.RetryUnprocessed: 1,
@@ -30,15 +30,16 @@
 	policy.RetryTwice:       2,
 }
 
-// Request is one that was admitted. Its attempts run one after the other.
+// Request is the state of an admitted request. Its attempts run one after the other.
 type Request struct {
-	Class      int // traffic class, as its index in the settings
-	Attempts   int // started so far
+	Class      int // traffic class, as an index into the settings' list of classes
+	Attempts   int // number of attempts started
 	admittedMs float64
-	attempted  []string // servers
+	attempted  []string // servers of these attempts
 }
 
-// Admit counts a request of a class and says whether it is admitted. The caller rejects it otherwise.
+// Admit counts a request of a traffic class and decides at random, by the class's admission rate, whether to admit it. The
+// caller must reject a request that is not admitted.
 func (c *Core) Admit(nowMs float64, class int) (request *Request, admitted bool) {
 	c.statsByClass[class].requests++
 	fraction := c.admissions[class].fraction
@@ -48,8 +49,8 @@
 	return &Request{Class: class, admittedMs: nowMs}, true
 }
 
-// Pick chooses the server of the next attempt and says how long that may take, in ms; ok is false if there is none. Each
-// picked attempt must be ended by FinishAttempt; a request that found no server by RecordNoServer.
+// Pick chooses the server of a request's next attempt and returns the attempt's time limit in ms. ok is false if there is no
+// server. The caller must call FinishAttempt at the end of the attempt, or RecordNoServer if ok is false.
 func (c *Core) Pick(nowMs float64, request *Request) (server string, limitMs float64, ok bool) {
 	candidates := c.candidates(request)
 	if len(candidates) == 0 {
@@ -67,7 +68,7 @@
 	return server, limitMs, true
 }
 
-// candidates are the entries that the next attempt of a request may go to.
+// candidates returns the table entries of the servers that the next attempt of a request may go to.
 func (c *Core) candidates(request *Request) []*weightEntry {
 	assigned := c.tableByClass[request.Class]
 	candidates := make([]*weightEntry, 0, len(assigned.entries))
@@ -79,7 +80,7 @@
 	return candidates
 }
 
-// hasCandidate says whether the next attempt of a request has a server to go to.
+// hasCandidate reports whether there is a server that the next attempt of a request may go to.
 func (c *Core) hasCandidate(request *Request) bool {
 	assigned := c.tableByClass[request.Class]
 	return slices.ContainsFunc(assigned.entries, func(entry *weightEntry) bool {
@@ -87,14 +88,15 @@
 	})
 }
 
-// isCandidate says whether an entry can be picked: with weight, not ejected, and not attempted before, as a retry at the same
-// server would most likely meet the same fault.
+// isCandidate reports whether an entry can be picked: it has a positive weight, and its server is not ejected and was not
+// attempted before for this request. A retry at the same server would most likely fail for the same reason.
 func (c *Core) isCandidate(assigned *table, entry *weightEntry, request *Request) bool {
 	return entry.weight > 0 && !c.isEjected(assigned, entry.server) && !slices.Contains(request.attempted, entry.server)
 }
 
-// remainingRetries is how many more attempts the orders allow if the present one ends with an outcome. It guards against
-// repeated effects: without proof that it was not processed, only an idempotent request is retried, whatever was ordered.
+// remainingRetries returns how many more attempts the retry mode allows if the current one ends with the given outcome. To
+// prevent a request from being processed twice, it allows none for a request that is not idempotent unless the outcome proves
+// that the server did not process it, whatever the planner ordered.
 func (c *Core) remainingRetries(request *Request, outcome Outcome) int {
 	mode := c.admissions[request.Class].retry
 	idempotent := c.classes[request.Class].Repeat == pb.Repeat_RETRIABLE
@@ -104,7 +106,8 @@
 	return max(retriesByMode[mode]+1-request.Attempts, 0)
 }
 
-// FinishAttempt records how an attempt ended after some ms, and says whether the request is to be retried by Pick.
+// FinishAttempt records the outcome and the duration of an attempt and reports whether the request is to be retried, with
+// another call of Pick.
 func (c *Core) FinishAttempt(nowMs float64, request *Request, server string, outcome Outcome, tookMs float64) (retry bool) {
 	c.inFlight[server]--
 	if c.inFlight[server] <= 0 {
@@ -121,12 +124,13 @@
 	return false
 }
 
-// mayRetry says whether a failed request is to be retried: allowed, with time left, and with another server to go to.
+// mayRetry reports whether a failed request is to be retried: its retry mode allows it, enough time remains, and there is
+// another server.
 func (c *Core) mayRetry(nowMs float64, request *Request, outcome Outcome) bool {
 	deadlineMs := settings.Milliseconds(c.classes[request.Class].Expiry)
 	remainingMs := request.admittedMs + deadlineMs - nowMs
 	return c.remainingRetries(request, outcome) > 0 && remainingMs > minRemainingFraction*deadlineMs && c.hasCandidate(request)
 }
 
-// RecordNoServer records that an admitted request found no server.
+// RecordNoServer records that an admitted request failed because Pick found no server.
 func (c *Core) RecordNoServer(request *Request) { c.statsByClass[request.Class].failed++ }
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -15,21 +15,21 @@
 	"lichenpick/internal/settings"
 )
 
-// Limits of the HTTP server for clients.
+// Time limits of the HTTP server for clients.
 const (
 	readHeaderTimeout = 5 * time.Second
-	shutdownTimeout   = time.Second // that requests in flight are given when the proxy shuts down
+	shutdownTimeout   = time.Second // time for requests in flight to finish when the proxy shuts down
 )
 
-// Proxy is a running proxy: a ControlClient that forwards requests by the orders it received.
+// Proxy is a ControlClient with an HTTP server that forwards requests according to the orders received.
 type Proxy struct {
 	*ControlClient
-	transports    map[string]*http.Transport // to servers, by address; guarded by the client's lock
-	classByName   map[string]int
-	inFlightCount atomic.Int64
+	transports    map[string]*http.Transport // by server address; guarded by the mutex of ControlClient
+	classByName   map[string]int             // index of each traffic class in the settings
+	inFlightCount atomic.Int64               // requests from clients in flight
 }
 
-// New makes a proxy that is not running yet.
+// New returns a proxy that is not running yet.
 func New(options Options) *Proxy {
 	proxy := &Proxy{
 		ControlClient: NewControlClient(options),
@@ -43,8 +43,8 @@
 	return proxy
 }
 
-// Run serves clients and keeps the control streams until the context ends; it then lets requests in flight finish for a short
-// while. It returns an error if it cannot listen or serve.
+// Run serves clients and maintains the control streams until the context ends. It then waits a short time for requests in
+// flight to finish. It returns an error if it cannot listen or serve.
 func (p *Proxy) Run(ctx context.Context) error {
 	listener, err := p.Network.Listen(ctx, p.Settings.Listen)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return group.Wait()
 }
 
-// serve takes requests until the server is shut down.
+// serve serves requests until the server is shut down.
 func serve(server *http.Server, listener net.Listener) error {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serving requests: %w", err)
@@ -79,12 +79,13 @@
 	return nil
 }
 
-// shutDown lets requests in flight finish, and closes connections.
+// shutDown waits up to shutdownTimeout for requests in flight, and then closes the connections to clients and the idle
+// connections to servers.
 func (p *Proxy) shutDown(ctx context.Context, server *http.Server) {
 	graceCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(graceCtx) != nil {
-		_ = server.Close() // what is left is cut off; its error has no consequence any more
+		_ = server.Close() // aborts the remaining requests; an error has no consequence at this point
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -10,29 +10,29 @@
 	"lichenpick/proto/order"
 )
 
-// Faults of a planner's messages that end its stream.
+// Protocol violations of a planner that end its stream.
 var (
-	errSharingMismatch     = errors.New("'sharing' is set at one side only")
-	errForeignLeaseRequest = errors.New("a lease request in another controller's name")
+	errSharingMismatch     = errors.New("'sharing' is set on only one of proxy and planner")
+	errForeignLeaseRequest = errors.New("invalid lease request: sharing is off, or it names another controller or process")
 )
 
-// session is one stream to a planner, as its controlstream.ProxyHost. Its fields below the outbox are guarded by the client's
-// lock, but for fault, which only the reading goroutine uses.
+// session is the state of one stream to a planner and its controlstream.ProxyHost. The second group of fields is guarded by
+// the client's mutex, except for protocolErr, which only the reading goroutine uses.
 type session struct {
 	client       *ControlClient
 	outbox       chan queuedFrame
-	overflowed   chan struct{} // closed when the outbox was full
+	overflowed   chan struct{} // closed when a frame did not fit into the outbox
 	overflowOnce sync.Once
 
-	joined         bool
+	joined         bool // whether the planner has welcomed the proxy
 	controller     string
 	incarnation    uint64
-	takesLeases    bool    // whether the controller says so
-	lastReceivedMs float64 // when bytes last came
-	protocolErr    error   // of the planner; ends the stream
+	takesLeases    bool    // whether the controller accepts leases, by its own last statement
+	lastReceivedMs float64 // time at which bytes were last received
+	protocolErr    error   // protocol violation by the planner, which ends the stream
 }
 
-// queuedFrame is a frame that waits to be sent; a nil body is none.
+// queuedFrame is a frame to be sent. The body is nil if it is empty.
 type queuedFrame struct {
 	kind controlstream.FrameKind
 	body proto.Message
@@ -42,8 +42,8 @@
 	return &session{client: client, outbox: make(chan queuedFrame, maxOutboxFrames), overflowed: make(chan struct{})}
 }
 
-// send queues a frame. It never waits, as the client's lock is held: a planner that does not read must not hold up requests.
-// When the outbox is full the stream ends.
+// send queues a frame. If the outbox is full, it ends the stream instead of blocking: callers hold the client's mutex, so
+// blocking on a slow planner would block all requests of the proxy.
 func (s *session) send(kind controlstream.FrameKind, body proto.Message) {
 	select {
 	case s.outbox <- queuedFrame{kind: kind, body: body}:
@@ -52,10 +52,10 @@
 	}
 }
 
-// isHolder says whether this session's controller holds the lease. The client's lock must be held.
+// isHolder reports whether this session's controller holds the lease. The client's mutex must be held.
 func (s *session) isHolder() bool { return s.client.core.isHolder(s.controller, s.incarnation) }
 
-// recordActivity notes that the planner sent something, also less than a frame.
+// recordActivity records that bytes were received from the planner, be it only a part of a frame.
 func (s *session) recordActivity() {
 	client := s.client
 	client.mu.Lock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// OnWelcome starts the session, unless the planner and the proxy disagree on sharing the fleet.
+// OnWelcome starts the session. It ends the stream if the planner and the proxy have different sharing settings.
 func (s *session) OnWelcome(welcome *order.Welcome) {
 	client := s.client
 	client.mu.Lock()
@@ -88,7 +88,8 @@
 	client.announceLease(nil)
 }
 
-// OnOrders applies a message and acknowledges it, or rejects it if its sender does not hold the lease under its epoch.
+// OnOrders applies a message and acknowledges it. Where several controllers share the fleet, it rejects the message, in its
+// acknowledgement, if the sender does not hold the lease under the message's epoch.
 func (s *session) OnOrders(message *order.Orders) {
 	client := s.client
 	client.mu.Lock()
@@ -111,7 +112,7 @@
 	})
 }
 
-// OnLeaseRequest answers a request for the lease, and announces a change of its holder to the others.
+// OnLeaseRequest responds to a request for the lease. If the holder changes, it announces that to the other controllers.
 func (s *session) OnLeaseRequest(request *order.Claim) {
 	client := s.client
 	client.mu.Lock()
@@ -135,7 +136,7 @@
 	}
 }
 
-// recordTakeover notes that this session's controller got the lease. The client's lock must be held.
+// recordTakeover records that this session's controller was newly granted the lease. The client's mutex must be held.
 func (s *session) recordTakeover(nowMs float64) {
 	client := s.client
 	last := client.lastHolder
@@ -146,7 +147,7 @@
 	client.lastHolder = leaseHolder{controller: s.controller, incarnation: s.incarnation, lastReceivedMs: nowMs}
 }
 
-// OnLeaseRelease frees the lease if its holder gives it back.
+// OnLeaseRelease frees the lease and announces that, if the sender holds it under the stated epoch.
 func (s *session) OnLeaseRelease(release *order.Release) {
 	client := s.client
 	client.mu.Lock()
@@ -157,7 +158,7 @@
 	}
 }
 
-// OnControllerStatus notes whether the controller takes leases, and announces a change to all.
+// OnControllerStatus records whether the controller accepts leases, and announces a change to all controllers.
 func (s *session) OnControllerStatus(status *order.Standing) {
 	client := s.client
 	client.mu.Lock()
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -15,11 +15,12 @@
 	"lichenpick/proto/order"
 )
 
-// shutdownReason is the reason stated to planners when the proxy shuts down.
+// shutdownReason is the reason in the close frame that planners get when the proxy shuts down.
 const shutdownReason = "the proxy ends"
 
-// runStream dials a planner and holds the stream until it ends. It says whether the planner welcomed the proxy, and why the
-// stream ended: a *controlstream.CloseError if this package's end or the planner closed it.
+// runStream dials a planner and runs the stream until it ends. joined reports whether the planner welcomed the proxy
+// without a protocol violation. err is the reason why the stream ended: a *controlstream.CloseError if this end closed the
+// stream or received a close frame.
 func (c *ControlClient) runStream(ctx context.Context, planner string, streamNumber uint64) (joined bool, err error) {
 	conn, err := c.dial(ctx, planner)
 	if err != nil {
@@ -51,16 +52,16 @@
 	return session.joined && session.protocolErr == nil, err
 }
 
-// closeConnection closes a connection that is of no more use. An error has no consequence: nothing is written after it.
+// closeConnection closes a connection that is no longer used. An error has no consequence, as nothing is written any more.
 func closeConnection(conn net.Conn) { _ = conn.Close() }
 
-// read delivers what a planner sends until the stream ends, and returns why.
+// read receives a planner's messages and passes them to the session until the stream ends, and returns the reason.
 func (s *session) read(conn net.Conn, codec *controlstream.ProxySession) error {
 	timeSource := s.client.Clock
 	buffer := make([]byte, readBufferBytes)
 	for {
 		remainingMs := codec.Deadline() - timeSource.Monotonic()
-		_ = conn.SetReadDeadline(timeSource.Deadline(max(remainingMs, 1))) // fails on a closed connection, as Read then does
+		_ = conn.SetReadDeadline(timeSource.Deadline(max(remainingMs, 1))) // on a closed connection, Read fails too
 		size, err := conn.Read(buffer)
 		codec.Feed(timeSource.Monotonic(), buffer[:size])
 		if size > 0 {
@@ -84,21 +85,21 @@
 	return errors.As(err, &networkError) && networkError.Timeout()
 }
 
-// streamWriter is the only writer of a connection to a planner.
+// streamWriter writes to a connection to a planner. Nothing else writes to the connection.
 type streamWriter struct {
 	session *session
 	conn    net.Conn
-	codec   *controlstream.ProxySession // only its Append is used, which shares nothing with the reader
-	buffer  []byte
+	codec   *controlstream.ProxySession // only Append is called, which may run concurrently with the reader's calls
+	buffer  []byte                      // reused for each frame
 }
 
-// run sends what is queued, and a load report or heartbeat in each interval, until streamCtx ends, a write fails or the
-// outbox overflows. When the proxy's own context ended, it says so to the planner.
+// run sends the queued frames, and a load report or heartbeat in each report interval, until streamCtx ends, a write fails or
+// the outbox overflows. If proxyCtx has ended too, because the proxy shuts down, it sends a close frame.
 func (w *streamWriter) run(streamCtx, proxyCtx context.Context) {
 	client := w.session.client
 	intervalMs := settings.Milliseconds(client.Settings.ReportEvery)
-	// The first report comes at a moment drawn by the process, as all proxies would otherwise report at once after a
-	// planner's restart.
+	// The first report is sent at a random time within the interval. Otherwise all proxies would report at the same time
+	// after a planner's restart.
 	random := rand.New(rand.NewSource(int64(client.incarnation)))
 	nextReportMs := client.Clock.Monotonic() + intervalMs*random.Float64()
 	for {
@@ -127,7 +128,8 @@
 	}
 }
 
-// write sends one frame and says whether it went out. The caller ends the stream otherwise; the reader reports why.
+// write sends one frame and reports whether it succeeded. If not, the caller ends the stream, and the reader returns the
+// reason.
 func (w *streamWriter) write(kind controlstream.FrameKind, body proto.Message) bool {
 	var err error
 	w.buffer, err = w.codec.Append(w.buffer[:0], kind, body)
@@ -141,7 +143,8 @@
 	return err == nil
 }
 
-// report gives what is due to a planner now: load if it commands the proxy, else a heartbeat; kind 0 before it joined.
+// report returns the frame to send when a report is due: a load report if the planner commands the proxy, else a heartbeat.
+// Before the planner has welcomed the proxy, it returns kind 0, which means that nothing is to be sent.
 func (s *session) report() (controlstream.FrameKind, proto.Message) {
 	client := s.client
 	client.mu.Lock()
--- a/internal/proxy/tables.go
+++ b/internal/proxy/tables.go
@@ -6,32 +6,32 @@
 	"lichenpick/proto/order"
 )
 
-// weightEntry is a server's part of a weight table.
+// weightEntry is a server in a weight table.
 type weightEntry struct {
 	server string
 	weight float64
-	credit float64 // of smooth weighted round robin
+	credit float64 // current credit of the smooth weighted round robin, see chooseRoundRobin
 }
 
-// table is a weight table that some traffic classes go by, with the ejections of the session that assigned it.
+// table is a weight table for one or more traffic classes.
 type table struct {
 	entries []*weightEntry
-	ejected map[string]bool
+	ejected map[string]bool // servers ejected in the session that assigned the table
 }
 
-// indexOf finds a server's entry; -1 if it has none.
+// indexOf returns the index of a server's entry, or -1 if it has none.
 func (t *table) indexOf(server string) int {
 	return slices.IndexFunc(t.entries, func(entry *weightEntry) bool { return entry.server == server })
 }
 
-// admission is what a class is ordered to admit and to retry.
+// admission is the admission rate and the retry mode of a traffic class.
 type admission struct {
-	fraction float64 // of its requests, from 0 to 1
-	retry    int     // retry mode, one of policy.RetryNever to policy.RetryTwice
+	fraction float64 // fraction of the requests to admit, from 0 to 1
+	retry    int     // retry mode, from policy.RetryNever to policy.RetryTwice
 }
 
-// ApplyOrders applies a message whole, and returns the acknowledgements that it asks for. The orders must be valid, as a
-// controlstream.ProxySession delivers them.
+// ApplyOrders applies all orders of a message and returns the numbers of the acknowledgements that it requests. The orders
+// must be valid; controlstream.ProxySession delivers only valid ones.
 func (c *Core) ApplyOrders(message *order.Orders) (acknowledgements []uint32) {
 	for _, ord := range message.Orders {
 		switch variant := ord.What.(type) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// setWeight changes a weight; 0 removes the entry. A table of an earlier session is not known by its number any more.
+// setWeight sets a server's weight in a table; weight 0 removes the entry. It ignores a number that the current session has
+// assigned no table to, because table numbers of earlier sessions are no longer valid.
 func (c *Core) setWeight(number uint32, entry *order.Line) {
 	assigned := c.tables[number]
 	if assigned == nil {
@@ -75,7 +76,7 @@
 }
 
 func (c *Core) assignTable(assignment *order.Bind) {
-	if !c.tableAssigned { // admission rates of an earlier planner end with its tables
+	if !c.tableAssigned { // the first table of a session resets the admission rates that an earlier session set
 		c.tableAssigned = true
 		for class := range c.admissions {
 			c.admissions[class] = c.admitAll()
@@ -118,34 +119,36 @@
 		delete(c.ejected, ejection.Server)
 	}
 	if ejection.Going {
-		c.drainingSinceMs[ejection.Server] = c.lastReportMs // orders carry no time of the proxy's clock; the last report's is near enough
+		// Orders are applied without the current time. The time of the last load report is close enough.
+		c.drainingSinceMs[ejection.Server] = c.lastReportMs
 	} else {
 		delete(c.drainingSinceMs, ejection.Server)
 	}
 }
 
-// setAdmission sets a class's admission. Classes beyond those of the settings are ignored: a planner with another count
-// rejects the proxy's join.
+// setAdmission sets the admission of a traffic class. It ignores classes that are not in the settings; a planner with another
+// number of classes would have rejected the proxy's join.
 func (c *Core) setAdmission(level *order.Level) {
 	if int(level.Group) < len(c.admissions) {
 		c.admissions[level.Group] = admission{fraction: level.Share, retry: int(level.Retry)}
 	}
 }
 
-// isEjected says whether a server may get no request by a table: ejected by the session that assigned the table, or by the
-// present one.
+// isEjected reports whether a server of a table must get no requests: it was ejected in the session that assigned the table
+// or is ejected in the current one.
 func (c *Core) isEjected(assigned *table, server string) bool {
 	return assigned.ejected[server] || c.ejected[server]
 }
 
-// MayReceive says whether requests of any class may be sent to a server.
+// MayReceive reports whether requests of at least one traffic class may be sent to a server.
 func (c *Core) MayReceive(server string) bool {
 	return slices.ContainsFunc(c.tableByClass, func(assigned *table) bool {
 		return !c.isEjected(assigned, server) && assigned.indexOf(server) >= 0
 	})
 }
 
-// HeldTables gives the tables that the proxy goes by, for a join or a new lease holder. The caller owns them.
+// HeldTables returns the tables in force with their ejections and traffic classes, for a Join message or a new lease holder.
+// The caller may change them.
 func (c *Core) HeldTables() (tables []*order.Holding) {
 	holdingByTable := map[*table]*order.Holding{}
 	for class, assigned := range c.tableByClass {
@@ -160,6 +163,7 @@
 	return tables
 }
 
+// newHolding returns a table's entries and ejected servers, without its traffic classes.
 func (c *Core) newHolding(assigned *table) *order.Holding {
 	holding := &order.Holding{}
 	for _, entry := range assigned.entries {
