--- a/internal/controlstream/decoder.go
+++ b/internal/controlstream/decoder.go
@@ -24,8 +24,8 @@
 // NewDecoder returns a Decoder that rejects frames with a body of more than maxBodyBytes.
 func NewDecoder(maxBodyBytes int) *Decoder { return &Decoder{maxBodyBytes: maxBodyBytes} }
 
-// Feed adds received bytes, which it copies. Call Next for all complete frames before the next Feed, which overwrites the
-// bodies of the frames returned so far. After an error, Feed does nothing.
+// Feed adds received bytes, which it copies. It overwrites the bodies of the frames returned so far. Call Next until it
+// returns no frame before the next Feed, so that no complete frames pile up in the buffer. After an error, Feed does nothing.
 func (d *Decoder) Feed(data []byte) {
 	if d.closeErr != nil {
 		return
--- a/internal/controlstream/session.go
+++ b/internal/controlstream/session.go
@@ -39,7 +39,7 @@
 }
 
 // Feed sets the time in ms and adds the bytes received by then; data may be empty. Call Next until it returns false before
-// the next Feed, which overwrites the bytes of frames that have not been processed yet.
+// the next Feed, so that no complete frames pile up in the buffer.
 func (s *session) Feed(nowMs float64, data []byte) {
 	s.nowMs = nowMs
 	s.decoder.Feed(data)
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -21,7 +21,7 @@
 	// Orders received from planners.
 	tableByClass  []*table          // the table in force for each traffic class, perhaps from an earlier session
 	tables        map[uint32]*table // tables assigned in the current session, by table number
-	ejected       map[string]bool   // servers ejected in the current session
+	ejected       map[string]bool   // servers that the current session has ejected and not readmitted
 	admissions    []admission       // by traffic class
 	tableAssigned bool              // whether the current session has assigned a table
 
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -128,9 +128,9 @@
 // closeBody releases the connection of a response that has been read. An error at this point has no consequence.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
-// transport returns the transport of a server and creates it if necessary. It dials once per attempt, with the settings' time
-// limit: an overloaded or dead server then costs one short wait, after which it is certain that the server did not process
-// the request. The lock must be held.
+// transport returns the transport of a server and creates it if necessary. A transport that has no idle connection dials only
+// once and within a short time limit from the settings: an overloaded or dead server then costs one short wait, after which
+// it is certain that the server did not process the request. The client's mutex must be held.
 func (p *Proxy) transport(server string) *http.Transport {
 	existing := p.transports[server]
 	if existing != nil {
@@ -161,7 +161,7 @@
 }
 
 // closeUnusedTransports closes the connections to servers that have no attempt in flight and get no further requests. The
-// lock must be held.
+// client's mutex must be held.
 func (p *Proxy) closeUnusedTransports() {
 	for server, transport := range p.transports {
 		if !p.core.MayReceive(server) && p.core.inFlight[server] == 0 {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,7 +13,7 @@
 
 // Outcomes of an attempt.
 const (
-	Succeeded   Outcome = iota // the server responded, and not with a failure
+	Succeeded   Outcome = iota // the server responded with a status below 500
 	Unprocessed                // failed with proof that the server did not process it: no connection, or the server's statement
 	Failed                     // failed, and the server may have processed it
 )
--- a/internal/proxy/tables.go
+++ b/internal/proxy/tables.go
@@ -16,7 +16,7 @@
 // table is a weight table for one or more traffic classes.
 type table struct {
 	entries []*weightEntry
-	ejected map[string]bool // servers ejected in the session that assigned the table
+	ejected map[string]bool // servers ejected by the session that assigned the table; shared by all tables of the session
 }
 
 // indexOf returns the index of a server's entry, or -1 if it has none.
@@ -134,8 +134,8 @@
 	}
 }
 
-// isEjected reports whether a server of a table must get no requests: it was ejected in the session that assigned the table
-// or is ejected in the current one.
+// isEjected reports whether a server of a table must get no requests: it is ejected by the session that assigned the table or
+// by the current one.
 func (c *Core) isEjected(assigned *table, server string) bool {
 	return assigned.ejected[server] || c.ejected[server]
 }
