--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -23,7 +23,7 @@
 	// Totals for reports. Callers may read them between calls.
 	Messages      int        // messages that planners sent to proxies
 	Entries       float64    // weight entries in them
-	Requests      int        // attempts that were sent to servers
+	Attempts      int        // attempts that were sent to servers
 	Takeovers     []Takeover // in order of time, each proxy's first lease included
 	Rejected      int        // messages that proxies rejected for a past epoch
 	ResentEntries int        // entries of whole tables that a later lease holder sent again
--- a/internal/invariant/lease.go
+++ b/internal/invariant/lease.go
@@ -20,7 +20,7 @@
 // Takeover is one proxy that granted its lease under a new epoch. Times in ms.
 type Takeover struct {
 	Proxy       string
-	Controller  string  // planner that was granted the lease
+	Planner     string  // planner that was granted the lease
 	LastFrameMs float64 // last frame of the holder before
 	ExpiredMs   float64 // end of the lease before
 	GrantedMs   float64
@@ -57,7 +57,7 @@
 	}
 	c.Takeovers = append(c.Takeovers, Takeover{
 		Proxy:       name,
-		Controller:  plannerName,
+		Planner:     plannerName,
 		LastFrameMs: lease.lastFrameMs,
 		ExpiredMs:   expiredMs,
 		GrantedMs:   atMs,
@@ -103,8 +103,8 @@
 	}
 }
 
-// CountByController returns the number of proxies whose lease each planner holds now.
-func (c *Checker) CountByController() map[string]int {
+// LeasesByPlanner returns the number of proxies whose lease each planner holds now.
+func (c *Checker) LeasesByPlanner() map[string]int {
 	leases := map[string]int{}
 	for _, proxy := range c.proxies {
 		if proxy.lease.holder != "" {
--- a/internal/invariant/requests.go
+++ b/internal/invariant/requests.go
@@ -46,7 +46,7 @@
 
 // RecordAttempt records that the head of an attempt passed towards a server.
 func (c *Checker) RecordAttempt(server string, atMs float64, sent Attempt) {
-	c.Requests++
+	c.Attempts++
 	key := requestKey{id: sent.ID, proxy: sent.Proxy}
 	c.evaluateDuplicate(key, server, atMs, sent)
 	c.attempts.add(key, &attempt{atMs: atMs, server: server})
@@ -92,8 +92,8 @@
 	return proxy.appliedMs > known.startedAtMs || atMs > known.startedAtMs+c.limits.DrainGraceMs
 }
 
-// RecordAnswer records a server's answer to an attempt; unprocessed is its proof that it did not begin.
-func (c *Checker) RecordAnswer(server string, sent Attempt, unprocessed bool) {
+// RecordResponse records a server's answer to an attempt; unprocessed is its proof that it did not begin.
+func (c *Checker) RecordResponse(server string, sent Attempt, unprocessed bool) {
 	if !unprocessed {
 		return
 	}
--- a/internal/scenario/planted_test.go
+++ b/internal/scenario/planted_test.go
@@ -55,7 +55,7 @@
 }
 
 // violatesOnly reports whether a run violated one invariant and no other, or none where the name is empty.
-func violatesOnly(day *Day, name string) bool {
+func violatesOnly(day *Result, name string) bool {
 	if name == "" {
 		return len(day.ViolationCounts) == 0
 	}
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -35,7 +35,7 @@
 // A broken invariant is no error; see [Report.Passed]. An error tells that a run could not be played.
 func Play(ctx context.Context, scenario *script.Script, machine string, log *slog.Logger, spawn func(file string) *exec.Cmd) (*Report, error) {
 	variants := variantsOf(scenario, spawn)
-	report := &Report{Script: scenario.Name, Days: make([]Day, len(variants)), Machine: machine}
+	report := &Report{Script: scenario.Name, Runs: make([]Result, len(variants)), Machine: machine}
 	group, ctx := errgroup.WithContext(ctx)
 	for n, hooks := range variants {
 		runLog := log
@@ -47,7 +47,7 @@
 			if err != nil {
 				return fmt.Errorf("playing with %s: %w", hooks.deciderName(), err)
 			}
-			report.Days[n] = *day
+			report.Runs[n] = *day
 			return nil
 		})
 	}
@@ -69,7 +69,7 @@
 
 // PlayOne runs a script once, and returns when everything that it started has ended. The script must have passed the check
 // of package settings.
-func PlayOne(ctx context.Context, scenario *script.Script, hooks Hooks, log *slog.Logger) (day *Day, err error) {
+func PlayOne(ctx context.Context, scenario *script.Script, hooks Hooks, log *slog.Logger) (day *Result, err error) {
 	directory, err := os.MkdirTemp("", "lichenpick-scenario-")
 	if err != nil {
 		return nil, fmt.Errorf("making a directory for the scenario: %w", err)
--- a/internal/scenario/play_test.go
+++ b/internal/scenario/play_test.go
@@ -30,7 +30,7 @@
 }
 
 // play plays the small scenario with further fields, and fails the test where anything could not be judged.
-func play(t *testing.T, fields string, hooks Hooks) *Day {
+func play(t *testing.T, fields string, hooks Hooks) *Result {
 	t.Helper()
 	merged := parseScript(t, smallScenario)
 	proto.Merge(merged, parseScript(t, fields))
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -19,8 +19,8 @@
 	Service float64 // priority weight of requests that succeeded in time, as a part of that of all requests
 }
 
-// Day is the result of one run of a script. The names in JSON are those of earlier reports, so that they can be compared.
-type Day struct {
+// Result is the result of one run of a script. The names in JSON are those of earlier reports, so that they can be compared.
+type Result struct {
 	Decider         string
 	Service         float64       // as of ClassResult, over all classes
 	Classes         []ClassResult `json:"Groups"`
@@ -42,13 +42,13 @@
 
 	// For shared fleets. A takeover is a lease after a proxy's first one. The times are in ms, from the last frame of the
 	// leader before until the next lease.
-	Takeovers          int
-	WithoutLeaderP50   float64        `json:"BareP50"`
-	WithoutLeaderP99   float64        `json:"BareP99"`
-	WithoutLeaderMax   float64        `json:"BareMost"`
-	Rejected           int            `json:"Refused"`  // messages that proxies rejected for a past epoch
-	LeasesByController map[string]int `json:"Holders"`  // at the end
-	ResentEntries      int            `json:"Reissued"` // entries of whole tables that a later leader sent again
+	Takeovers        int
+	WithoutLeaderP50 float64        `json:"BareP50"`
+	WithoutLeaderP99 float64        `json:"BareP99"`
+	WithoutLeaderMax float64        `json:"BareMost"`
+	Rejected         int            `json:"Refused"`  // messages that proxies rejected for a past epoch
+	LeasesByPlanner  map[string]int `json:"Holders"`  // at the end
+	ResentEntries    int            `json:"Reissued"` // entries of whole tables that a later leader sent again
 
 	CPUMs     float64 // of planners that ran as processes
 	BytesUp   int     `json:"UpBytes"`   // on control streams, from proxies to planners
@@ -56,9 +56,9 @@
 }
 
 // leaseCount returns the number of proxies that had a leader at the end.
-func (d *Day) leaseCount() int {
+func (d *Result) leaseCount() int {
 	count := 0
-	for _, leases := range d.LeasesByController {
+	for _, leases := range d.LeasesByPlanner {
 		count += leases
 	}
 	return count
@@ -67,18 +67,18 @@
 // Report is the result of a script.
 type Report struct {
 	Script  string
-	Days    []Day // the policy's first, then those for comparison
+	Runs    []Result `json:"Days"` // the policy's first, then those for comparison
 	Machine string
 }
 
 // Passed reports whether the policy's run kept all invariants, and all that passed could be judged.
 func (r *Report) Passed() bool {
-	return len(r.Days) > 0 && len(r.Days[0].ViolationCounts) == 0 && len(r.Days[0].Unparsed) == 0
+	return len(r.Runs) > 0 && len(r.Runs[0].ViolationCounts) == 0 && len(r.Runs[0].Unparsed) == 0
 }
 
 // Print writes the report for people. The report must have a run.
 func (r *Report) Print(w io.Writer) error {
-	first := &r.Days[0]
+	first := &r.Runs[0]
 	if _, err := fmt.Fprintf(w, "scenario %s: %d proxies, %d fake servers on loopback\n", r.Script, first.Proxies, first.Servers); err != nil {
 		return err
 	}
@@ -93,12 +93,12 @@
 func (r *Report) printTable(w io.Writer) error {
 	var text strings.Builder
 	text.WriteString("decided by\tservice")
-	for _, class := range r.Days[0].Classes {
+	for _, class := range r.Runs[0].Classes {
 		fmt.Fprintf(&text, "\t%s", class.Name)
 	}
 	text.WriteString("\tlate\trejected\tfailed\tmessages\tentries\torder ms p50\tp99\tcold overloads\tinvariants\n")
-	for n := range r.Days {
-		r.Days[n].formatLine(&text)
+	for n := range r.Runs {
+		r.Runs[n].formatLine(&text)
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := io.WriteString(table, text.String()); err != nil {
@@ -108,7 +108,7 @@
 }
 
 // formatLine appends the run's line of the table, with tabs between its cells.
-func (d *Day) formatLine(text *strings.Builder) {
+func (d *Result) formatLine(text *strings.Builder) {
 	fmt.Fprintf(text, "%s\t%.3f", d.Decider, d.Service)
 	late := 0
 	rejected := 0
@@ -128,7 +128,7 @@
 }
 
 // notes returns what the table does not show of a run: takeovers, violations and what could not be judged.
-func (d *Day) notes() string {
+func (d *Result) notes() string {
 	var text strings.Builder
 	if d.Takeovers > 0 {
 		fmt.Fprintf(&text, "leases: %d takeovers; without a leader for %.0f ms (p50), %.0f (p99), at most %.0f; "+
--- a/internal/scenario/requestobserver.go
+++ b/internal/scenario/requestobserver.go
@@ -47,7 +47,7 @@
 	defer o.recorder.mu.Unlock()
 	o.responses.feed(data, func(statusLine string, header textproto.MIMEHeader) {
 		unprocessed := strings.Contains(statusLine, " 503 ") && header.Get(proxy.ProcessedHeader) == "no"
-		o.recorder.checker.RecordAnswer(o.server, o.current, unprocessed)
+		o.recorder.checker.RecordResponse(o.server, o.current, unprocessed)
 	})
 	if o.responses.corrupt {
 		o.recorder.countUnparsed(unparsedResponse)
--- a/internal/scenario/shared_fleet_test.go
+++ b/internal/scenario/shared_fleet_test.go
@@ -58,7 +58,7 @@
 }
 
 // checkTakenOver checks that invariants held, proxies were taken over and requests went on.
-func checkTakenOver(t *testing.T, day *Day) {
+func checkTakenOver(t *testing.T, day *Result) {
 	t.Helper()
 	if len(day.ViolationCounts) > 0 || day.Takeovers == 0 || day.Service < 0.7 {
 		t.Errorf("service %.3f, %d takeovers, violated %v: %v", day.Service, day.Takeovers, day.ViolationCounts, day.Violations)
@@ -92,10 +92,10 @@
 			day := play(t, `sharing: true `+test.fields, Hooks{Spawn: plannerCommand})
 			if len(day.ViolationCounts) > 0 || day.Service < 0.6 || day.leaseCount() != day.Proxies {
 				t.Errorf("service %.3f, leases of %d proxies at the end: %v, violated %v: %v",
-					day.Service, day.Proxies, day.LeasesByController, day.ViolationCounts, day.Violations)
+					day.Service, day.Proxies, day.LeasesByPlanner, day.ViolationCounts, day.Violations)
 			}
-			if test.leaseless != "" && day.LeasesByController[test.leaseless] > 0 {
-				t.Errorf("%s holds leases at the end: %v", test.leaseless, day.LeasesByController)
+			if test.leaseless != "" && day.LeasesByPlanner[test.leaseless] > 0 {
+				t.Errorf("%s holds leases at the end: %v", test.leaseless, day.LeasesByPlanner)
 			}
 		})
 	}
--- a/internal/scenario/summary.go
+++ b/internal/scenario/summary.go
@@ -9,24 +9,24 @@
 )
 
 // summarize returns the result of a run that has ended.
-func (f *fleet) summarize(observed *observations) *Day {
-	day := &Day{
-		Decider:            f.hooks.deciderName(),
-		Messages:           observed.messages,
-		Entries:            observed.entries,
-		Attempts:           observed.attempts,
-		Violations:         observed.violations,
-		ViolationCounts:    map[string]int{},
-		Closes:             map[string]uint64{},
-		Unparsed:           observed.unparsed,
-		Servers:            len(f.servers),
-		Proxies:            len(f.proxyAddresses),
-		Rejected:           observed.rejected,
-		LeasesByController: observed.leasesByController,
-		ResentEntries:      observed.resentEntries,
-		CPUMs:              float64(f.plannerCPU) / float64(time.Millisecond),
-		BytesUp:            observed.bytesUp,
-		BytesDown:          observed.bytesDown,
+func (f *fleet) summarize(observed *observations) *Result {
+	day := &Result{
+		Decider:         f.hooks.deciderName(),
+		Messages:        observed.messages,
+		Entries:         observed.entries,
+		Attempts:        observed.attempts,
+		Violations:      observed.violations,
+		ViolationCounts: map[string]int{},
+		Closes:          map[string]uint64{},
+		Unparsed:        observed.unparsed,
+		Servers:         len(f.servers),
+		Proxies:         len(f.proxyAddresses),
+		Rejected:        observed.rejected,
+		LeasesByPlanner: observed.leasesByController,
+		ResentEntries:   observed.resentEntries,
+		CPUMs:           float64(f.plannerCPU) / float64(time.Millisecond),
+		BytesUp:         observed.bytesUp,
+		BytesDown:       observed.bytesDown,
 	}
 	for rule, count := range observed.violationCounts {
 		day.ViolationCounts[rule.String()] = count
@@ -44,7 +44,7 @@
 }
 
 // addRequests adds how the requests of clients ended.
-func (f *fleet) addRequests(day *Day) {
+func (f *fleet) addRequests(day *Result) {
 	classes, seconds, requests := f.loadGenerator.Tallies()
 	day.Requests = requests
 	total := fake.Tally{}
@@ -65,7 +65,7 @@
 func serviceOf(tally fake.Tally) float64 { return tally.Value / max(tally.MaxValue, 1e-9) }
 
 // addPlannerStatuses adds what planners said of themselves, the worst of each.
-func (f *fleet) addPlannerStatuses(day *Day) {
+func (f *fleet) addPlannerStatuses(day *Result) {
 	for _, status := range f.plannerStatuses {
 		day.OrderMsP50 = max(day.OrderMsP50, status.OrderMsP50)
 		day.OrderMsP99 = max(day.OrderMsP99, status.OrderMsP99)
@@ -77,7 +77,7 @@
 }
 
 // addTakeovers adds the takeovers, and how long the proxies were without a leader.
-func (d *Day) addTakeovers(grants []invariant.Takeover) {
+func (d *Result) addTakeovers(grants []invariant.Takeover) {
 	granted := map[string]bool{}
 	var withoutLeaderMs []float64
 	for _, grant := range grants {
