--- a/cmd/lichenpick/load.go
+++ b/cmd/lichenpick/load.go
@@ -133,7 +133,7 @@
 	for _, step := range steps {
 		fmt.Fprintf(&table, "%g\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%t\n",
 			step.Rate, step.Due, step.Succeeded, step.Rejected, step.Failed, step.Unsent,
-			step.P50, step.P90, step.P99, step.P999, step.Max, step.LateMs, options.MeetsObjective(step))
+			step.P50, step.P90, step.P99, step.P999, step.Max, step.MaxLateMs, options.MeetsObjective(step))
 	}
 	return writeTable(out, table.String())
 }
--- a/cmd/lichenpick/stress.go
+++ b/cmd/lichenpick/stress.go
@@ -100,7 +100,7 @@
 	test.Clock = clock.NewReal()
 	test.Network = machine
 	test.Planners = []string{set.Listen}
-	test.List = list.File.Path
+	test.ListPath = list.File.Path
 	test.Classes = set.Groups
 	test.ReportIntervalMs = settings.Milliseconds(set.Reports.Every)
 	test.SharedFleet = set.Sharing != nil
@@ -134,7 +134,7 @@
 		return err
 	}
 	p.test.Planners = planners.addresses()
-	p.test.List = planners.list
+	p.test.ListPath = planners.list
 	if err := p.test.Prepare(); err != nil {
 		return err
 	}
@@ -171,8 +171,8 @@
 	table.WriteString("proxies x servers\tdials\tassigned\tall assigned ms\tmessages\torders\tapplied ms p50\tp99\tp99.9\tmax\t" +
 		"max messages in 10 s\tbytes up, down a proxy and s\ttakeovers\twithout leader ms p50\tp99\tmax\n")
 	fmt.Fprintf(&table, "%dx%d\t%d\t%d\t%.0f\t", p.test.Proxies, p.test.Servers, result.Dials, result.Assigned, result.AllAssignedMs)
-	fmt.Fprintf(&table, "%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t", result.Messages, result.Orders, result.P50Ms, result.P99Ms, result.P999Ms, result.MaxMs)
+	fmt.Fprintf(&table, "%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t", result.Messages, result.Orders, result.ApplyP50Ms, result.ApplyP99Ms, result.ApplyP999Ms, result.ApplyMaxMs)
 	fmt.Fprintf(&table, "%d\t%.0f, %.0f\t", result.MaxMessages, float64(result.BytesUp)/proxySeconds, float64(result.BytesDown)/proxySeconds)
-	fmt.Fprintf(&table, "%d\t%.1f\t%.1f\t%.1f\n", result.Takeovers, result.WithoutLeaderP50, result.WithoutLeaderP99, result.WithoutLeaderMax)
+	fmt.Fprintf(&table, "%d\t%.1f\t%.1f\t%.1f\n", result.Takeovers, result.WithoutLeaderP50Ms, result.WithoutLeaderP99Ms, result.WithoutLeaderMaxMs)
 	return writeTable(out, table.String())
 }
--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -177,7 +177,7 @@
 	message.Header.Set(proxy.ClassHeader, class.Name)
 	message.Header.Set(proxy.RequestHeader, fmt.Sprintf("%d.%d", request.number, number))
 	if class.Repeat == pb.Repeat_DEDUPED {
-		message.Header.Set(KeyHeader, fmt.Sprint(request.number))
+		message.Header.Set(IdempotencyKeyHeader, fmt.Sprint(request.number))
 	}
 	response, err := client.Do(message)
 	if err != nil {
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -12,11 +12,11 @@
 
 // LinkFault is what is wrong with the connections from one source to a relay's target; the zero value is nothing.
 type LinkFault struct {
-	DelayMs   float64 // of what passes, each way, in order
-	ConnectMs float64 // before a new connection is passed on
-	Cut       bool    // connections break and none opens
-	Stall     bool    // nothing passes towards the source: it is held back until the sender's window is full
-	After     int     // with Cut: bytes of each connection that still pass towards the source, so that a frame may break
+	DelayMs        float64 // of what passes, each way, in order
+	ConnectDelayMs float64 // before a new connection is passed on
+	Cut            bool    // connections break and none opens
+	Stall          bool    // nothing passes towards the source: it is held back until the sender's window is full
+	CutAfterBytes  int     // with Cut: bytes of each connection that still pass towards the source, so that a frame may break
 }
 
 // Observer is notified of what passes on one connection. Its methods may be called by several goroutines, and should return soon.
@@ -118,7 +118,7 @@
 	}
 	r.Disconnect(func(from netip.Addr) bool {
 		fault := faults(from)
-		return fault.Cut && fault.After == 0
+		return fault.Cut && fault.CutAfterBytes == 0
 	})
 }
 
@@ -179,8 +179,8 @@
 // dialTarget connects to the target as from the source, as far as its faults allow.
 func (r *Relay) dialTarget(ctx context.Context, from netip.Addr) (net.Conn, error) {
 	fault, _ := r.faultOf(from)
-	if fault.ConnectMs > 0 {
-		if err := clock.Sleep(ctx, r.Clock, fault.ConnectMs); err != nil {
+	if fault.ConnectDelayMs > 0 {
+		if err := clock.Sleep(ctx, r.Clock, fault.ConnectDelayMs); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/fake/relay_test.go
+++ b/internal/fake/relay_test.go
@@ -132,7 +132,7 @@
 		relay, observer := startRelay(t)
 		connection := dialRelay(t, relay)
 		echo(t, connection)
-		relay.SetFaults(func(netip.Addr) LinkFault { return LinkFault{Cut: true, After: 3} })
+		relay.SetFaults(func(netip.Addr) LinkFault { return LinkFault{Cut: true, CutAfterBytes: 3} })
 		if _, err := io.WriteString(connection, greeting); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fake/relayedlink.go
+++ b/internal/fake/relayedlink.go
@@ -149,7 +149,7 @@
 		return data
 	}
 	if d.remaining == unlimited {
-		d.remaining = fault.After
+		d.remaining = fault.CutAfterBytes
 	}
 	data = data[:min(len(data), d.remaining)]
 	d.remaining -= len(data)
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -26,11 +26,11 @@
 
 // Fault is what is wrong with a server; the zero value is nothing.
 type Fault struct {
-	Hang   bool    // it receives requests and answers none
-	Refuse bool    // it says at once that it does not process requests
-	Slow   float64 // factor of the time that work takes; 0: none
-	Errors float64 // share of requests that are processed and answered with an error
-	Reset  float64 // share of requests that are processed and whose connection is then reset
+	Hang       bool    // it receives requests and answers none
+	Refuse     bool    // it says at once that it does not process requests
+	Slowdown   float64 // factor of the time that work takes; 0: none
+	ErrorRatio float64 // share of requests that are processed and answered with an error
+	ResetRatio float64 // share of requests that are processed and whose connection is then reset
 }
 
 // Counts are how requests ended at a server, over all its starts.
--- a/internal/fake/serverhandler.go
+++ b/internal/fake/serverhandler.go
@@ -12,8 +12,8 @@
 	"lichenpick/internal/settings"
 )
 
-// KeyHeader carries the idempotency key of a request of a deduplicated traffic class.
-const KeyHeader = "Idempotency-Key"
+// IdempotencyKeyHeader carries the idempotency key of a request of a deduplicated traffic class.
+const IdempotencyKeyHeader = "Idempotency-Key"
 
 const (
 	maxBodyBytes      = 1 << 20 // of a request, that are read
@@ -102,9 +102,9 @@
 	full := s.inFlight >= int(s.settings.GetWaiting())+int(s.settings.GetCores())
 	drawn := s.chance.Float64()
 	switch {
-	case drawn < s.fault.Reset:
+	case drawn < s.fault.ResetRatio:
 		planned = reset
-	case drawn < s.fault.Reset+s.fault.Errors:
+	case drawn < s.fault.ResetRatio+s.fault.ErrorRatio:
 		planned = failed
 	}
 	switch {
@@ -120,7 +120,7 @@
 
 // isDuplicate reports whether a request carries an idempotency key that was processed already within the window.
 func (s *Server) isDuplicate(request *http.Request, nowMs float64) bool {
-	key := request.Header.Get(KeyHeader)
+	key := request.Header.Get(IdempotencyKeyHeader)
 	if key == "" || s.deduplicator == nil {
 		return false
 	}
@@ -144,8 +144,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	speed := s.warmUp.Capacity(s.clock.Monotonic()) / float64(s.settings.GetCores())
-	if s.fault.Slow > 0 {
-		speed /= s.fault.Slow
+	if s.fault.Slowdown > 0 {
+		speed /= s.fault.Slowdown
 	}
 	return speed
 }
--- a/internal/fake/stress.go
+++ b/internal/fake/stress.go
@@ -37,7 +37,7 @@
 	Classes           []*pb.Group
 	Proxies           int
 	Servers           int     // in the endpoint list
-	List              string  // file that the endpoint list is written to; empty: it is not
+	ListPath          string  // file that the endpoint list is written to; empty: it is not
 	RequestsPerSecond float64 // of each proxy
 	ReportIntervalMs  float64 // of load reports
 	DrainIntervalMs   float64 // between changes of the list, in which a server drains or is ready again; 0: none
@@ -65,9 +65,9 @@
 	BytesDown     int     // and from them
 
 	// Times from the decision of orders until they were applied, in ms.
-	P50Ms, P99Ms, P999Ms, MaxMs float64
+	ApplyP50Ms, ApplyP99Ms, ApplyP999Ms, ApplyMaxMs float64
 	// Times from the last frame of a leader until the lease of the next, in ms.
-	WithoutLeaderP50, WithoutLeaderP99, WithoutLeaderMax float64
+	WithoutLeaderP50Ms, WithoutLeaderP99Ms, WithoutLeaderMaxMs float64
 }
 
 // Prepare writes the endpoint list, so that planners can be started before Run.
@@ -87,7 +87,7 @@
 	for number := range s.Proxies {
 		group.Go(func() error { return s.runProxy(ctx, group, number, startMs) })
 	}
-	if s.DrainIntervalMs > 0 && s.List != "" {
+	if s.DrainIntervalMs > 0 && s.ListPath != "" {
 		group.Go(func() error { return s.changeList(ctx) })
 	}
 	err := group.Wait()
@@ -123,7 +123,7 @@
 
 // writeList writes the endpoint list, where there is one, with all servers ready but one.
 func (s *StressTest) writeList(draining int) error {
-	if s.List == "" {
+	if s.ListPath == "" {
 		return nil
 	}
 	list := &pb.List{}
@@ -138,7 +138,7 @@
 		}
 		list.Servers = append(list.Servers, entry)
 	}
-	return discovery.Save(s.List, list)
+	return discovery.Save(s.ListPath, list)
 }
 
 // summarize returns what the proxies observed.
@@ -146,13 +146,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	result := s.result
-	result.P50Ms = quantileMs(s.appliedUs, 50)
-	result.P99Ms = quantileMs(s.appliedUs, 99)
-	result.P999Ms = quantileMs(s.appliedUs, 99.9)
-	result.MaxMs = quantileMs(s.appliedUs, 100)
-	result.WithoutLeaderP50 = quantileMs(s.withoutLeaderUs, 50)
-	result.WithoutLeaderP99 = quantileMs(s.withoutLeaderUs, 99)
-	result.WithoutLeaderMax = quantileMs(s.withoutLeaderUs, 100)
+	result.ApplyP50Ms = quantileMs(s.appliedUs, 50)
+	result.ApplyP99Ms = quantileMs(s.appliedUs, 99)
+	result.ApplyP999Ms = quantileMs(s.appliedUs, 99.9)
+	result.ApplyMaxMs = quantileMs(s.appliedUs, 100)
+	result.WithoutLeaderP50Ms = quantileMs(s.withoutLeaderUs, 50)
+	result.WithoutLeaderP99Ms = quantileMs(s.withoutLeaderUs, 99)
+	result.WithoutLeaderMaxMs = quantileMs(s.withoutLeaderUs, 100)
 	result.Dials = int(s.dials.Load())
 	result.BytesUp = int(s.bytesUp.Load())
 	result.BytesDown = int(s.bytesDown.Load())
--- a/internal/load/step.go
+++ b/internal/load/step.go
@@ -22,7 +22,7 @@
 	Failed                   int // an error, or no answer before the deadline
 	Unsent                   int // not sent, as too many were in flight
 	P50, P90, P99, P999, Max float64
-	LateMs                   float64 // the most that this process was late to send a request
+	MaxLateMs                float64 // the most that this process was late to send a request
 }
 
 // SuccessRatio returns the part of the requests that succeeded.
@@ -54,7 +54,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.step.Due++
-	r.step.LateMs = max(r.step.LateMs, lateMs)
+	r.step.MaxLateMs = max(r.step.MaxLateMs, lateMs)
 }
 
 // recordUnsent records that a request was not sent.
--- a/internal/scenario/linkfaults.go
+++ b/internal/scenario/linkfaults.go
@@ -17,7 +17,7 @@
 		if to.server == nil {
 			return fake.LinkFault{}
 		}
-		return fake.LinkFault{ConnectMs: delayMs}
+		return fake.LinkFault{ConnectDelayMs: delayMs}
 	}, lasts)
 }
 
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -87,10 +87,10 @@
 		for _, fault := range active {
 			single := fault(from, to)
 			worst.DelayMs = max(worst.DelayMs, single.DelayMs)
-			worst.ConnectMs = max(worst.ConnectMs, single.ConnectMs)
+			worst.ConnectDelayMs = max(worst.ConnectDelayMs, single.ConnectDelayMs)
 			worst.Cut = worst.Cut || single.Cut
 			worst.Stall = worst.Stall || single.Stall
-			worst.After = max(worst.After, single.After)
+			worst.CutAfterBytes = max(worst.CutAfterBytes, single.CutAfterBytes)
 		}
 		return worst
 	}
--- a/internal/scenario/planners.go
+++ b/internal/scenario/planners.go
@@ -172,7 +172,7 @@
 // cutLinks breaks the planner's streams after some bytes, and returns a function that ends this.
 func (p *plannerInstance) cutLinks(afterBytes int) (restore func()) {
 	return p.fleet.addLinkFault(func(_ netip.Addr, to linkTarget) fake.LinkFault {
-		return fake.LinkFault{Cut: to.planner == p, After: afterBytes}
+		return fake.LinkFault{Cut: to.planner == p, CutAfterBytes: afterBytes}
 	})
 }
 
--- a/internal/scenario/serverfaults.go
+++ b/internal/scenario/serverfaults.go
@@ -54,7 +54,7 @@
 		if slow.Gradual {
 			factor = 1 + (factor-1)*float64(step)/slowSteps
 		}
-		changeFaults(servers, func(fault *fake.Fault) { fault.Slow = factor })
+		changeFaults(servers, func(fault *fake.Fault) { fault.Slowdown = factor })
 		f.waitFor(ctx, lasts/slowSteps)
 	}
 	return nil
@@ -65,8 +65,8 @@
 	servers := f.reserveServers(int(failing.GetServers()), nil)
 	defer f.releaseServers(servers)
 	changeFaults(servers, func(fault *fake.Fault) {
-		fault.Errors = failing.GetErrors()
-		fault.Reset = failing.GetResets()
+		fault.ErrorRatio = failing.GetErrors()
+		fault.ResetRatio = failing.GetResets()
 		fault.Refuse = failing.Refuse
 	})
 	f.waitFor(ctx, lasts)
