--- a/internal/fake/deduplicator.go
+++ b/internal/fake/deduplicator.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// maxKeys is the number of idempotency keys from which expired ones are looked for.
-const maxKeys = 1 << 14
+// cleanupThreshold is the number of idempotency keys from which expired ones are looked for.
+const cleanupThreshold = 1 << 14
 
 // Deduplicator is what the servers of one scope share to recognize idempotency keys: a request that is processed twice within
 // a window has one effect. The zero value has seen no key. Any goroutine may use it.
@@ -12,15 +12,15 @@
 	seenMs map[string]float64 // latest time by key
 }
 
-// isNew reports whether a key was not seen within the window, and remembers it.
-func (d *Deduplicator) isNew(key string, nowMs, windowMs float64) bool {
+// recordKey reports whether a key was not seen within the window, and remembers it.
+func (d *Deduplicator) recordKey(key string, nowMs, windowMs float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.seenMs == nil {
 		d.seenMs = map[string]float64{}
 	}
 	lastMs, seen := d.seenMs[key]
-	if len(d.seenMs) > maxKeys {
+	if len(d.seenMs) > cleanupThreshold {
 		d.expire(nowMs - windowMs)
 	}
 	d.seenMs[key] = nowMs
--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -22,8 +22,8 @@
 	maxInFlight = 20_000
 	// minRateFactor stands for a factor of 0, at which the next request would never be due.
 	minRateFactor = 1e-3
-	// retryDeadlinePart is the part of a request's deadline after which its client sends no retry.
-	retryDeadlinePart = 0.8
+	// retryDeadlineFraction is the part of a request's deadline after which its client sends no retry.
+	retryDeadlineFraction = 0.8
 	// maxIdleConnections is how many idle connections are kept to each proxy.
 	maxIdleConnections = 256
 )
@@ -73,15 +73,15 @@
 	inFlight := make(chan struct{}, maxInFlight)
 	var requests sync.WaitGroup
 	defer requests.Wait()
-	chance := rand.New(rand.NewSource(g.Seed))
+	rng := rand.New(rand.NewSource(g.Seed))
 	startMs := g.Clock.Monotonic()
 	dueMs := 0.0
 	for number := 0; ; number++ {
-		dueMs += g.nextInterval(chance)
+		dueMs += g.nextInterval(rng)
 		if dueMs >= lengthMs || !g.waitUntil(ctx, startMs+dueMs) {
 			return nil
 		}
-		request := g.drawRequest(chance, number, int(dueMs/1000))
+		request := g.drawRequest(rng, number, int(dueMs/1000))
 		select {
 		case inFlight <- struct{}{}:
 		default:
@@ -95,14 +95,14 @@
 }
 
 // nextInterval draws the time until the next request is due, in ms.
-func (g *LoadGenerator) nextInterval(chance *rand.Rand) float64 {
+func (g *LoadGenerator) nextInterval(rng *rand.Rand) float64 {
 	g.mu.Lock()
 	factor := g.rateFactor
 	g.mu.Unlock()
 	if factor <= 0 {
 		factor = minRateFactor
 	}
-	return chance.ExpFloat64() / (g.RequestsPerSecond * factor) * 1000
+	return rng.ExpFloat64() / (g.RequestsPerSecond * factor) * 1000
 }
 
 // waitUntil waits for a time of the clock, and reports whether the context did not end before.
@@ -121,21 +121,21 @@
 }
 
 // drawRequest draws the next request.
-func (g *LoadGenerator) drawRequest(chance *rand.Rand, number, second int) clientRequest {
+func (g *LoadGenerator) drawRequest(rng *rand.Rand, number, second int) clientRequest {
 	class := 0
-	drawn := chance.Float64()
+	drawn := rng.Float64()
 	for class < len(g.Shares)-1 && drawn >= g.Shares[class] {
 		drawn -= g.Shares[class]
 		class++
 	}
-	proxyNumber := chance.Intn(len(g.Proxies))
-	return clientRequest{number: number, class: class, proxy: proxyNumber, seed: chance.Int63(), second: second}
+	proxyNumber := rng.Intn(len(g.Proxies))
+	return clientRequest{number: number, class: class, proxy: proxyNumber, seed: rng.Int63(), second: second}
 }
 
 // send sends a request to a proxy, and again to another while it may be retried, and counts how it ended.
 func (g *LoadGenerator) send(ctx context.Context, client *http.Client, request clientRequest) {
 	class := g.Classes[request.class]
-	chance := rand.New(rand.NewSource(request.seed))
+	rng := rand.New(rand.NewSource(request.seed))
 	startMs := g.Clock.Monotonic()
 	deadlineMs := settings.Milliseconds(class.Expiry)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(deadlineMs*float64(time.Millisecond)))
@@ -150,13 +150,13 @@
 		attempts++
 		retryable := outcome != Succeeded && (idempotent || outcome.Retryable())
 		elapsedMs := g.Clock.Monotonic() - startMs
-		if !retryable || attempts > g.MaxRetries || elapsedMs+backoffMs > deadlineMs*retryDeadlinePart {
+		if !retryable || attempts > g.MaxRetries || elapsedMs+backoffMs > deadlineMs*retryDeadlineFraction {
 			break
 		}
-		if clock.Sleep(ctx, g.Clock, backoffMs*(0.5+chance.Float64())) != nil {
+		if clock.Sleep(ctx, g.Clock, backoffMs*(0.5+rng.Float64())) != nil {
 			break
 		}
-		proxyNumber = chance.Intn(len(g.Proxies))
+		proxyNumber = rng.Intn(len(g.Proxies))
 		backoffMs *= 2
 	}
 	tookMs := g.Clock.Monotonic() - startMs
@@ -170,16 +170,16 @@
 // attempt sends a request once, and returns how that ended.
 func (g *LoadGenerator) attempt(ctx context.Context, client *http.Client, request clientRequest, number int, address string) Outcome {
 	class := g.Classes[request.class]
-	message, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/", http.NoBody)
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/", http.NoBody)
 	if err != nil {
 		return Failed
 	}
-	message.Header.Set(proxy.ClassHeader, class.Name)
-	message.Header.Set(proxy.RequestHeader, fmt.Sprintf("%d.%d", request.number, number))
+	httpRequest.Header.Set(proxy.ClassHeader, class.Name)
+	httpRequest.Header.Set(proxy.RequestHeader, fmt.Sprintf("%d.%d", request.number, number))
 	if class.Repeat == pb.Repeat_DEDUPED {
-		message.Header.Set(IdempotencyKeyHeader, fmt.Sprint(request.number))
+		httpRequest.Header.Set(IdempotencyKeyHeader, fmt.Sprint(request.number))
 	}
-	response, err := client.Do(message)
+	response, err := client.Do(httpRequest)
 	if err != nil {
 		return Failed
 	}
--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -87,22 +87,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.subscribers[added] = true
-	added.queue <- r.queued(r.fullListing())
+	added.queue <- r.withDueTime(r.fullListing())
 	return added
 }
 
 // serve sends lists and heartbeats to a subscriber, until its connection breaks, it is too slow or the context ends.
-func (r *EndpointRegistry) serve(ctx context.Context, to *subscriber) {
-	stopWatch := context.AfterFunc(ctx, func() { _ = to.connection.Close() })
+func (r *EndpointRegistry) serve(ctx context.Context, client *subscriber) {
+	stopWatch := context.AfterFunc(ctx, func() { _ = client.connection.Close() })
 	defer stopWatch()
 	defer func() {
 		r.mu.Lock()
-		delete(r.subscribers, to)
+		delete(r.subscribers, client)
 		r.mu.Unlock()
-		_ = to.connection.Close() // it may be broken already
+		_ = client.connection.Close() // it may be broken already
 	}()
 	for {
-		if err := r.sendNext(ctx, to); err != nil {
+		if err := r.sendNext(ctx, client); err != nil {
 			return
 		}
 	}
@@ -110,20 +110,20 @@
 
 // sendNext sends the next list when it is due, or a heartbeat where there is none for a while. The error tells only that the
 // subscriber is gone.
-func (r *EndpointRegistry) sendNext(ctx context.Context, to *subscriber) error {
+func (r *EndpointRegistry) sendNext(ctx context.Context, client *subscriber) error {
 	heartbeatDue, stopTimer := r.Clock.NewTimer(heartbeatIntervalMs)
 	defer stopTimer()
 	select {
-	case next, open := <-to.queue:
+	case next, open := <-client.queue:
 		if !open {
 			return net.ErrClosed
 		}
 		if err := clock.Sleep(ctx, r.Clock, next.dueMs-r.Clock.Monotonic()); err != nil {
 			return err
 		}
-		return to.send(controlstream.FrameEndpoints, next.listing)
+		return client.send(controlstream.FrameEndpoints, next.listing)
 	case <-heartbeatDue:
-		return to.send(controlstream.FrameHeartbeat, nil)
+		return client.send(controlstream.FrameHeartbeat, nil)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -140,19 +140,19 @@
 	return err
 }
 
-// queued returns a list with the time at which it is due. The caller holds the lock.
-func (r *EndpointRegistry) queued(listing *order.Listing) queuedListing {
+// withDueTime returns a list with the time at which it is due. The caller holds the lock.
+func (r *EndpointRegistry) withDueTime(listing *order.Listing) queuedListing {
 	return queuedListing{dueMs: r.Clock.Monotonic() + r.DelayMs, listing: listing}
 }
 
 // publish queues a list for all subscribers. The caller holds the lock.
 func (r *EndpointRegistry) publish(listing *order.Listing) {
-	for to := range r.subscribers {
+	for client := range r.subscribers {
 		select {
-		case to.queue <- r.queued(listing):
+		case client.queue <- r.withDueTime(listing):
 		default:
-			close(to.queue)
-			delete(r.subscribers, to)
+			close(client.queue)
+			delete(r.subscribers, client)
 		}
 	}
 }
@@ -169,12 +169,12 @@
 		shown = r.override(shown)
 	}
 	listing := r.newListing(order.Listing_WHOLE)
-	listing.Entries = present(shown)
+	listing.Entries = copyPresent(shown)
 	return listing
 }
 
-// present returns copies of the entries that are not removed.
-func present(entries []*order.Listing_Entry) []*order.Listing_Entry {
+// copyPresent returns copies of the entries that are not removed.
+func copyPresent(entries []*order.Listing_Entry) []*order.Listing_Entry {
 	var copies []*order.Listing_Entry
 	for _, entry := range entries {
 		if EndpointState(entry.State) != EndpointRemoved {
@@ -189,9 +189,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	entry := &order.Listing_Entry{Server: server, Zone: zone, State: uint32(state), Size: capacity, BornUnixMs: startedUnixMs}
-	known := slices.IndexFunc(r.entries, func(earlier *order.Listing_Entry) bool { return earlier.Server == server })
-	if known >= 0 {
-		r.entries[known] = entry
+	index := slices.IndexFunc(r.entries, func(earlier *order.Listing_Entry) bool { return earlier.Server == server })
+	if index >= 0 {
+		r.entries[index] = entry
 	} else {
 		r.entries = append(r.entries, entry)
 	}
@@ -219,5 +219,5 @@
 func (r *EndpointRegistry) Endpoints() []*order.Listing_Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return present(r.entries)
+	return copyPresent(r.entries)
 }
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -42,12 +42,12 @@
 	ctx     context.Context // of Start: Reopen goes on under it
 	address string
 
-	mu          sync.Mutex // guards all below
-	listener    net.Listener
-	target      string
-	faults      func(from netip.Addr) LinkFault // nil: none
-	faultsReset chan struct{}                   // closed and made anew when faults change
-	connections map[net.Conn]netip.Addr         // both ends of each connection, with its source
+	mu            sync.Mutex // guards all below
+	listener      net.Listener
+	target        string
+	faults        func(from netip.Addr) LinkFault // nil: none
+	faultsChanged chan struct{}                   // closed and made anew when faults change
+	connections   map[net.Conn]netip.Addr         // both ends of each connection, with its source
 }
 
 // Start listens at an address until the context ends, and returns the address with its port. Connections go to the target,
@@ -61,7 +61,7 @@
 	r.address = listener.Addr().String()
 	r.listener = listener
 	r.target = target
-	r.faultsReset = make(chan struct{})
+	r.faultsChanged = make(chan struct{})
 	r.connections = map[net.Conn]netip.Addr{}
 	context.AfterFunc(ctx, r.Close)
 	go r.accept(listener)
@@ -110,8 +110,8 @@
 func (r *Relay) SetFaults(faults func(from netip.Addr) LinkFault) {
 	r.mu.Lock()
 	r.faults = faults
-	close(r.faultsReset)
-	r.faultsReset = make(chan struct{})
+	close(r.faultsChanged)
+	r.faultsChanged = make(chan struct{})
 	r.mu.Unlock()
 	if faults == nil {
 		return
@@ -138,9 +138,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.faults == nil {
-		return LinkFault{}, r.faultsReset
+		return LinkFault{}, r.faultsChanged
 	}
-	return r.faults(from), r.faultsReset
+	return r.faults(from), r.faultsChanged
 }
 
 // accept passes on whatever connects, until the listener is closed.
@@ -150,12 +150,12 @@
 		if err != nil {
 			return
 		}
-		go r.pass(r.ctx, connection)
+		go r.forward(r.ctx, connection)
 	}
 }
 
-// pass passes a connection on to the target, until one side ends it or it is broken.
-func (r *Relay) pass(ctx context.Context, source net.Conn) {
+// forward passes a connection on to the target, until one side ends it or it is broken.
+func (r *Relay) forward(ctx context.Context, source net.Conn) {
 	defer closeConnection(source)
 	from := sourceAddress(source)
 	target, err := r.dialTarget(ctx, from)
--- a/internal/fake/relayedlink.go
+++ b/internal/fake/relayedlink.go
@@ -17,25 +17,25 @@
 
 // relayedLink is one connection that passes a relay.
 type relayedLink struct {
-	relay    *Relay
-	from     netip.Addr
-	observer Observer
-	closed   sync.Once
+	relay     *Relay
+	from      netip.Addr
+	observer  Observer
+	closeOnce sync.Once
 }
 
 // observeClosed tells the observer once that the connection ended.
 func (l *relayedLink) observeClosed() {
-	l.closed.Do(func() { l.observer.Closed(l.relay.Clock.Monotonic()) })
+	l.closeOnce.Do(func() { l.observer.Closed(l.relay.Clock.Monotonic()) })
 }
 
 // relayedDirection is one direction of a connection: one goroutine reads chunks, another writes them when they are due.
 type relayedDirection struct {
-	link      *relayedLink
-	in, out   net.Conn
-	toTarget  bool
-	chunks    chan relayedChunk
-	written   chan struct{} // closed when nothing more is written
-	remaining int           // bytes that may still pass; unlimited: no cut has begun
+	link           *relayedLink
+	in, out        net.Conn
+	toTarget       bool
+	chunks         chan relayedChunk
+	written        chan struct{} // closed when nothing more is written
+	remainingBytes int           // bytes that may still pass; unlimited: no cut has begun
 }
 
 // relayedChunk is data on its way.
@@ -47,13 +47,13 @@
 // newDirection returns a direction that does not pass anything yet.
 func (l *relayedLink) newDirection(in, out net.Conn, toTarget bool) *relayedDirection {
 	return &relayedDirection{
-		link:      l,
-		in:        in,
-		out:       out,
-		toTarget:  toTarget,
-		chunks:    make(chan relayedChunk, maxQueuedChunks),
-		written:   make(chan struct{}),
-		remaining: unlimited,
+		link:           l,
+		in:             in,
+		out:            out,
+		toTarget:       toTarget,
+		chunks:         make(chan relayedChunk, maxQueuedChunks),
+		written:        make(chan struct{}),
+		remainingBytes: unlimited,
 	}
 }
 
@@ -122,7 +122,7 @@
 		if len(data) > 0 && !d.writeData(data) {
 			return
 		}
-		if d.remaining == 0 {
+		if d.remainingBytes == 0 {
 			return
 		}
 	}
@@ -148,11 +148,11 @@
 	if !fault.Cut {
 		return data
 	}
-	if d.remaining == unlimited {
-		d.remaining = fault.CutAfterBytes
+	if d.remainingBytes == unlimited {
+		d.remainingBytes = fault.CutAfterBytes
 	}
-	data = data[:min(len(data), d.remaining)]
-	d.remaining -= len(data)
+	data = data[:min(len(data), d.remainingBytes)]
+	d.remainingBytes -= len(data)
 	return data
 }
 
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -54,7 +54,7 @@
 	cores        chan struct{} // one element for each busy core
 
 	mu          sync.Mutex // guards all below
-	chance      *rand.Rand
+	rng         *rand.Rand
 	fault       Fault
 	warmUp      *WarmUp
 	inFlight    int // requests that wait or are processed
@@ -74,7 +74,7 @@
 		log:          log,
 		deduplicator: deduplicator,
 		cores:        make(chan struct{}, set.GetCores()),
-		chance:       rand.New(rand.NewSource(int64(set.GetSeed()))),
+		rng:          rand.New(rand.NewSource(int64(set.GetSeed()))),
 		warmUp:       NewWarmUp(set),
 		address:      set.Listen,
 		connections:  map[net.Conn]bool{},
--- a/internal/fake/serverhandler.go
+++ b/internal/fake/serverhandler.go
@@ -30,14 +30,14 @@
 	ignored            // the connection stays open without an answer
 )
 
-// ending is how a request that was processed is answered.
-type ending int
+// responseKind is how a request that was processed is answered.
+type responseKind int
 
 const (
-	answered     ending = iota
-	failed              // with an error
-	reset               // by a reset of the connection
-	notProcessed        // not at all: the client gave up before a core was free
+	answered     responseKind = iota
+	failed                    // with an error
+	reset                     // by a reset of the connection
+	notProcessed              // not at all: the client gave up before a core was free
 )
 
 // trackConnection limits connections, and has each new one cost the work of a handshake.
@@ -93,14 +93,14 @@
 }
 
 // admit decides what to do with a request that arrives, and draws its work and how it is to be answered.
-func (s *Server) admit(nowMs float64) (decision admission, workMs float64, planned ending) {
+func (s *Server) admit(nowMs float64) (decision admission, workMs float64, planned responseKind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Received++
-	workMs = DrawWork(s.settings, s.chance)
+	workMs = DrawWork(s.settings, s.rng)
 	hanging := s.fault.Hang || s.warmUp.Receive(nowMs, workMs)
 	full := s.inFlight >= int(s.settings.GetWaiting())+int(s.settings.GetCores())
-	drawn := s.chance.Float64()
+	drawn := s.rng.Float64()
 	switch {
 	case drawn < s.fault.ResetRatio:
 		planned = reset
@@ -124,7 +124,7 @@
 	if key == "" || s.deduplicator == nil {
 		return false
 	}
-	return !s.deduplicator.isNew(key, nowMs, settings.Milliseconds(s.settings.DedupWindow))
+	return !s.deduplicator.recordKey(key, nowMs, settings.Milliseconds(s.settings.DedupWindow))
 }
 
 // work occupies a core for some ms of work, and reports whether it did: it does not if the context ends before a core is
@@ -151,11 +151,11 @@
 }
 
 // finish counts an admitted request that has ended.
-func (s *Server) finish(how ending, deduplicated bool) {
+func (s *Server) finish(kind responseKind, deduplicated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
-	switch how {
+	switch kind {
 	case answered:
 		s.counts.Succeeded++
 		if deduplicated {
--- a/internal/fake/stress.go
+++ b/internal/fake/stress.go
@@ -21,8 +21,8 @@
 	// maxRecordedUs and histogramDigits are the range, in µs, and the precision of histograms.
 	maxRecordedUs   = 600_000_000
 	histogramDigits = 3
-	// noServer stands for none of the servers.
-	noServer = -1
+	// noneDraining stands for none of the servers.
+	noneDraining = -1
 )
 
 // StressTest is many proxies that only speak the control stream: they apply orders, make up requests by the weights that they
@@ -71,7 +71,7 @@
 }
 
 // Prepare writes the endpoint list, so that planners can be started before Run.
-func (s *StressTest) Prepare() error { return s.writeList(noServer) }
+func (s *StressTest) Prepare() error { return s.writeList(noneDraining) }
 
 // Run joins the proxies, lets them live for some ms and returns what they observed. It may be called once.
 func (s *StressTest) Run(ctx context.Context, lengthMs float64) (StressResult, error) {
@@ -88,7 +88,7 @@
 		group.Go(func() error { return s.runProxy(ctx, group, number, startMs) })
 	}
 	if s.DrainIntervalMs > 0 && s.ListPath != "" {
-		group.Go(func() error { return s.changeList(ctx) })
+		group.Go(func() error { return s.toggleDraining(ctx) })
 	}
 	err := group.Wait()
 	return s.summarize(), err
@@ -101,16 +101,16 @@
 	}
 	proxy := s.newProxy(number, startMs)
 	group.Go(func() error {
-		proxy.makeRequests(ctx, rand.New(rand.NewSource(s.Seed+int64(number))))
+		proxy.simulateRequests(ctx, rand.New(rand.NewSource(s.Seed+int64(number))))
 		return nil
 	})
 	return proxy.client.Connect(ctx)
 }
 
-// changeList has one server after the other drain and be ready again, until the context ends.
-func (s *StressTest) changeList(ctx context.Context) error {
+// toggleDraining has one server after the other drain and be ready again, until the context ends.
+func (s *StressTest) toggleDraining(ctx context.Context) error {
 	for change := 0; clock.Sleep(ctx, s.Clock, s.DrainIntervalMs) == nil; change++ {
-		draining := noServer
+		draining := noneDraining
 		if change%2 == 0 {
 			draining = change / 2 % s.Servers
 		}
--- a/internal/fake/stressproxy.go
+++ b/internal/fake/stressproxy.go
@@ -19,11 +19,11 @@
 
 const (
 	messageWindowMs     = 10_000.0 // of StressResult.MaxMessages
-	requestBatches      = 4        // in which the requests of a report interval are made up
+	batchesPerReport    = 4        // in which the requests of a report interval are made up
 	minLatencyMs        = 20.0     // of a request
 	meanExtraLatencyMs  = 20.0     // exponentially distributed, on top
 	reconnectDelay      = "300ms"
-	silentAfter         = "60s"
+	silenceTimeout      = "60s"
 	maxStreamFrameBytes = 16 << 20
 )
 
@@ -33,22 +33,22 @@
 	startMs float64 // of the test
 	client  *proxy.ControlClient
 
-	assigned  bool      // it was assigned tables; used by the client's callbacks only, as is the next
-	recentsMs []float64 // times of messages within the window
+	assigned       bool      // it was assigned tables; used by the client's callbacks only, as is the next
+	messageTimesMs []float64 // times of messages within the window
 }
 
 // newProxy returns a proxy that is not connected.
 func (s *StressTest) newProxy(number int, startMs float64) *stressProxy {
-	created := &stressProxy{test: s, startMs: startMs}
-	created.client = proxy.NewControlClient(proxy.Options{
+	p := &stressProxy{test: s, startMs: startMs}
+	p.client = proxy.NewControlClient(proxy.Options{
 		Settings: s.proxySettings(number),
 		Clock:    s.Clock,
 		Network:  countingNetwork{Network: s.Network, test: s},
 		Log:      slog.New(slog.DiscardHandler),
 	})
-	created.client.OnOrders = created.recordOrders
-	created.client.OnTakeover = s.recordTakeover
-	return created
+	p.client.OnOrders = p.recordOrders
+	p.client.OnTakeover = s.recordTakeover
+	return p
 }
 
 // proxySettings returns the settings of a proxy.
@@ -68,7 +68,7 @@
 		Usual:       fmt.Sprintf("%g/s", s.RequestsPerSecond),
 		ReportEvery: fmt.Sprintf("%gms", s.ReportIntervalMs),
 		Redial:      reconnectDelay,
-		SilentAfter: silentAfter,
+		SilentAfter: silenceTimeout,
 		FrameBytes:  proto.Uint32(maxStreamFrameBytes),
 	}
 }
@@ -86,16 +86,16 @@
 	s := p.test
 	nowMs := s.Clock.Monotonic()
 	appliedUs := s.Clock.WallTime().UnixMicro() - int64(orders.DecidedUnixUs)
-	p.recentsMs = append(p.recentsMs, nowMs)
-	for p.recentsMs[0] <= nowMs-messageWindowMs {
-		p.recentsMs = p.recentsMs[1:]
+	p.messageTimesMs = append(p.messageTimesMs, nowMs)
+	for p.messageTimesMs[0] <= nowMs-messageWindowMs {
+		p.messageTimesMs = p.messageTimesMs[1:]
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	recordUs(s.appliedUs, appliedUs)
 	s.result.Messages++
 	s.result.Orders += len(orders.Orders)
-	s.result.MaxMessages = max(s.result.MaxMessages, len(p.recentsMs))
+	s.result.MaxMessages = max(s.result.MaxMessages, len(p.messageTimesMs))
 	if p.assigned || !assignsTable(orders) {
 		return
 	}
@@ -111,23 +111,23 @@
 	return slices.ContainsFunc(orders.Orders, func(single *order.Order) bool { return single.GetBind() != nil })
 }
 
-// makeRequests makes up requests until the context ends. Those that are admitted and find a server succeed.
-func (p *stressProxy) makeRequests(ctx context.Context, chance *rand.Rand) {
+// simulateRequests makes up requests until the context ends. Those that are admitted and find a server succeed.
+func (p *stressProxy) simulateRequests(ctx context.Context, rng *rand.Rand) {
 	s := p.test
-	intervalMs := s.ReportIntervalMs / requestBatches
+	intervalMs := s.ReportIntervalMs / batchesPerReport
 	for clock.Sleep(ctx, s.Clock, intervalMs) == nil {
 		p.client.WithCore(func(core *proxy.Core) {
 			nowMs := s.Clock.Monotonic()
-			for range int(s.RequestsPerSecond*intervalMs/1000 + chance.Float64()) {
-				p.makeRequest(core, nowMs, chance)
+			for range int(s.RequestsPerSecond*intervalMs/1000 + rng.Float64()) {
+				p.simulateRequest(core, nowMs, rng)
 			}
 		})
 	}
 }
 
-// makeRequest makes up one request.
-func (p *stressProxy) makeRequest(core *proxy.Core, nowMs float64, chance *rand.Rand) {
-	class := chance.Intn(len(p.test.Classes))
+// simulateRequest makes up one request.
+func (p *stressProxy) simulateRequest(core *proxy.Core, nowMs float64, rng *rand.Rand) {
+	class := rng.Intn(len(p.test.Classes))
 	request, admitted := core.Admit(nowMs, class)
 	if !admitted {
 		return
@@ -137,7 +137,7 @@
 		core.RecordNoServer(request)
 		return
 	}
-	latencyMs := minLatencyMs + meanExtraLatencyMs*chance.ExpFloat64()
+	latencyMs := minLatencyMs + meanExtraLatencyMs*rng.ExpFloat64()
 	core.FinishAttempt(nowMs, request, server, proxy.Succeeded, latencyMs)
 }
 
--- a/internal/fake/warmup.go
+++ b/internal/fake/warmup.go
@@ -10,13 +10,13 @@
 
 // The work of a request is its mean times a fixed part, plus an exponentially distributed part.
 const (
-	fixedWorkPart  = 0.25
-	randomWorkPart = 0.75
+	fixedWorkFraction  = 0.25
+	randomWorkFraction = 0.75
 )
 
 // DrawWork draws the work of a request, in ms of one core at nominal speed.
-func DrawWork(set *pb.Server, chance *rand.Rand) float64 {
-	return settings.Milliseconds(set.Work) * (fixedWorkPart + randomWorkPart*chance.ExpFloat64())
+func DrawWork(set *pb.Server, rng *rand.Rand) float64 {
+	return settings.Milliseconds(set.Work) * (fixedWorkFraction + randomWorkFraction*rng.ExpFloat64())
 }
 
 // Capacity returns the work that a server can do, in ms of one core at nominal speed a ms. That of a cold server rises evenly
@@ -88,11 +88,11 @@
 	if warm || w.overloaded {
 		return w.overloaded
 	}
-	sentMs := 0.0
+	offeredMs := 0.0
 	for _, earlier := range w.arrivals {
-		sentMs += earlier.workMs
+		offeredMs += earlier.workMs
 	}
-	if sentMs > w.settings.GetFallMultiple()*w.Capacity(nowMs)*windowMs {
+	if offeredMs > w.settings.GetFallMultiple()*w.Capacity(nowMs)*windowMs {
 		w.overloaded = true
 		w.overloads++
 	}
--- a/internal/fake/warmup_test.go
+++ b/internal/fake/warmup_test.go
@@ -72,10 +72,10 @@
 
 func TestDeduplicatorForgetsAfterTheWindow(t *testing.T) {
 	var deduplicator Deduplicator
-	if !deduplicator.isNew("a", 0, 100) || deduplicator.isNew("a", 100, 100) || !deduplicator.isNew("b", 100, 100) {
+	if !deduplicator.recordKey("a", 0, 100) || deduplicator.recordKey("a", 100, 100) || !deduplicator.recordKey("b", 100, 100) {
 		t.Error("within the window")
 	}
-	if !deduplicator.isNew("a", 201, 100) {
+	if !deduplicator.recordKey("a", 201, 100) {
 		t.Error("after the window")
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -26,7 +26,7 @@
 type generator struct {
 	options  Options
 	client   *http.Client
-	chance   *rand.Rand
+	rng      *rand.Rand
 	inFlight chan struct{} // one element for each request in flight
 }
 
@@ -36,15 +36,15 @@
 func Run(ctx context.Context, options Options) ([]Step, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	run := &generator{
+	g := &generator{
 		options:  options,
 		client:   &http.Client{Transport: transport},
-		chance:   rand.New(rand.NewSource(options.Seed)),
+		rng:      rand.New(rand.NewSource(options.Seed)),
 		inFlight: make(chan struct{}, options.MaxInFlight),
 	}
 	var steps []Step
 	for _, rate := range options.Rates {
-		step, err := run.runStep(ctx, rate)
+		step, err := g.runStep(ctx, rate)
 		if err != nil {
 			return steps, err
 		}
@@ -83,11 +83,11 @@
 }
 
 // nextInterval draws the time between two requests, in ms.
-func (g *generator) nextInterval(rate float64) float64 { return g.chance.ExpFloat64() / rate * 1000 }
+func (g *generator) nextInterval(rate float64) float64 { return g.rng.ExpFloat64() / rate * 1000 }
 
 // sendDue sends a request that is due, unless too many are in flight. It does not wait for the answer.
 func (g *generator) sendDue(ctx context.Context, requests *sync.WaitGroup, recorder *recorder, dueMs float64) {
-	target := g.options.Targets[g.chance.Intn(len(g.options.Targets))]
+	target := g.options.Targets[g.rng.Intn(len(g.options.Targets))]
 	recorder.recordDue(g.options.Clock.Monotonic() - dueMs)
 	select {
 	case g.inFlight <- struct{}{}:
@@ -97,8 +97,8 @@
 	}
 	requests.Go(func() {
 		defer func() { <-g.inFlight }()
-		how := g.send(ctx, target, dueMs+g.options.DeadlineMs)
-		recorder.recordOutcome(how, g.options.Clock.Monotonic()-dueMs)
+		result := g.send(ctx, target, dueMs+g.options.DeadlineMs)
+		recorder.recordOutcome(result, g.options.Clock.Monotonic()-dueMs)
 	})
 }
 
--- a/internal/load/step.go
+++ b/internal/load/step.go
@@ -65,10 +65,10 @@
 }
 
 // recordOutcome records how a request ended, and how long after it was due.
-func (r *recorder) recordOutcome(how outcome, tookMs float64) {
+func (r *recorder) recordOutcome(result outcome, tookMs float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	switch how {
+	switch result {
 	case succeeded:
 		r.step.Succeeded++
 		_ = r.latenciesUs.RecordValue(max(int64(tookMs*1000), 1)) // fails only beyond any deadline
--- a/internal/simulation/build.go
+++ b/internal/simulation/build.go
@@ -42,7 +42,7 @@
 	number := len(f.servers)
 	template := f.script.Servers
 	limits := f.script.Limits
-	speed := template.GetSlowest() + (template.GetFastest()-template.GetSlowest())*f.chance.Float64()
+	speed := template.GetSlowest() + (template.GetFastest()-template.GetSlowest())*f.rng.Float64()
 	set := &pb.Server{
 		Name:         fmt.Sprintf("node-%d", number),
 		Listen:       fmt.Sprintf("127.9.%d.%d:8000", number/250, number%250+1),
@@ -55,11 +55,11 @@
 		FallWindow:   limits.FallWindow,
 		FallMultiple: template.FallMultiple,
 	}
-	full := &pb.Server{}
-	if err := settings.Parse("server of the simulation", []byte(settings.Format(set)), full); err != nil {
+	checked := &pb.Server{}
+	if err := settings.Parse("server of the simulation", []byte(settings.Format(set)), checked); err != nil {
 		return nil, err
 	}
-	added := newServer(&f.eventQueue, full, zone, rand.New(rand.NewSource(f.chance.Int63())))
+	added := newServer(&f.eventQueue, checked, zone, rand.New(rand.NewSource(f.rng.Int63())))
 	f.servers = append(f.servers, added)
 	f.serversByAddress[added.address] = added
 	return added, nil
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -31,35 +31,35 @@
 		startMs:  loadStartMs + settings.Milliseconds(fault.At),
 		lengthMs: settings.Milliseconds(fault.Lasts),
 	}
-	switch what := fault.What.(type) {
+	switch kind := fault.What.(type) {
 	case *script.Trouble_Burst:
-		f.scheduleBurst(when, what.Burst)
+		f.scheduleBurst(when, kind.Burst)
 	case *script.Trouble_Hang:
-		f.scheduleHang(when, what.Hang)
+		f.scheduleHang(when, kind.Hang)
 	case *script.Trouble_Slow:
-		f.scheduleSlow(when, what.Slow)
+		f.scheduleSlow(when, kind.Slow)
 	case *script.Trouble_Crash:
-		f.scheduleCrash(when, int(what.Crash.GetServers()), what.Crash.Listed, nil)
+		f.scheduleCrash(when, int(kind.Crash.GetServers()), kind.Crash.Listed, nil)
 	case *script.Trouble_ZoneLoss:
-		inZone := func(candidate *server) bool { return f.script.Places[candidate.zone].Name == what.ZoneLoss.Zone }
+		inZone := func(candidate *server) bool { return f.script.Places[candidate.zone].Name == kind.ZoneLoss.Zone }
 		f.scheduleCrash(when, len(f.servers), true, inZone)
 	case *script.Trouble_Deploy:
-		f.scheduleDeploy(when, what.Deploy)
+		f.scheduleDeploy(when, kind.Deploy)
 	default:
 		return &UnsupportedFaultError{At: fault.At}
 	}
 	return nil
 }
 
-// during schedules the begin and the end of a fault.
-func (f *fleet) during(when period, begin, end func()) {
+// schedulePeriod schedules the begin and the end of a fault.
+func (f *fleet) schedulePeriod(when period, begin, end func()) {
 	f.after(when.startMs, begin)
 	f.after(when.startMs+when.lengthMs, end)
 }
 
 // scheduleBurst multiplies the rate of requests.
 func (f *fleet) scheduleBurst(when period, burst *script.Burst) {
-	f.during(when, func() { f.rateFactor = burst.GetFactor() }, func() { f.rateFactor = 1 })
+	f.schedulePeriod(when, func() { f.rateFactor = burst.GetFactor() }, func() { f.rateFactor = 1 })
 }
 
 // scheduleHang has servers receive requests and answer none, all the time or for every other period.
@@ -70,7 +70,7 @@
 			server.hanging = hanging
 		}
 	}
-	f.during(when, func() {
+	f.schedulePeriod(when, func() {
 		affected = f.drawServers(int(hang.GetServers()), nil)
 		setHanging(true)
 	}, func() { setHanging(false) })
@@ -89,7 +89,7 @@
 			server.slowdown = factor
 		}
 	}
-	f.during(when, func() {
+	f.schedulePeriod(when, func() {
 		affected = f.drawServers(int(slow.GetServers()), nil)
 		if !slow.Gradual {
 			setSlowdown(slow.GetFactor())
@@ -108,19 +108,19 @@
 // list shows that they are gone.
 func (f *fleet) scheduleCrash(when period, count int, listed bool, eligible func(*server) bool) {
 	var affected []*server
-	f.during(when, func() {
+	f.schedulePeriod(when, func() {
 		affected = f.drawServers(count, eligible)
 		for _, server := range affected {
 			server.stop()
 		}
 		if listed {
-			f.listChanges(affected...)
+			f.publishEndpoints(affected...)
 		}
 	}, func() {
 		for _, server := range affected {
 			server.start()
 		}
-		f.listChanges(affected...)
+		f.publishEndpoints(affected...)
 	})
 }
 
@@ -143,23 +143,23 @@
 		}
 		next.start()
 		old.draining = true
-		f.listChanges(old, next)
+		f.publishEndpoints(old, next)
 		f.after(drainMs, func() {
 			old.stop()
-			f.listChanges(old)
+			f.publishEndpoints(old)
 		})
 	}
 }
 
-// listChanges has the planner learn the state of servers from the endpoint list, as late as the script says.
-func (f *fleet) listChanges(servers ...*server) {
+// publishEndpoints has the planner learn the state of servers from the endpoint list, as late as the script says.
+func (f *fleet) publishEndpoints(servers ...*server) {
 	f.planner.sendEndpoints(settings.Milliseconds(f.script.ListedLate), policy.DeltaUpdate, servers)
 }
 
 // drawServers draws up to count servers that run and do not drain, of those that are eligible. A nil eligible means all.
 func (f *fleet) drawServers(count int, eligible func(*server) bool) []*server {
 	var drawn []*server
-	for _, n := range f.chance.Perm(len(f.servers)) {
+	for _, n := range f.rng.Perm(len(f.servers)) {
 		candidate := f.servers[n]
 		if len(drawn) == count || candidate.stopped || candidate.draining {
 			continue
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -24,9 +24,9 @@
 	WeightAvailable float64 `json:"weight_available"`
 }
 
-// simulatedDay is the whole outcome of a simulation. The names in the golden files are stated here, so that a renamed field
+// simulationOutcome is the whole outcome of a simulation. The names in the golden files are stated here, so that a renamed field
 // of the program changes no golden file.
-type simulatedDay struct {
+type simulationOutcome struct {
 	Service  float64         `json:"service"`
 	Messages int             `json:"messages"`
 	Entries  float64         `json:"entries"`
@@ -53,7 +53,7 @@
 	return counts
 }
 
-func simulate(t *testing.T, path string) simulatedDay {
+func simulate(t *testing.T, path string) simulationOutcome {
 	t.Helper()
 	scenario := &script.Script{}
 	if err := settings.Load(path, scenario); err != nil {
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return simulatedDay{
+	return simulationOutcome{
 		Service:  result.Service,
 		Messages: result.Messages,
 		Entries:  result.Entries,
@@ -74,14 +74,14 @@
 	}
 }
 
-// TestGoldenDay compares simulated days in every figure: planner core, policy and proxy core are the program's own there,
+// TestGoldenOutcomes compares simulated days in every figure: planner core, policy and proxy core are the program's own there,
 // so a decision that any of them takes otherwise moves a count.
-func TestGoldenDay(t *testing.T) {
+func TestGoldenOutcomes(t *testing.T) {
 	for _, name := range []string{"size-20x10", "size-171x81", "mixed-faults"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			day := simulate(t, filepath.Join("testdata", name+".txtpb"))
-			text, err := json.MarshalIndent(day, "", " ")
+			outcome := simulate(t, filepath.Join("testdata", name+".txtpb"))
+			text, err := json.MarshalIndent(outcome, "", " ")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/simulation/planner.go
+++ b/internal/simulation/planner.go
@@ -18,8 +18,8 @@
 const (
 	// frameDelayMs is how long a frame takes between planner and proxy.
 	frameDelayMs = 2.0
-	// epochUnixMs is the wall time at which a run begins, in ms since the Unix epoch.
-	epochUnixMs = 1e12
+	// runStartUnixMs is the wall time at which a run begins, in ms since the Unix epoch.
+	runStartUnixMs = 1e12
 	// unusedAddress stands for addresses that settings require but a simulation does not use.
 	unusedAddress = "127.0.0.1:1"
 )
@@ -49,18 +49,18 @@
 	for _, place := range f.script.Places {
 		set.Zones = append(set.Zones, &pb.Zone{Name: place.Name})
 	}
-	full := &pb.Planner{}
-	if err := settings.Parse("planner of the simulation", []byte(settings.Format(set)), full); err != nil {
+	checked := &pb.Planner{}
+	if err := settings.Parse("planner of the simulation", []byte(settings.Format(set)), checked); err != nil {
 		return nil, err
 	}
-	core := planner.NewCore(full, planner.NewPolicy(full), 1, 0)
+	core := planner.NewCore(checked, planner.NewPolicy(checked), 1, 0)
 	return &simulatedPlanner{fleet: f, core: core, timerMs: math.Inf(1)}, nil
 }
 
 // sendEndpoints has the planner learn the state that servers have now, after a delay.
 func (p *simulatedPlanner) sendEndpoints(delayMs float64, kind policy.UpdateKind, servers []*server) {
 	f := p.fleet
-	update := discovery.Update{Kind: kind, AsOfMs: uint64(epochUnixMs + f.nowMs)}
+	update := discovery.Update{Kind: kind, AsOfMs: uint64(runStartUnixMs + f.nowMs)}
 	for _, server := range servers {
 		update.Endpoints = append(update.Endpoints, f.endpointOf(server))
 	}
@@ -84,7 +84,7 @@
 		endpoint.State = policy.Draining
 	}
 	if startedMs := server.warmUp.StartedMs(); startedMs > 0 {
-		endpoint.StartedUnixMs = uint64(epochUnixMs + startedMs)
+		endpoint.StartedUnixMs = uint64(runStartUnixMs + startedMs)
 	}
 	return endpoint
 }
@@ -92,7 +92,7 @@
 // handle passes an input to the core, and carries out what the core decides then.
 func (p *simulatedPlanner) handle(input func()) {
 	nowMs := p.fleet.nowMs
-	p.core.SetTime(nowMs, time.UnixMilli(int64(epochUnixMs+nowMs)))
+	p.core.SetTime(nowMs, time.UnixMilli(int64(runStartUnixMs+nowMs)))
 	input()
 	for p.core.Next(p) {
 	}
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -33,7 +33,7 @@
 type fleet struct {
 	eventQueue
 	script  *script.Script
-	chance  *rand.Rand
+	rng     *rand.Rand
 	planner *simulatedPlanner
 	servers []*server
 	proxies []*simulatedProxy
@@ -50,7 +50,7 @@
 func Play(scenario *script.Script) (*Result, error) {
 	f := &fleet{
 		script:           scenario,
-		chance:           rand.New(rand.NewSource(int64(scenario.GetSeed()))),
+		rng:              rand.New(rand.NewSource(int64(scenario.GetSeed()))),
 		serversByAddress: map[string]*server{},
 		rateFactor:       1,
 	}
@@ -86,13 +86,13 @@
 
 // summarize completes the result at the end of the run.
 func (f *fleet) summarize() {
-	earned := 0.0
-	available := 0.0
+	value := 0.0
+	maxValue := 0.0
 	for _, tally := range f.result.Classes {
-		earned += tally.Value
-		available += tally.MaxValue
+		value += tally.Value
+		maxValue += tally.MaxValue
 	}
-	f.result.Service = earned / math.Max(available, 1e-9)
+	f.result.Service = value / math.Max(maxValue, 1e-9)
 	for _, server := range f.servers {
 		f.result.ColdOverloads += server.warmUp.Overloads()
 	}
--- a/internal/simulation/play_test.go
+++ b/internal/simulation/play_test.go
@@ -10,27 +10,27 @@
 	"lichenpick/proto/script"
 )
 
-// quietDay is a scenario without faults; the tests add theirs.
-const quietDay = `name: "d" length: "12s" warm: "1s"
+// faultFreeScenario is a scenario without faults; the tests add theirs.
+const faultFreeScenario = `name: "d" length: "12s" warm: "1s"
 places { name: "a" proxies: 3 servers: 4 } places { name: "b" proxies: 3 servers: 4 }
 groups { name: "check" latency_budget: "600ms" expiry: "1.5s" repeat: RETRIABLE }
 groups { name: "charge" latency_budget: "800ms" expiry: "2.5s" }
 servers { work: "40ms" } traffic { rate: "100/s" } `
 
-// parseDay parses the quiet day with further fields.
-func parseDay(t *testing.T, fields string) *script.Script {
+// parseScenario parses the quiet day with further fields.
+func parseScenario(t *testing.T, fields string) *script.Script {
 	t.Helper()
 	parsed := &script.Script{}
-	if err := settings.Parse("day", []byte(quietDay+fields), parsed); err != nil {
+	if err := settings.Parse("day", []byte(faultFreeScenario+fields), parsed); err != nil {
 		t.Fatal(err)
 	}
 	return parsed
 }
 
-// play plays the quiet day with further fields.
-func play(t *testing.T, fields string) *Result {
+// playScenario plays the quiet day with further fields.
+func playScenario(t *testing.T, fields string) *Result {
 	t.Helper()
-	result, err := Play(parseDay(t, fields))
+	result, err := Play(parseScenario(t, fields))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,15 +40,15 @@
 func TestPlay(t *testing.T) {
 	t.Run("one seed gives one result, another seed another", func(t *testing.T) {
 		const faults = `troubles { at: "2s" lasts: "4s" deploy { servers: 2 drain: "3s" } } troubles { at: "4s" lasts: "4s" hang { servers: 1 } } `
-		first := play(t, faults+"seed: 4")
-		second := play(t, faults+"seed: 4")
-		other := play(t, faults+"seed: 5")
+		first := playScenario(t, faults+"seed: 4")
+		second := playScenario(t, faults+"seed: 4")
+		other := playScenario(t, faults+"seed: 5")
 		if !reflect.DeepEqual(first, second) || reflect.DeepEqual(first, other) {
 			t.Errorf("%+v\n%+v\n%+v", first, second, other)
 		}
 	})
 	t.Run("every request ends once, and a quiet day is served", func(t *testing.T) {
-		result := play(t, "")
+		result := playScenario(t, "")
 		for _, class := range result.Classes {
 			ended := class.Succeeded + class.Late + class.Rejected + class.NoServer + class.Failed
 			if class.Requested < 200 || class.Requested != ended || class.Succeeded < class.Requested*99/100 {
@@ -61,22 +61,22 @@
 	})
 	// A model in which nothing goes wrong would pass for any planner.
 	t.Run("a hang, an overload and a lost zone each cost service, and a deploy does not", func(t *testing.T) {
-		quiet := play(t, "").Service
+		faultFree := playScenario(t, "").Service
 		for name, fields := range map[string]string{
 			"hang":     `troubles { at: "3s" lasts: "6s" hang { servers: 2 } }`,
 			"overload": `troubles { at: "3s" lasts: "6s" burst { factor: 8 } }`,
 			"zone":     `troubles { at: "3s" lasts: "4s" zone_loss { zone: "a" } }`,
 		} {
-			if got := play(t, fields).Service; got > quiet-0.005 {
-				t.Errorf("%s: service %.3f, %.3f on a quiet day", name, got, quiet)
+			if got := playScenario(t, fields).Service; got > faultFree-0.005 {
+				t.Errorf("%s: service %.3f, %.3f on a quiet day", name, got, faultFree)
 			}
 		}
-		if got := play(t, `troubles { at: "3s" lasts: "4s" deploy { servers: 2 drain: "4s" } }`).Service; got < quiet-0.01 {
-			t.Errorf("a deploy with long drains: service %.3f, %.3f on a quiet day", got, quiet)
+		if got := playScenario(t, `troubles { at: "3s" lasts: "4s" deploy { servers: 2 drain: "4s" } }`).Service; got < faultFree-0.01 {
+			t.Errorf("a deploy with long drains: service %.3f, %.3f on a quiet day", got, faultFree)
 		}
 	})
 	t.Run("a fault that needs sockets is refused", func(t *testing.T) {
-		_, err := Play(parseDay(t, `troubles { at: "1s" lasts: "1s" stuck_proxy {} }`))
+		_, err := Play(parseScenario(t, `troubles { at: "1s" lasts: "1s" stuck_proxy {} }`))
 		var unsupported *UnsupportedFaultError
 		if !errors.As(err, &unsupported) || !strings.Contains(err.Error(), "scenario") {
 			t.Errorf("%v", err)
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -37,32 +37,32 @@
 		Groups:      f.script.Groups,
 		Pick:        f.script.Pick,
 		ReportEvery: f.script.Reports.Every,
-		Seed:        proto.Uint64(uint64(f.chance.Int63())),
+		Seed:        proto.Uint64(uint64(f.rng.Int63())),
 	}
-	full := &pb.Proxy{}
-	if err := settings.Parse("proxy of the simulation", []byte(settings.Format(set)), full); err != nil {
+	checked := &pb.Proxy{}
+	if err := settings.Parse("proxy of the simulation", []byte(settings.Format(set)), checked); err != nil {
 		return err
 	}
 	added := &simulatedProxy{
 		fleet:            f,
-		core:             proxy.NewCore(full, 0),
+		core:             proxy.NewCore(checked, 0),
 		stream:           &planner.Stream{Address: netip.MustParseAddr("127.0.0.1")},
-		reportIntervalMs: settings.Milliseconds(full.ReportEvery),
+		reportIntervalMs: settings.Milliseconds(checked.ReportEvery),
 	}
 	added.stream.Transport = added
 	f.proxies = append(f.proxies, added)
 	join := &order.Join{
-		Proxy:       full.Name,
+		Proxy:       checked.Name,
 		Zone:        zoneName,
 		UsualPerS:   settings.PerSecond(f.script.Traffic.Rate) / float64(settings.ProxyCount(f.script)),
 		Incarnation: 1,
 		Stream:      1,
 		Groups:      uint32(len(f.script.Groups)),
 	}
-	f.after(firstJoinMs+f.chance.Float64()*joinSpreadMs, func() {
+	f.after(firstJoinMs+f.rng.Float64()*joinSpreadMs, func() {
 		f.planner.handle(func() { f.planner.core.HandleJoin(added.stream, join) })
 	})
-	f.after(f.chance.Float64()*added.reportIntervalMs, added.sendReport)
+	f.after(f.rng.Float64()*added.reportIntervalMs, added.sendReport)
 	return nil
 }
 
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -16,8 +16,8 @@
 	minAttemptMs = 1.0
 	// minRateFactor stands for a factor of 0, at which the next request would never be due.
 	minRateFactor = 1e-3
-	// retryDeadlinePart is the part of a request's deadline after which its client sends no retry.
-	retryDeadlinePart = 0.8
+	// retryDeadlineFraction is the part of a request's deadline after which its client sends no retry.
+	retryDeadlineFraction = 0.8
 )
 
 // clientRequest is a request of a client, over all its retries.
@@ -25,14 +25,14 @@
 	class     int
 	startMs   float64
 	second    int // of the run in which it was due, without the warm-up
-	sent      int // times that it was sent to a proxy
+	timesSent int // times that it was sent to a proxy
 	backoffMs float64
 }
 
 // scheduleRequest draws the time of the next request, which then schedules the one after it, until the end of the load.
 func (f *fleet) scheduleRequest(loadStartMs, loadEndMs float64) {
 	rate := settings.PerSecond(f.script.Traffic.Rate) * math.Max(f.rateFactor, minRateFactor)
-	f.after(f.chance.ExpFloat64()/rate*1000, func() {
+	f.after(f.rng.ExpFloat64()/rate*1000, func() {
 		if f.nowMs >= loadEndMs {
 			return
 		}
@@ -51,7 +51,7 @@
 // drawClass draws a traffic class by the shares.
 func (f *fleet) drawClass() int {
 	class := 0
-	drawn := f.chance.Float64()
+	drawn := f.rng.Float64()
 	for class < len(f.shares)-1 && drawn >= f.shares[class] {
 		drawn -= f.shares[class]
 		class++
@@ -60,11 +60,11 @@
 }
 
 // drawProxy draws a proxy, all evenly.
-func (f *fleet) drawProxy() *simulatedProxy { return f.proxies[f.chance.Intn(len(f.proxies))] }
+func (f *fleet) drawProxy() *simulatedProxy { return f.proxies[f.rng.Intn(len(f.proxies))] }
 
 // sendRequest sends a request to a proxy.
 func (f *fleet) sendRequest(to *simulatedProxy, request *clientRequest) {
-	request.sent++
+	request.timesSent++
 	admitted, ok := to.core.Admit(f.nowMs, request.class)
 	if !ok {
 		f.finishRequest(request, fake.Rejected)
@@ -105,20 +105,20 @@
 
 // deliver has an attempt arrive at a server; finish is called when the answer is back at the proxy.
 func (f *fleet) deliver(address string, finish func(proxy.Outcome)) {
-	reply := func(outcome proxy.Outcome) {
+	respond := func(outcome proxy.Outcome) {
 		f.after(requestDelayMs, func() { finish(outcome) })
 	}
 	server := f.serversByAddress[address]
 	if server == nil { // connections are refused
-		reply(proxy.Unprocessed)
+		respond(proxy.Unprocessed)
 		return
 	}
-	server.receive(&attempt{finish: func(how serverReply) {
-		switch how {
+	server.receive(&attempt{finish: func(reply serverReply) {
+		switch reply {
 		case replySucceeded:
-			reply(proxy.Succeeded)
+			respond(proxy.Succeeded)
 		case replyUnprocessed:
-			reply(proxy.Unprocessed)
+			respond(proxy.Unprocessed)
 		case replyNone: // the proxy's own timeout ends the attempt
 		}
 	}})
@@ -129,7 +129,7 @@
 	class := f.script.Groups[request.class]
 	tookMs := f.nowMs - request.startMs
 	if f.mayRetry(request, class, outcome, tookMs) {
-		waitMs := request.backoffMs * (0.5 + f.chance.Float64())
+		waitMs := request.backoffMs * (0.5 + f.rng.Float64())
 		request.backoffMs *= 2
 		f.after(waitMs, func() { f.sendRequest(f.drawProxy(), request) })
 		return
@@ -144,7 +144,7 @@
 		return false
 	}
 	safe := class.Repeat == pb.Repeat_RETRIABLE || outcome.Retryable()
-	retriesLeft := request.sent <= int(f.script.Traffic.GetRepeats())
-	timeLeft := tookMs+request.backoffMs <= retryDeadlinePart*settings.Milliseconds(class.Expiry)
+	retriesLeft := request.timesSent <= int(f.script.Traffic.GetRepeats())
+	timeLeft := tookMs+request.backoffMs <= retryDeadlineFraction*settings.Milliseconds(class.Expiry)
 	return safe && retriesLeft && timeLeft
 }
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -15,7 +15,7 @@
 	address  string
 	zone     int
 	settings *pb.Server
-	chance   *rand.Rand // of its own, for work
+	rng      *rand.Rand // of its own, for work
 
 	warmUp    *fake.WarmUp
 	busyCores int
@@ -30,7 +30,7 @@
 // attempt is one attempt of a request at a server.
 type attempt struct {
 	workMs float64
-	finish func(how serverReply) // called at most once
+	finish func(reply serverReply) // called at most once
 }
 
 // serverReply is how an attempt ends at the server.
@@ -44,33 +44,33 @@
 )
 
 // newServer returns a server that is warm.
-func newServer(events *eventQueue, set *pb.Server, zone int, chance *rand.Rand) *server {
+func newServer(events *eventQueue, set *pb.Server, zone int, rng *rand.Rand) *server {
 	return &server{
 		events:   events,
 		address:  set.Listen,
 		zone:     zone,
 		settings: set,
-		chance:   chance,
+		rng:      rng,
 		warmUp:   fake.NewWarmUp(set),
 		slowdown: 1,
 	}
 }
 
 // receive takes an attempt that arrives.
-func (s *server) receive(arrived *attempt) {
-	arrived.workMs = fake.DrawWork(s.settings, s.chance)
+func (s *server) receive(arriving *attempt) {
+	arriving.workMs = fake.DrawWork(s.settings, s.rng)
 	cores := int(s.settings.GetCores())
 	switch {
 	case s.stopped:
-		arrived.finish(replyUnprocessed)
-	case s.hanging || s.warmUp.Receive(s.events.nowMs, arrived.workMs):
-		arrived.finish(replyNone)
+		arriving.finish(replyUnprocessed)
+	case s.hanging || s.warmUp.Receive(s.events.nowMs, arriving.workMs):
+		arriving.finish(replyNone)
 	case s.busyCores+len(s.queue) >= int(s.settings.GetWaiting())+cores:
-		arrived.finish(replyUnprocessed)
+		arriving.finish(replyUnprocessed)
 	case s.busyCores < cores:
-		s.process(arrived)
+		s.process(arriving)
 	default:
-		s.queue = append(s.queue, arrived)
+		s.queue = append(s.queue, arriving)
 	}
 }
 
