--- a/internal/fake/deduplicator.go
+++ b/internal/fake/deduplicator.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// cleanupThreshold is the number of idempotency keys from which expired ones are looked for.
+// cleanupThreshold is the number of stored idempotency keys above which expired ones are removed.
 const cleanupThreshold = 1 << 14
 
-// Deduplicator is what the servers of one scope share to recognize idempotency keys: a request that is processed twice within
-// a window has one effect. The zero value has seen no key. Any goroutine may use it.
+// Deduplicator remembers idempotency keys for the servers that share it, so that a request that is processed twice within a
+// time window has one effect. The zero value is empty and ready to use. It is safe for concurrent use.
 type Deduplicator struct {
 	mu     sync.Mutex
-	seenMs map[string]float64 // latest time by key
+	seenMs map[string]float64 // time in ms at which each key was seen last
 }
 
-// recordKey reports whether a key was not seen within the window, and remembers it.
+// recordKey records that a key was seen now, and reports whether it was new, that is not seen within the window before.
 func (d *Deduplicator) recordKey(key string, nowMs, windowMs float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -27,7 +27,7 @@
 	return !seen || nowMs-lastMs > windowMs
 }
 
-// expire forgets keys that were seen last before a time. The caller holds the lock.
+// expire removes keys that were last seen before the given time. The caller holds the lock.
 func (d *Deduplicator) expire(beforeMs float64) {
 	for key, lastMs := range d.seenMs {
 		if lastMs < beforeMs {
--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -18,47 +18,49 @@
 )
 
 const (
-	// maxInFlight is how many requests a LoadGenerator has in flight; with more it ends its run.
+	// maxInFlight is the most requests that a LoadGenerator has in flight. A run that would exceed it ends with an error.
 	maxInFlight = 20_000
-	// minRateFactor stands for a factor of 0, at which the next request would never be due.
+	// minRateFactor replaces a rate factor of 0, with which the next request would never be due.
 	minRateFactor = 1e-3
-	// retryDeadlineFraction is the part of a request's deadline after which its client sends no retry.
+	// retryDeadlineFraction is the fraction of a request's deadline after which its client sends no more retries.
 	retryDeadlineFraction = 0.8
-	// maxIdleConnections is how many idle connections are kept to each proxy.
+	// maxIdleConnections is the number of idle connections that are kept to each proxy.
 	maxIdleConnections = 256
 )
 
-// ErrTooManyInFlight tells that a run ended as the proxies answered far more slowly than requests were due.
+// ErrTooManyInFlight is returned when a run ends early because the proxies answer far more slowly than requests become due.
 var ErrTooManyInFlight = errors.New("too many requests in flight")
 
-// LoadGenerator is many clients. It sends requests at times drawn ahead, whether earlier ones were answered or not. Its
-// exported fields must not change during Run; all are required but MaxRetries, BackoffMs and Seed, for which 0 is a value.
+// LoadGenerator simulates many clients that send open-loop load: requests arrive as a Poisson process, whether or not earlier
+// ones have been answered. Its exported fields must not change during Run. MaxRetries, BackoffMs and Seed may be 0; all other
+// fields are required.
 type LoadGenerator struct {
 	Clock             clock.Clock
 	Classes           []*pb.Group // traffic classes
-	Shares            []float64   // of the classes in the requests; they add up to 1
+	Shares            []float64   // fraction of the requests that is of each class; they add up to 1
 	RequestsPerSecond float64
-	MaxRetries        int      // of a request by its client
-	BackoffMs         float64  // before the first retry; doubled for each further one
-	Proxies           []string // addresses, drawn evenly
+	MaxRetries        int      // retries that a client sends for one request, at most
+	BackoffMs         float64  // mean delay before the first retry; it doubles for each further one
+	Proxies           []string // addresses; each request goes to one drawn uniformly
 	Seed              int64
 
-	mu         sync.Mutex // guards all below
+	mu         sync.Mutex // guards the fields below
 	rateFactor float64
-	classes    []Tally
-	seconds    []Tally // by second in which a request was due
-	sent       int
+	classes    []Tally // by traffic class
+	seconds    []Tally // by second of the run in which requests were due
+	sent       int     // requests sent to proxies, retries included
 }
 
-// SetRateFactor multiplies the rate from now on. Any goroutine may call it, also before Run.
+// SetRateFactor sets the factor by which RequestsPerSecond is multiplied from now on. It is safe for concurrent use, also
+// before Run.
 func (g *LoadGenerator) SetRateFactor(factor float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.rateFactor = factor
 }
 
-// Run sends requests for some ms or until the context ends, then waits for the last answers. Its only error is
-// ErrTooManyInFlight. It may be called once.
+// Run sends requests for lengthMs or until the context ends, and then waits until all of them have ended. It returns no error
+// other than ErrTooManyInFlight. It may be called only once.
 func (g *LoadGenerator) Run(ctx context.Context, lengthMs float64) error {
 	g.mu.Lock()
 	if g.rateFactor == 0 {
@@ -73,15 +75,15 @@
 	inFlight := make(chan struct{}, maxInFlight)
 	var requests sync.WaitGroup
 	defer requests.Wait()
-	rng := rand.New(rand.NewSource(g.Seed))
+	random := rand.New(rand.NewSource(g.Seed))
 	startMs := g.Clock.Monotonic()
 	dueMs := 0.0
 	for number := 0; ; number++ {
-		dueMs += g.nextInterval(rng)
+		dueMs += g.nextInterval(random)
 		if dueMs >= lengthMs || !g.waitUntil(ctx, startMs+dueMs) {
 			return nil
 		}
-		request := g.drawRequest(rng, number, int(dueMs/1000))
+		request := g.drawRequest(random, number, int(dueMs/1000))
 		select {
 		case inFlight <- struct{}{}:
 		default:
@@ -94,48 +96,48 @@
 	}
 }
 
-// nextInterval draws the time until the next request is due, in ms.
-func (g *LoadGenerator) nextInterval(rng *rand.Rand) float64 {
+// nextInterval draws the time in ms from one request until the next is due.
+func (g *LoadGenerator) nextInterval(random *rand.Rand) float64 {
 	g.mu.Lock()
 	factor := g.rateFactor
 	g.mu.Unlock()
 	if factor <= 0 {
 		factor = minRateFactor
 	}
-	return rng.ExpFloat64() / (g.RequestsPerSecond * factor) * 1000
+	return random.ExpFloat64() / (g.RequestsPerSecond * factor) * 1000
 }
 
-// waitUntil waits for a time of the clock, and reports whether the context did not end before.
+// waitUntil waits until the clock's monotonic time reaches atMs. It returns false if the context ends first.
 func (g *LoadGenerator) waitUntil(ctx context.Context, atMs float64) bool {
 	waitMs := atMs - g.Clock.Monotonic()
 	return waitMs <= 0 || clock.Sleep(ctx, g.Clock, waitMs) == nil
 }
 
-// clientRequest is a request of a client, over all its retries.
+// clientRequest is one request of a client, including all its retries.
 type clientRequest struct {
 	number int
 	class  int
-	proxy  int // that the client sends it to first
+	proxy  int // index of the proxy that the client sends it to first
 	seed   int64
-	second int // in which it was due
+	second int // second of the run in which it was due
 }
 
-// drawRequest draws the next request.
-func (g *LoadGenerator) drawRequest(rng *rand.Rand, number, second int) clientRequest {
+// drawRequest draws the class, first proxy and seed of the next request.
+func (g *LoadGenerator) drawRequest(random *rand.Rand, number, second int) clientRequest {
 	class := 0
-	drawn := rng.Float64()
+	drawn := random.Float64()
 	for class < len(g.Shares)-1 && drawn >= g.Shares[class] {
 		drawn -= g.Shares[class]
 		class++
 	}
-	proxyNumber := rng.Intn(len(g.Proxies))
-	return clientRequest{number: number, class: class, proxy: proxyNumber, seed: rng.Int63(), second: second}
+	proxyNumber := random.Intn(len(g.Proxies))
+	return clientRequest{number: number, class: class, proxy: proxyNumber, seed: random.Int63(), second: second}
 }
 
-// send sends a request to a proxy, and again to another while it may be retried, and counts how it ended.
+// send sends a request to its first proxy, retries it at proxies drawn anew as long as that is allowed, and records the outcome.
 func (g *LoadGenerator) send(ctx context.Context, client *http.Client, request clientRequest) {
 	class := g.Classes[request.class]
-	rng := rand.New(rand.NewSource(request.seed))
+	random := rand.New(rand.NewSource(request.seed))
 	startMs := g.Clock.Monotonic()
 	deadlineMs := settings.Milliseconds(class.Expiry)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(deadlineMs*float64(time.Millisecond)))
@@ -153,10 +155,10 @@
 		if !retryable || attempts > g.MaxRetries || elapsedMs+backoffMs > deadlineMs*retryDeadlineFraction {
 			break
 		}
-		if clock.Sleep(ctx, g.Clock, backoffMs*(0.5+rng.Float64())) != nil {
+		if clock.Sleep(ctx, g.Clock, backoffMs*(0.5+random.Float64())) != nil {
 			break
 		}
-		proxyNumber = rng.Intn(len(g.Proxies))
+		proxyNumber = random.Intn(len(g.Proxies))
 		backoffMs *= 2
 	}
 	tookMs := g.Clock.Monotonic() - startMs
@@ -167,7 +169,7 @@
 	g.seconds[request.second].Record(class, outcome, tookMs)
 }
 
-// attempt sends a request once, and returns how that ended.
+// attempt sends a request once and returns the outcome.
 func (g *LoadGenerator) attempt(ctx context.Context, client *http.Client, request clientRequest, number int, address string) Outcome {
 	class := g.Classes[request.class]
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/", http.NoBody)
@@ -199,8 +201,8 @@
 	return Failed
 }
 
-// Tallies returns how the requests ended, by traffic class and by second in which they were due, and how many were sent to
-// proxies, retries included. Any goroutine may call it.
+// Tallies returns the outcomes of the requests so far, by traffic class and by the second of the run in which they were due,
+// and the number of requests sent to proxies, retries included. It is safe for concurrent use.
 func (g *LoadGenerator) Tallies() (classes, seconds []Tally, sent int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -15,48 +15,51 @@
 )
 
 const (
-	// maxQueuedListings is how many lists may be on their way to one subscriber; one that is slower is disconnected.
-	maxQueuedListings   = 4096
+	// maxQueuedListings is the number of messages that may be queued for one subscriber. A subscriber that falls further
+	// behind is disconnected.
+	maxQueuedListings = 4096
+	// heartbeatIntervalMs is the time after which a heartbeat is sent if no message was queued.
 	heartbeatIntervalMs = 1000.0
 )
 
-// EndpointState is the state of a server in the endpoint list, as on the list's wire.
+// EndpointState is the state of a server in the endpoint list, with the values that are encoded in its messages.
 type EndpointState uint32
 
-// The states.
+// The states of a server.
 const (
 	EndpointReady EndpointState = iota
 	EndpointDraining
 	EndpointRemoved
 )
 
-// EndpointRegistry serves an endpoint list: each subscriber that dials receives the whole list and then its changes, all with
-// a delay. Clock is required, and neither exported field may change after Start. Any goroutine may call the methods.
+// EndpointRegistry serves an endpoint list: each subscriber that connects receives the whole list and then its changes, all
+// delayed by DelayMs. Clock is required, and the exported fields must not change after Start. The methods are safe for
+// concurrent use.
 type EndpointRegistry struct {
 	Clock   clock.Clock
-	DelayMs float64 // of each list; 0: none
+	DelayMs float64 // delay of each message; 0: none
 
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	entries     []*order.Listing_Entry
 	version     uint64
-	override    func([]*order.Listing_Entry) []*order.Listing_Entry // nil: the list is shown as it is
+	override    func([]*order.Listing_Entry) []*order.Listing_Entry // replaces the published list; nil: the true list
 	subscribers map[*subscriber]bool
 }
 
-// subscriber is a connection to whoever reads the list.
+// subscriber is a connection on which a client receives the list.
 type subscriber struct {
 	connection net.Conn
-	queue      chan queuedListing // closed when the subscriber is too slow
-	sequence   uint64             // of the last frame
+	queue      chan queuedListing // closed when the subscriber falls too far behind
+	sequence   uint64             // number of the last frame sent
 }
 
-// queuedListing is a list on its way to a subscriber.
+// queuedListing is a message that is sent to a subscriber when it is due.
 type queuedListing struct {
 	dueMs   float64
 	listing *order.Listing
 }
 
-// Start listens on a loopback port until the context ends, and returns the address.
+// Start listens on a free port of the loopback interface until the context ends, and returns the address.
 func (r *EndpointRegistry) Start(ctx context.Context, network clock.Network) (string, error) {
 	listener, err := network.Listen(ctx, "127.0.0.1:0")
 	if err != nil {
@@ -70,7 +73,7 @@
 	return listener.Addr().String(), nil
 }
 
-// accept serves whoever dials, until the listener is closed.
+// accept serves each connection as a subscriber, until the listener is closed.
 func (r *EndpointRegistry) accept(ctx context.Context, listener net.Listener) {
 	for {
 		connection, err := listener.Accept()
@@ -81,7 +84,7 @@
 	}
 }
 
-// subscribe adds a subscriber, with the whole list as its first.
+// subscribe adds a subscriber and queues the whole list as its first message.
 func (r *EndpointRegistry) subscribe(connection net.Conn) *subscriber {
 	added := &subscriber{connection: connection, queue: make(chan queuedListing, maxQueuedListings)}
 	r.mu.Lock()
@@ -91,7 +94,7 @@
 	return added
 }
 
-// serve sends lists and heartbeats to a subscriber, until its connection breaks, it is too slow or the context ends.
+// serve sends messages and heartbeats to a subscriber until its connection breaks, it falls too far behind or the context ends.
 func (r *EndpointRegistry) serve(ctx context.Context, client *subscriber) {
 	stopWatch := context.AfterFunc(ctx, func() { _ = client.connection.Close() })
 	defer stopWatch()
@@ -99,7 +102,7 @@
 		r.mu.Lock()
 		delete(r.subscribers, client)
 		r.mu.Unlock()
-		_ = client.connection.Close() // it may be broken already
+		_ = client.connection.Close() // the connection may be broken already
 	}()
 	for {
 		if err := r.sendNext(ctx, client); err != nil {
@@ -108,8 +111,8 @@
 	}
 }
 
-// sendNext sends the next list when it is due, or a heartbeat where there is none for a while. The error tells only that the
-// subscriber is gone.
+// sendNext sends the next message when it is due, or a heartbeat if none was queued for heartbeatIntervalMs. Any error means
+// that the subscriber can no longer be served.
 func (r *EndpointRegistry) sendNext(ctx context.Context, client *subscriber) error {
 	heartbeatDue, stopTimer := r.Clock.NewTimer(heartbeatIntervalMs)
 	defer stopTimer()
@@ -129,7 +132,7 @@
 	}
 }
 
-// send writes a frame; a nil message gives an empty one.
+// send writes a frame; with a nil message its payload is empty.
 func (s *subscriber) send(kind controlstream.FrameKind, message proto.Message) error {
 	s.sequence++
 	frame, err := controlstream.AppendFrame(nil, kind, s.sequence, message)
@@ -140,12 +143,12 @@
 	return err
 }
 
-// withDueTime returns a list with the time at which it is due. The caller holds the lock.
+// withDueTime returns a message with the time at which it is to be sent. The caller holds the lock.
 func (r *EndpointRegistry) withDueTime(listing *order.Listing) queuedListing {
 	return queuedListing{dueMs: r.Clock.Monotonic() + r.DelayMs, listing: listing}
 }
 
-// publish queues a list for all subscribers. The caller holds the lock.
+// publish queues a message for all subscribers and drops those whose queue is full. The caller holds the lock.
 func (r *EndpointRegistry) publish(listing *order.Listing) {
 	for client := range r.subscribers {
 		select {
@@ -157,12 +160,12 @@
 	}
 }
 
-// newListing returns a list without entries. The caller holds the lock.
+// newListing returns a message without entries. The caller holds the lock.
 func (r *EndpointRegistry) newListing(form order.Listing_Form) *order.Listing {
 	return &order.Listing{Form: form, AsOfUnixMs: uint64(r.Clock.WallTime().UnixMilli()), Version: r.version}
 }
 
-// fullListing returns the whole list as it is shown. The caller holds the lock.
+// fullListing returns a message with the whole list, as replaced by the override if there is one. The caller holds the lock.
 func (r *EndpointRegistry) fullListing() *order.Listing {
 	shown := r.entries
 	if r.override != nil {
@@ -173,7 +176,7 @@
 	return listing
 }
 
-// copyPresent returns copies of the entries that are not removed.
+// copyPresent returns copies of the entries except those of removed servers.
 func copyPresent(entries []*order.Listing_Entry) []*order.Listing_Entry {
 	var copies []*order.Listing_Entry
 	for _, entry := range entries {
@@ -184,7 +187,8 @@
 	return copies
 }
 
-// SetEndpoint adds or changes a server, and publishes this. A startedUnixMs of 0 tells that it was started long ago.
+// SetEndpoint adds or changes a server and publishes the change. A startedUnixMs of 0 means that the server started long
+// ago.
 func (r *EndpointRegistry) SetEndpoint(server, zone string, state EndpointState, capacity float64, startedUnixMs uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -205,8 +209,9 @@
 	r.publish(change)
 }
 
-// Override shows another list than the true one until it is called with nil, and publishes the whole list each time. The
-// function must not change the entries that it is given, and must not call the registry.
+// Override sets a function that replaces the true list in everything that is published, and publishes the resulting whole
+// list. Calling it with nil restores the true list. The function must not change the entries that it is given, and must not
+// call the registry.
 func (r *EndpointRegistry) Override(override func([]*order.Listing_Entry) []*order.Listing_Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -10,48 +10,49 @@
 	"lichenpick/internal/clock"
 )
 
-// LinkFault is what is wrong with the connections from one source to a relay's target; the zero value is nothing.
+// LinkFault is the fault of the connections from one source to a relay's target. The zero value is no fault.
 type LinkFault struct {
-	DelayMs        float64 // of what passes, each way, in order
-	ConnectDelayMs float64 // before a new connection is passed on
-	Cut            bool    // connections break and none opens
-	Stall          bool    // nothing passes towards the source: it is held back until the sender's window is full
-	CutAfterBytes  int     // with Cut: bytes of each connection that still pass towards the source, so that a frame may break
+	DelayMs        float64 // delay of all data, in both directions
+	ConnectDelayMs float64 // delay before the relay dials the target for a new connection
+	Cut            bool    // existing connections break and new ones are reset
+	Stall          bool    // data towards the source is held back, so that in the end the target's writes block
+	CutAfterBytes  int     // with Cut: bytes that each connection still delivers to the source, to break it within a frame
 }
 
-// Observer is notified of what passes on one connection. Its methods may be called by several goroutines, and should return soon.
-// Times are in ms of the relay's clock. The data must not be kept or changed.
+// Observer is notified of the data on one relayed connection. Its methods may be called by several goroutines and should return
+// quickly. Times are the relay's monotonic clock in ms. Data must not be retained or changed.
 type Observer interface {
 	// ToTarget receives data that the source sent.
 	ToTarget(atMs float64, data []byte)
 	// FromTarget receives data that the target sent.
 	FromTarget(atMs float64, data []byte)
-	// Delivered receives how many more bytes were written to the source.
+	// Delivered receives the number of bytes that were just written to the source.
 	Delivered(atMs float64, count int)
-	// Closed is called once when one side ended the connection. What was on its way may still be delivered.
+	// Closed is called once, when either side has ended the connection. Data in transit may still be delivered afterwards.
 	Closed(atMs float64)
 }
 
-// Relay passes connections on to a target, from the source's own address, and has them observed. Clock and Network are
-// required; no exported field may change after Start. Any goroutine may call the other methods after Start.
+// Relay forwards connections to a target, dialling it from the source's own address, and reports their data to observers.
+// Clock and Network are required, and the exported fields must not change after Start. After Start the other methods are safe
+// for concurrent use.
 type Relay struct {
 	Clock   clock.Clock
 	Network clock.Network
-	Observe func(from netip.Addr) Observer // called for each connection; nil: none is observed
+	Observe func(from netip.Addr) Observer // returns the observer of a new connection; nil: none is observed
 
-	ctx     context.Context // of Start: Reopen goes on under it
+	ctx     context.Context // passed to Start; Reopen and all connections use it
 	address string
 
-	mu            sync.Mutex // guards all below
+	mu            sync.Mutex // guards the fields below
 	listener      net.Listener
 	target        string
-	faults        func(from netip.Addr) LinkFault // nil: none
-	faultsChanged chan struct{}                   // closed and made anew when faults change
-	connections   map[net.Conn]netip.Addr         // both ends of each connection, with its source
+	faults        func(from netip.Addr) LinkFault // nil: no faults
+	faultsChanged chan struct{}                   // closed and replaced when the faults change
+	connections   map[net.Conn]netip.Addr         // both ends of each relayed connection, mapped to its source
 }
 
-// Start listens at an address until the context ends, and returns the address with its port. Connections go to the target,
-// which may be empty until SetTarget is called.
+// Start listens at an address until the context ends, and returns the address with the port that was chosen. Connections are
+// forwarded to the target, which may be empty until SetTarget is called.
 func (r *Relay) Start(ctx context.Context, address, target string) (string, error) {
 	listener, err := r.Network.Listen(ctx, address)
 	if err != nil {
@@ -68,21 +69,21 @@
 	return r.address, nil
 }
 
-// Address returns the address at which the relay listens, or listened last.
+// Address returns the address at which the relay listens, or last listened.
 func (r *Relay) Address() string { return r.address }
 
-// Close stops listening and breaks all connections. Dials are refused then, as by a machine whose process is gone.
+// Close stops listening and breaks all connections. New connections are then refused, as by a host whose process has ended.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	if r.listener != nil {
-		_ = r.listener.Close() // nothing listens in either case
+		_ = r.listener.Close() // after an error it does not listen either
 		r.listener = nil
 	}
 	r.mu.Unlock()
 	r.Disconnect(func(netip.Addr) bool { return true })
 }
 
-// Reopen listens again, at the same address. It does nothing where the relay listens.
+// Reopen listens again at the same address. It does nothing if the relay is listening.
 func (r *Relay) Reopen() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,15 +99,15 @@
 	return nil
 }
 
-// SetTarget sends new connections to another target.
+// SetTarget sets the target of new connections. Existing ones keep theirs.
 func (r *Relay) SetTarget(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = target
 }
 
-// SetFaults changes what is wrong with connections, by the address that they come from; nil ends all faults. Connections that
-// are cut break at once, unless bytes may still pass.
+// SetFaults sets the function that returns the fault of the connections from each source address; nil ends all faults. A cut
+// breaks existing connections at once, unless CutAfterBytes lets them deliver some more bytes.
 func (r *Relay) SetFaults(faults func(from netip.Addr) LinkFault) {
 	r.mu.Lock()
 	r.faults = faults
@@ -122,18 +123,18 @@
 	})
 }
 
-// Disconnect breaks the connections of the sources that are selected.
+// Disconnect breaks the connections from all sources for which selected returns true.
 func (r *Relay) Disconnect(selected func(from netip.Addr) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for connection, from := range r.connections {
 		if selected(from) {
-			_ = connection.Close() // its other end may have closed it
+			_ = connection.Close() // it may be closed already
 		}
 	}
 }
 
-// faultOf returns what is wrong with connections from a source now, and a channel that is closed when that may change.
+// faultOf returns the current fault of connections from a source, and a channel that is closed when faults change.
 func (r *Relay) faultOf(from netip.Addr) (LinkFault, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,7 +144,7 @@
 	return r.faults(from), r.faultsChanged
 }
 
-// accept passes on whatever connects, until the listener is closed.
+// accept forwards all connections, until the listener is closed.
 func (r *Relay) accept(listener net.Listener) {
 	for {
 		connection, err := listener.Accept()
@@ -154,13 +155,13 @@
 	}
 }
 
-// forward passes a connection on to the target, until one side ends it or it is broken.
+// forward connects to the target and copies data in both directions until either side ends the connection or it breaks.
 func (r *Relay) forward(ctx context.Context, source net.Conn) {
 	defer closeConnection(source)
 	from := sourceAddress(source)
 	target, err := r.dialTarget(ctx, from)
 	if err != nil {
-		resetConnection(source) // as close as a relay comes to a refusal
+		resetConnection(source) // it is accepted already, so a reset is the closest to a refusal
 		return
 	}
 	defer closeConnection(target)
@@ -176,7 +177,7 @@
 	directions.Wait()
 }
 
-// dialTarget connects to the target as from the source, as far as its faults allow.
+// dialTarget connects to the target from the address of the source, subject to the faults of that source.
 func (r *Relay) dialTarget(ctx context.Context, from netip.Addr) (net.Conn, error) {
 	fault, _ := r.faultOf(from)
 	if fault.ConnectDelayMs > 0 {
@@ -193,7 +194,7 @@
 	return r.Network.Dial(ctx, from, target)
 }
 
-// track has both ends of a connection broken by Disconnect.
+// track registers both ends of a connection, so that Disconnect can break them.
 func (r *Relay) track(source, target net.Conn, from netip.Addr) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,7 +202,7 @@
 	r.connections[target] = from
 }
 
-// untrack ends what track began.
+// untrack removes the registration made by track.
 func (r *Relay) untrack(source, target net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,7 +210,7 @@
 	delete(r.connections, target)
 }
 
-// sourceAddress returns the address from which a connection was dialled, and the zero address for one that is not TCP.
+// sourceAddress returns the address from which a connection was dialled, or the zero address if it is not a TCP connection.
 func sourceAddress(connection net.Conn) netip.Addr {
 	address, ok := connection.RemoteAddr().(*net.TCPAddr)
 	if !ok {
@@ -218,12 +219,12 @@
 	return address.AddrPort().Addr().Unmap()
 }
 
-// resetConnection has the end of a connection show as a reset to its peer.
+// resetConnection makes the next Close send a TCP reset to the peer.
 func resetConnection(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // the peer may have closed it
+		_ = tcp.SetLinger(0) // fails only if the connection is closed already
 	}
 }
 
-// closeConnection closes a connection that may be closed or broken already.
+// closeConnection closes a connection and ignores the error, as the connection may be closed or broken already.
 func closeConnection(connection net.Conn) { _ = connection.Close() }
--- a/internal/fake/relayedlink.go
+++ b/internal/fake/relayedlink.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	relayReadBytes  = 16 << 10 // read at once
-	maxQueuedChunks = 64       // of a direction, on their way with a delay
-	unlimited       = -1       // bytes that may still pass where no cut has begun
+	relayReadBytes  = 16 << 10 // size of one read
+	maxQueuedChunks = 64       // chunks that one direction buffers while they are delayed
+	unlimited       = -1       // value of remainingBytes while no cut has begun
 )
 
-// relayedLink is one connection that passes a relay.
+// relayedLink is one connection that a relay forwards.
 type relayedLink struct {
 	relay     *Relay
 	from      netip.Addr
@@ -23,28 +23,28 @@
 	closeOnce sync.Once
 }
 
-// observeClosed tells the observer once that the connection ended.
+// observeClosed notifies the observer, on its first call only, that the connection has ended.
 func (l *relayedLink) observeClosed() {
 	l.closeOnce.Do(func() { l.observer.Closed(l.relay.Clock.Monotonic()) })
 }
 
-// relayedDirection is one direction of a connection: one goroutine reads chunks, another writes them when they are due.
+// relayedDirection is one direction of a connection: one goroutine reads chunks, and another writes each when it is due.
 type relayedDirection struct {
 	link           *relayedLink
 	in, out        net.Conn
 	toTarget       bool
 	chunks         chan relayedChunk
-	written        chan struct{} // closed when nothing more is written
-	remainingBytes int           // bytes that may still pass; unlimited: no cut has begun
+	written        chan struct{} // closed when the writer has ended
+	remainingBytes int           // bytes still to be delivered before the cut; unlimited: no cut has begun
 }
 
-// relayedChunk is data on its way.
+// relayedChunk is data that was read and is to be written when it is due.
 type relayedChunk struct {
 	dueMs float64
 	data  []byte
 }
 
-// newDirection returns a direction that does not pass anything yet.
+// newDirection returns a direction that copies data once it is run.
 func (l *relayedLink) newDirection(in, out net.Conn, toTarget bool) *relayedDirection {
 	return &relayedDirection{
 		link:           l,
@@ -57,7 +57,7 @@
 	}
 }
 
-// run passes data until a side ends the connection, it is cut or the context ends.
+// run copies data until either side ends the connection, the connection is cut or the context ends.
 func (d *relayedDirection) run(ctx context.Context) {
 	var writer sync.WaitGroup
 	writer.Go(func() {
@@ -70,7 +70,7 @@
 	writer.Wait()
 }
 
-// read has chunks observed and queues them, until the connection ends or nothing more is written.
+// read reads chunks, passes them to the observer and queues them, until the connection or the writer ends.
 func (d *relayedDirection) read() {
 	relay := d.link.relay
 	for {
@@ -94,7 +94,7 @@
 	}
 }
 
-// observe tells the observer what was read.
+// observe passes data that was read to the observer.
 func (d *relayedDirection) observe(nowMs float64, data []byte) {
 	if d.toTarget {
 		d.link.observer.ToTarget(nowMs, data)
@@ -103,7 +103,7 @@
 	}
 }
 
-// write writes chunks when they are due, until all are written, the connection breaks or is cut, or the context ends.
+// write writes each chunk when it is due, until all are written, the connection breaks or is cut, or the context ends.
 func (d *relayedDirection) write(ctx context.Context) {
 	relay := d.link.relay
 	for chunk := range d.chunks {
@@ -128,7 +128,7 @@
 	}
 }
 
-// waitWhileStalled returns what is wrong with the connection once that is no stall.
+// waitWhileStalled waits until the connection is not stalled, and returns its fault.
 func (d *relayedDirection) waitWhileStalled(ctx context.Context) (LinkFault, error) {
 	relay := d.link.relay
 	fault, changed := relay.faultOf(d.link.from)
@@ -143,7 +143,7 @@
 	return fault, nil
 }
 
-// limit returns the part of some data that still passes where the connection is cut.
+// limit returns the leading part of data that is still delivered under the given fault: all of it unless there is a cut.
 func (d *relayedDirection) limit(data []byte, fault LinkFault) []byte {
 	if !fault.Cut {
 		return data
@@ -156,7 +156,7 @@
 	return data
 }
 
-// writeData writes data, and reports whether the connection still stands.
+// writeData writes data, and returns false if the connection is broken.
 func (d *relayedDirection) writeData(data []byte) bool {
 	if _, err := d.out.Write(data); err != nil {
 		return false
@@ -167,7 +167,7 @@
 	return true
 }
 
-// noObserver observes nothing.
+// noObserver is an Observer that ignores all notifications.
 type noObserver struct{}
 
 func (noObserver) ToTarget(float64, []byte)   {}
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -1,9 +1,10 @@
-// Package fake has models of what surrounds the product, for tests, scenarios and measurements: servers with cores, queues,
-// slow starts and faults; a relay that delays, cuts and observes connections; clients that send open-loop load; an endpoint
-// registry; and proxies that only speak the control stream. All run on real sockets and a [clock.Clock] that is handed in.
+// Package fake simulates the systems around planners and proxies, for tests, scenarios and measurements: servers with cores,
+// queues, slow starts and faults; a relay that delays, cuts and observes connections; clients that send open-loop load; an
+// endpoint registry; and proxies that speak only the control stream. All of them use real sockets and a [clock.Clock] that the
+// caller supplies.
 //
-// What has a Start method runs until the context of Start ends. Goroutines end with that context too, at the latest when
-// their connections are closed.
+// The endpoint registry and the relay run until the context passed to Start ends; a [Server] runs until Crash. Goroutines end
+// when their context ends, at the latest when their connections are closed.
 package fake
 
 import (
@@ -21,51 +22,51 @@
 	pb "lichenpick/proto/settings"
 )
 
-// shutdownTimeout is how long requests in flight may take after the end of RunServer.
+// shutdownTimeout limits how long RunServer waits for requests in flight after its context has ended.
 const shutdownTimeout = time.Second
 
-// Fault is what is wrong with a server; the zero value is nothing.
+// Fault is the fault of a server. The zero value is no fault.
 type Fault struct {
-	Hang       bool    // it receives requests and answers none
-	Refuse     bool    // it says at once that it does not process requests
-	Slowdown   float64 // factor of the time that work takes; 0: none
-	ErrorRatio float64 // share of requests that are processed and answered with an error
-	ResetRatio float64 // share of requests that are processed and whose connection is then reset
+	Hang       bool    // requests are received but never answered
+	Refuse     bool    // requests are rejected at once, as not processed
+	Slowdown   float64 // factor by which work takes longer; 0: none
+	ErrorRatio float64 // fraction of requests that are processed and answered with an error
+	ResetRatio float64 // fraction of requests that are processed and whose connection is then reset
 }
 
-// Counts are how requests ended at a server, over all its starts.
+// Counts are the numbers of requests at a server by outcome, and of its crashes, over all its starts.
 type Counts struct {
 	Received      int
 	Succeeded     int
-	Rejected      int // with proof that they were not processed
-	Failed        int // processed, and then answered with an error or a reset
-	Deduplicated  int // of those that succeeded: a second time within the window, without an effect
-	ColdOverloads int // crashes while the server warmed up
+	Rejected      int // answered with a header that says they were not processed
+	Failed        int // processed, then answered with an error or a reset
+	Deduplicated  int // the part of Succeeded whose key was seen within the window, so that they had no effect
+	ColdOverloads int // crashes by overload while the server was warming up
 }
 
-// Server is an HTTP server that works on requests as its settings say. It can be started, crashed and started again. Any
-// goroutine may call its methods, but calls of Start and Crash must not overlap.
+// Server is an HTTP server that simulates the cores, queue and slow start given by its settings. It can be started, crashed and
+// started again. Its methods are safe for concurrent use, except that calls of Start and Crash must not overlap.
 type Server struct {
 	settings     *pb.Server
 	clock        clock.Clock
 	network      clock.Network
 	log          *slog.Logger
 	deduplicator *Deduplicator
-	cores        chan struct{} // one element for each busy core
+	cores        chan struct{} // holds one element for each busy core
 
-	mu          sync.Mutex // guards all below
-	rng         *rand.Rand
+	mu          sync.Mutex // guards the fields below
+	random      *rand.Rand
 	fault       Fault
 	warmUp      *WarmUp
-	inFlight    int // requests that wait or are processed
+	inFlight    int // requests that wait for a core or occupy one
 	counts      Counts
-	running     *http.Server // nil: it does not run
+	running     *http.Server // nil: the server does not run
 	address     string
 	connections map[net.Conn]bool
 }
 
-// NewServer returns a server that does not run yet. The settings must have passed the check of package settings, and must
-// not change afterwards.
+// NewServer returns a server that is not running yet. The settings must have been validated by package settings and must not
+// change afterwards.
 func NewServer(set *pb.Server, c clock.Clock, network clock.Network, log *slog.Logger, deduplicator *Deduplicator) *Server {
 	return &Server{
 		settings:     set,
@@ -74,15 +75,15 @@
 		log:          log,
 		deduplicator: deduplicator,
 		cores:        make(chan struct{}, set.GetCores()),
-		rng:          rand.New(rand.NewSource(int64(set.GetSeed()))),
+		random:       rand.New(rand.NewSource(int64(set.GetSeed()))),
 		warmUp:       NewWarmUp(set),
 		address:      set.Listen,
 		connections:  map[net.Conn]bool{},
 	}
 }
 
-// Start listens, cold as after a restart or warm, without a fault. It returns the address, at which later starts listen
-// again. The server runs until Crash.
+// Start starts the server without a fault, either cold, as after a restart, or warm. It returns the address that the server
+// listens at, which later starts use again. The server runs until Crash.
 func (s *Server) Start(ctx context.Context, cold bool) (string, error) {
 	listener, err := s.network.Listen(ctx, s.address)
 	if err != nil {
@@ -107,18 +108,18 @@
 	return listener.Addr().String(), nil
 }
 
-// Crash ends the server at once, with all requests in flight. It does nothing where the server does not run.
+// Crash stops the server at once and breaks off all requests in flight. It does nothing if the server is not running.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	running := s.running
 	s.running = nil
 	s.mu.Unlock()
 	if running != nil {
-		_ = running.Close() // the listener may be closed already
+		_ = running.Close() // fails only if the listener is closed already
 	}
 }
 
-// shutdown ends the server gracefully, as far as the timeout allows.
+// shutdown stops the server after its requests in flight have ended, or after shutdownTimeout.
 func (s *Server) shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	running := s.running
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// RunServer runs a server until the context ends.
+// RunServer runs a server until the context ends, and then shuts it down.
 func RunServer(ctx context.Context, set *pb.Server, c clock.Clock, network clock.Network, log *slog.Logger) error {
 	server := NewServer(set, c, network, log, &Deduplicator{})
 	address, err := server.Start(ctx, set.Cold)
@@ -145,14 +146,14 @@
 	return server.shutdown(context.WithoutCancel(ctx))
 }
 
-// SetFault changes what is wrong with the server, until its next start.
+// SetFault sets the fault of the server. The next start clears it.
 func (s *Server) SetFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
 }
 
-// Counts returns how requests ended so far.
+// Counts returns the counts so far.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +162,7 @@
 	return counts
 }
 
-// StartedMs returns the time of the last cold start, in ms of the clock, and 0 where the server was started warm.
+// StartedMs returns the clock's monotonic time in ms of the last cold start, or 0 if the server was started warm.
 func (s *Server) StartedMs() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/serverhandler.go
+++ b/internal/fake/serverhandler.go
@@ -16,52 +16,52 @@
 const IdempotencyKeyHeader = "Idempotency-Key"
 
 const (
-	maxBodyBytes      = 1 << 20 // of a request, that are read
+	maxBodyBytes      = 1 << 20 // part of a request's body that is read
 	retryAfterSeconds = 1
 	responseBody      = "ok\n"
 )
 
-// admission is what a server does with a request.
+// admission is a server's decision on a request that arrives.
 type admission int
 
 const (
 	admitted admission = iota
-	rejected           // with proof that it is not processed
+	rejected           // answered with a header that says the request is not processed
 	ignored            // the connection stays open without an answer
 )
 
-// responseKind is how a request that was processed is answered.
+// responseKind is how an admitted request is answered.
 type responseKind int
 
 const (
 	answered     responseKind = iota
-	failed                    // with an error
-	reset                     // by a reset of the connection
-	notProcessed              // not at all: the client gave up before a core was free
+	failed                    // answered with an error
+	reset                     // answered by a reset of the connection
+	notProcessed              // not answered: the client gave up before a core was free
 )
 
-// trackConnection limits connections, and has each new one cost the work of a handshake.
+// trackConnection limits the number of connections, and occupies a core with the handshake of each new one.
 func (s *Server) trackConnection(connection net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		if len(s.connections) >= int(s.settings.GetConnections()) || s.warmUp.Overloaded() {
-			_ = connection.Close() // the peer may have closed it
+			_ = connection.Close() // it may be closed already
 			return
 		}
 		s.connections[connection] = true
 		handshakeMs := settings.Milliseconds(s.settings.Handshake)
 		s.warmUp.RecordWork(s.clock.Monotonic(), handshakeMs)
-		go s.work(context.Background(), handshakeMs) // ends by itself once a core has done it
+		go s.work(context.Background(), handshakeMs) // ends once a core has been free for it
 	case http.StateClosed, http.StateHijacked:
 		delete(s.connections, connection)
 	}
 }
 
-// handle works on a request.
+// handle simulates the processing of a request and answers it.
 func (s *Server) handle(response http.ResponseWriter, request *http.Request) {
-	// A body that cannot be read changes nothing: only its length on the connection matters.
+	// The body is read only to receive its bytes. Its content is not used, so errors are ignored.
 	_, _ = io.Copy(io.Discard, io.LimitReader(request.Body, maxBodyBytes))
 	nowMs := s.clock.Monotonic()
 	decision, workMs, planned := s.admit(nowMs)
@@ -83,24 +83,24 @@
 	switch planned {
 	case answered:
 		response.Header().Set("Content-Length", strconv.Itoa(len(responseBody)))
-		_, _ = io.WriteString(response, responseBody) // the client may have given up
+		_, _ = io.WriteString(response, responseBody) // fails only if the client has given up
 	case failed:
 		http.Error(response, "failed", http.StatusInternalServerError)
 	case reset:
-		panic(http.ErrAbortHandler) // the documented way to reset a connection
+		panic(http.ErrAbortHandler) // net/http then aborts the connection
 	case notProcessed:
 	}
 }
 
-// admit decides what to do with a request that arrives, and draws its work and how it is to be answered.
+// admit decides whether to process a request, and draws its work in ms and the kind of its response.
 func (s *Server) admit(nowMs float64) (decision admission, workMs float64, planned responseKind) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Received++
-	workMs = DrawWork(s.settings, s.rng)
+	workMs = DrawWork(s.settings, s.random)
 	hanging := s.fault.Hang || s.warmUp.Receive(nowMs, workMs)
 	full := s.inFlight >= int(s.settings.GetWaiting())+int(s.settings.GetCores())
-	drawn := s.rng.Float64()
+	drawn := s.random.Float64()
 	switch {
 	case drawn < s.fault.ResetRatio:
 		planned = reset
@@ -118,7 +118,7 @@
 	return admitted, workMs, planned
 }
 
-// isDuplicate reports whether a request carries an idempotency key that was processed already within the window.
+// isDuplicate reports whether a request carries an idempotency key that was already seen within the window.
 func (s *Server) isDuplicate(request *http.Request, nowMs float64) bool {
 	key := request.Header.Get(IdempotencyKeyHeader)
 	if key == "" || s.deduplicator == nil {
@@ -127,8 +127,8 @@
 	return !s.deduplicator.recordKey(key, nowMs, settings.Milliseconds(s.settings.DedupWindow))
 }
 
-// work occupies a core for some ms of work, and reports whether it did: it does not if the context ends before a core is
-// free. Work that has begun goes on when its client gives up.
+// work waits for a free core and occupies it for workMs at nominal speed. It returns false if the context ends before a core is
+// free. Work that has begun is completed even if its client gives up.
 func (s *Server) work(ctx context.Context, workMs float64) bool {
 	select {
 	case s.cores <- struct{}{}:
@@ -139,7 +139,7 @@
 	return clock.Sleep(context.WithoutCancel(ctx), s.clock, workMs/s.coreSpeed()) == nil
 }
 
-// coreSpeed returns the work that one core does now, in ms a ms.
+// coreSpeed returns the current speed of one core, where 1 is the nominal speed.
 func (s *Server) coreSpeed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,7 +150,7 @@
 	return speed
 }
 
-// finish counts an admitted request that has ended.
+// finish counts an admitted request by the kind of its response.
 func (s *Server) finish(kind responseKind, deduplicated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/stress.go
+++ b/internal/fake/stress.go
@@ -18,62 +18,63 @@
 )
 
 const (
-	// maxRecordedUs and histogramDigits are the range, in µs, and the precision of histograms.
+	// maxRecordedUs is the highest value of the histograms in µs, and histogramDigits their number of significant digits.
 	maxRecordedUs   = 600_000_000
 	histogramDigits = 3
-	// noneDraining stands for none of the servers.
+	// noneDraining is passed to writeList when no server drains.
 	noneDraining = -1
 )
 
-// StressTest is many proxies that only speak the control stream: they apply orders, make up requests by the weights that they
-// hold, report and acknowledge, all by the product's own control-stream client. It loads planners at sizes at which real
-// requests would need more than one machine. Its exported fields must not change during Run.
+// StressTest runs many proxies that speak only the control stream, with the control client of package proxy: they apply and
+// acknowledge orders, simulate requests by the weights that they hold, and send load reports. It loads planners with more
+// proxies than one machine could run with real requests. Its exported fields must not change during Run.
 type StressTest struct {
 	Clock             clock.Clock
 	Network           clock.Network
 	Planners          []string // addresses
-	SharedFleet       bool     // the planners share the fleet; else each proxy begins with another of them
-	Zones             []string // proxy n is in zone n modulo their number
+	SharedFleet       bool     // the planners share the fleet; otherwise the proxies are spread over the planners
+	Zones             []string // proxy n is in zone n modulo the number of zones
 	Classes           []*pb.Group
 	Proxies           int
-	Servers           int     // in the endpoint list
-	ListPath          string  // file that the endpoint list is written to; empty: it is not
-	RequestsPerSecond float64 // of each proxy
-	ReportIntervalMs  float64 // of load reports
-	DrainIntervalMs   float64 // between changes of the list, in which a server drains or is ready again; 0: none
+	Servers           int     // number of servers in the endpoint list
+	ListPath          string  // file that the endpoint list is written to; empty: none is written
+	RequestsPerSecond float64 // simulated by each proxy
+	ReportIntervalMs  float64 // time between two load reports of a proxy
+	DrainIntervalMs   float64 // time between changes of the list, in each of which one server starts or stops draining; 0: none
 	JoinSpreadMs      float64 // time over which the proxies join
 	Seed              int64
 
 	bytesUp, bytesDown, dials atomic.Int64
 
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards the fields below
 	appliedUs       *hdrhistogram.Histogram
 	withoutLeaderUs *hdrhistogram.Histogram
 	result          StressResult
 }
 
-// StressResult is what the proxies of a StressTest observed.
+// StressResult is what the proxies of a StressTest measured.
 type StressResult struct {
 	Dials         int
-	Assigned      int // proxies that were assigned tables
-	Takeovers     int // leases that went from one planner to another
-	Messages      int
-	Orders        int     // in them
-	AllAssignedMs float64 // from the first dial until all proxies were assigned tables; 0: never
-	MaxMessages   int     // to one proxy within 10 s
-	BytesUp       int     // on control streams, to planners
-	BytesDown     int     // and from them
-
-	// Times from the decision of orders until they were applied, in ms.
+	Assigned      int     // proxies that were assigned weight tables
+	Takeovers     int     // leases that passed from one planner to another
+	Messages      int     // messages with orders that the proxies applied
+	Orders        int     // orders in these messages
+	AllAssignedMs float64 // time from the start until all proxies were assigned tables; 0: not all were
+	MaxMessages   int     // most messages to one proxy within 10 s
+	BytesUp       int     // sent to planners on control streams
+	BytesDown     int     // received from planners on control streams
+
+	// Quantiles of the time from the decision of orders by a planner until a proxy applied them, in ms.
 	ApplyP50Ms, ApplyP99Ms, ApplyP999Ms, ApplyMaxMs float64
-	// Times from the last frame of a leader until the lease of the next, in ms.
+	// Quantiles of the time that a proxy had no leading planner at a takeover: from the last frame of the previous leader until
+	// the lease of the next one, in ms.
 	WithoutLeaderP50Ms, WithoutLeaderP99Ms, WithoutLeaderMaxMs float64
 }
 
-// Prepare writes the endpoint list, so that planners can be started before Run.
+// Prepare writes the endpoint list, so that planners that read it can be started before Run.
 func (s *StressTest) Prepare() error { return s.writeList(noneDraining) }
 
-// Run joins the proxies, lets them live for some ms and returns what they observed. It may be called once.
+// Run connects the proxies, runs them until lengthMs have passed and returns what they measured. It may be called only once.
 func (s *StressTest) Run(ctx context.Context, lengthMs float64) (StressResult, error) {
 	s.appliedUs = hdrhistogram.New(1, maxRecordedUs, histogramDigits)
 	s.withoutLeaderUs = hdrhistogram.New(1, maxRecordedUs, histogramDigits)
@@ -94,7 +95,8 @@
 	return s.summarize(), err
 }
 
-// runProxy runs a proxy until the context ends; the group owns its goroutines.
+// runProxy runs a proxy until the context ends. It waits first for the proxy's share of the join spread. The proxy's goroutines
+// belong to the group.
 func (s *StressTest) runProxy(ctx context.Context, group *errgroup.Group, number int, startMs float64) error {
 	if clock.Sleep(ctx, s.Clock, s.JoinSpreadMs*float64(number)/float64(s.Proxies)) != nil {
 		return nil
@@ -107,7 +109,8 @@
 	return proxy.client.Connect(ctx)
 }
 
-// toggleDraining has one server after the other drain and be ready again, until the context ends.
+// toggleDraining rewrites the endpoint list until the context ends, so that one server after another drains and becomes ready
+// again.
 func (s *StressTest) toggleDraining(ctx context.Context) error {
 	for change := 0; clock.Sleep(ctx, s.Clock, s.DrainIntervalMs) == nil; change++ {
 		draining := noneDraining
@@ -121,7 +124,7 @@
 	return nil
 }
 
-// writeList writes the endpoint list, where there is one, with all servers ready but one.
+// writeList writes the endpoint list if there is one. All servers are ready, except that of the given index, which drains.
 func (s *StressTest) writeList(draining int) error {
 	if s.ListPath == "" {
 		return nil
@@ -141,7 +144,7 @@
 	return discovery.Save(s.ListPath, list)
 }
 
-// summarize returns what the proxies observed.
+// summarize returns what the proxies measured.
 func (s *StressTest) summarize() StressResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,12 +162,13 @@
 	return result
 }
 
-// quantileMs returns a quantile, in percent, of a histogram of µs.
+// quantileMs returns a percentile, in ms, of a histogram of values in µs.
 func quantileMs(histogram *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(histogram.ValueAtQuantile(percent)) / 1000
 }
 
-// recordUs records a time in a histogram. One below 1 µs, as by clocks that differ, counts as 1 µs.
+// recordUs records a duration in a histogram. One below 1 µs, which occurs when the clocks of planner and proxy differ, counts
+// as 1 µs.
 func recordUs(histogram *hdrhistogram.Histogram, us int64) {
-	_ = histogram.RecordValue(max(us, 1)) // fails only for more than the longest test takes
+	_ = histogram.RecordValue(max(us, 1)) // fails only above maxRecordedUs, which is longer than any test
 }
--- a/internal/fake/stressproxy.go
+++ b/internal/fake/stressproxy.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	messageWindowMs     = 10_000.0 // of StressResult.MaxMessages
-	batchesPerReport    = 4        // in which the requests of a report interval are made up
-	minLatencyMs        = 20.0     // of a request
-	meanExtraLatencyMs  = 20.0     // exponentially distributed, on top
+	messageWindowMs     = 10_000.0 // window of StressResult.MaxMessages
+	batchesPerReport    = 4        // batches in which the requests of one report interval are simulated
+	minLatencyMs        = 20.0     // least latency of a simulated request
+	meanExtraLatencyMs  = 20.0     // mean of the exponentially distributed latency on top
 	reconnectDelay      = "300ms"
 	silenceTimeout      = "60s"
 	maxStreamFrameBytes = 16 << 20
 )
 
-// stressProxy is one proxy of a StressTest: the product's control-stream client, with requests that are made up.
+// stressProxy is one proxy of a StressTest: the control client of package proxy with simulated requests.
 type stressProxy struct {
 	test    *StressTest
-	startMs float64 // of the test
+	startMs float64 // start of the test
 	client  *proxy.ControlClient
 
-	assigned       bool      // it was assigned tables; used by the client's callbacks only, as is the next
-	messageTimesMs []float64 // times of messages within the window
+	assigned       bool      // whether it was assigned tables; like messageTimesMs used only by the client's callbacks
+	messageTimesMs []float64 // times of the messages within messageWindowMs
 }
 
-// newProxy returns a proxy that is not connected.
+// newProxy returns a proxy that is not connected yet.
 func (s *StressTest) newProxy(number int, startMs float64) *stressProxy {
 	p := &stressProxy{test: s, startMs: startMs}
 	p.client = proxy.NewControlClient(proxy.Options{
@@ -51,10 +51,10 @@
 	return p
 }
 
-// proxySettings returns the settings of a proxy.
+// proxySettings returns the settings of the proxy of the given number.
 func (s *StressTest) proxySettings(number int) *pb.Proxy {
 	planners := s.Planners
-	if !s.SharedFleet { // each begins with another
+	if !s.SharedFleet { // spread the proxies: each dials first the planner that its number selects
 		first := number % len(planners)
 		planners = slices.Concat(planners[first:], planners[:first])
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-// recordTakeover records that the lease of a proxy went to another planner.
+// recordTakeover records that the lease of a proxy passed to another planner, and how long the proxy was without a leader.
 func (s *StressTest) recordTakeover(withoutLeaderMs float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +81,7 @@
 	recordUs(s.withoutLeaderUs, int64(withoutLeaderMs*1000))
 }
 
-// recordOrders records a message that the proxy applied.
+// recordOrders records a message with orders that the proxy has applied.
 func (p *stressProxy) recordOrders(orders *order.Orders) {
 	s := p.test
 	nowMs := s.Clock.Monotonic()
@@ -106,28 +106,28 @@
 	}
 }
 
-// assignsTable reports whether a message assigns a whole table.
+// assignsTable reports whether a message assigns a complete weight table.
 func assignsTable(orders *order.Orders) bool {
 	return slices.ContainsFunc(orders.Orders, func(single *order.Order) bool { return single.GetBind() != nil })
 }
 
-// simulateRequests makes up requests until the context ends. Those that are admitted and find a server succeed.
-func (p *stressProxy) simulateRequests(ctx context.Context, rng *rand.Rand) {
+// simulateRequests simulates requests until the context ends. All that are admitted and for which a server is found succeed.
+func (p *stressProxy) simulateRequests(ctx context.Context, random *rand.Rand) {
 	s := p.test
 	intervalMs := s.ReportIntervalMs / batchesPerReport
 	for clock.Sleep(ctx, s.Clock, intervalMs) == nil {
 		p.client.WithCore(func(core *proxy.Core) {
 			nowMs := s.Clock.Monotonic()
-			for range int(s.RequestsPerSecond*intervalMs/1000 + rng.Float64()) {
-				p.simulateRequest(core, nowMs, rng)
+			for range int(s.RequestsPerSecond*intervalMs/1000 + random.Float64()) {
+				p.simulateRequest(core, nowMs, random)
 			}
 		})
 	}
 }
 
-// simulateRequest makes up one request.
-func (p *stressProxy) simulateRequest(core *proxy.Core, nowMs float64, rng *rand.Rand) {
-	class := rng.Intn(len(p.test.Classes))
+// simulateRequest simulates one request of a random traffic class.
+func (p *stressProxy) simulateRequest(core *proxy.Core, nowMs float64, random *rand.Rand) {
+	class := random.Intn(len(p.test.Classes))
 	request, admitted := core.Admit(nowMs, class)
 	if !admitted {
 		return
@@ -137,17 +137,17 @@
 		core.RecordNoServer(request)
 		return
 	}
-	latencyMs := minLatencyMs + meanExtraLatencyMs*rng.ExpFloat64()
+	latencyMs := minLatencyMs + meanExtraLatencyMs*random.ExpFloat64()
 	core.FinishAttempt(nowMs, request, server, proxy.Succeeded, latencyMs)
 }
 
-// countingNetwork counts the connections of a StressTest, and what passes on them.
+// countingNetwork counts the connections of a StressTest and the bytes sent and received on them.
 type countingNetwork struct {
 	clock.Network
 	test *StressTest
 }
 
-// Dial dials by the network and counts the connection.
+// Dial dials through the wrapped network and counts the connection.
 func (n countingNetwork) Dial(ctx context.Context, from netip.Addr, to string) (net.Conn, error) {
 	connection, err := n.Network.Dial(ctx, from, to)
 	if err != nil {
@@ -157,20 +157,20 @@
 	return countingConnection{Conn: connection, test: n.test}, nil
 }
 
-// countingConnection counts the bytes of a connection.
+// countingConnection counts the bytes sent and received on a connection.
 type countingConnection struct {
 	net.Conn
 	test *StressTest
 }
 
-// Read reads from the connection and counts the bytes.
+// Read reads from the connection and counts the bytes received.
 func (c countingConnection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	c.test.bytesDown.Add(int64(count))
 	return count, err
 }
 
-// Write writes to the connection and counts the bytes.
+// Write writes to the connection and counts the bytes sent.
 func (c countingConnection) Write(data []byte) (int, error) {
 	count, err := c.Conn.Write(data)
 	c.test.bytesUp.Add(int64(count))
--- a/internal/fake/tally.go
+++ b/internal/fake/tally.go
@@ -5,34 +5,35 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Outcome is how a request of a client ended, after all its retries.
+// Outcome is how an attempt of a client, or a whole request after all its retries, ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a request.
 const (
 	Failed    Outcome = iota // no answer in time, or an error
-	Succeeded                // answered, in time or late
-	Rejected                 // a proxy shed it
-	NoServer                 // a proxy had no server to pick
+	Succeeded                // answered with success, within the latency objective or later
+	Rejected                 // shed by a proxy
+	NoServer                 // the proxy had no server to send it to
 )
 
-// Retryable reports whether a client may send a request that ended so again, whatever the request is: it was not processed.
+// Retryable reports whether a client may retry any request with this outcome, even one that is not idempotent, because it was
+// not processed.
 func (o Outcome) Retryable() bool { return o == Rejected || o == NoServer }
 
-// Tally counts how the requests of a traffic class, or of a period, ended. A client's retries belong to its request. The
-// names in JSON are those of earlier reports.
+// Tally counts the requests of a traffic class or of a period by outcome. A request counts once, whatever its retries. The JSON
+// names are kept so that reports remain comparable with earlier ones.
 type Tally struct {
 	Requested int     `json:"Asked"`
 	Succeeded int     `json:"Delivered"` // within the latency objective
-	Late      int     `json:"Late"`      // succeeded after it
+	Late      int     `json:"Late"`      // succeeded, but after the latency objective
 	Rejected  int     `json:"Blocked"`
 	NoServer  int     `json:"Bare"`
 	Failed    int     `json:"Dropped"`
-	Value     float64 `json:"Utility"`  // priority weight of those that succeeded in time
-	MaxValue  float64 `json:"Possible"` // of all
+	Value     float64 `json:"Utility"`  // total priority weight of the requests counted in Succeeded
+	MaxValue  float64 `json:"Possible"` // total priority weight of all requests
 }
 
-// Record adds a request of a traffic class that ended after some ms.
+// Record counts a request of a traffic class that ended after tookMs.
 func (t *Tally) Record(class *pb.Group, outcome Outcome, tookMs float64) {
 	t.Requested++
 	t.MaxValue += class.GetUtility()
--- a/internal/fake/warmup.go
+++ b/internal/fake/warmup.go
@@ -8,19 +8,19 @@
 	pb "lichenpick/proto/settings"
 )
 
-// The work of a request is its mean times a fixed part, plus an exponentially distributed part.
+// The work of a request is a fixed fraction of the mean plus an exponentially distributed part with the rest as its mean.
 const (
 	fixedWorkFraction  = 0.25
 	randomWorkFraction = 0.75
 )
 
-// DrawWork draws the work of a request, in ms of one core at nominal speed.
-func DrawWork(set *pb.Server, rng *rand.Rand) float64 {
-	return settings.Milliseconds(set.Work) * (fixedWorkFraction + randomWorkFraction*rng.ExpFloat64())
+// DrawWork draws the work of a request: the time in ms that one core at nominal speed takes for it.
+func DrawWork(set *pb.Server, random *rand.Rand) float64 {
+	return settings.Milliseconds(set.Work) * (fixedWorkFraction + randomWorkFraction*random.ExpFloat64())
 }
 
-// Capacity returns the work that a server can do, in ms of one core at nominal speed a ms. That of a cold server rises evenly
-// with its age until it is warm. The age is in ms.
+// Capacity returns the capacity of a server as a number of cores at nominal speed. That of a server that was started cold rises
+// linearly, from its cold share to the full capacity, over the warm-up time. The age in ms is the time since the start.
 func Capacity(set *pb.Server, ageMs float64, cold bool) float64 {
 	full := float64(set.GetCores()) * set.GetSpeed()
 	warmUpMs := settings.Milliseconds(set.WarmUp)
@@ -31,53 +31,53 @@
 	return full * (coldShare + (1-coldShare)*math.Max(ageMs, 0)/warmUpMs)
 }
 
-// WarmUp is the model of a server's slow start: its capacity rises, and it crashes if it is sent too much meanwhile. Its
-// methods must be called in order of time, by one goroutine at a time. All times are in ms.
+// WarmUp models the slow start of a server: its capacity rises, and the server crashes if it receives too much work meanwhile.
+// Its methods must be called in order of time and are not safe for concurrent use.
 type WarmUp struct {
 	settings   *pb.Server
-	startedMs  float64   // of the last cold start; 0: the server is warm
-	arrivals   []arrival // within the window
+	startedMs  float64   // time of the last cold start; 0: the server was started warm
+	arrivals   []arrival // work received within the overload window
 	overloaded bool
 	overloads  int
 }
 
-// arrival is work that a server was sent.
+// arrival is work that a server received.
 type arrival struct{ atMs, workMs float64 }
 
 // NewWarmUp returns the model of a server that is warm.
 func NewWarmUp(set *pb.Server) *WarmUp { return &WarmUp{settings: set} }
 
-// Start starts the server anew, cold or warm.
+// Start resets the model for a start of the server, cold or warm.
 func (w *WarmUp) Start(nowMs float64, cold bool) {
 	w.overloaded = false
 	w.arrivals = nil
 	w.startedMs = 0
 	if cold {
-		w.startedMs = math.Max(nowMs, 1) // 0 would be warm
+		w.startedMs = math.Max(nowMs, 1) // 0 means warm
 	}
 }
 
-// StartedMs returns the time of the last cold start, and 0 where the server was started warm.
+// StartedMs returns the time in ms of the last cold start, or 0 if the server was started warm.
 func (w *WarmUp) StartedMs() float64 { return w.startedMs }
 
-// Overloaded reports whether the server has crashed since its start.
+// Overloaded reports whether the server has crashed by overload since its last start.
 func (w *WarmUp) Overloaded() bool { return w.overloaded }
 
-// Overloads returns how many times the server has crashed, over all its starts.
+// Overloads returns the number of crashes by overload over all starts.
 func (w *WarmUp) Overloads() int { return w.overloads }
 
-// Capacity returns the capacity at a time, as of function Capacity.
+// Capacity returns the capacity at a time, as the function Capacity does for an age.
 func (w *WarmUp) Capacity(nowMs float64) float64 {
 	return Capacity(w.settings, nowMs-w.startedMs, w.startedMs > 0)
 }
 
-// RecordWork records work that counts towards an overload, but does not cause one by itself.
+// RecordWork records work that counts towards an overload, such as a handshake. Only Receive checks whether there is one.
 func (w *WarmUp) RecordWork(nowMs, workMs float64) {
 	w.arrivals = append(w.arrivals, arrival{nowMs, workMs})
 }
 
-// Receive records the work of a request, and reports whether the server has crashed. It does if, while it is cold, the work of
-// a window exceeds a multiple of what it can do.
+// Receive records the work of a request and reports whether the server has crashed since its start. A server that is warming up
+// crashes when the work received within the overload window exceeds a multiple of what it can do in that time.
 func (w *WarmUp) Receive(nowMs, workMs float64) bool {
 	w.RecordWork(nowMs, workMs)
 	windowMs := settings.Milliseconds(w.settings.FallWindow)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load sends open-loop traffic to proxies: each request has its time, drawn ahead, and its latency is measured from
-// that time on, whether this process or the proxy was late. A closed loop would send less while the proxy is slow, and so
-// leave out what it is there to measure (coordinated omission).
+// Package load sends open-loop traffic to proxies: each request is due at a time that does not depend on earlier answers, and
+// its latency is measured from that time, even if this process sends it late. A closed loop would send fewer requests while the
+// proxy is slow, and so miss the latencies that it should measure (coordinated omission).
 package load
 
 import (
@@ -17,8 +17,9 @@
 )
 
 const (
-	// maxIdleConnections is how many idle connections are kept to each target.
+	// maxIdleConnections is the number of idle connections that are kept to each target.
 	maxIdleConnections = 1024
+	// progressIntervalMs is the time between two calls of Options.Progress.
 	progressIntervalMs = 1000.0
 )
 
@@ -26,20 +27,19 @@
 type generator struct {
 	options  Options
 	client   *http.Client
-	rng      *rand.Rand
-	inFlight chan struct{} // one element for each request in flight
+	random   *rand.Rand
+	inFlight chan struct{} // holds one element for each request in flight
 }
 
-// Run sends traffic at each rate in turn. If there are several, it stops after the first that does not meet the objective. It
-// returns the steps that were completed, also with an error, which is that of a context that ended. The options must have
-// passed Check.
+// Run sends traffic at each rate in turn. With several rates it stops after the first step that does not meet the objective. It
+// returns the completed steps, and the error of the context if that ended early. The options must have passed Check.
 func Run(ctx context.Context, options Options) ([]Step, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	g := &generator{
 		options:  options,
 		client:   &http.Client{Transport: transport},
-		rng:      rand.New(rand.NewSource(options.Seed)),
+		random:   rand.New(rand.NewSource(options.Seed)),
 		inFlight: make(chan struct{}, options.MaxInFlight),
 	}
 	var steps []Step
@@ -56,7 +56,7 @@
 	return steps, nil
 }
 
-// runStep sends traffic at one rate and waits until all requests have ended.
+// runStep sends traffic at one rate for the length of a step, and waits until all requests have ended.
 func (g *generator) runStep(ctx context.Context, rate float64) (Step, error) {
 	recorder := newRecorder(rate)
 	var requests sync.WaitGroup
@@ -82,12 +82,12 @@
 	return recorder.current(), ctx.Err()
 }
 
-// nextInterval draws the time between two requests, in ms.
-func (g *generator) nextInterval(rate float64) float64 { return g.rng.ExpFloat64() / rate * 1000 }
+// nextInterval draws the time in ms from one request until the next is due.
+func (g *generator) nextInterval(rate float64) float64 { return g.random.ExpFloat64() / rate * 1000 }
 
-// sendDue sends a request that is due, unless too many are in flight. It does not wait for the answer.
+// sendDue sends a request that is due without waiting for its answer, or counts it as unsent if too many are in flight.
 func (g *generator) sendDue(ctx context.Context, requests *sync.WaitGroup, recorder *recorder, dueMs float64) {
-	target := g.options.Targets[g.rng.Intn(len(g.options.Targets))]
+	target := g.options.Targets[g.random.Intn(len(g.options.Targets))]
 	recorder.recordDue(g.options.Clock.Monotonic() - dueMs)
 	select {
 	case g.inFlight <- struct{}{}:
@@ -102,7 +102,7 @@
 	})
 }
 
-// send sends a request and waits for its end, at most until its deadline.
+// send sends a request, waits for its answer until the deadline at most, and returns the outcome.
 func (g *generator) send(ctx context.Context, target string, deadlineMs float64) outcome {
 	timeoutMs := max(deadlineMs-g.options.Clock.Monotonic(), 1)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(timeoutMs*float64(time.Millisecond)))
--- a/internal/load/options.go
+++ b/internal/load/options.go
@@ -12,35 +12,36 @@
 	maxRequestsPerSecond = 1e6
 )
 
-// Errors of Options that cannot be run, and of ramps; test with errors.Is.
+// Errors returned by Options.Check and by Ramp; test for them with errors.Is.
 var (
-	ErrNoTarget       = errors.New("load needs at least one address")
-	ErrNotPositive    = errors.New("load needs a rate, a length, a deadline and a bound on requests in flight, all above 0")
-	ErrRateOutOfRange = errors.New("a rate must be above 0 and at most a million")
-	ErrBadRamp        = errors.New("a ramp goes from a rate above 0 up to another, in at most 1000 steps")
+	ErrNoTarget       = errors.New("load needs at least one target address")
+	ErrNotPositive    = errors.New("load needs a rate, a step length, a deadline and a limit of requests in flight, all above 0")
+	ErrRateOutOfRange = errors.New("a rate must be above 0 and at most 1000000 requests per second")
+	ErrBadRamp        = errors.New("a ramp needs a first rate above 0, a last rate not below it, an increment above 0 and at most 1000 steps")
 )
 
-// Options say what to send. All fields are required but Class, Seed, Progress and the two of the objective, whose zero
-// values are stated. Options must not change during Run.
+// Options are the parameters of a run. Class, Seed, Progress and the two fields of the objective may have their zero values;
+// all other fields are required. Options must not change during Run.
 type Options struct {
 	Clock       clock.Clock
-	Targets     []string  // addresses, drawn evenly
-	Class       string    // traffic class; empty: the target's first
-	Rates       []float64 // requests a second, one for each step
-	StepMs      float64   // length of each step
-	DeadlineMs  float64   // from the time a request was due, after which it counts as failed
-	MaxInFlight int       // requests that may be in flight; more are not sent, and counted
-	Seed        int64     // of the times and targets
+	Targets     []string  // addresses; each request goes to one drawn uniformly
+	Class       string    // name of the traffic class; empty: the target's first class
+	Rates       []float64 // requests per second of each step
+	StepMs      float64   // length of a step
+	DeadlineMs  float64   // time after a request was due at which it counts as failed
+	MaxInFlight int       // limit of requests in flight; those beyond it are not sent and count as unsent
+	Seed        int64     // seed of the random times and targets
 
-	// The objective, which ends a ramp at the first step that does not meet it. With both 0 no latency meets it.
-	LatencyObjectiveMs float64 // that the 99th percentile may not exceed
-	MinSuccessRatio    float64 // part of the requests that must succeed; 0: any
+	// The objective. A run with several rates stops after the first step that misses it. A latency objective of 0 is met only
+	// by a step without successful requests.
+	LatencyObjectiveMs float64 // limit of the 99th percentile
+	MinSuccessRatio    float64 // fraction of the requests that must succeed; 0: any
 
-	// Progress is called about once a second with the step so far, by the goroutine of Run; nil: it is not.
+	// Progress, unless nil, is called about once a second with the results of the current step, by the goroutine of Run.
 	Progress func(step Step)
 }
 
-// Check returns an error for options that cannot be run.
+// Check returns an error if the options are incomplete or out of range.
 func (o Options) Check() error {
 	if len(o.Targets) == 0 {
 		return ErrNoTarget
@@ -51,25 +52,25 @@
 	for _, rate := range o.Rates {
 		inRange := rate > 0 && rate <= maxRequestsPerSecond // false for NaN
 		if !inRange {
-			return fmt.Errorf("%w, not %g/s", ErrRateOutOfRange, rate)
+			return fmt.Errorf("%w, got %g/s", ErrRateOutOfRange, rate)
 		}
 	}
 	return nil
 }
 
-// MeetsObjective reports whether a step met the objective.
+// MeetsObjective reports whether a step meets the objective.
 func (o Options) MeetsObjective(step Step) bool {
 	return step.P99 <= o.LatencyObjectiveMs && step.SuccessRatio() >= o.MinSuccessRatio
 }
 
-// Ramp returns rates from one up to another, in equal steps. Its only error is ErrBadRamp.
+// Ramp returns the rates from one value up to another at a fixed increment. It returns no error other than ErrBadRamp.
 func Ramp(from, to, by float64) ([]float64, error) {
 	rises := from > 0 && by > 0 && to >= from // false for NaN
 	if !rises || (to-from)/by > maxRampSteps {
-		return nil, fmt.Errorf("%w; not from %g to %g by %g", ErrBadRamp, from, to, by)
+		return nil, fmt.Errorf("%w; got %g to %g by %g", ErrBadRamp, from, to, by)
 	}
 	var rates []float64
-	for rate := from; rate <= to*(1+1e-9); rate += by { // the last one despite rounding
+	for rate := from; rate <= to*(1+1e-9); rate += by { // the tolerance keeps the last rate despite rounding errors
 		rates = append(rates, rate)
 	}
 	return rates, nil
--- a/internal/load/step.go
+++ b/internal/load/step.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// maxLatencyUs and histogramDigits are the range, in µs, and the precision of latencies.
+	// maxLatencyUs is the highest latency in µs that can be recorded, and histogramDigits the number of significant digits.
 	maxLatencyUs    = 600_000_000
 	histogramDigits = 3
 )
 
-// Step is how the requests of one rate ended. Latencies are those of requests that succeeded, in ms from the time each was
-// due.
+// Step is the result of the requests sent at one rate. P50 to Max are latencies in ms of the requests that succeeded, measured
+// from the time at which each was due.
 type Step struct {
-	Rate                     float64 // requests a second
-	Due                      int     // the sum of the four below
+	Rate                     float64 // requests per second
+	Due                      int     // sum of the next four fields
 	Succeeded                int
-	Rejected                 int // shed by a proxy, or it had no server to pick
-	Failed                   int // an error, or no answer before the deadline
-	Unsent                   int // not sent, as too many were in flight
+	Rejected                 int // shed by a proxy, or the proxy had no server to send it to
+	Failed                   int // answered with an error, or not before the deadline
+	Unsent                   int // not sent because too many were in flight
 	P50, P90, P99, P999, Max float64
-	MaxLateMs                float64 // the most that this process was late to send a request
+	MaxLateMs                float64 // greatest delay with which this process sent a request
 }
 
-// SuccessRatio returns the part of the requests that succeeded.
+// SuccessRatio returns the fraction of the requests that succeeded.
 func (s Step) SuccessRatio() float64 { return float64(s.Succeeded) / float64(max(s.Due, 1)) }
 
-// outcome is how a request ended.
+// outcome is how a request that was sent ended.
 type outcome int
 
 const (
@@ -37,19 +37,19 @@
 	rejected
 )
 
-// recorder collects a step while it runs. Any goroutine may use it.
+// recorder collects the result of a step while it runs. It is safe for concurrent use.
 type recorder struct {
 	mu          sync.Mutex
 	step        Step
 	latenciesUs *hdrhistogram.Histogram
 }
 
-// newRecorder returns the recorder of a step of one rate.
+// newRecorder returns a recorder for a step at the given rate.
 func newRecorder(rate float64) *recorder {
 	return &recorder{step: Step{Rate: rate}, latenciesUs: hdrhistogram.New(1, maxLatencyUs, histogramDigits)}
 }
 
-// recordDue records that a request was due, and how late this process was to send it.
+// recordDue records that a request was due, and with what delay this process sends it.
 func (r *recorder) recordDue(lateMs float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,21 +57,21 @@
 	r.step.MaxLateMs = max(r.step.MaxLateMs, lateMs)
 }
 
-// recordUnsent records that a request was not sent.
+// recordUnsent records that a request was not sent because too many were in flight.
 func (r *recorder) recordUnsent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.step.Unsent++
 }
 
-// recordOutcome records how a request ended, and how long after it was due.
+// recordOutcome records the outcome of a request, and its latency in ms from the time at which it was due.
 func (r *recorder) recordOutcome(result outcome, tookMs float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch result {
 	case succeeded:
 		r.step.Succeeded++
-		_ = r.latenciesUs.RecordValue(max(int64(tookMs*1000), 1)) // fails only beyond any deadline
+		_ = r.latenciesUs.RecordValue(max(int64(tookMs*1000), 1)) // fails only above maxLatencyUs, which no deadline reaches
 	case rejected:
 		r.step.Rejected++
 	default:
@@ -79,7 +79,7 @@
 	}
 }
 
-// current returns the step so far.
+// current returns the result so far.
 func (r *recorder) current() Step {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +92,7 @@
 	return step
 }
 
-// quantileMs returns a quantile, in percent, of the latencies. The caller holds the lock.
+// quantileMs returns a percentile of the latencies in ms. The caller holds the lock.
 func (r *recorder) quantileMs(percent float64) float64 {
 	return float64(r.latenciesUs.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/simulation/build.go
+++ b/internal/simulation/build.go
@@ -11,7 +11,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// build makes the planner, the servers and the proxies, and schedules what they do first.
+// build creates the planner, the servers and the proxies, and schedules the first endpoint list, the joins and the reports.
 func (f *fleet) build() error {
 	planner, err := newPlanner(f)
 	if err != nil {
@@ -37,12 +37,12 @@
 	return nil
 }
 
-// addServer adds a server to a zone, warm. It is not listed yet.
+// addServer adds a warm server to a zone. The endpoint list does not contain it yet.
 func (f *fleet) addServer(zone int) (*server, error) {
 	number := len(f.servers)
 	template := f.script.Servers
 	limits := f.script.Limits
-	speed := template.GetSlowest() + (template.GetFastest()-template.GetSlowest())*f.rng.Float64()
+	speed := template.GetSlowest() + (template.GetFastest()-template.GetSlowest())*f.random.Float64()
 	set := &pb.Server{
 		Name:         fmt.Sprintf("node-%d", number),
 		Listen:       fmt.Sprintf("127.9.%d.%d:8000", number/250, number%250+1),
@@ -59,7 +59,7 @@
 	if err := settings.Parse("server of the simulation", []byte(settings.Format(set)), checked); err != nil {
 		return nil, err
 	}
-	added := newServer(&f.eventQueue, checked, zone, rand.New(rand.NewSource(f.rng.Int63())))
+	added := newServer(&f.eventQueue, checked, zone, rand.New(rand.NewSource(f.random.Int63())))
 	f.servers = append(f.servers, added)
 	f.serversByAddress[added.address] = added
 	return added, nil
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -2,29 +2,29 @@
 
 import "container/heap"
 
-// eventQueue is the clock of a run, and what happens when. What is due at one time happens in the order in which it was
-// scheduled. The zero value is at time 0 with nothing scheduled.
+// eventQueue is the simulated clock of a run and the events scheduled on it. Events that are due at the same time happen in the
+// order in which they were scheduled. The zero value is at time 0 with no events.
 type eventQueue struct {
 	nowMs     float64
-	processed int // events that have happened
-	lastEvent uint64
+	processed int    // number of events that have happened
+	lastEvent uint64 // number of the event scheduled last
 	pending   eventHeap
 }
 
-// event is something that happens at a time.
+// event is an action that is run at a time.
 type event struct {
 	atMs   float64
-	number uint64 // in the order in which events were scheduled
+	number uint64 // sequence number; breaks ties between events due at the same time
 	action func()
 }
 
-// after schedules an action for some ms later; a delay below 0 counts as 0.
+// after schedules an action in delayMs from now; a negative delay counts as 0.
 func (q *eventQueue) after(delayMs float64, action func()) {
 	q.lastEvent++
 	heap.Push(&q.pending, event{atMs: q.nowMs + max(delayMs, 0), number: q.lastEvent, action: action})
 }
 
-// runUntil lets everything happen that is due until a time, and what that schedules.
+// runUntil runs all events due up to a time, including those scheduled meanwhile, and advances the clock to that time.
 func (q *eventQueue) runUntil(untilMs float64) {
 	for len(q.pending) > 0 && q.pending[0].atMs <= untilMs {
 		next := heap.Pop(&q.pending).(event)
@@ -35,13 +35,13 @@
 	q.nowMs = untilMs
 }
 
-// eventHeap is a heap of events for package container/heap, the next one first.
+// eventHeap implements heap.Interface, with the next event first.
 type eventHeap []event
 
 // Len returns the number of events.
 func (h eventHeap) Len() int { return len(h) }
 
-// Less reports whether an event happens before another.
+// Less reports whether event a happens before event b.
 func (h eventHeap) Less(a, b int) bool {
 	if h[a].atMs != h[b].atMs {
 		return h[a].atMs < h[b].atMs
@@ -59,7 +59,7 @@
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	removed := (*h)[last]
-	(*h)[last] = event{} // release what its action refers to
+	(*h)[last] = event{} // release what the action refers to for garbage collection
 	*h = (*h)[:last]
 	return removed
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -8,24 +8,25 @@
 	"lichenpick/proto/script"
 )
 
-// gradualSteps is the number of steps in which a gradual slowdown grows.
+// gradualSteps is the number of steps in which a gradual slowdown reaches its full factor.
 const gradualSteps = 10
 
-// UnsupportedFaultError tells that a script has a fault that the models cannot show. Such a script can be played by package
-// scenario.
+// UnsupportedFaultError is returned for a script with a fault that the models cannot simulate. Package scenario can play such a
+// script.
 type UnsupportedFaultError struct {
-	At string // when the fault begins, as in the script
+	At string // time at which the fault begins, as written in the script
 }
 
-// Error says which fault it is, and what to do.
+// Error returns a message that identifies the fault and names the command that supports it.
 func (e *UnsupportedFaultError) Error() string {
-	return fmt.Sprintf("the fault at %s needs sockets, which a simulation does not have; use 'scenario'", e.At)
+	return fmt.Sprintf("the fault at %s needs sockets, which a simulation does not have; play the script with 'scenario' instead", e.At)
 }
 
-// period is when a fault begins and how long it lasts, in ms.
+// period is the time at which a fault begins, and its length, in ms.
 type period struct{ startMs, lengthMs float64 }
 
-// scheduleFault schedules what a fault does. It must be called before the run begins.
+// scheduleFault schedules the events of a fault, whose time counts from the start of the load. It must be called before the run
+// begins.
 func (f *fleet) scheduleFault(fault *script.Trouble, loadStartMs float64) error {
 	when := period{
 		startMs:  loadStartMs + settings.Milliseconds(fault.At),
@@ -51,18 +52,19 @@
 	return nil
 }
 
-// schedulePeriod schedules the begin and the end of a fault.
+// schedulePeriod schedules actions for the beginning and the end of a fault.
 func (f *fleet) schedulePeriod(when period, begin, end func()) {
 	f.after(when.startMs, begin)
 	f.after(when.startMs+when.lengthMs, end)
 }
 
-// scheduleBurst multiplies the rate of requests.
+// scheduleBurst schedules a period in which the request rate is multiplied by a factor.
 func (f *fleet) scheduleBurst(when period, burst *script.Burst) {
 	f.schedulePeriod(when, func() { f.rateFactor = burst.GetFactor() }, func() { f.rateFactor = 1 })
 }
 
-// scheduleHang has servers receive requests and answer none, all the time or for every other period.
+// scheduleHang schedules a fault in which servers receive requests but answer none. With a period set they alternate between
+// hanging and working, changing after each period.
 func (f *fleet) scheduleHang(when period, hang *script.Hang) {
 	var affected []*server
 	setHanging := func(hanging bool) {
@@ -81,7 +83,7 @@
 	}
 }
 
-// scheduleSlow slows servers down, at once or step by step.
+// scheduleSlow schedules a fault in which servers slow down, at once or in steps.
 func (f *fleet) scheduleSlow(when period, slow *script.Slow) {
 	var affected []*server
 	setSlowdown := func(factor float64) {
@@ -104,8 +106,8 @@
 	}
 }
 
-// scheduleCrash stops up to count servers of those that are eligible, and starts them again cold. If listed, the endpoint
-// list shows that they are gone.
+// scheduleCrash schedules a fault in which up to count eligible servers stop, and are started again cold when it ends. If listed
+// is true, they are removed from the endpoint list meanwhile. A nil eligible selects all servers.
 func (f *fleet) scheduleCrash(when period, count int, listed bool, eligible func(*server) bool) {
 	var affected []*server
 	f.schedulePeriod(when, func() {
@@ -124,7 +126,7 @@
 	})
 }
 
-// scheduleDeploy replaces servers in turn.
+// scheduleDeploy schedules the replacement of servers one after another, spread evenly over the period.
 func (f *fleet) scheduleDeploy(when period, deploy *script.Deploy) {
 	count := int(deploy.GetServers())
 	drainMs := settings.Milliseconds(deploy.Drain)
@@ -133,7 +135,7 @@
 	}
 }
 
-// replaceServer drains a server and then stops it, and starts a cold one in its place.
+// replaceServer starts a cold server in place of a random one, which drains for drainMs and then stops.
 func (f *fleet) replaceServer(drainMs float64) {
 	for _, old := range f.drawServers(1, nil) {
 		next, err := f.addServer(old.zone)
@@ -151,15 +153,15 @@
 	}
 }
 
-// publishEndpoints has the planner learn the state of servers from the endpoint list, as late as the script says.
+// publishEndpoints sends the current state of servers to the planner, with the endpoint list delay that the script sets.
 func (f *fleet) publishEndpoints(servers ...*server) {
 	f.planner.sendEndpoints(settings.Milliseconds(f.script.ListedLate), policy.DeltaUpdate, servers)
 }
 
-// drawServers draws up to count servers that run and do not drain, of those that are eligible. A nil eligible means all.
+// drawServers draws up to count random servers that are eligible, running and not draining. A nil eligible selects all servers.
 func (f *fleet) drawServers(count int, eligible func(*server) bool) []*server {
 	var drawn []*server
-	for _, n := range f.rng.Perm(len(f.servers)) {
+	for _, n := range f.random.Perm(len(f.servers)) {
 		candidate := f.servers[n]
 		if len(drawn) == count || candidate.stopped || candidate.draining {
 			continue
--- a/internal/simulation/planner.go
+++ b/internal/simulation/planner.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// frameDelayMs is how long a frame takes between planner and proxy.
+	// frameDelayMs is the one-way delay of a frame between planner and proxy.
 	frameDelayMs = 2.0
-	// runStartUnixMs is the wall time at which a run begins, in ms since the Unix epoch.
+	// runStartUnixMs is the simulated wall time at which a run begins, in ms since the Unix epoch.
 	runStartUnixMs = 1e12
-	// unusedAddress stands for addresses that settings require but a simulation does not use.
+	// unusedAddress fills in addresses that the settings require but a simulation does not use.
 	unusedAddress = "127.0.0.1:1"
 )
 
-// simulatedPlanner is the product's planner core, with this type as its host.
+// simulatedPlanner runs the planner core of the product and is the host that carries out its decisions.
 type simulatedPlanner struct {
 	fleet   *fleet
 	core    *planner.Core
-	timerMs float64 // when the core wants to be called next; infinite: not
+	timerMs float64 // time at which the core is to be called next; infinite: not set
 }
 
 var _ planner.Host = (*simulatedPlanner)(nil)
 
-// newPlanner returns the planner of a fleet, which knows no endpoint and no proxy yet.
+// newPlanner returns the planner of a fleet, without any endpoint or proxy.
 func newPlanner(f *fleet) (*simulatedPlanner, error) {
 	set := &pb.Planner{
 		Name:    "planner-1",
@@ -57,7 +57,7 @@
 	return &simulatedPlanner{fleet: f, core: core, timerMs: math.Inf(1)}, nil
 }
 
-// sendEndpoints has the planner learn the state that servers have now, after a delay.
+// sendEndpoints delivers the present state of servers to the planner core after a delay.
 func (p *simulatedPlanner) sendEndpoints(delayMs float64, kind policy.UpdateKind, servers []*server) {
 	f := p.fleet
 	update := discovery.Update{Kind: kind, AsOfMs: uint64(runStartUnixMs + f.nowMs)}
@@ -69,8 +69,8 @@
 	})
 }
 
-// endpointOf returns the entry of a server in the endpoint list. Its capacity is that of its cores: how fast they are shows
-// in latencies only.
+// endpointOf returns the entry of a server in the endpoint list. The listed capacity is the number of cores. The list does not
+// state their speed, which the planner can see only in latencies.
 func (f *fleet) endpointOf(server *server) discovery.Endpoint {
 	endpoint := discovery.Endpoint{
 		Server:           server.address,
@@ -89,7 +89,7 @@
 	return endpoint
 }
 
-// handle passes an input to the core, and carries out what the core decides then.
+// handle passes an input to the core at the current time, and carries out the decisions that follow.
 func (p *simulatedPlanner) handle(input func()) {
 	nowMs := p.fleet.nowMs
 	p.core.SetTime(nowMs, time.UnixMilli(int64(runStartUnixMs+nowMs)))
@@ -98,7 +98,7 @@
 	}
 }
 
-// SetTimer calls the core at a time, unless it sets another meanwhile.
+// SetTimer schedules a call of the core at a time, and replaces an earlier timer. It implements planner.Host.
 func (p *simulatedPlanner) SetTimer(atMs float64) {
 	p.timerMs = atMs
 	p.fleet.after(atMs-p.fleet.nowMs, func() {
@@ -108,13 +108,13 @@
 	})
 }
 
-// Send delivers a message to a proxy.
+// Send delivers a message to a proxy after frameDelayMs. It implements planner.Host.
 func (p *simulatedPlanner) Send(stream *planner.Stream, _ controlstream.FrameKind, message proto.Message) {
 	proxy := stream.Transport.(*simulatedProxy)
 	p.fleet.after(frameDelayMs, func() { proxy.receive(message) })
 }
 
-// Close fails the run: there is no reason here to close a stream.
+// Close records an error that fails the run, because no stream should be closed in a simulation. It implements planner.Host.
 func (p *simulatedPlanner) Close(stream *planner.Stream, reason *controlstream.CloseError) {
 	f := p.fleet
 	if f.err == nil {
@@ -122,5 +122,5 @@
 	}
 }
 
-// ReserveEpochs does nothing: one planner shares its fleet with no other.
+// ReserveEpochs does nothing, because a single planner does not share its fleet. It implements planner.Host.
 func (p *simulatedPlanner) ReserveEpochs(uint64) {}
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -1,9 +1,9 @@
-// Package simulation plays a scenario in simulated time. Servers, clients and links are models; planner core, policy and
-// proxy core are the product's own, driven through their input methods. It opens no socket, starts no goroutine and reads no
-// clock, so that a script with its seed always gives the same result.
+// Package simulation plays a scenario in simulated time. Servers, clients and links are models; the planner core, the policy and
+// the proxy core are the product's own code, driven through their input methods. The package opens no socket, starts no
+// goroutine and reads no clock, so that a script with the same seed always gives the same result.
 //
-// All times are in ms since the start of the run. What the models leave out is in docs/simulation.md; a script with a fault
-// that they cannot show is refused with an [UnsupportedFaultError].
+// All times are in ms since the start of the run. docs/simulation.md describes what the models leave out. A script with a fault
+// that they cannot simulate is refused with an [UnsupportedFaultError].
 package simulation
 
 import (
@@ -15,42 +15,42 @@
 	"lichenpick/proto/script"
 )
 
-// cooldownMs is how long a run goes on after the last request can end.
+// cooldownMs is the time for which a run continues after the deadline of the last request.
 const cooldownMs = 1000.0
 
-// Result is the result of a run.
+// Result is the outcome of a run.
 type Result struct {
-	Classes       []fake.Tally // by traffic class
-	Seconds       []fake.Tally // by second in which a request was due
-	Service       float64      // priority weight of requests that succeeded in time, as a part of that of all requests
-	Messages      int          // that proxies received from the planner
-	Entries       float64      // weight entries in them
-	ColdOverloads int          // servers that crashed while warming up, as they were sent too much
-	Events        int          // that were simulated
+	Classes       []fake.Tally // requests by traffic class
+	Seconds       []fake.Tally // requests by the second in which they were due, from the start of the load
+	Service       float64      // priority weight of the requests that succeeded in time, as a fraction of that of all requests
+	Messages      int          // messages with orders that proxies received from the planner
+	Entries       float64      // weight entries that the planner counted in these messages
+	ColdOverloads int          // crashes of servers that received too much work while warming up
+	Events        int          // simulated events
 }
 
-// fleet is one run of a script.
+// fleet is the state of one run of a script.
 type fleet struct {
 	eventQueue
 	script  *script.Script
-	rng     *rand.Rand
+	random  *rand.Rand
 	planner *simulatedPlanner
 	servers []*server
 	proxies []*simulatedProxy
-	shares  []float64 // of traffic classes in the requests; they add up to 1
+	shares  []float64 // fraction of the requests that is of each traffic class; they add up to 1
 
 	serversByAddress map[string]*server
-	rateFactor       float64 // of requests; changed by faults
+	rateFactor       float64 // multiplies the request rate; changed by faults
 	result           Result
-	err              error // first failure of the run
+	err              error // first error of the run
 }
 
-// Play plays a script once, with one planner whatever the script says. The script must have passed the check of package
-// settings; Play does not change it. The error is an [UnsupportedFaultError], or tells why a component could not go on.
+// Play plays a script once. It always uses one planner, whatever number the script states. The script must have been validated by
+// package settings, and is not changed. The error is an [UnsupportedFaultError] or the failure of a component.
 func Play(scenario *script.Script) (*Result, error) {
 	f := &fleet{
 		script:           scenario,
-		rng:              rand.New(rand.NewSource(int64(scenario.GetSeed()))),
+		random:           rand.New(rand.NewSource(int64(scenario.GetSeed()))),
 		serversByAddress: map[string]*server{},
 		rateFactor:       1,
 	}
@@ -75,7 +75,7 @@
 	return &f.result, nil
 }
 
-// longestDeadline returns how long requests can be in flight, in ms.
+// longestDeadline returns the longest request deadline of all traffic classes, in ms.
 func longestDeadline(scenario *script.Script) float64 {
 	longestMs := 0.0
 	for _, class := range scenario.Groups {
@@ -84,7 +84,7 @@
 	return longestMs
 }
 
-// summarize completes the result at the end of the run.
+// summarize computes the totals of the result at the end of the run.
 func (f *fleet) summarize() {
 	value := 0.0
 	maxValue := 0.0
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -13,13 +13,13 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Proxies join in the first ms of a run, each at a time of its own.
+// Proxies join at random times within joinSpreadMs after firstJoinMs.
 const (
 	firstJoinMs  = 1.0
 	joinSpreadMs = 20.0
 )
 
-// simulatedProxy is the product's proxy core, with its stream to the planner.
+// simulatedProxy runs the proxy core of the product and holds its stream to the planner.
 type simulatedProxy struct {
 	fleet            *fleet
 	core             *proxy.Core
@@ -27,7 +27,7 @@
 	reportIntervalMs float64
 }
 
-// addProxy adds a proxy, and schedules its join and its load reports. Its number is that in its zone.
+// addProxy adds a proxy and schedules its join and its first load report. Its number counts the proxies of its zone.
 func (f *fleet) addProxy(zoneName string, number int) error {
 	set := &pb.Proxy{
 		Name:        fmt.Sprintf("edge-%s-%d", zoneName, number),
@@ -37,7 +37,7 @@
 		Groups:      f.script.Groups,
 		Pick:        f.script.Pick,
 		ReportEvery: f.script.Reports.Every,
-		Seed:        proto.Uint64(uint64(f.rng.Int63())),
+		Seed:        proto.Uint64(uint64(f.random.Int63())),
 	}
 	checked := &pb.Proxy{}
 	if err := settings.Parse("proxy of the simulation", []byte(settings.Format(set)), checked); err != nil {
@@ -59,14 +59,14 @@
 		Stream:      1,
 		Groups:      uint32(len(f.script.Groups)),
 	}
-	f.after(firstJoinMs+f.rng.Float64()*joinSpreadMs, func() {
+	f.after(firstJoinMs+f.random.Float64()*joinSpreadMs, func() {
 		f.planner.handle(func() { f.planner.core.HandleJoin(added.stream, join) })
 	})
-	f.after(f.rng.Float64()*added.reportIntervalMs, added.sendReport)
+	f.after(f.random.Float64()*added.reportIntervalMs, added.sendReport)
 	return nil
 }
 
-// receive applies a message of the planner, and acknowledges it.
+// receive applies a message from the planner and acknowledges it.
 func (p *simulatedProxy) receive(message proto.Message) {
 	f := p.fleet
 	ack := &order.Applied{}
@@ -86,7 +86,7 @@
 	})
 }
 
-// sendReport sends a load report, and schedules the next.
+// sendReport sends a load report and schedules the next one.
 func (p *simulatedProxy) sendReport() {
 	f := p.fleet
 	report := p.core.TakeLoadReport(f.nowMs)
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// requestDelayMs is how long a request or an answer takes between proxy and server; an assumption for loopback.
+	// requestDelayMs is the one-way delay between proxy and server, assumed as for a loopback interface.
 	requestDelayMs = 0.3
-	// minAttemptMs is the least time that a proxy gives an attempt.
+	// minAttemptMs is the shortest timeout of an attempt.
 	minAttemptMs = 1.0
-	// minRateFactor stands for a factor of 0, at which the next request would never be due.
+	// minRateFactor replaces a rate factor of 0, with which the next request would never be due.
 	minRateFactor = 1e-3
-	// retryDeadlineFraction is the part of a request's deadline after which its client sends no retry.
+	// retryDeadlineFraction is the fraction of a request's deadline after which its client sends no more retries.
 	retryDeadlineFraction = 0.8
 )
 
-// clientRequest is a request of a client, over all its retries.
+// clientRequest is one request of a client, including all its retries.
 type clientRequest struct {
 	class     int
 	startMs   float64
-	second    int // of the run in which it was due, without the warm-up
-	timesSent int // times that it was sent to a proxy
+	second    int // second in which it was due, from the start of the load
+	timesSent int // number of times that it was sent to a proxy
 	backoffMs float64
 }
 
-// scheduleRequest draws the time of the next request, which then schedules the one after it, until the end of the load.
+// scheduleRequest schedules the next request at a random time. That request schedules the one after it, until the end of the
+// load.
 func (f *fleet) scheduleRequest(loadStartMs, loadEndMs float64) {
 	rate := settings.PerSecond(f.script.Traffic.Rate) * math.Max(f.rateFactor, minRateFactor)
-	f.after(f.rng.ExpFloat64()/rate*1000, func() {
+	f.after(f.random.ExpFloat64()/rate*1000, func() {
 		if f.nowMs >= loadEndMs {
 			return
 		}
@@ -48,10 +49,10 @@
 	})
 }
 
-// drawClass draws a traffic class by the shares.
+// drawClass draws a traffic class with the probabilities given by the shares.
 func (f *fleet) drawClass() int {
 	class := 0
-	drawn := f.rng.Float64()
+	drawn := f.random.Float64()
 	for class < len(f.shares)-1 && drawn >= f.shares[class] {
 		drawn -= f.shares[class]
 		class++
@@ -59,10 +60,10 @@
 	return class
 }
 
-// drawProxy draws a proxy, all evenly.
-func (f *fleet) drawProxy() *simulatedProxy { return f.proxies[f.rng.Intn(len(f.proxies))] }
+// drawProxy draws a proxy uniformly.
+func (f *fleet) drawProxy() *simulatedProxy { return f.proxies[f.random.Intn(len(f.proxies))] }
 
-// sendRequest sends a request to a proxy.
+// sendRequest sends a request to a proxy, which admits or rejects it.
 func (f *fleet) sendRequest(to *simulatedProxy, request *clientRequest) {
 	request.timesSent++
 	admitted, ok := to.core.Admit(f.nowMs, request.class)
@@ -73,7 +74,7 @@
 	to.attempt(request, admitted)
 }
 
-// attempt makes the next attempt of a request that was admitted.
+// attempt starts the next attempt of an admitted request, and with it the timeout of the attempt.
 func (p *simulatedProxy) attempt(request *clientRequest, admitted *proxy.Request) {
 	f := p.fleet
 	address, timeoutMs, ok := p.core.Pick(f.nowMs, admitted)
@@ -103,13 +104,13 @@
 	f.after(requestDelayMs, func() { f.deliver(address, finish) })
 }
 
-// deliver has an attempt arrive at a server; finish is called when the answer is back at the proxy.
+// deliver passes an attempt to the server at an address, and calls finish when the answer has reached the proxy.
 func (f *fleet) deliver(address string, finish func(proxy.Outcome)) {
 	respond := func(outcome proxy.Outcome) {
 		f.after(requestDelayMs, func() { finish(outcome) })
 	}
 	server := f.serversByAddress[address]
-	if server == nil { // connections are refused
+	if server == nil { // no server has this address: the connection is refused
 		respond(proxy.Unprocessed)
 		return
 	}
@@ -119,17 +120,18 @@
 			respond(proxy.Succeeded)
 		case replyUnprocessed:
 			respond(proxy.Unprocessed)
-		case replyNone: // the proxy's own timeout ends the attempt
+		case replyNone: // the timeout at the proxy ends the attempt
 		}
 	}})
 }
 
-// finishRequest ends a request at its client, which sends it to another proxy where it may.
+// finishRequest handles the outcome of a request at its client: it schedules a retry at a random proxy if that is allowed, and
+// otherwise records the outcome.
 func (f *fleet) finishRequest(request *clientRequest, outcome fake.Outcome) {
 	class := f.script.Groups[request.class]
 	tookMs := f.nowMs - request.startMs
 	if f.mayRetry(request, class, outcome, tookMs) {
-		waitMs := request.backoffMs * (0.5 + f.rng.Float64())
+		waitMs := request.backoffMs * (0.5 + f.random.Float64())
 		request.backoffMs *= 2
 		f.after(waitMs, func() { f.sendRequest(f.drawProxy(), request) })
 		return
@@ -138,7 +140,7 @@
 	f.result.Seconds[request.second].Record(class, outcome, tookMs)
 }
 
-// mayRetry reports whether a client sends a request again that took a time so far.
+// mayRetry reports whether a client retries a request that has taken tookMs so far.
 func (f *fleet) mayRetry(request *clientRequest, class *pb.Group, outcome fake.Outcome, tookMs float64) bool {
 	if outcome == fake.Succeeded {
 		return false
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -8,57 +8,57 @@
 	pb "lichenpick/proto/settings"
 )
 
-// server is the model of a server: a queue in front of some cores. After a start it warms up, and crashes if it is sent too
-// much meanwhile. Its parameters are those of package fake, so that the two can be compared.
+// server models a server as a queue in front of its cores. After a cold start it warms up, and crashes if it receives too much
+// work meanwhile. It has the parameters of the server in package fake, so that the results of both can be compared.
 type server struct {
 	events   *eventQueue
 	address  string
 	zone     int
 	settings *pb.Server
-	rng      *rand.Rand // of its own, for work
+	random   *rand.Rand // draws the work of attempts
 
 	warmUp    *fake.WarmUp
 	busyCores int
-	queue     []*attempt // that have no core yet
+	queue     []*attempt // attempts that wait for a core
 
 	draining bool
 	stopped  bool
 	hanging  bool
-	slowdown float64 // factor of the time that work takes; 1: none
+	slowdown float64 // factor by which work takes longer; 1: none
 }
 
-// attempt is one attempt of a request at a server.
+// attempt is an attempt of a request that arrives at a server.
 type attempt struct {
 	workMs float64
 	finish func(reply serverReply) // called at most once
 }
 
-// serverReply is how an attempt ends at the server.
+// serverReply is how a server answers an attempt.
 type serverReply int
 
-// The replies.
+// The replies to an attempt.
 const (
 	replySucceeded   serverReply = iota
-	replyUnprocessed             // with proof that it was not processed
-	replyNone                    // nothing comes back
+	replyUnprocessed             // the reply says that the attempt was not processed
+	replyNone                    // no reply is sent
 )
 
 // newServer returns a server that is warm.
-func newServer(events *eventQueue, set *pb.Server, zone int, rng *rand.Rand) *server {
+func newServer(events *eventQueue, set *pb.Server, zone int, random *rand.Rand) *server {
 	return &server{
 		events:   events,
 		address:  set.Listen,
 		zone:     zone,
 		settings: set,
-		rng:      rng,
+		random:   random,
 		warmUp:   fake.NewWarmUp(set),
 		slowdown: 1,
 	}
 }
 
-// receive takes an attempt that arrives.
+// receive processes, queues or refuses an attempt that arrives.
 func (s *server) receive(arriving *attempt) {
-	arriving.workMs = fake.DrawWork(s.settings, s.rng)
+	arriving.workMs = fake.DrawWork(s.settings, s.random)
 	cores := int(s.settings.GetCores())
 	switch {
 	case s.stopped:
@@ -74,13 +74,13 @@
 	}
 }
 
-// process occupies a core with an attempt, and then with the next in the queue.
+// process occupies a core with an attempt. When that is done, the next attempt in the queue gets the core.
 func (s *server) process(current *attempt) {
 	s.busyCores++
 	speed := s.warmUp.Capacity(s.events.nowMs) / float64(s.settings.GetCores()) / math.Max(s.slowdown, 1)
 	startedMs := s.warmUp.StartedMs()
 	s.events.after(current.workMs/speed, func() {
-		if s.stopped || s.warmUp.StartedMs() != startedMs { // it was stopped meanwhile
+		if s.stopped || s.warmUp.StartedMs() != startedMs { // the server was stopped or restarted meanwhile
 			return
 		}
 		s.busyCores--
@@ -97,14 +97,14 @@
 	})
 }
 
-// stop ends the server at once; its attempts get no answer.
+// stop stops the server at once. Its attempts in progress and in the queue get no reply.
 func (s *server) stop() {
 	s.stopped = true
 	s.busyCores = 0
 	s.queue = nil
 }
 
-// start starts the server cold, without any fault.
+// start starts the server cold and clears its faults.
 func (s *server) start() {
 	s.stopped = false
 	s.hanging = false
