--- a/internal/fake/relay_test.go
+++ b/internal/fake/relay_test.go
@@ -12,14 +12,14 @@
 	"lichenpick/internal/clock"
 )
 
-// relayTestTimeout is how long anything may take in tests of the relay.
+// relayTestTimeout limits every read and write in the tests of the relay.
 const relayTestTimeout = 10 * time.Second
 
-// countingObserver counts the calls on an observer.
+// countingObserver counts the bytes and the ends of connections that an Observer is notified of.
 type countingObserver struct {
 	mu                              sync.Mutex
 	toTarget, fromTarget, delivered int // bytes
-	closed                          int // times
+	closed                          int // calls of Closed
 }
 
 func (o *countingObserver) ToTarget(_ float64, data []byte) {
@@ -62,7 +62,7 @@
 			}
 			go func() {
 				defer closeConnection(connection)
-				_, _ = io.Copy(connection, connection) // ends when the test ends the connection
+				_, _ = io.Copy(connection, connection) // ends with an error when the test closes the connection
 			}()
 		}
 	}()
@@ -76,7 +76,7 @@
 	}
 }
 
-// startRelay starts a relay to an echo server until the end of the test, with an observer of all its connections.
+// startRelay starts a relay to an echo server until the end of the test. One observer observes all its connections.
 func startRelay(t *testing.T) (*Relay, *countingObserver) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -89,7 +89,7 @@
 	return relay, observer
 }
 
-// dialRelay connects to a relay until the end of the test.
+// dialRelay connects to a relay. The connection is closed at the end of the test.
 func dialRelay(t *testing.T, relay *Relay) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", relay.Address())
@@ -103,10 +103,10 @@
 	return connection
 }
 
-// greeting is what tests send through a relay.
+// greeting is the data that the tests send through a relay.
 const greeting = "hello"
 
-// echo sends the greeting and fails the test unless the same comes back.
+// echo sends the greeting and fails the test unless the echo server returns it.
 func echo(t *testing.T, connection net.Conn) {
 	t.Helper()
 	if _, err := io.WriteString(connection, greeting); err != nil {
@@ -114,21 +114,21 @@
 	}
 	got := make([]byte, len(greeting))
 	if _, err := io.ReadFull(connection, got); err != nil || string(got) != greeting {
-		t.Fatalf("%q, %v", got, err)
+		t.Fatalf("the echo server returned %q, error %v", got, err)
 	}
 }
 
 func TestRelay(t *testing.T) {
-	t.Run("data passes both ways and is observed", func(t *testing.T) {
+	t.Run("data is forwarded in both directions and observed", func(t *testing.T) {
 		relay, observer := startRelay(t)
 		echo(t, dialRelay(t, relay))
 		observer.mu.Lock()
 		defer observer.mu.Unlock()
 		if observer.toTarget != 5 || observer.fromTarget != 5 {
-			t.Errorf("%d bytes to the target, %d from it", observer.toTarget, observer.fromTarget)
+			t.Errorf("%d bytes observed to the target and %d from it, want 5 each", observer.toTarget, observer.fromTarget)
 		}
 	})
-	t.Run("a cut lets the stated bytes pass and then ends the connection", func(t *testing.T) {
+	t.Run("a cut delivers CutAfterBytes bytes and then breaks the connection", func(t *testing.T) {
 		relay, observer := startRelay(t)
 		connection := dialRelay(t, relay)
 		echo(t, connection)
@@ -136,16 +136,16 @@
 		if _, err := io.WriteString(connection, greeting); err != nil {
 			t.Fatal(err)
 		}
-		if got, _ := io.ReadAll(connection); string(got) != "hel" { // the end may show as a reset
-			t.Errorf("%q passed", got)
+		if got, _ := io.ReadAll(connection); string(got) != "hel" { // the connection may end with a reset
+			t.Errorf("%q was delivered, want the first 3 bytes", got)
 		}
 		observer.mu.Lock()
 		defer observer.mu.Unlock()
 		if observer.delivered != 8 {
-			t.Errorf("%d bytes were observed as delivered", observer.delivered)
+			t.Errorf("%d bytes were observed as delivered, want 8", observer.delivered)
 		}
 	})
-	t.Run("a stall holds data back until it ends", func(t *testing.T) {
+	t.Run("a stall holds data back until the fault ends", func(t *testing.T) {
 		relay, _ := startRelay(t)
 		connection := dialRelay(t, relay)
 		echo(t, connection)
@@ -159,7 +159,7 @@
 		echo(t, connection)
 		ended.Wait()
 		if took := time.Since(started); took < 100*time.Millisecond {
-			t.Errorf("it passed after %v", took)
+			t.Errorf("data was delivered after %v, during the stall", took)
 		}
 	})
 	t.Run("a closed relay refuses connections until it is reopened", func(t *testing.T) {
@@ -168,10 +168,10 @@
 		echo(t, connection)
 		relay.Close()
 		if _, err := connection.Read(make([]byte, 1)); err == nil {
-			t.Error("the connection still stands")
+			t.Error("the connection is still open after Close")
 		}
 		if _, err := net.Dial("tcp", relay.Address()); err == nil {
-			t.Error("it still listens")
+			t.Error("the relay still listens after Close")
 		}
 		if err := relay.Reopen(); err != nil {
 			t.Fatal(err)
--- a/internal/fake/warmup_test.go
+++ b/internal/fake/warmup_test.go
@@ -8,7 +8,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// newServerSettings returns checked settings of a server with two cores that warms up in 10 s.
+// newServerSettings returns validated settings of a server with two cores that warms up within 10 s.
 func newServerSettings(t *testing.T) *pb.Server {
 	t.Helper()
 	const text = `name: "s" listen: "127.0.0.1:0" cores: 2 speed: 1 work: "10ms" waiting: 2
@@ -20,7 +20,7 @@
 	return set
 }
 
-func TestCapacityRisesEvenlyWhileCold(t *testing.T) {
+func TestCapacityRisesLinearlyAfterColdStart(t *testing.T) {
 	set := newServerSettings(t)
 	for _, test := range []struct {
 		ageMs float64
@@ -33,39 +33,39 @@
 		{ageMs: 0, cold: false, want: 2},
 	} {
 		if got := Capacity(set, test.ageMs, test.cold); math.Abs(got-test.want) > 1e-9 {
-			t.Errorf("at %g ms, cold %t: %g, want %g", test.ageMs, test.cold, got, test.want)
+			t.Errorf("capacity at an age of %g ms, cold %t: %g, want %g", test.ageMs, test.cold, got, test.want)
 		}
 	}
 }
 
 func TestWarmUp(t *testing.T) {
-	t.Run("a cold server crashes when a window's work exceeds the multiple", func(t *testing.T) {
+	t.Run("a cold server crashes when the work in the window exceeds the multiple of its capacity", func(t *testing.T) {
 		model := NewWarmUp(newServerSettings(t))
 		model.Start(1000, true)
-		// At its start it can do 200 ms of work in the window of 1 s, so 400 ms are allowed.
+		// With a cold share of 0.1 its two cores do 200 ms of work in the window of 1 s, so that twice as much, 400 ms, is allowed.
 		if model.Receive(1000, 390) {
-			t.Error("it crashed below the limit")
+			t.Error("the server crashed below the limit")
 		}
 		if !model.Receive(1001, 390) || !model.Overloaded() || model.Overloads() != 1 {
-			t.Errorf("overloaded %t, %d times", model.Overloaded(), model.Overloads())
+			t.Errorf("after work above the limit: overloaded %t, %d overloads", model.Overloaded(), model.Overloads())
 		}
 		model.Start(2000, true)
 		if model.Overloaded() || model.Overloads() != 1 {
-			t.Errorf("started again: overloaded %t, %d times", model.Overloaded(), model.Overloads())
+			t.Errorf("after the next start: overloaded %t, %d overloads", model.Overloaded(), model.Overloads())
 		}
 	})
 	t.Run("work before the window does not count", func(t *testing.T) {
 		model := NewWarmUp(newServerSettings(t))
 		model.Start(1000, true)
 		if model.Receive(1000, 390) || model.Receive(2000, 390) {
-			t.Error("it crashed")
+			t.Error("the server crashed, as if earlier work counted")
 		}
 	})
 	t.Run("a warm server does not crash", func(t *testing.T) {
 		model := NewWarmUp(newServerSettings(t))
 		model.Start(1000, false)
 		if model.Receive(1000, 1e6) || model.StartedMs() != 0 {
-			t.Error("it crashed, or counts as cold")
+			t.Error("the server crashed or has the time of a cold start")
 		}
 	})
 }
@@ -73,9 +73,9 @@
 func TestDeduplicatorForgetsAfterTheWindow(t *testing.T) {
 	var deduplicator Deduplicator
 	if !deduplicator.recordKey("a", 0, 100) || deduplicator.recordKey("a", 100, 100) || !deduplicator.recordKey("b", 100, 100) {
-		t.Error("within the window")
+		t.Error("within the window: a new key was reported as seen, or a seen key as new")
 	}
 	if !deduplicator.recordKey("a", 201, 100) {
-		t.Error("after the window")
+		t.Error("after the window: the key was reported as seen")
 	}
 }
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -12,7 +12,7 @@
 	"lichenpick/proto/script"
 )
 
-// requestCounts is how the requests of a traffic class, or of a second, ended.
+// requestCounts counts the requests of a traffic class, or of a second of the run, by outcome.
 type requestCounts struct {
 	Requests        int     `json:"requests"`
 	Succeeded       int     `json:"succeeded"`
@@ -24,8 +24,8 @@
 	WeightAvailable float64 `json:"weight_available"`
 }
 
-// simulationOutcome is the whole outcome of a simulation. The names in the golden files are stated here, so that a renamed field
-// of the program changes no golden file.
+// simulationOutcome is the complete result of a simulation. The golden files use the names given here, so that renaming a field
+// of simulation.Result or fake.Tally does not change them.
 type simulationOutcome struct {
 	Service  float64         `json:"service"`
 	Messages int             `json:"messages"`
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestGoldenOutcomes compares simulated days in every figure: planner core, policy and proxy core are the program's own there,
-// so a decision that any of them takes otherwise moves a count.
+// TestGoldenOutcomes compares every figure of some simulated scenarios with golden files. Planner core, policy and proxy core are
+// the product's own code there, so that any change of their decisions changes a count.
 func TestGoldenOutcomes(t *testing.T) {
 	for _, name := range []string{"size-20x10", "size-171x81", "mixed-faults"} {
 		t.Run(name, func(t *testing.T) {
