--- a/internal/invariant/backlog.go
+++ b/internal/invariant/backlog.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// compactAfter is the number of messages from which a backlog is compacted.
-	compactAfter = 4096
-	// compactMarginMs is the age from which messages are compacted. It is far above the disorder in which observers of
+	// minCompactMessages is the number of messages from which a backlog is compacted.
+	minCompactMessages = 4096
+	// compactMinAgeMs is the age from which messages are compacted. It is far above the disorder in which observers of
 	// several connections report messages.
-	compactMarginMs = 60_000.0
+	compactMinAgeMs = 60_000.0
 )
 
 // queuedMessage is the time that a message's entries waited at a planner: from its decision until it left.
@@ -31,8 +31,8 @@
 // add takes in a message that left at sentMs. Calls must come in order of sentMs, up to compactMarginMs.
 func (b *backlog) add(decidedMs, sentMs, entries float64) {
 	b.messages = append(b.messages, queuedMessage{decidedMs, sentMs, entries})
-	if len(b.messages) >= max(b.compactAt, compactAfter) {
-		b.compact(sentMs - compactMarginMs)
+	if len(b.messages) >= max(b.compactAt, minCompactMessages) {
+		b.compact(sentMs - compactMinAgeMs)
 		b.compactAt = 2 * len(b.messages)
 	}
 }
@@ -51,23 +51,23 @@
 			later = append(later, message)
 		}
 	}
-	b.messages = append(envelope(left), later...)
+	b.messages = append(suffixMaximum(left), later...)
 }
 
-// envelope returns messages whose backlog at each time is the highest of the given ones' from that time on, beginning with
+// suffixMaximum returns messages whose backlog at each time is the highest of the given ones' from that time on, beginning with
 // the time of their peak.
-func envelope(messages []queuedMessage) []queuedMessage {
-	heights := heightsOf(messages)
+func suffixMaximum(messages []queuedMessage) []queuedMessage {
+	sizes := sizesOf(messages)
 	var steps []queuedMessage
-	highest := 0.0
+	largest := 0.0
 	peakMs := 0.0
-	for n := len(heights) - 2; n >= 0; n-- { // the last height is 0
-		if heights[n].entries <= highest {
+	for n := len(sizes) - 2; n >= 0; n-- { // the last height is 0
+		if sizes[n].entries <= largest {
 			continue
 		}
-		steps = append(steps, queuedMessage{sentMs: heights[n+1].atMs, entries: heights[n].entries - highest})
-		highest = heights[n].entries
-		peakMs = heights[n].atMs
+		steps = append(steps, queuedMessage{sentMs: sizes[n+1].atMs, entries: sizes[n].entries - largest})
+		largest = sizes[n].entries
+		peakMs = sizes[n].atMs
 	}
 	for n := range steps {
 		steps[n].decidedMs = peakMs
@@ -75,16 +75,16 @@
 	return steps
 }
 
-// height is the number of entries that wait from a time on.
-type height struct{ atMs, entries float64 }
+// backlogSize is the number of entries that wait from a time on.
+type backlogSize struct{ atMs, entries float64 }
 
-// heightsOf returns the backlog after each change, in order of time. Of changes at one time, those that lower it come first.
-func heightsOf(messages []queuedMessage) []height {
-	changes := make([]height, 0, 2*len(messages))
+// sizesOf returns the backlog after each change, in order of time. Of changes at one time, those that lower it come first.
+func sizesOf(messages []queuedMessage) []backlogSize {
+	changes := make([]backlogSize, 0, 2*len(messages))
 	for _, message := range messages {
-		changes = append(changes, height{message.decidedMs, message.entries}, height{message.sentMs, -message.entries})
+		changes = append(changes, backlogSize{message.decidedMs, message.entries}, backlogSize{message.sentMs, -message.entries})
 	}
-	slices.SortStableFunc(changes, func(a, b height) int {
+	slices.SortStableFunc(changes, func(a, b backlogSize) int {
 		return cmp.Or(cmp.Compare(a.atMs, b.atMs), cmp.Compare(a.entries, b.entries))
 	})
 	current := 0.0
@@ -97,14 +97,14 @@
 
 // peak returns the highest backlog and the time at which it was reached first. After a compaction it may name a later one
 // of several equal peaks.
-func (b *backlog) peak() height {
-	highest := height{}
-	for _, current := range heightsOf(b.messages) {
-		if current.entries > highest.entries {
-			highest = current
+func (b *backlog) peak() backlogSize {
+	largest := backlogSize{}
+	for _, current := range sizesOf(b.messages) {
+		if current.entries > largest.entries {
+			largest = current
 		}
 	}
-	return highest
+	return largest
 }
 
 // evaluateBacklog judges the part of [BacklogExceeded] that limits the entries queued at a planner.
--- a/internal/invariant/backlog_test.go
+++ b/internal/invariant/backlog_test.go
@@ -7,14 +7,14 @@
 
 func TestBacklogPeakIsKeptByCompaction(t *testing.T) {
 	for seed := range int64(50) {
-		chance := rand.New(rand.NewSource(seed))
+		rng := rand.New(rand.NewSource(seed))
 		var compacted, whole backlog
 		sentMs := 0.0
 		for n := range 400 {
-			sentMs += chance.ExpFloat64() * 10
-			decidedMs := sentMs - chance.ExpFloat64()*30
-			entries := float64(1 + chance.Intn(20))
-			if chance.Intn(50) == 0 {
+			sentMs += rng.ExpFloat64() * 10
+			decidedMs := sentMs - rng.ExpFloat64()*30
+			entries := float64(1 + rng.Intn(20))
+			if rng.Intn(50) == 0 {
 				decidedMs -= 500
 			}
 			compacted.messages = append(compacted.messages, queuedMessage{decidedMs, sentMs, entries})
--- a/internal/invariant/coldoverload.go
+++ b/internal/invariant/coldoverload.go
@@ -3,9 +3,9 @@
 import "slices"
 
 const (
-	// chanceMargin is the margin over a warming server's limit: work is counted by its mean, so that chance alone may
+	// randomVariationMargin is the margin over a warming server's limit: work is counted by its mean, so that chance alone may
 	// exceed the limit a little.
-	chanceMargin = 1.15
+	randomVariationMargin = 1.15
 	// minInformedShare is the part of the work that must come from proxies which could know that the server warms up;
 	// else no decision is at fault.
 	minInformedShare = 2.0 / 3
@@ -40,7 +40,7 @@
 			informedMs += work.workMs
 		}
 	}
-	allowedMs := c.limits.ColdOverloadMultiple * capacity * c.limits.ColdOverloadWindowMs * chanceMargin
+	allowedMs := c.limits.ColdOverloadMultiple * capacity * c.limits.ColdOverloadWindowMs * randomVariationMargin
 	if totalMs > allowedMs && informedMs >= minInformedShare*totalMs {
 		c.recordViolation(ColdOverload, sent.atMs,
 			"warming server %s was sent %.0f ms of work within %.0f ms, %.0f allowed; %.0f%% by proxies that could know",
--- a/internal/invariant/endpoints.go
+++ b/internal/invariant/endpoints.go
@@ -39,7 +39,7 @@
 	listed := map[string]bool{}
 	for _, entry := range listing.Entries {
 		listed[entry.Server] = true
-		planner.update(entry, atMs)
+		planner.updateEndpoint(entry, atMs)
 	}
 	if listing.Form == order.Listing_WHOLE {
 		planner.expireMissing(listed, atMs+c.limits.MissingMs)
@@ -49,8 +49,8 @@
 	}
 }
 
-// update takes in one entry of a list.
-func (p *plannerState) update(entry *order.Listing_Entry, atMs float64) {
+// updateEndpoint takes in one entry of a list.
+func (p *plannerState) updateEndpoint(entry *order.Listing_Entry, atMs float64) {
 	server := p.endpoints[entry.Server]
 	if server == nil {
 		server = &endpoint{removedAtMs: math.Inf(1)}
--- a/internal/invariant/lease.go
+++ b/internal/invariant/lease.go
@@ -7,7 +7,7 @@
 	shared       bool   // the proxy grants leases; else all below is unused
 	holder       string // planner that holds the lease; empty: none
 	epoch        uint64 // of the last grant
-	count        uint64 // sequence number of the proxy's statement that granted it
+	sequence     uint64 // sequence number of the proxy's statement that granted it
 	grants       int
 	grantedAtMs  float64
 	releasedAtMs float64 // when the lease ended
@@ -34,7 +34,7 @@
 		return
 	}
 	lease := &proxy.lease
-	later := statement.Count > lease.count
+	later := statement.Count > lease.sequence
 	switch {
 	case statement.Granted && statement.Epoch < lease.epoch && later:
 		c.recordViolation(StaleEpoch, atMs, "proxy %s granted epoch %d after %d", name, statement.Epoch, lease.epoch)
@@ -66,7 +66,7 @@
 	lease.grants++
 	lease.holder = plannerName
 	lease.epoch = statement.Epoch
-	lease.count = statement.Count
+	lease.sequence = statement.Count
 	lease.grantedAtMs = atMs
 	proxy.joinedAtMs = atMs
 	c.evaluateNoServer(name, proxy, atMs)
--- a/internal/invariant/orders.go
+++ b/internal/invariant/orders.go
@@ -64,31 +64,31 @@
 	if proxy.lease.shared && (proxy.lease.holder != plannerName || proxy.lease.epoch != orders.Epoch) {
 		return // the proxy rejects it
 	}
-	proxy.appliedMs = decidedMs
+	proxy.appliedDecisionMs = decidedMs
 	for _, single := range orders.Orders {
-		switch what := single.What.(type) {
+		switch change := single.What.(type) {
 		case *order.Order_Bind:
 			if proxy.lease.grants > 1 {
-				c.ResentEntries += len(what.Bind.Lines)
+				c.ResentEntries += len(change.Bind.Lines)
 			}
-			proxy.assign(what.Bind)
+			proxy.assignTable(change.Bind)
 		case *order.Order_Line:
-			proxy.setEntry(what.Line)
+			proxy.setEntry(change.Line)
 		case *order.Order_Withdraw:
-			proxy.setEjected(what.Withdraw)
+			proxy.setEjected(change.Withdraw)
 		}
 	}
 	c.evaluateNoServer(name, proxy, atMs)
 }
 
-// assign applies an order that assigns a whole table.
-func (p *proxyState) assign(bind *order.Bind) {
+// assignTable applies an order that assigns a whole table.
+func (p *proxyState) assignTable(bind *order.Bind) {
 	for _, server := range bind.Withdrawn {
 		p.ejected[server] = true
 	}
 	table := &weightTable{weights: weightsOf(bind.Lines), ejected: p.ejected}
 	p.tables[bind.Table] = table
-	p.use(table, bind.Groups)
+	p.useForClasses(table, bind.Groups)
 }
 
 // setEntry applies an order that sets one entry of a table.
--- a/internal/invariant/proxy.go
+++ b/internal/invariant/proxy.go
@@ -24,8 +24,8 @@
 	withoutServerSince    []float64 // by traffic class; infinite: it has a server
 	withoutServerReported []bool    // by traffic class: the violation of this period is recorded
 
-	recentMessagesMs []float64 // times of decision of messages within the window
-	appliedMs        float64   // time of decision of the last message that reached it
+	recentMessagesMs  []float64 // times of decision of messages within the window
+	appliedDecisionMs float64   // time of decision of the last message that reached it
 
 	lease leaseState
 }
@@ -71,12 +71,12 @@
 		for _, server := range held.Withdrawn {
 			table.ejected[server] = true
 		}
-		p.use(table, held.Groups)
+		p.useForClasses(table, held.Groups)
 	}
 }
 
-// use puts a table in use by some traffic classes.
-func (p *proxyState) use(table *weightTable, classes []uint32) {
+// useForClasses puts a table in use by some traffic classes.
+func (p *proxyState) useForClasses(table *weightTable, classes []uint32) {
 	for _, class := range classes {
 		if int(class) < len(p.byClass) {
 			p.byClass[class] = table
--- a/internal/invariant/requests.go
+++ b/internal/invariant/requests.go
@@ -25,17 +25,17 @@
 
 // attemptLog remembers the latest attempts.
 type attemptLog struct {
-	byRequest map[requestKey][]*attempt
-	order     []requestKey // in order of time, one for each attempt
+	byRequest   map[requestKey][]*attempt
+	oldestFirst []requestKey // in order of time, one for each attempt
 }
 
 // add remembers an attempt, and forgets the oldest request when there are too many.
 func (l *attemptLog) add(key requestKey, sent *attempt) {
 	l.byRequest[key] = append(l.byRequest[key], sent)
-	l.order = append(l.order, key)
-	if len(l.order) > maxAttempts {
-		delete(l.byRequest, l.order[0])
-		l.order = l.order[1:]
+	l.oldestFirst = append(l.oldestFirst, key)
+	if len(l.oldestFirst) > maxAttempts {
+		delete(l.byRequest, l.oldestFirst[0])
+		l.oldestFirst = l.oldestFirst[1:]
 	}
 }
 
@@ -89,7 +89,7 @@
 			"proxy %s sent a request to %s %.0f ms after its planner could know that the server drains or is gone; the grace is %.0f ms",
 			sent.Proxy, server, atMs-sinceMs, c.limits.DrainGraceMs)
 	}
-	return proxy.appliedMs > known.startedAtMs || atMs > known.startedAtMs+c.limits.DrainGraceMs
+	return proxy.appliedDecisionMs > known.startedAtMs || atMs > known.startedAtMs+c.limits.DrainGraceMs
 }
 
 // RecordResponse records a server's answer to an attempt; unprocessed is its proof that it did not begin.
--- a/internal/scenario/disk.go
+++ b/internal/scenario/disk.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// disk makes the writes of a planner's process fail as on a full disk, over its restarts. Its methods may be called by any
+// diskFault makes the writes of a planner's process fail as on a full disk, over its restarts. Its methods may be called by any
 // goroutine.
-type disk struct {
+type diskFault struct {
 	log *slog.Logger
 
 	mu   sync.Mutex
@@ -19,7 +19,7 @@
 }
 
 // attach puts the state of the disk into effect for a process that was started.
-func (d *disk) attach(pid int) {
+func (d *diskFault) attach(pid int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.pid = pid
@@ -29,7 +29,7 @@
 }
 
 // setFull makes all writes to files fail, also of processes that are started later, or ends that.
-func (d *disk) setFull(full bool) {
+func (d *diskFault) setFull(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = full
@@ -39,7 +39,7 @@
 }
 
 // apply limits the size of files that the process may write, to nothing where the disk is full. The caller holds the lock.
-func (d *disk) apply() {
+func (d *diskFault) apply() {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if d.full {
 		limit.Cur = 0
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -16,30 +16,30 @@
 
 // faultHandlers has the handler of each kind of fault, by the name of its field in a script.
 var faultHandlers = map[protoreflect.Name]faultHandler{
-	"burst":            handle((*script.Trouble).GetBurst, (*fleet).playBurst),
-	"hang":             handle((*script.Trouble).GetHang, (*fleet).playHang),
-	"slow":             handle((*script.Trouble).GetSlow, (*fleet).playSlow),
-	"failing":          handle((*script.Trouble).GetFailing, (*fleet).playFailing),
-	"crash":            handle((*script.Trouble).GetCrash, (*fleet).playCrash),
-	"zone_loss":        handle((*script.Trouble).GetZoneLoss, (*fleet).playZoneLoss),
-	"deploy":           handle((*script.Trouble).GetDeploy, (*fleet).playDeploy),
-	"wrong_list":       handle((*script.Trouble).GetWrongList, (*fleet).playWrongList),
-	"handshakes":       handle((*script.Trouble).GetHandshakes, (*fleet).playHandshakes),
-	"zone_cut":         handle((*script.Trouble).GetZoneCut, (*fleet).playZoneCut),
-	"one_sided":        handle((*script.Trouble).GetOneSided, (*fleet).playOneSided),
-	"stream_break":     handle((*script.Trouble).GetStreamBreak, (*fleet).playStreamBreak),
-	"stuck_proxy":      handle((*script.Trouble).GetStuckProxy, (*fleet).playStuckProxy),
-	"slow_streams":     handle((*script.Trouble).GetSlowStreams, (*fleet).playSlowStreams),
-	"planner_restart":  handle((*script.Trouble).GetPlannerRestart, (*fleet).playPlannerRestart),
-	"controller_pause": handle((*script.Trouble).GetControllerPause, (*fleet).playPlannerPause),
-	"controller_cut":   handle((*script.Trouble).GetControllerCut, (*fleet).playPlannerCut),
-	"controller_drain": handle((*script.Trouble).GetControllerDrain, (*fleet).playPlannerDrain),
-	"disk_full":        handle((*script.Trouble).GetDiskFull, (*fleet).playDiskFull),
+	"burst":            newFaultHandler((*script.Trouble).GetBurst, (*fleet).injectBurst),
+	"hang":             newFaultHandler((*script.Trouble).GetHang, (*fleet).injectHang),
+	"slow":             newFaultHandler((*script.Trouble).GetSlow, (*fleet).injectSlow),
+	"failing":          newFaultHandler((*script.Trouble).GetFailing, (*fleet).injectFailing),
+	"crash":            newFaultHandler((*script.Trouble).GetCrash, (*fleet).injectCrash),
+	"zone_loss":        newFaultHandler((*script.Trouble).GetZoneLoss, (*fleet).injectZoneLoss),
+	"deploy":           newFaultHandler((*script.Trouble).GetDeploy, (*fleet).injectDeploy),
+	"wrong_list":       newFaultHandler((*script.Trouble).GetWrongList, (*fleet).injectWrongList),
+	"handshakes":       newFaultHandler((*script.Trouble).GetHandshakes, (*fleet).injectHandshakes),
+	"zone_cut":         newFaultHandler((*script.Trouble).GetZoneCut, (*fleet).injectZoneCut),
+	"one_sided":        newFaultHandler((*script.Trouble).GetOneSided, (*fleet).injectOneSided),
+	"stream_break":     newFaultHandler((*script.Trouble).GetStreamBreak, (*fleet).injectStreamBreak),
+	"stuck_proxy":      newFaultHandler((*script.Trouble).GetStuckProxy, (*fleet).injectStuckProxy),
+	"slow_streams":     newFaultHandler((*script.Trouble).GetSlowStreams, (*fleet).injectSlowStreams),
+	"planner_restart":  newFaultHandler((*script.Trouble).GetPlannerRestart, (*fleet).injectPlannerRestart),
+	"controller_pause": newFaultHandler((*script.Trouble).GetControllerPause, (*fleet).injectPlannerPause),
+	"controller_cut":   newFaultHandler((*script.Trouble).GetControllerCut, (*fleet).injectPlannerCut),
+	"controller_drain": newFaultHandler((*script.Trouble).GetControllerDrain, (*fleet).injectPlannerDrain),
+	"disk_full":        newFaultHandler((*script.Trouble).GetDiskFull, (*fleet).injectDiskFull),
 }
 
-// handle returns the handler of one kind of fault, from the function that gets its parameters and the one that plays it for
+// newFaultHandler returns the handler of one kind of fault, from the function that gets its parameters and the one that plays it for
 // a time.
-func handle[F any](parameters func(*script.Trouble) F, play func(*fleet, context.Context, F, time.Duration) error) faultHandler {
+func newFaultHandler[F any](parameters func(*script.Trouble) F, play func(*fleet, context.Context, F, time.Duration) error) faultHandler {
 	return func(ctx context.Context, f *fleet, fault *script.Trouble) error {
 		return play(f, ctx, parameters(fault), settings.Duration(fault.Lasts))
 	}
@@ -55,8 +55,8 @@
 	return field.Name()
 }
 
-// playFault waits until a fault is due and plays it. It returns early, without an error, when the run ends.
-func (f *fleet) playFault(ctx context.Context, fault *script.Trouble) error {
+// injectFault waits until a fault is due and plays it. It returns early, without an error, when the run ends.
+func (f *fleet) injectFault(ctx context.Context, fault *script.Trouble) error {
 	if f.sleep(ctx, settings.Duration(fault.At)) != nil {
 		return nil
 	}
@@ -78,8 +78,8 @@
 	_ = f.sleep(ctx, duration)
 }
 
-// playLinkFault puts a fault of links into effect for a time.
-func (f *fleet) playLinkFault(ctx context.Context, fault linkFault, lasts time.Duration) error {
+// injectLinkFault puts a fault of links into effect for a time.
+func (f *fleet) injectLinkFault(ctx context.Context, fault linkFaultFunc, lasts time.Duration) error {
 	remove := f.addLinkFault(fault)
 	f.waitFor(ctx, lasts)
 	remove()
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -35,9 +35,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			day := play(t, test.fields, Hooks{})
-			if len(day.ViolationCounts) > 0 || day.Service < test.minService {
-				t.Errorf("service %.3f, violated %v: %v", day.Service, day.ViolationCounts, day.Violations)
+			result := play(t, test.fields, Hooks{})
+			if len(result.ViolationCounts) > 0 || result.Service < test.minService {
+				t.Errorf("service %.3f, violated %v: %v", result.Service, result.ViolationCounts, result.Violations)
 			}
 		})
 	}
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -38,7 +38,7 @@
 	directory string // for files of planners
 	recorder  *recorder
 	group     *errgroup.Group // owns the goroutines of the run
-	running   context.Context // of the whole run, for planners that a fault starts again
+	runCtx    context.Context // of the whole run, for planners that a fault starts again
 
 	// Made by start, and not changed afterwards.
 	registry       *fake.EndpointRegistry
@@ -46,15 +46,15 @@
 	planners       []*plannerInstance
 	proxyAddresses []string // for clients
 
-	mu              sync.Mutex // guards all below
-	chance          *rand.Rand
-	servers         []*serverInstance
-	lastServer      int // number of the server that was started last
-	linkFaults      map[int]linkFault
-	nextLinkFault   int
-	plannerStatuses []*planner.Status // as planners ended
-	hungPlanners    int               // that did not end when asked to
-	plannerCPU      time.Duration     // of planners that ran as processes
+	mu               sync.Mutex // guards all below
+	rng              *rand.Rand
+	servers          []*serverInstance
+	lastServerNumber int // number of the server that was started last
+	linkFaults       map[int]linkFaultFunc
+	nextLinkFault    int
+	plannerStatuses  []*planner.Status // as planners ended
+	hungPlanners     int               // that did not end when asked to
+	plannerCPU       time.Duration     // of planners that ran as processes
 }
 
 // newFleet returns a fleet that is not started. The script must not change during the run.
@@ -67,8 +67,8 @@
 		network:    clock.TCP{},
 		log:        log,
 		directory:  directory,
-		chance:     rand.New(rand.NewSource(int64(scenario.GetSeed()))),
-		linkFaults: map[int]linkFault{},
+		rng:        rand.New(rand.NewSource(int64(scenario.GetSeed()))),
+		linkFaults: map[int]linkFaultFunc{},
 	}
 	f.recorder = newRecorder(invariant.NewChecker(f.limits()), realClock)
 	return f
@@ -116,7 +116,7 @@
 // ends with the context; the group owns the goroutines.
 func (f *fleet) start(ctx context.Context, group *errgroup.Group) error {
 	f.group = group
-	f.running = ctx
+	f.runCtx = ctx
 	f.registry = &fake.EndpointRegistry{Clock: f.clock, DelayMs: settings.Milliseconds(f.script.ListedLate)}
 	registryAddress, err := f.registry.Start(ctx, f.network)
 	if err != nil {
@@ -135,5 +135,5 @@
 func (f *fleet) random() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.chance.Float64()
+	return f.rng.Float64()
 }
--- a/internal/scenario/linkfaults.go
+++ b/internal/scenario/linkfaults.go
@@ -10,10 +10,10 @@
 	"lichenpick/proto/script"
 )
 
-// playHandshakes delays the opening of connections to servers.
-func (f *fleet) playHandshakes(ctx context.Context, handshakes *script.Handshakes, lasts time.Duration) error {
+// injectHandshakes delays the opening of connections to servers.
+func (f *fleet) injectHandshakes(ctx context.Context, handshakes *script.Handshakes, lasts time.Duration) error {
 	delayMs := settings.Milliseconds(handshakes.Delay)
-	return f.playLinkFault(ctx, func(_ netip.Addr, to linkTarget) fake.LinkFault {
+	return f.injectLinkFault(ctx, func(_ netip.Addr, to linkTarget) fake.LinkFault {
 		if to.server == nil {
 			return fake.LinkFault{}
 		}
@@ -21,10 +21,10 @@
 	}, lasts)
 }
 
-// playZoneCut cuts the links between proxies and servers that cross the border of a zone.
-func (f *fleet) playZoneCut(ctx context.Context, cut *script.ZoneCut, lasts time.Duration) error {
-	zone := f.zoneNamed(cut.Zone)
-	return f.playLinkFault(ctx, func(from netip.Addr, to linkTarget) fake.LinkFault {
+// injectZoneCut cuts the links between proxies and servers that cross the border of a zone.
+func (f *fleet) injectZoneCut(ctx context.Context, cut *script.ZoneCut, lasts time.Duration) error {
+	zone := f.zoneByName(cut.Zone)
+	return f.injectLinkFault(ctx, func(from netip.Addr, to linkTarget) fake.LinkFault {
 		if to.server == nil {
 			return fake.LinkFault{}
 		}
@@ -32,22 +32,22 @@
 	}, lasts)
 }
 
-// playOneSided cuts the links of some servers to the proxies of one zone.
-func (f *fleet) playOneSided(ctx context.Context, oneSided *script.OneSided, lasts time.Duration) error {
-	zone := f.zoneNamed(oneSided.Zone)
+// injectOneSided cuts the links of some servers to the proxies of one zone.
+func (f *fleet) injectOneSided(ctx context.Context, oneSided *script.OneSided, lasts time.Duration) error {
+	zone := f.zoneByName(oneSided.Zone)
 	servers := f.reserveServers(int(oneSided.GetServers()), nil)
 	defer f.releaseServers(servers)
 	affected := map[*serverInstance]bool{}
 	for _, server := range servers {
 		affected[server] = true
 	}
-	return f.playLinkFault(ctx, func(from netip.Addr, to linkTarget) fake.LinkFault {
+	return f.injectLinkFault(ctx, func(from netip.Addr, to linkTarget) fake.LinkFault {
 		return fake.LinkFault{Cut: to.server != nil && affected[to.server] && zoneOf(from) == zone}
 	}, lasts)
 }
 
-// playStreamBreak breaks the streams between planners and a share of the proxies, once.
-func (f *fleet) playStreamBreak(_ context.Context, streamBreak *script.StreamBreak, _ time.Duration) error {
+// injectStreamBreak breaks the streams between planners and a share of the proxies, once.
+func (f *fleet) injectStreamBreak(_ context.Context, streamBreak *script.StreamBreak, _ time.Duration) error {
 	// The proxies of a zone share an address, so that the share is drawn by zone.
 	affected := map[int]bool{}
 	for zone := range f.script.Places {
@@ -59,18 +59,18 @@
 	return nil
 }
 
-// playStuckProxy has the proxies of one zone, which is drawn, receive nothing from planners while their streams stay open.
-func (f *fleet) playStuckProxy(ctx context.Context, _ *script.StuckProxy, lasts time.Duration) error {
+// injectStuckProxy has the proxies of one zone, which is drawn, receive nothing from planners while their streams stay open.
+func (f *fleet) injectStuckProxy(ctx context.Context, _ *script.StuckProxy, lasts time.Duration) error {
 	zone := int(f.random() * float64(len(f.script.Places)))
-	return f.playLinkFault(ctx, func(from netip.Addr, to linkTarget) fake.LinkFault {
+	return f.injectLinkFault(ctx, func(from netip.Addr, to linkTarget) fake.LinkFault {
 		return fake.LinkFault{Stall: to.planner != nil && zoneOf(from) == zone}
 	}, lasts)
 }
 
-// playSlowStreams delays what passes between proxies and planners, each way.
-func (f *fleet) playSlowStreams(ctx context.Context, slowStreams *script.SlowStreams, lasts time.Duration) error {
+// injectSlowStreams delays what passes between proxies and planners, each way.
+func (f *fleet) injectSlowStreams(ctx context.Context, slowStreams *script.SlowStreams, lasts time.Duration) error {
 	delayMs := settings.Milliseconds(slowStreams.Delay)
-	return f.playLinkFault(ctx, func(_ netip.Addr, to linkTarget) fake.LinkFault {
+	return f.injectLinkFault(ctx, func(_ netip.Addr, to linkTarget) fake.LinkFault {
 		if to.planner == nil {
 			return fake.LinkFault{}
 		}
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -25,8 +25,8 @@
 	return int(from.As4()[1]) - 1
 }
 
-// zoneNamed returns the number of a zone of the script, and unknownZone for any other name.
-func (f *fleet) zoneNamed(name string) int {
+// zoneByName returns the number of a zone of the script, and unknownZone for any other name.
+func (f *fleet) zoneByName(name string) int {
 	for zone, place := range f.script.Places {
 		if place.Name == name {
 			return zone
@@ -41,11 +41,11 @@
 	planner *plannerInstance
 }
 
-// linkFault says what is wrong with links from an address to a target. It is called on each connection, by any goroutine.
-type linkFault func(from netip.Addr, to linkTarget) fake.LinkFault
+// linkFaultFunc says what is wrong with links from an address to a target. It is called on each connection, by any goroutine.
+type linkFaultFunc func(from netip.Addr, to linkTarget) fake.LinkFault
 
 // addLinkFault puts a fault of links into effect, and returns a function that ends it.
-func (f *fleet) addLinkFault(fault linkFault) (remove func()) {
+func (f *fleet) addLinkFault(fault linkFaultFunc) (remove func()) {
 	f.mu.Lock()
 	number := f.nextLinkFault
 	f.nextLinkFault++
@@ -64,7 +64,7 @@
 func (f *fleet) updateLinks() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	active := make([]linkFault, 0, len(f.linkFaults))
+	active := make([]linkFaultFunc, 0, len(f.linkFaults))
 	for _, fault := range f.linkFaults {
 		active = append(active, fault)
 	}
@@ -78,7 +78,7 @@
 
 // combineLinkFaults returns what is wrong with the links to one target, the worst of all faults, by the address they come
 // from. It returns nil where there are no faults.
-func combineLinkFaults(active []linkFault, to linkTarget) func(from netip.Addr) fake.LinkFault {
+func combineLinkFaults(active []linkFaultFunc, to linkTarget) func(from netip.Addr) fake.LinkFault {
 	if len(active) == 0 {
 		return nil
 	}
--- a/internal/scenario/plannerprocess.go
+++ b/internal/scenario/plannerprocess.go
@@ -70,7 +70,7 @@
 		statusAddress: set.Status,
 		ended:         make(chan struct{}),
 	}
-	p.disk.attach(command.Process.Pid)
+	p.diskFault.attach(command.Process.Pid)
 	p.process = process
 	p.runtime = process
 	p.fleet.group.Go(func() error {
--- a/internal/scenario/planners.go
+++ b/internal/scenario/planners.go
@@ -27,9 +27,9 @@
 	relay         *fake.Relay // between proxies and the planner
 	endpointRelay *fake.Relay // between the planner and the endpoint registry
 
-	runtime plannerRuntime  // the current or last one; nil before the first start
-	process *plannerProcess // the same where it is a process; else nil
-	disk    *disk
+	runtime   plannerRuntime  // the current or last one; nil before the first start
+	process   *plannerProcess // the same where it is a process; else nil
+	diskFault *diskFault
 }
 
 // plannerRuntime is a planner that runs or has ended.
@@ -51,9 +51,9 @@
 	return f.script.Sharing && f.plannerCount() > 1 && !f.hooks.Unshared
 }
 
-// plannerNumbered returns a planner by its number in the script. Where fewer run than the script counts on, another takes
+// plannerByNumber returns a planner by its number in the script. Where fewer run than the script counts on, another takes
 // its part.
-func (f *fleet) plannerNumbered(number uint32) *plannerInstance {
+func (f *fleet) plannerByNumber(number uint32) *plannerInstance {
 	return f.planners[int(number)%len(f.planners)]
 }
 
@@ -77,9 +77,9 @@
 // newPlannerInstance returns a planner that is not started, with its relays.
 func (f *fleet) newPlannerInstance(ctx context.Context, number int, registryAddress string) (*plannerInstance, error) {
 	instance := &plannerInstance{
-		fleet: f,
-		name:  fmt.Sprintf("planner-%d", number+1),
-		disk:  &disk{log: f.log},
+		fleet:     f,
+		name:      fmt.Sprintf("planner-%d", number+1),
+		diskFault: &diskFault{log: f.log},
 	}
 	instance.endpointRelay = &fake.Relay{Clock: f.clock, Network: f.network, Observe: func(netip.Addr) fake.Observer {
 		return &endpointObserver{
--- a/internal/scenario/planted_test.go
+++ b/internal/scenario/planted_test.go
@@ -36,30 +36,30 @@
 		"too much load on a cold server": {
 			fields: `length: "9s" traffic { rate: "250/s" } servers { work: "40ms" waiting: 400 } limits { warm_up: "20s" fall_window: "1s" drain_grace: "2s" }
 				troubles { at: "1s" lasts: "1s" crash { servers: 1 listed: true } }`,
-			hooks: Hooks{Decider: editDecisions(overweighColdServers)},
+			hooks: Hooks{Decider: editDecisions(overloadColdServers)},
 			want:  "push-over",
 		},
 		"a flood of entries": {
-			hooks: Hooks{Planner: liftChannelLimits, Decider: editDecisions(floodEntries)},
+			hooks: Hooks{Planner: raiseChannelLimits, Decider: editDecisions(floodEntries)},
 			want:  "queue",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			day := play(t, test.fields, test.hooks)
-			if !violatesOnly(day, test.want) {
-				t.Errorf("violated %v, want %q; %v", day.ViolationCounts, test.want, day.Violations)
+			result := play(t, test.fields, test.hooks)
+			if !violatesOnly(result, test.want) {
+				t.Errorf("violated %v, want %q; %v", result.ViolationCounts, test.want, result.Violations)
 			}
 		})
 	}
 }
 
 // violatesOnly reports whether a run violated one invariant and no other, or none where the name is empty.
-func violatesOnly(day *Result, name string) bool {
+func violatesOnly(result *Result, name string) bool {
 	if name == "" {
-		return len(day.ViolationCounts) == 0
+		return len(result.ViolationCounts) == 0
 	}
-	return len(day.ViolationCounts) == 1 && day.ViolationCounts[name] > 0
+	return len(result.ViolationCounts) == 1 && result.ViolationCounts[name] > 0
 }
 
 func zeroAllWeights(d *editingDecider) {
@@ -77,7 +77,7 @@
 	}
 }
 
-func overweighColdServers(d *editingDecider) {
+func overloadColdServers(d *editingDecider) {
 	d.editWeight = func(d *editingDecider, table int, server string, weight float64) {
 		if d.cold[server] && weight > 0 {
 			weight = 50
@@ -111,8 +111,8 @@
 	}
 }
 
-// liftChannelLimits lifts the planner's own limits, by which it would end the streams; the checker's stay.
-func liftChannelLimits(set *pb.Planner) {
+// raiseChannelLimits lifts the planner's own limits, by which it would end the streams; the checker's stay.
+func raiseChannelLimits(set *pb.Planner) {
 	set.Channel = proto.CloneOf(set.Channel)
 	set.Channel.MostMessages = proto.Uint32(100_000)
 	set.Channel.MostWaiting = proto.Uint32(1_000_000)
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -43,11 +43,11 @@
 			runLog = discardLogger()
 		}
 		group.Go(func() error {
-			day, err := PlayOne(ctx, scenario, hooks, runLog)
+			result, err := PlayOne(ctx, scenario, hooks, runLog)
 			if err != nil {
 				return fmt.Errorf("playing with %s: %w", hooks.deciderName(), err)
 			}
-			report.Runs[n] = *day
+			report.Runs[n] = *result
 			return nil
 		})
 	}
@@ -69,7 +69,7 @@
 
 // PlayOne runs a script once, and returns when everything that it started has ended. The script must have passed the check
 // of package settings.
-func PlayOne(ctx context.Context, scenario *script.Script, hooks Hooks, log *slog.Logger) (day *Result, err error) {
+func PlayOne(ctx context.Context, scenario *script.Script, hooks Hooks, log *slog.Logger) (result *Result, err error) {
 	directory, err := os.MkdirTemp("", "lichenpick-scenario-")
 	if err != nil {
 		return nil, fmt.Errorf("making a directory for the scenario: %w", err)
@@ -110,20 +110,20 @@
 	if err := f.sleep(ctx, settings.Duration(f.script.Warm)); err != nil {
 		return nil, err
 	}
-	if err := f.loadWithFaults(ctx); err != nil {
+	if err := f.runLoadWithFaults(ctx); err != nil {
 		return nil, err
 	}
 	return f.recorder.finish(f.clock.Monotonic()), nil
 }
 
-// loadWithFaults sends the requests and plays the faults beside them. Faults that last longer end with the cooldown. An
+// runLoadWithFaults sends the requests and plays the faults beside them. Faults that last longer end with the cooldown. An
 // error of a fault ends the other faults and is returned at the end.
-func (f *fleet) loadWithFaults(ctx context.Context) error {
+func (f *fleet) runLoadWithFaults(ctx context.Context) error {
 	faults, faultsCtx := errgroup.WithContext(ctx)
 	faultsCtx, endFaults := context.WithCancel(faultsCtx)
 	defer endFaults()
 	for _, fault := range f.script.Troubles {
-		faults.Go(func() error { return f.playFault(faultsCtx, fault) })
+		faults.Go(func() error { return f.injectFault(faultsCtx, fault) })
 	}
 	err := f.loadGenerator.Run(ctx, settings.Milliseconds(f.script.Length))
 	if err == nil {
--- a/internal/scenario/play_test.go
+++ b/internal/scenario/play_test.go
@@ -38,12 +38,12 @@
 	if err := settings.Parse("test", []byte(settings.Format(merged)), checked); err != nil {
 		t.Fatal(err)
 	}
-	day, err := PlayOne(t.Context(), checked, hooks, discardLogger())
+	result, err := PlayOne(t.Context(), checked, hooks, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(day.Unparsed) > 0 {
-		t.Errorf("not judged: %v", day.Unparsed)
+	if len(result.Unparsed) > 0 {
+		t.Errorf("not judged: %v", result.Unparsed)
 	}
-	return day
+	return result
 }
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -16,8 +16,8 @@
 const (
 	// minZoneServers is the number of servers in a zone from which its proxies know only these at their start.
 	minZoneServers = 3
-	// minUsualRate is the least rate that a proxy says is usual, in requests a second.
-	minUsualRate = 0.001
+	// minUsualRatePerSecond is the least rate that a proxy says is usual, in requests a second.
+	minUsualRatePerSecond = 0.001
 )
 
 // startProxies starts the proxies of the script.
@@ -58,7 +58,7 @@
 func (f *fleet) newProxySettings(zone, number int, known []string) (*pb.Proxy, error) {
 	zoneName := f.script.Places[zone].Name
 	usualRate := settings.PerSecond(f.script.Traffic.Rate) / float64(max(settings.ProxyCount(f.script), 1))
-	seed, standing := f.drawProxy(known)
+	seed, standing := f.drawSeedAndStanding(known)
 	set := &pb.Proxy{
 		Name:           fmt.Sprintf("edge-%s-%d", zoneName, number),
 		Listen:         listenAddress(zone) + anyPort,
@@ -71,7 +71,7 @@
 		ReportEvery:    f.script.Reports.Every,
 		ConnectionIdle: f.script.Limits.ConnectionIdle,
 		Seed:           proto.Uint64(seed),
-		Usual:          fmt.Sprintf("%g/s", max(usualRate, minUsualRate)),
+		Usual:          fmt.Sprintf("%g/s", max(usualRate, minUsualRatePerSecond)),
 		Standing:       standing,
 	}
 	if f.hooks.Proxy != nil {
@@ -82,13 +82,13 @@
 	return full, err
 }
 
-// drawProxy draws the seed and the standing servers of a proxy.
-func (f *fleet) drawProxy(known []string) (seed uint64, standing []string) {
+// drawSeedAndStanding draws the seed and the standing servers of a proxy.
+func (f *fleet) drawSeedAndStanding(known []string) (seed uint64, standing []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seed = uint64(f.chance.Int63())
+	seed = uint64(f.rng.Int63())
 	count := min(int(f.script.GetStanding()), len(known))
-	for _, n := range f.chance.Perm(len(known))[:count] {
+	for _, n := range f.rng.Perm(len(known))[:count] {
 		standing = append(standing, known[n])
 	}
 	return seed, standing
--- a/internal/scenario/recorder.go
+++ b/internal/scenario/recorder.go
@@ -61,18 +61,18 @@
 
 // observations are what was recorded until the end of a run.
 type observations struct {
-	violations         []invariant.Violation
-	violationCounts    map[invariant.Rule]int
-	messages           int
-	entries            float64
-	attempts           int
-	takeovers          []invariant.Takeover
-	rejected           int
-	leasesByController map[string]int
-	resentEntries      int
-	bytesUp            int
-	bytesDown          int
-	unparsed           map[string]int
+	violations      []invariant.Violation
+	violationCounts map[invariant.Rule]int
+	messages        int
+	entries         float64
+	attempts        int
+	takeovers       []invariant.Takeover
+	rejected        int
+	leasesByPlanner map[string]int
+	resentEntries   int
+	bytesUp         int
+	bytesDown       int
+	unparsed        map[string]int
 }
 
 // finish judges the run and returns what was recorded. Nothing that passes later changes it.
@@ -81,17 +81,17 @@
 	defer r.mu.Unlock()
 	violations, counts := r.checker.Finish(atMs)
 	return &observations{
-		violations:         violations,
-		violationCounts:    counts,
-		messages:           r.checker.Messages,
-		entries:            r.checker.Entries,
-		attempts:           r.checker.Attempts,
-		takeovers:          slices.Clone(r.checker.Takeovers),
-		rejected:           r.checker.Rejected,
-		leasesByController: r.checker.LeasesByPlanner(),
-		resentEntries:      r.checker.ResentEntries,
-		bytesUp:            r.bytesUp,
-		bytesDown:          r.bytesDown,
-		unparsed:           maps.Clone(r.unparsed),
+		violations:      violations,
+		violationCounts: counts,
+		messages:        r.checker.Messages,
+		entries:         r.checker.Entries,
+		attempts:        r.checker.Attempts,
+		takeovers:       slices.Clone(r.checker.Takeovers),
+		rejected:        r.checker.Rejected,
+		leasesByPlanner: r.checker.LeasesByPlanner(),
+		resentEntries:   r.checker.ResentEntries,
+		bytesUp:         r.bytesUp,
+		bytesDown:       r.bytesDown,
+		unparsed:        maps.Clone(r.unparsed),
 	}
 }
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -56,9 +56,9 @@
 }
 
 // leaseCount returns the number of proxies that had a leader at the end.
-func (d *Result) leaseCount() int {
+func (r *Result) leaseCount() int {
 	count := 0
-	for _, leases := range d.LeasesByPlanner {
+	for _, leases := range r.LeasesByPlanner {
 		count += leases
 	}
 	return count
@@ -108,38 +108,38 @@
 }
 
 // formatLine appends the run's line of the table, with tabs between its cells.
-func (d *Result) formatLine(text *strings.Builder) {
-	fmt.Fprintf(text, "%s\t%.3f", d.Decider, d.Service)
+func (r *Result) formatLine(text *strings.Builder) {
+	fmt.Fprintf(text, "%s\t%.3f", r.Decider, r.Service)
 	late := 0
 	rejected := 0
 	failed := 0
-	for _, class := range d.Classes {
+	for _, class := range r.Classes {
 		fmt.Fprintf(text, "\t%.3f", class.Service)
 		late += class.Late
 		rejected += class.Rejected + class.NoServer
 		failed += class.Failed
 	}
 	invariants := "kept"
-	if len(d.ViolationCounts) > 0 {
-		invariants = fmt.Sprint("broken ", d.ViolationCounts)
+	if len(r.ViolationCounts) > 0 {
+		invariants = fmt.Sprint("broken ", r.ViolationCounts)
 	}
 	fmt.Fprintf(text, "\t%d\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\t%d\t%s\n",
-		late, rejected, failed, d.Messages, d.Entries, d.OrderMsP50, d.OrderMsP99, d.ColdOverloads, invariants)
+		late, rejected, failed, r.Messages, r.Entries, r.OrderMsP50, r.OrderMsP99, r.ColdOverloads, invariants)
 }
 
 // notes returns what the table does not show of a run: takeovers, violations and what could not be judged.
-func (d *Result) notes() string {
+func (r *Result) notes() string {
 	var text strings.Builder
-	if d.Takeovers > 0 {
+	if r.Takeovers > 0 {
 		fmt.Fprintf(&text, "leases: %d takeovers; without a leader for %.0f ms (p50), %.0f (p99), at most %.0f; "+
 			"%d messages of past epochs rejected; %d entries of tables sent again; %d of %d proxies have a leader at the end\n",
-			d.Takeovers, d.WithoutLeaderP50, d.WithoutLeaderP99, d.WithoutLeaderMax,
-			d.Rejected, d.ResentEntries, d.leaseCount(), d.Proxies)
+			r.Takeovers, r.WithoutLeaderP50, r.WithoutLeaderP99, r.WithoutLeaderMax,
+			r.Rejected, r.ResentEntries, r.leaseCount(), r.Proxies)
 	}
-	for _, violation := range d.Violations {
+	for _, violation := range r.Violations {
 		fmt.Fprintf(&text, "broken: %s at %.0f ms: %s\n", violation.Rule, violation.AtMs, violation.Evidence)
 	}
-	for kind, count := range d.Unparsed {
+	for kind, count := range r.Unparsed {
 		fmt.Fprintf(&text, "not judged: %s, %d times\n", kind, count)
 	}
 	return text.String()
--- a/internal/scenario/serverfaults.go
+++ b/internal/scenario/serverfaults.go
@@ -19,16 +19,16 @@
 	firstUnknownPort = 9000
 )
 
-// playBurst multiplies the rate of requests.
-func (f *fleet) playBurst(ctx context.Context, burst *script.Burst, lasts time.Duration) error {
+// injectBurst multiplies the rate of requests.
+func (f *fleet) injectBurst(ctx context.Context, burst *script.Burst, lasts time.Duration) error {
 	f.loadGenerator.SetRateFactor(burst.GetFactor())
 	f.waitFor(ctx, lasts)
 	f.loadGenerator.SetRateFactor(1)
 	return nil
 }
 
-// playHang has servers receive requests and answer none, all the time or for every other period.
-func (f *fleet) playHang(ctx context.Context, hang *script.Hang, lasts time.Duration) error {
+// injectHang has servers receive requests and answer none, all the time or for every other period.
+func (f *fleet) injectHang(ctx context.Context, hang *script.Hang, lasts time.Duration) error {
 	servers := f.reserveServers(int(hang.GetServers()), nil)
 	defer f.releaseServers(servers)
 	period := settings.Duration(hang.Period)
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// playSlow slows servers down, at once or step by step.
-func (f *fleet) playSlow(ctx context.Context, slow *script.Slow, lasts time.Duration) error {
+// injectSlow slows servers down, at once or step by step.
+func (f *fleet) injectSlow(ctx context.Context, slow *script.Slow, lasts time.Duration) error {
 	servers := f.reserveServers(int(slow.GetServers()), nil)
 	defer f.releaseServers(servers)
 	for step := 1; step <= slowSteps && ctx.Err() == nil; step++ {
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// playFailing has servers answer with errors, reset connections or refuse requests.
-func (f *fleet) playFailing(ctx context.Context, failing *script.Failing, lasts time.Duration) error {
+// injectFailing has servers answer with errors, reset connections or refuse requests.
+func (f *fleet) injectFailing(ctx context.Context, failing *script.Failing, lasts time.Duration) error {
 	servers := f.reserveServers(int(failing.GetServers()), nil)
 	defer f.releaseServers(servers)
 	changeFaults(servers, func(fault *fake.Fault) {
@@ -73,15 +73,15 @@
 	return nil
 }
 
-// playCrash ends servers, and starts them again cold.
-func (f *fleet) playCrash(ctx context.Context, crash *script.Crash, lasts time.Duration) error {
+// injectCrash ends servers, and starts them again cold.
+func (f *fleet) injectCrash(ctx context.Context, crash *script.Crash, lasts time.Duration) error {
 	servers := f.reserveServers(int(crash.GetServers()), nil)
 	return f.crashServers(ctx, servers, crash.Listed, lasts)
 }
 
-// playZoneLoss ends all servers of a zone, and starts them again cold.
-func (f *fleet) playZoneLoss(ctx context.Context, loss *script.ZoneLoss, lasts time.Duration) error {
-	zone := f.zoneNamed(loss.Zone)
+// injectZoneLoss ends all servers of a zone, and starts them again cold.
+func (f *fleet) injectZoneLoss(ctx context.Context, loss *script.ZoneLoss, lasts time.Duration) error {
+	zone := f.zoneByName(loss.Zone)
 	inZone := func(candidate *serverInstance) bool { return candidate.zone == zone }
 	servers := f.reserveServers(math.MaxInt, inZone)
 	return f.crashServers(ctx, servers, true, lasts)
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// playDeploy replaces servers in turn over a time: each drains and is removed, and a cold one is started in its place.
-func (f *fleet) playDeploy(ctx context.Context, deploy *script.Deploy, lasts time.Duration) error {
+// injectDeploy replaces servers in turn over a time: each drains and is removed, and a cold one is started in its place.
+func (f *fleet) injectDeploy(ctx context.Context, deploy *script.Deploy, lasts time.Duration) error {
 	replaced := f.reserveServers(int(deploy.GetServers()), nil)
 	var started []*serverInstance
 	defer func() { f.releaseServers(started) }()
@@ -143,8 +143,8 @@
 	}
 }
 
-// playWrongList has the endpoint list lack some servers, and name some that do not exist.
-func (f *fleet) playWrongList(ctx context.Context, wrong *script.WrongList, lasts time.Duration) error {
+// injectWrongList has the endpoint list lack some servers, and name some that do not exist.
+func (f *fleet) injectWrongList(ctx context.Context, wrong *script.WrongList, lasts time.Duration) error {
 	f.registry.Override(func(endpoints []*order.Listing_Entry) []*order.Listing_Entry {
 		missing := int(float64(len(endpoints)) * wrong.GetMissing())
 		listed := append([]*order.Listing_Entry(nil), endpoints[missing:]...)
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -73,14 +73,14 @@
 func (f *fleet) newServerSettings(zone int) *pb.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lastServer++
+	f.lastServerNumber++
 	template := f.script.Servers
 	limits := f.script.Limits
-	speed := template.GetSlowest() + f.chance.Float64()*(template.GetFastest()-template.GetSlowest())
-	seed := uint64(f.chance.Int63())
+	speed := template.GetSlowest() + f.rng.Float64()*(template.GetFastest()-template.GetSlowest())
+	seed := uint64(f.rng.Int63())
 	zoneName := f.script.Places[zone].Name
 	return &pb.Server{
-		Name:         fmt.Sprintf("%s-%d", zoneName, f.lastServer),
+		Name:         fmt.Sprintf("%s-%d", zoneName, f.lastServerNumber),
 		Listen:       listenAddress(zone) + anyPort,
 		Zone:         zoneName,
 		Cores:        template.Cores,
@@ -150,7 +150,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var drawn []*serverInstance
-	for _, n := range f.chance.Perm(len(f.servers)) {
+	for _, n := range f.rng.Perm(len(f.servers)) {
 		candidate := f.servers[n]
 		if len(drawn) == count || candidate.reserved {
 			continue
--- a/internal/scenario/summary.go
+++ b/internal/scenario/summary.go
@@ -10,7 +10,7 @@
 
 // summarize returns the result of a run that has ended.
 func (f *fleet) summarize(observed *observations) *Result {
-	day := &Result{
+	result := &Result{
 		Decider:         f.hooks.deciderName(),
 		Messages:        observed.messages,
 		Entries:         observed.entries,
@@ -22,41 +22,41 @@
 		Servers:         len(f.servers),
 		Proxies:         len(f.proxyAddresses),
 		Rejected:        observed.rejected,
-		LeasesByPlanner: observed.leasesByController,
+		LeasesByPlanner: observed.leasesByPlanner,
 		ResentEntries:   observed.resentEntries,
 		CPUMs:           float64(f.plannerCPU) / float64(time.Millisecond),
 		BytesUp:         observed.bytesUp,
 		BytesDown:       observed.bytesDown,
 	}
 	for rule, count := range observed.violationCounts {
-		day.ViolationCounts[rule.String()] = count
+		result.ViolationCounts[rule.String()] = count
 	}
 	if f.hungPlanners > 0 {
-		day.Unparsed[hungPlanners] = f.hungPlanners
+		result.Unparsed[hungPlanners] = f.hungPlanners
 	}
 	for _, server := range f.servers {
-		day.ColdOverloads += server.Counts().ColdOverloads
+		result.ColdOverloads += server.Counts().ColdOverloads
 	}
-	f.addRequests(day)
-	f.addPlannerStatuses(day)
-	day.addTakeovers(observed.takeovers)
-	return day
+	f.addRequests(result)
+	f.addPlannerStatuses(result)
+	result.addTakeovers(observed.takeovers)
+	return result
 }
 
 // addRequests adds how the requests of clients ended.
-func (f *fleet) addRequests(day *Result) {
+func (f *fleet) addRequests(result *Result) {
 	classes, seconds, requests := f.loadGenerator.Tallies()
-	day.Requests = requests
+	result.Requests = requests
 	total := fake.Tally{}
 	for n, tally := range classes {
 		total.Value += tally.Value
 		total.MaxValue += tally.MaxValue
-		day.Classes = append(day.Classes, ClassResult{Name: f.script.Groups[n].Name, Tally: tally, Service: serviceOf(tally)})
+		result.Classes = append(result.Classes, ClassResult{Name: f.script.Groups[n].Name, Tally: tally, Service: serviceOf(tally)})
 	}
-	day.Service = serviceOf(total)
+	result.Service = serviceOf(total)
 	for _, tally := range seconds {
 		if tally.Requested > 0 {
-			day.Seconds = append(day.Seconds, serviceOf(tally))
+			result.Seconds = append(result.Seconds, serviceOf(tally))
 		}
 	}
 }
@@ -65,19 +65,19 @@
 func serviceOf(tally fake.Tally) float64 { return tally.Value / max(tally.MaxValue, 1e-9) }
 
 // addPlannerStatuses adds what planners said of themselves, the worst of each.
-func (f *fleet) addPlannerStatuses(day *Result) {
+func (f *fleet) addPlannerStatuses(result *Result) {
 	for _, status := range f.plannerStatuses {
-		day.OrderMsP50 = max(day.OrderMsP50, status.OrderMsP50)
-		day.OrderMsP99 = max(day.OrderMsP99, status.OrderMsP99)
-		day.PeakBacklog = max(day.PeakBacklog, status.MaxBacklog)
+		result.OrderMsP50 = max(result.OrderMsP50, status.OrderMsP50)
+		result.OrderMsP99 = max(result.OrderMsP99, status.OrderMsP99)
+		result.PeakBacklog = max(result.PeakBacklog, status.MaxBacklog)
 		for reason, count := range status.Closes {
-			day.Closes[string(reason)] += count
+			result.Closes[string(reason)] += count
 		}
 	}
 }
 
 // addTakeovers adds the takeovers, and how long the proxies were without a leader.
-func (d *Result) addTakeovers(grants []invariant.Takeover) {
+func (r *Result) addTakeovers(grants []invariant.Takeover) {
 	granted := map[string]bool{}
 	var withoutLeaderMs []float64
 	for _, grant := range grants {
@@ -86,13 +86,13 @@
 		}
 		granted[grant.Proxy] = true
 	}
-	d.Takeovers = len(withoutLeaderMs)
-	if d.Takeovers == 0 {
+	r.Takeovers = len(withoutLeaderMs)
+	if r.Takeovers == 0 {
 		return
 	}
 	slices.Sort(withoutLeaderMs)
 	quantile := func(q float64) float64 { return withoutLeaderMs[int(q*float64(len(withoutLeaderMs)-1))] }
-	d.WithoutLeaderP50 = quantile(0.5)
-	d.WithoutLeaderP99 = quantile(0.99)
-	d.WithoutLeaderMax = quantile(1)
+	r.WithoutLeaderP50 = quantile(0.5)
+	r.WithoutLeaderP99 = quantile(0.99)
+	r.WithoutLeaderMax = quantile(1)
 }
