--- a/internal/invariant/backlog.go
+++ b/internal/invariant/backlog.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// minCompactMessages is the number of messages from which a backlog is compacted.
+	// minCompactMessages is the number of messages below which a backlog is not compacted.
 	minCompactMessages = 4096
-	// compactMinAgeMs is the age from which messages are compacted. It is far above the disorder in which observers of
-	// several connections report messages.
+	// compactMinAgeMs is the time since its sending after which a message may be compacted. Observers of several connections
+	// report messages out of order, by much less than this time.
 	compactMinAgeMs = 60_000.0
 )
 
-// queuedMessage is the time that a message's entries waited at a planner: from its decision until it left.
+// queuedMessage is a message whose weight entries were queued at a planner from its decision until it was sent.
 type queuedMessage struct {
 	decidedMs, sentMs float64
 	entries           float64
 }
 
-// backlog is the history of the weight entries that waited at one planner. The zero value is empty.
+// backlog is the history of the weight entries that were queued at one planner. The zero value is empty.
 //
-// As messages become known only when they leave, the height of the backlog at a time is final only when all messages
-// decided until then have left. So the history is kept, but compacted: its size is bounded by the height of the backlog.
+// A message becomes known only when it is sent, so the backlog at a time is final only after all messages decided until
+// then were sent. The history is therefore kept, but compacted: its size is bounded by the peak of the backlog.
 type backlog struct {
 	messages  []queuedMessage
-	compactAt int // number of messages at which to compact next; 0: compactAfter
+	compactAt int // number of messages at which to compact next; 0: minCompactMessages
 }
 
-// add takes in a message that left at sentMs. Calls must come in order of sentMs, up to compactMarginMs.
+// add records a message that was sent at sentMs. Calls may be out of order of sentMs by up to compactMinAgeMs.
 func (b *backlog) add(decidedMs, sentMs, entries float64) {
 	b.messages = append(b.messages, queuedMessage{decidedMs, sentMs, entries})
 	if len(b.messages) >= max(b.compactAt, minCompactMessages) {
@@ -37,11 +37,12 @@
 	}
 }
 
-// compact replaces the messages that left until a time by fewer ones with the same effect on any later peak.
+// compact replaces the messages that were sent by untilMs with fewer ones that result in the same peak after any further
+// messages.
 //
-// A message that leaves later waits from its decision on until after untilMs. So it raises the backlog at each time between
-// its decision and untilMs, and a peak there is the highest backlog from the decision on, plus the message. The envelope of
-// the history, its highest backlog from each time on, therefore serves as well as the history.
+// A message that is sent later was queued from its decision until after untilMs. It raises the backlog at each time between
+// its decision and untilMs, so the peak there is the largest backlog since the decision plus the entries of the message.
+// The suffix maximum of the history, its largest backlog from each time on, therefore gives the same peaks as the history.
 func (b *backlog) compact(untilMs float64) {
 	var left, later []queuedMessage
 	for _, message := range b.messages {
@@ -54,14 +55,14 @@
 	b.messages = append(suffixMaximum(left), later...)
 }
 
-// suffixMaximum returns messages whose backlog at each time is the highest of the given ones' from that time on, beginning with
-// the time of their peak.
+// suffixMaximum returns messages whose backlog, at each time from the peak on, is the largest backlog of the given messages
+// from that time on. All of them are decided at the time of the peak.
 func suffixMaximum(messages []queuedMessage) []queuedMessage {
 	sizes := sizesOf(messages)
 	var steps []queuedMessage
 	largest := 0.0
 	peakMs := 0.0
-	for n := len(sizes) - 2; n >= 0; n-- { // the last height is 0
+	for n := len(sizes) - 2; n >= 0; n-- { // the backlog is 0 after the last change
 		if sizes[n].entries <= largest {
 			continue
 		}
@@ -75,10 +76,10 @@
 	return steps
 }
 
-// backlogSize is the number of entries that wait from a time on.
+// backlogSize is the number of entries that are queued from a time on, until the next change.
 type backlogSize struct{ atMs, entries float64 }
 
-// sizesOf returns the backlog after each change, in order of time. Of changes at one time, those that lower it come first.
+// sizesOf returns the backlog after each change, in order of time. Of simultaneous changes, decreases come first.
 func sizesOf(messages []queuedMessage) []backlogSize {
 	changes := make([]backlogSize, 0, 2*len(messages))
 	for _, message := range messages {
@@ -95,8 +96,8 @@
 	return changes
 }
 
-// peak returns the highest backlog and the time at which it was reached first. After a compaction it may name a later one
-// of several equal peaks.
+// peak returns the largest backlog and the time at which it was reached first. After a compaction, the time may be that of
+// a later one of several equal peaks.
 func (b *backlog) peak() backlogSize {
 	largest := backlogSize{}
 	for _, current := range sizesOf(b.messages) {
@@ -107,7 +108,7 @@
 	return largest
 }
 
-// evaluateBacklog judges the part of [BacklogExceeded] that limits the entries queued at a planner.
+// evaluateBacklog checks the part of [BacklogExceeded] that limits the entries queued at a planner.
 func (c *Checker) evaluateBacklog(name string, planner *plannerState) {
 	peak := planner.backlog.peak()
 	if peak.entries > c.limits.MaxBacklog {
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -7,7 +7,8 @@
 	"lichenpick/proto/order"
 )
 
-// newSharedChecker returns a checker that has seen a proxy join two planners and grant A its lease under epoch 1.
+// newSharedChecker returns a checker for a shared fleet, in which proxy x has joined planners A and B and granted A its lease
+// under epoch 1.
 func newSharedChecker(t *testing.T) *Checker {
 	t.Helper()
 	checker := NewChecker(Limits{Idempotency: []Idempotency{NonIdempotent}, SameZoneOnly: []bool{false}, NoServerMs: 1e6, MaxBacklog: 1e6})
@@ -18,7 +19,7 @@
 	return checker
 }
 
-// violationCounts ends the run and returns the number of violations by rule, as text.
+// violationCounts finishes the run and returns the number of violations by rule, as text.
 func violationCounts(t *testing.T, checker *Checker) string {
 	t.Helper()
 	_, counts := checker.Finish(1000)
--- a/internal/invariant/coldoverload.go
+++ b/internal/invariant/coldoverload.go
@@ -3,22 +3,22 @@
 import "slices"
 
 const (
-	// randomVariationMargin is the margin over a warming server's limit: work is counted by its mean, so that chance alone may
-	// exceed the limit a little.
+	// randomVariationMargin is a factor on the work allowed to a warming server. Each request counts with the mean work of
+	// requests, so random variation alone may exceed the limit slightly.
 	randomVariationMargin = 1.15
-	// minInformedShare is the part of the work that must come from proxies which could know that the server warms up;
-	// else no decision is at fault.
+	// minInformedShare is the least part of the work that must come from proxies that could know that the server is warming
+	// up. Below it, the overload was not caused by a decision.
 	minInformedShare = 2.0 / 3
 )
 
-// sentWork is work that was sent to a server.
+// sentWork is the work of one request or connection that was sent to a server.
 type sentWork struct {
 	atMs, workMs float64
-	informed     bool // by a proxy that could know that the server warms up
+	informed     bool // sent by a proxy that could know that the server is warming up
 }
 
-// recordWork judges [ColdOverload]: the work sent to a warming server within the window, against a multiple of what the
-// server can do.
+// recordWork records work that was sent to a server, and checks [ColdOverload]: while the server warms up, the work sent to
+// it within the window must not exceed a multiple of what it can do in that time.
 func (c *Checker) recordWork(server string, sent sentWork) {
 	if c.limits.Capacity == nil {
 		return
--- a/internal/invariant/endpoints.go
+++ b/internal/invariant/endpoints.go
@@ -6,21 +6,21 @@
 	"lichenpick/proto/order"
 )
 
-// endpoint is what the endpoint lists sent to a planner state of one server.
+// endpoint is the state of one server according to the endpoint lists that were sent to a planner.
 type endpoint struct {
 	zone          string
-	startedUnixMs uint64  // incarnation of the server; 0: started long ago
+	startedUnixMs uint64  // start of the server, which identifies its incarnation; 0: started long ago
 	startedAtMs   float64 // when the planner was notified of this incarnation
-	removedAtMs   float64 // when it was notified that the server drains or is gone; infinite while ready
+	removedAtMs   float64 // when the planner was notified that the server drains or is gone; infinite while ready
 }
 
-// plannerState is what a planner knows and what it has sent.
+// plannerState is what a planner knows, and the history of its backlog.
 type plannerState struct {
 	endpoints map[string]*endpoint // by server
 	backlog   backlog
 }
 
-// planner returns the state of a planner, which it makes on first use.
+// planner returns the state of a planner, and creates it on first use.
 func (c *Checker) planner(name string) *plannerState {
 	planner := c.planners[name]
 	if planner == nil {
@@ -30,7 +30,7 @@
 	return planner
 }
 
-// RecordEndpoints records that an endpoint list passed towards a planner.
+// RecordEndpoints records an endpoint list that was observed on its way to a planner.
 func (c *Checker) RecordEndpoints(plannerName string, atMs float64, listing *order.Listing) {
 	if listing.Form == order.Listing_FAILED {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// updateEndpoint takes in one entry of a list.
+// updateEndpoint applies one entry of an endpoint list.
 func (p *plannerState) updateEndpoint(entry *order.Listing_Entry, atMs float64) {
 	server := p.endpoints[entry.Server]
 	if server == nil {
@@ -64,12 +64,12 @@
 	switch {
 	case entry.State == 0:
 		server.removedAtMs = math.Inf(1)
-	case server.removedAtMs > atMs: // unless the planner was notified before
+	case server.removedAtMs > atMs: // unless the planner was notified earlier
 		server.removedAtMs = atMs
 	}
 }
 
-// expireMissing marks the servers that a full list lacks as removed from a time on.
+// expireMissing marks the ready servers that a full list lacks as removed from a time on.
 func (p *plannerState) expireMissing(listed map[string]bool, removedAtMs float64) {
 	for name, server := range p.endpoints {
 		if !listed[name] && math.IsInf(server.removedAtMs, 1) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// RecordPlannerExit records that a planner's process ended: what it knew is void, and its proxies have no planner.
+// RecordPlannerExit records that a planner's process ended: what it knew is discarded, and its proxies have no planner.
 func (c *Checker) RecordPlannerExit(plannerName string, atMs float64) {
 	delete(c.planners, plannerName)
 	for name, proxy := range c.proxies {
--- a/internal/invariant/lease.go
+++ b/internal/invariant/lease.go
@@ -2,32 +2,32 @@
 
 import "lichenpick/proto/order"
 
-// leaseState is what a proxy of a shared fleet said about its leader.
+// leaseState is what a proxy of a shared fleet stated about its lease.
 type leaseState struct {
-	shared       bool   // the proxy grants leases; else all below is unused
+	shared       bool   // the proxy grants leases; otherwise all fields below are unused
 	holder       string // planner that holds the lease; empty: none
 	epoch        uint64 // of the last grant
-	sequence     uint64 // sequence number of the proxy's statement that granted it
+	sequence     uint64 // sequence number of the proxy's statement with the last grant
 	grants       int
 	grantedAtMs  float64
-	releasedAtMs float64 // when the lease ended
-	lastFrameMs  float64 // last frame of the holder
+	releasedAtMs float64 // when the proxy stated that its last lease had ended
+	lastFrameMs  float64 // when the holder's last frame reached the proxy
 
 	// unacknowledged holds the epochs of messages that the proxy has not acknowledged, by planner and message number.
 	unacknowledged map[string]map[uint64]uint64
 }
 
-// Takeover is one proxy that granted its lease under a new epoch. Times in ms.
+// Takeover is the grant of one proxy's lease under a new epoch. Times are in ms.
 type Takeover struct {
 	Proxy       string
 	Planner     string  // planner that was granted the lease
-	LastFrameMs float64 // last frame of the holder before
-	ExpiredMs   float64 // end of the lease before
+	LastFrameMs float64 // when the last frame of the previous holder reached the proxy
+	ExpiredMs   float64 // end of the previous lease
 	GrantedMs   float64
 }
 
-// RecordLease records that a proxy's statement about its lease passed towards a planner. Statements of one proxy can
-// overtake each other on its several streams; their counts and epochs tell which is older.
+// RecordLease records a proxy's statement about its lease that was observed on its way to a planner. Statements of one proxy
+// may be observed out of order on its several streams; their sequence numbers and epochs tell which is newer.
 func (c *Checker) RecordLease(name, plannerName string, atMs float64, statement *order.Lease) {
 	proxy := c.proxies[name]
 	if proxy == nil || !proxy.lease.shared {
@@ -48,11 +48,12 @@
 	}
 }
 
-// recordGrant takes in that a proxy granted its lease under a new epoch, and starts over with what it says that it holds.
+// recordGrant records that a proxy granted its lease under a new epoch, and resets the proxy's state to the tables that it
+// states it holds.
 func (c *Checker) recordGrant(name string, proxy *proxyState, plannerName string, atMs float64, statement *order.Lease) {
 	lease := &proxy.lease
 	expiredMs := lease.releasedAtMs
-	if lease.holder != "" { // granted anew without an end in between, on another stream
+	if lease.holder != "" { // no end of the previous lease was observed, as the new one was granted on another stream
 		expiredMs = atMs
 	}
 	c.Takeovers = append(c.Takeovers, Takeover{
@@ -83,8 +84,8 @@
 	}
 }
 
-// RecordAck records that a proxy's acknowledgement of a message passed towards the planner that had sent it. Whether the
-// proxy applied or rejected the message is its own statement.
+// RecordAck records a proxy's acknowledgement of a message that was observed on its way to the planner that had sent the
+// message. The acknowledgement states whether the proxy applied or rejected the message, and the epoch it had granted.
 func (c *Checker) RecordAck(name, plannerName string, atMs float64, ack *order.Applied) {
 	proxy := c.proxies[name]
 	if proxy == nil || !proxy.lease.shared {
@@ -103,7 +104,7 @@
 	}
 }
 
-// LeasesByPlanner returns the number of proxies whose lease each planner holds now.
+// LeasesByPlanner returns the number of leases that each planner holds now.
 func (c *Checker) LeasesByPlanner() map[string]int {
 	leases := map[string]int{}
 	for _, proxy := range c.proxies {
--- a/internal/invariant/orders.go
+++ b/internal/invariant/orders.go
@@ -6,7 +6,7 @@
 	"lichenpick/proto/order"
 )
 
-// RecordSend records that a message left a planner for a proxy at atMs. It was decided at decidedMs, by the same clock.
+// RecordSend records that a planner sent a message to a proxy at atMs. It was decided at decidedMs, on the same clock.
 func (c *Checker) RecordSend(name, plannerName string, atMs, decidedMs float64, orders *order.Orders) {
 	c.Messages++
 	c.Entries += orders.Lines
@@ -22,7 +22,7 @@
 	c.evaluateMessageRate(name, proxy, atMs, decidedMs)
 }
 
-// evaluateSingleLeader judges [SingleLeader] for a message that a planner decided.
+// evaluateSingleLeader checks [SingleLeader] for a message that a planner decided.
 func (c *Checker) evaluateSingleLeader(name string, proxy *proxyState, plannerName string, atMs, decidedMs float64) {
 	lease := &proxy.lease
 	if lease.holder == "" || lease.holder == plannerName || lease.grantedAtMs >= decidedMs {
@@ -32,7 +32,7 @@
 		plannerName, name, decidedMs-lease.grantedAtMs, lease.holder, lease.epoch)
 }
 
-// recordSend keeps the epoch of a message until it is acknowledged.
+// recordSend remembers the epoch of a message until it is acknowledged.
 func (l *leaseState) recordSend(plannerName string, orders *order.Orders) {
 	if l.unacknowledged[plannerName] == nil {
 		l.unacknowledged[plannerName] = map[uint64]uint64{}
@@ -40,7 +40,7 @@
 	l.unacknowledged[plannerName][orders.Number] = orders.Epoch
 }
 
-// evaluateMessageRate judges the part of [BacklogExceeded] that limits the messages to one proxy.
+// evaluateMessageRate checks the part of [BacklogExceeded] that limits the messages to one proxy.
 func (c *Checker) evaluateMessageRate(name string, proxy *proxyState, atMs, decidedMs float64) {
 	proxy.recentMessagesMs = append(proxy.recentMessagesMs, decidedMs)
 	proxy.recentMessagesMs = slices.DeleteFunc(proxy.recentMessagesMs, func(messageMs float64) bool {
@@ -55,7 +55,7 @@
 	}
 }
 
-// RecordDelivery records that a message of a planner reached a proxy. It was decided at decidedMs, by the same clock.
+// RecordDelivery records that a message of a planner reached a proxy at atMs. It was decided at decidedMs, on the same clock.
 func (c *Checker) RecordDelivery(name, plannerName string, atMs, decidedMs float64, orders *order.Orders) {
 	proxy := c.proxies[name]
 	if proxy == nil {
--- a/internal/invariant/proxy.go
+++ b/internal/invariant/proxy.go
@@ -9,32 +9,32 @@
 // weightTable is a weight table as a proxy holds it.
 type weightTable struct {
 	weights map[string]float64 // by server
-	ejected map[string]bool    // servers ejected in this table; for assigned tables the set of the proxy
+	ejected map[string]bool    // servers ejected in this table; assigned tables share the set of the proxy
 }
 
-// proxyState is what the checker knows of a proxy, from what reached it and what it said.
+// proxyState is what the checker knows about a proxy, from the frames that reached it and that it sent.
 type proxyState struct {
-	planner    string // connected to, or holder of its lease; empty: none
+	planner    string // that it is connected to or, in a shared fleet, that holds its lease; empty: none
 	joinedAtMs float64
 	zone       string
-	tables     map[uint32]*weightTable // assigned since it joined, by number
+	tables     map[uint32]*weightTable // assigned since it joined, by table number
 	byClass    []*weightTable          // in use by each traffic class
 	ejected    map[string]bool
 
-	withoutServerSince    []float64 // by traffic class; infinite: it has a server
-	withoutServerReported []bool    // by traffic class: the violation of this period is recorded
+	withoutServerSince    []float64 // by traffic class, when its current period without a server began; infinite: none
+	withoutServerReported []bool    // by traffic class, whether the violation of this period was recorded
 
-	recentMessagesMs  []float64 // times of decision of messages within the window
-	appliedDecisionMs float64   // time of decision of the last message that reached it
+	recentMessagesMs  []float64 // decision times of messages within the window
+	appliedDecisionMs float64   // decision time of the last message that reached it
 
 	lease leaseState
 }
 
-// RecordJoin records that a proxy's first frame passed towards a planner.
+// RecordJoin records the first frame of a proxy's stream, observed on its way to a planner.
 func (c *Checker) RecordJoin(name, plannerName string, atMs float64, join *order.Join) {
 	known := c.proxies[name]
 	if join.Lease != nil && known != nil && known.lease.shared {
-		return // a further stream of the same proxy; its leases name its leader
+		return // a further stream of a known proxy; its lease determines its leader
 	}
 	proxy := &proxyState{
 		planner:    plannerName,
@@ -58,7 +58,7 @@
 	c.evaluateNoServer(name, proxy, atMs)
 }
 
-// reset replaces what the proxy was sent by what it says that it holds.
+// reset replaces the tables and ejections that the proxy was sent with those that it states it holds.
 func (p *proxyState) reset(holds []*order.Holding) {
 	p.tables = map[uint32]*weightTable{}
 	p.ejected = map[string]bool{}
@@ -75,7 +75,7 @@
 	}
 }
 
-// useForClasses puts a table in use by some traffic classes.
+// useForClasses makes a table the one that some traffic classes use.
 func (p *proxyState) useForClasses(table *weightTable, classes []uint32) {
 	for _, class := range classes {
 		if int(class) < len(p.byClass) {
@@ -115,7 +115,7 @@
 	c.evaluateNoServer(name, proxy, atMs)
 }
 
-// evaluateNoServer judges [NoServer] for a proxy. It must be called after each change of what the proxy holds or its planner
+// evaluateNoServer checks [NoServer] for a proxy. It must be called after each change of what the proxy holds or its planner
 // knows, and before the proxy loses its planner.
 func (c *Checker) evaluateNoServer(name string, proxy *proxyState, atMs float64) {
 	if proxy.planner == "" {
@@ -138,7 +138,7 @@
 	}
 }
 
-// canPick reports whether a table has a server with a weight that is not ejected.
+// canPick reports whether a table has a server that has a positive weight and is not ejected.
 func (p *proxyState) canPick(table *weightTable) bool {
 	for server, weight := range table.weights {
 		if weight > 0 && !table.ejected[server] && !p.ejected[server] {
@@ -148,7 +148,7 @@
 	return false
 }
 
-// hasWarmServer reports whether a planner knows a ready and warm server that a proxy in a zone may use for a traffic class.
+// hasWarmServer reports whether a planner knows a ready and warm server that proxies in a zone may use for a traffic class.
 func (c *Checker) hasWarmServer(planner *plannerState, zone string, class int, atMs float64) bool {
 	for _, server := range planner.endpoints {
 		ready := server.removedAtMs > atMs
--- a/internal/invariant/requests.go
+++ b/internal/invariant/requests.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// maxAttempts is how many attempts are remembered; older ones are forgotten and no longer found as duplicates.
+// maxAttempts is how many attempts are remembered. A duplicate of an older attempt is not detected.
 const maxAttempts = 200_000
 
-// Attempt is one attempt of a request, as its head was observed on the way to a server.
+// Attempt is one attempt of a request, from the head that was observed on its way to a server.
 type Attempt struct {
-	ID     string // of the request, unique for each client's attempt
+	ID     string // of the request; clients use a new one for each retry of their own
 	Class  int    // traffic class
-	Number int    // of the attempt, as the proxy counts
+	Number int    // of the attempt, as counted by the proxy
 	Proxy  string
 }
 
@@ -20,16 +20,16 @@
 type attempt struct {
 	atMs        float64
 	server      string
-	unprocessed bool // the server proved that it did not begin
+	unprocessed bool // the server proved that it did not begin to process the request
 }
 
 // attemptLog remembers the latest attempts.
 type attemptLog struct {
 	byRequest   map[requestKey][]*attempt
-	oldestFirst []requestKey // in order of time, one for each attempt
+	oldestFirst []requestKey // one key for each attempt, in order of time
 }
 
-// add remembers an attempt, and forgets the oldest request when there are too many.
+// add remembers an attempt. Over maxAttempts, it forgets the request of the oldest attempt.
 func (l *attemptLog) add(key requestKey, sent *attempt) {
 	l.byRequest[key] = append(l.byRequest[key], sent)
 	l.oldestFirst = append(l.oldestFirst, key)
@@ -44,7 +44,7 @@
 	c.recordWork(server, sentWork{atMs: atMs, workMs: c.limits.HandshakeMs})
 }
 
-// RecordAttempt records that the head of an attempt passed towards a server.
+// RecordAttempt records an attempt whose head was observed on its way to a server.
 func (c *Checker) RecordAttempt(server string, atMs float64, sent Attempt) {
 	c.Attempts++
 	key := requestKey{id: sent.ID, proxy: sent.Proxy}
@@ -57,7 +57,7 @@
 	})
 }
 
-// evaluateDuplicate judges [DuplicateEffect] for an attempt.
+// evaluateDuplicate checks [DuplicateEffect] for an attempt.
 func (c *Checker) evaluateDuplicate(key requestKey, server string, atMs float64, sent Attempt) {
 	if sent.Class >= len(c.limits.Idempotency) || c.limits.Idempotency[sent.Class] == Idempotent {
 		return
@@ -72,8 +72,8 @@
 	}
 }
 
-// evaluateDraining judges [SentToDraining] for an attempt. It reports whether the proxy could know that the server had
-// been started anew.
+// evaluateDraining checks [SentToDraining] for an attempt. It reports whether the proxy could know the server's current
+// incarnation, and so whether the server is warming up.
 func (c *Checker) evaluateDraining(server string, atMs float64, sent Attempt) (informed bool) {
 	proxy := c.proxies[sent.Proxy]
 	if proxy == nil || proxy.planner == "" {
@@ -92,7 +92,8 @@
 	return proxy.appliedDecisionMs > known.startedAtMs || atMs > known.startedAtMs+c.limits.DrainGraceMs
 }
 
-// RecordResponse records a server's answer to an attempt; unprocessed is its proof that it did not begin.
+// RecordResponse records a server's response to an attempt; unprocessed is whether it proves that the server did not begin to
+// process the request.
 func (c *Checker) RecordResponse(server string, sent Attempt, unprocessed bool) {
 	if !unprocessed {
 		return
