--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -15,62 +15,63 @@
 	"lichenpick/internal/settings"
 )
 
-// Limits of the connections to one server.
+// Limits of the connections and attempts to one server.
 const (
 	maxIdleConnections = 64
-	ioBufferBytes      = 4 << 10
-	minAttemptMs       = 1
+	connBufferBytes    = 4 << 10 // size of each connection's read buffer and write buffer
+	minAttemptMs       = 1       // shortest time limit of an attempt, in ms
 )
 
-// dialOperation marks an error of a dial, which proves that a server processed nothing.
+// dialOperation is the net.OpError.Op of failed dials. A failed dial proves that the server did not process the request.
 const dialOperation = "dial"
 
-// hopByHopHeaders concern one connection only and are not forwarded.
+// hopByHopHeaders are valid for a single connection only and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Connection",
 }
 
-// answer is a server's, read whole: a connection that breaks halfway is a failure, not half an answer to the client.
-type answer struct {
+// bufferedResponse is a server's response, read completely before any of it is sent to the client. If the connection breaks
+// halfway, the attempt fails instead of the client getting half a response.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// writeTo passes the answer on to the client.
-func (a *answer) writeTo(response http.ResponseWriter) {
-	for name, values := range a.header {
+// writeTo sends the response to the client.
+func (b *bufferedResponse) writeTo(response http.ResponseWriter) {
+	for name, values := range b.header {
 		response.Header()[name] = values
 	}
-	response.WriteHeader(a.status)
-	_, _ = response.Write(a.body) // fails when the client is gone, which is nobody's concern then
+	response.WriteHeader(b.status)
+	_, _ = response.Write(b.body) // fails only if the client has disconnected, so there is nobody to report it to
 }
 
-// outcome says what an answer means for the attempt.
-func (a *answer) outcome() Outcome {
+// outcome returns the outcome of the attempt that got the response.
+func (b *bufferedResponse) outcome() Outcome {
 	switch {
-	case a.status < http.StatusInternalServerError:
+	case b.status < http.StatusInternalServerError:
 		return Succeeded
-	case a.header.Get(ProcessedHeader) == notProcessed:
+	case b.header.Get(ProcessedHeader) == notProcessed:
 		return Unprocessed
 	default:
 		return Failed
 	}
 }
 
-// attempt sends a request to a server once. The answer is nil if there was none.
-func (p *Proxy) attempt(incoming *http.Request, body []byte, to destination, number int) (*answer, Outcome) {
-	limit := time.Duration(max(to.limitMs, minAttemptMs) * float64(time.Millisecond))
-	ctx, cancel := context.WithTimeout(incoming.Context(), limit)
+// attempt sends a request to a server once. The response is nil if none was received.
+func (p *Proxy) attempt(incoming *http.Request, body []byte, target destination, attemptNumber int) (*bufferedResponse, Outcome) {
+	timeout := time.Duration(max(target.limitMs, minAttemptMs) * float64(time.Millisecond))
+	ctx, cancel := context.WithTimeout(incoming.Context(), timeout)
 	defer cancel()
 	ctx, written := forbidResend(ctx, cancel)
-	outgoing, err := p.outgoingRequest(ctx, incoming, body, to.server, number)
+	outgoing, err := p.outgoingRequest(ctx, incoming, body, target.server, attemptNumber)
 	if err != nil {
 		return nil, Unprocessed
 	}
-	response, err := to.transport.RoundTrip(outgoing)
+	response, err := target.transport.RoundTrip(outgoing)
 	if err != nil {
-		if isDialError(err) && !written.Load() { // a dial after bytes were written is the library's second attempt
+		if isDialError(err) && !written.Load() { // a dial after the request was written is a resend by the HTTP library
 			return nil, Unprocessed
 		}
 		return nil, Failed
@@ -80,13 +81,14 @@
 	if err != nil {
 		return nil, Failed
 	}
-	received := &answer{status: response.StatusCode, header: response.Header, body: content}
+	received := &bufferedResponse{status: response.StatusCode, header: response.Header, body: content}
 	return received, received.outcome()
 }
 
-// forbidResend guards against repeated effects. The HTTP library resends some requests by itself when a kept connection
-// breaks under them, after which nobody knows how often they were processed; it may do so only while nothing was written.
-// The flag says whether anything was.
+// forbidResend guards against processing a request twice. The HTTP library resends some requests by itself when a reused
+// connection breaks, although the server may already have processed the first copy. The returned context is cancelled when
+// the library gets a connection after the request was written, so it can resend only while nothing has been written. The
+// returned flag tells whether the headers of the request were written.
 func forbidResend(ctx context.Context, cancel context.CancelFunc) (context.Context, *atomic.Bool) {
 	written := &atomic.Bool{}
 	trace := &httptrace.ClientTrace{
@@ -101,7 +103,7 @@
 }
 
 func (p *Proxy) outgoingRequest(
-	ctx context.Context, incoming *http.Request, body []byte, server string, number int,
+	ctx context.Context, incoming *http.Request, body []byte, server string, attemptNumber int,
 ) (*http.Request, error) {
 	url := "http://" + server + incoming.URL.RequestURI()
 	outgoing, err := http.NewRequestWithContext(ctx, incoming.Method, url, bytes.NewReader(body))
@@ -113,21 +115,22 @@
 		outgoing.Header.Del(name)
 	}
 	outgoing.Header.Set(ProxyHeader, p.Settings.Name)
-	outgoing.Header.Set(AttemptHeader, strconv.Itoa(number))
+	outgoing.Header.Set(AttemptHeader, strconv.Itoa(attemptNumber))
 	return outgoing, nil
 }
 
-// isDialError says whether an error is of a transport's dial.
+// isDialError reports whether an error comes from dialServer.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == dialOperation
 }
 
-// closeBody releases the connection of an answer that was read; an error has no consequence.
+// closeBody releases the connection of a response that has been read. An error at this point has no consequence.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
-// transport gives the connections to a server. They dial once and wait no longer than the settings say: an overloaded or dead
-// server costs one short wait, after which there is proof that it processed nothing. The lock must be held.
+// transport returns the transport of a server and creates it if necessary. A transport that has no idle connection dials only
+// once and within a short time limit from the settings: an overloaded or dead server then costs one short wait, after which
+// it is certain that the server did not process the request. The client's mutex must be held.
 func (p *Proxy) transport(server string) *http.Transport {
 	existing := p.transports[server]
 	if existing != nil {
@@ -137,26 +140,28 @@
 		IdleConnTimeout:     settings.Duration(p.Settings.ConnectionIdle),
 		MaxIdleConnsPerHost: maxIdleConnections,
 		DisableCompression:  true,
-		WriteBufferSize:     ioBufferBytes,
-		ReadBufferSize:      ioBufferBytes,
+		WriteBufferSize:     connBufferBytes,
+		ReadBufferSize:      connBufferBytes,
 		DialContext:         p.dialServer,
 	}
 	p.transports[server] = added
 	return added
 }
 
-// dialServer is a transport's dial. Each error is marked as one of dialling, whatever the network makes of it.
+// dialServer is the DialContext of the transports. It wraps each error such that isDialError recognizes it, whatever type of
+// error the network returns.
 func (p *Proxy) dialServer(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, settings.Duration(p.Settings.ConnectWithin))
 	defer cancel()
-	conn, err := p.Network.Dial(ctx, p.from, address)
+	conn, err := p.Network.Dial(ctx, p.localAddress, address)
 	if err != nil {
 		return nil, &net.OpError{Op: dialOperation, Net: network, Err: err}
 	}
 	return conn, nil
 }
 
-// closeUnusedTransports closes connections to servers that may receive nothing any more. The lock must be held.
+// closeUnusedTransports closes the connections to servers that have no attempt in flight and get no further requests. The
+// client's mutex must be held.
 func (p *Proxy) closeUnusedTransports() {
 	for server, transport := range p.transports {
 		if !p.core.MayReceive(server) && p.core.inFlight[server] == 0 {
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -10,23 +10,23 @@
 
 const testTable = 1
 
-// newTestCore makes a Core of two classes, "check" (idempotent) and "charge" (not), with more settings appended.
-func newTestCore(t *testing.T, more string) *Core {
+// newTestCore returns a Core with two traffic classes, "check" (idempotent) and "charge" (not idempotent).
+func newTestCore(t *testing.T, extraSettings string) *Core {
 	t.Helper()
 	set := &pb.Proxy{}
 	text := `name: "x" listen: "127.0.0.1:0" planners: "127.0.0.1:1" standing: "127.0.0.1:1" standing: "127.0.0.1:2"
 		groups { name: "check" latency_budget: "600ms" expiry: "1.5s" repeat: RETRIABLE }
-		groups { name: "charge" latency_budget: "800ms" expiry: "2.5s" }` + more
+		groups { name: "charge" latency_budget: "800ms" expiry: "2.5s" }` + extraSettings
 	if err := settings.Parse("test", []byte(text), set); err != nil {
 		t.Fatal(err)
 	}
 	return NewCore(set, 0)
 }
 
-// newAssignedCore makes a Core that a planner has assigned a table.
-func newAssignedCore(t *testing.T, more string, entries ...*order.Line) *Core {
+// newAssignedCore returns a Core to which a planner has assigned a table for both classes.
+func newAssignedCore(t *testing.T, extraSettings string, entries ...*order.Line) *Core {
 	t.Helper()
-	core := newTestCore(t, more)
+	core := newTestCore(t, extraSettings)
 	core.StartSession(&order.Welcome{})
 	core.ApplyOrders(assignOrder(nil, entries...))
 	return core
@@ -36,7 +36,7 @@
 	return &order.Line{Server: server, Weight: weight}
 }
 
-// assignOrder assigns a table to both classes.
+// assignOrder returns a message that assigns a table to both classes and ejects servers.
 func assignOrder(ejected []string, entries ...*order.Line) *order.Orders {
 	assignment := &order.Bind{Table: testTable, Groups: []uint32{0, 1}, Withdrawn: ejected, Lines: entries}
 	return &order.Orders{Orders: []*order.Order{{What: &order.Order_Bind{Bind: assignment}}}}
@@ -52,7 +52,7 @@
 	return &order.Orders{Orders: []*order.Order{{What: &order.Order_Withdraw{Withdraw: ejection}}}}
 }
 
-// countPicks sends requests of a class that all succeed, and counts where they went.
+// countPicks admits requests of a class, whose attempts all succeed, and counts the admitted ones by server.
 func countPicks(core *Core, class, requests int) map[string]int {
 	counts := map[string]int{}
 	for range requests {
--- a/internal/scenario/linkfaults.go
+++ b/internal/scenario/linkfaults.go
@@ -17,7 +17,7 @@
 		if to.server == nil {
 			return fake.LinkFault{}
 		}
-		return fake.LinkFault{ConnectMs: delayMs}
+		return fake.LinkFault{ConnectDelayMs: delayMs}
 	}, lasts)
 }
 
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -6,39 +6,40 @@
 	"slices"
 )
 
-// solveIfDue solves every few seconds, and soon after servers came or left or a proxy got an unused table.
+// solveIfDue solves once every solveIntervalMs, and sooner after servers changed or a proxy joined a table without demand.
 func (p *Policy) solveIfDue() {
 	servers := filter(p.servers, (*server).usable)
 	sinceMs := p.nowMs - p.solvedMs
-	waits := sinceMs < minSolveIntervalMs || sinceMs < solveIntervalMs && !p.unsolved && !p.emptyTable
-	if len(servers) == 0 || p.settings.Sharded || waits {
-		return // with no server to use, tables keep what they hold
+	tooSoon := sinceMs < minSolveIntervalMs || sinceMs < solveIntervalMs && !p.serversChanged && !p.joinsUnusedTable
+	if len(servers) == 0 || p.settings.Sharded || tooSoon {
+		return // without usable servers, tables stay as they are
 	}
 	if p.solves == 0 {
 		p.createTables(p.cohortCount(servers))
 	}
-	p.evaluate() // anew, as ejections void load reports and admission rates change demand
-	p.split(servers, p.unsolved)
+	p.evaluate() // again, as this evaluation may have reset load reports and changed admission rates
+	p.split(servers, p.serversChanged)
 	p.recordSolve()
 	for _, table := range p.tables {
 		table.due = table.due || table.number%minCohorts == p.solves%minCohorts
 	}
 }
 
-// cohortCount is two, or in a large fleet as many as give each server two entries with two proxies a cohort.
+// cohortCount returns the number of cohorts in each zone: two, or in a large fleet as many as place each server in two
+// tables, but with at least two proxies each.
 func (p *Policy) cohortCount(servers []*server) int {
 	proxies := float64(p.settings.Proxies) / math.Max(float64(p.settings.Zones*p.settings.Planners), 1)
 	wanted := minCohorts * float64(len(servers)) / float64(p.maxTableSize(servers))
 	return max(minCohorts, int(math.Min(wanted, proxies/minCohorts)))
 }
 
-// maxTableSize is the number of entries that a table should hold: so few that the channel can send all in a
-// second, that servers accept the connections, and that these are used before they idle out.
+// maxTableSize returns the number of entries that a table may hold. It is limited so that the channel can send all tables
+// within tableRefreshMs, servers accept the connections, and connections are reused before their idle timeout.
 func (p *Policy) maxTableSize(servers []*server) int {
 	proxies := math.Max(float64(p.settings.Proxies), 1)
 	joined := float64(len(p.proxies))
-	ours := math.Max(proxies/math.Max(float64(p.settings.Planners), 1), joined)
-	sendable := p.settings.EntriesPerSecond * refreshMs / 1000 / ours
+	ownProxies := math.Max(proxies/math.Max(float64(p.settings.Planners), 1), joined)
+	sendable := p.settings.EntriesPerSecond * tableRefreshMs / 1000 / ownProxies
 	connectable := p.settings.MinServerConnections * connectionQuota * float64(len(servers)) / proxies
 	size := math.Min(sendable, connectable)
 	if joined > 0 {
@@ -48,19 +49,20 @@
 	return max(int(size), minTableEntries)
 }
 
-// split solves for all clients and sets what their tables should hold.
+// split solves for all clients and sets the targets of their tables.
 func (p *Policy) split(servers []*server, serversChanged bool) {
 	demand, moved := p.updateDemand()
 	clients := p.addUnobservedClients(slices.Clone(p.clients), demand)
 	problem := p.newProblem(servers, clients, demand)
-	problem.startCells(p.startsOver(servers, serversChanged || moved > maxDemandShift*demand))
+	problem.initCells(p.resetsCells(servers, serversChanged || moved > maxDemandShiftShare*demand))
 	solve(problem.D, problem.C, problem.cost, problem.cells, maxLambda/float64(len(servers)))
 	p.applySplit(&problem)
 }
 
-// addUnobservedClients adds proxies that do not report to us: other planners', or cut off. They are taken to
-// be spread evenly and to have as much demand as ours. Guards against a planner with the proxies of one zone
-// that spreads these over all servers, as if nobody else used the rest.
+// addUnobservedClients adds a client in each zone for the proxies that do not report to this planner, because they joined
+// another one or are disconnected. These are assumed to be spread evenly over zones, with the mean demand of the joined
+// proxies. Without them, a planner with the proxies of one zone only would spread their requests over all servers, as if
+// nobody used the other zones.
 func (p *Policy) addUnobservedClients(clients []*client, demand float64) []*client {
 	for zone := range p.settings.Zones {
 		joined := filter(p.proxies, func(proxy *proxy) bool { return proxy.zone == zone })
@@ -71,16 +73,16 @@
 	return clients
 }
 
-// startsOver says whether old prices and shares are forgotten: after a shift of demand or servers, and while
-// a server is on its ramp, or was at the last solve.
-func (p *Policy) startsOver(servers []*server, shifted bool) bool {
-	ramps := slices.ContainsFunc(servers, func(server *server) bool { return p.ramp(server) < 1 })
-	startOver := shifted || ramps || p.ramps
-	p.ramps = ramps
-	return startOver
+// resetsCells reports whether the prices and shares of the last solve are dropped: after a shift of demand or servers, and
+// while a server is on a ramp or was at the last solve. It updates rampedAtSolve.
+func (p *Policy) resetsCells(servers []*server, shifted bool) bool {
+	rampedAtSolve := slices.ContainsFunc(servers, func(server *server) bool { return p.ramp(server) < 1 })
+	reset := shifted || rampedAtSolve || p.rampedAtSolve
+	p.rampedAtSolve = rampedAtSolve
+	return reset
 }
 
-// costs are the paper's L of a client's request at each server, with a price for leaving the zone.
+// costs returns L of the paper, the cost of a request of the client at each server, which is higher outside of its zone.
 func (p *Policy) costs(client *client, servers []*server, zoneLatencies []float64) []float64 {
 	costs := make([]float64, len(servers))
 	sameZoneOnly := len(client.classes) > 0 && p.settings.Classes[client.classes[0]].SameZoneOnly
@@ -97,20 +99,21 @@
 	return costs
 }
 
-// applySplit turns each client's alphas into what its tables should hold.
+// applySplit sets the targets of each client's tables from its alphas.
 func (p *Policy) applySplit(problem *splitProblem) {
 	load := problem.load()
-	// Late reports are relied on less: when a shift between zones shows, the servers of one are full.
-	late := math.Max(0, 1-minWindowMs/p.roundMs)
-	smallest := minWeightChange / float64(len(problem.servers))
+	// The older the load reports, the more a split follows capacities instead of zones: a shift of demand between zones shows
+	// in late reports only after the servers of one zone are overloaded.
+	staleness := math.Max(0, 1-minWindowMs/p.roundMs)
+	minShare := minWeightChange / float64(len(problem.servers))
 	for i, client := range p.clients {
 		client.cells = map[*server]cell{}
 		var wanted []*serverShare
 		for j, server := range problem.servers {
 			client.cells[server] = problem.cells[i][j]
 			alpha := problem.cells[i][j].alpha
-			share := alpha + late*(problem.C[j]/problem.capacity-alpha)
-			// Guards a cold server: ADMM that is cut off after 20 iterations may exceed its capacity.
+			share := alpha + staleness*(problem.C[j]/problem.capacity-alpha)
+			// ADMM stops after 20 iterations, and may then exceed capacities. Servers on a ramp would fail.
 			if p.ramp(server) < 1 && load[j] > problem.C[j] {
 				share *= problem.C[j] / load[j]
 			}
@@ -118,35 +121,35 @@
 				wanted = append(wanted, &serverShare{server: server, share: share})
 			}
 		}
-		p.fillTables(client, wanted, p.maxTableSize(problem.servers), smallest)
+		p.fillTables(client, wanted, p.maxTableSize(problem.servers), minShare)
 	}
 }
 
-// fillTables shares a client's servers out over its tables, all to each in a small fleet.
-func (p *Policy) fillTables(client *client, wanted []*serverShare, maxSize int, smallest float64) {
-	shares, total := p.dropSmallShares(wanted, smallest)
+// fillTables distributes the servers of a client over its tables. In a small fleet, each table holds all of them.
+func (p *Policy) fillTables(client *client, wanted []*serverShare, maxSize int, minShare float64) {
+	shares, total := p.dropSmallShares(wanted, minShare)
 	tables := filter(client.tables, func(table *table) bool { return table.rate > 0 || client.demand == 0 })
 	clearTargets(tables)
 	for _, table := range tables {
-		table.takeServers(shares, len(tables), min(len(shares), maxSize))
+		table.selectServers(shares, len(tables), min(len(shares), maxSize))
 	}
 	for index, share := range shares {
-		if len(share.entries) == 0 { // no server is left out
+		if len(share.entries) == 0 { // each server is in some table
 			share.entries = append(share.entries, tables[index%len(tables)].entryOf(share.server))
 		}
 	}
 	p.balanceWeights(tables, shares, total)
 }
 
-// dropSmallShares leaves out shares that are not worth their connections, but keeps a few of each client, and
-// those of warming servers, which are small for a time only. It gives the rest, largest first, and the total.
-func (p *Policy) dropSmallShares(wanted []*serverShare, least float64) (kept []*serverShare, total float64) {
+// dropSmallShares drops shares below minShare, which are not worth their connections. It keeps a minimum number of servers,
+// and smaller shares of servers on a ramp, as these will grow. It returns the rest, largest first, and their sum.
+func (p *Policy) dropSmallShares(wanted []*serverShare, minShare float64) (kept []*serverShare, total float64) {
 	slices.SortStableFunc(wanted, func(a, b *serverShare) int { return cmp.Compare(b.share, a.share) })
 	kept = wanted[:0]
 	for _, share := range wanted {
-		warming := p.ramp(share.server) < 1 && share.share > least/minWarmingShare
-		if share.share >= least || len(kept) < minEntries || warming {
-			share.share = math.Max(share.share, least/minWarmingShare)
+		warming := p.ramp(share.server) < 1 && share.share > minShare/warmingShareDivisor
+		if share.share >= minShare || len(kept) < minEntries || warming {
+			share.share = math.Max(share.share, minShare/warmingShareDivisor)
 			kept = append(kept, share)
 			total += share.share
 		}
@@ -154,9 +157,9 @@
 	return kept, total
 }
 
-// takeServers chooses the servers of one table out of those of its client: first, as changes cost entries,
-// those that it holds, then those that the fewest tables hold.
-func (t *table) takeServers(shares []*serverShare, tables, count int) {
+// selectServers selects the servers of a table from those of its client: first those that the table holds already, as changes
+// cost entries, then those that the fewest tables hold.
+func (t *table) selectServers(shares []*serverShare, tables, count int) {
 	for _, share := range shares {
 		share.rank = len(share.entries)
 		if !t.uses(share.server) {
@@ -170,16 +173,17 @@
 	}
 }
 
-// balanceWeights sets weights with which tables, by the demand of each, together give each server its share.
-// Servers and tables are scaled in turn; the last time only servers on a ramp are, and down only.
+// balanceWeights sets the targets so that all tables together, by their demand, give each server its share, and the weights
+// of each table sum to 1. It scales the entries of servers and of tables in turn. The last time, only servers on a ramp are
+// scaled, and only down, as an overload would make them fail.
 func (p *Policy) balanceWeights(tables []*table, shares []*serverShare, total float64) {
 	demand := sumBy(tables, (*table).demand)
 	eachEntry(shares, func(share *serverShare, entry *entry) { entry.target = share.share })
-	for round := range balanceRounds + 1 {
+	for iteration := range balanceIterations + 1 {
 		totals := map[*table]float64{}
 		for _, share := range shares {
 			factor := share.share / total / (sumBy(share.entries, (*entry).demand) / demand)
-			if round == balanceRounds && (factor > 1 || p.ramp(share.server) >= 1) {
+			if iteration == balanceIterations && (factor > 1 || p.ramp(share.server) >= 1) {
 				factor = 1
 			}
 			for _, entry := range share.entries {
@@ -194,15 +198,15 @@
 	})
 }
 
-// demand is a table's in the balance; one without proxies needs sound weights, too.
+// demand returns the demand of the table, with a minimum, as a table without proxies needs usable weights too.
 func (t *table) demand() float64 { return math.Max(t.rate, minDemand) }
 
-// assignCohort gives a proxy that follows no table yet the cohort of its zone that has the least demand.
+// assignCohort assigns a proxy without a table to the cohort of its zone that has the least demand.
 func (p *Policy) assignCohort(proxy *proxy) {
-	if p.parts == 0 || proxy.cohort >= 0 && proxy.tables[0] != nil {
+	if p.classGroups == 0 || proxy.cohort >= 0 && proxy.tables[0] != nil {
 		return
 	}
-	tables := p.clients[proxy.zone*p.parts].tables
+	tables := p.clients[proxy.zone*p.classGroups].tables
 	for number, table := range tables {
 		if proxy.cohort < 0 || table.rate < tables[proxy.cohort].rate {
 			proxy.cohort = number
