--- a/internal/scenario/baseline.go
+++ b/internal/scenario/baseline.go
@@ -9,11 +9,11 @@
 
 const (
 	baselineTable  = 0     // number of the one table
-	baselinePollMs = 200.0 // time after which a baseline is asked again
+	baselinePollMs = 200.0 // interval at which a baseline decides even without a new input
 )
 
-// baselineDecider is a policy for comparison only: one table of all listed servers for all proxies, which it changes at once.
-// It ejects no server for its faults, sheds no load and has no limit on what it sends.
+// baselineDecider is a policy for comparison only. All proxies share one table of all listed servers, and it applies each
+// change of the endpoint list at once. It ejects no server for its errors, sheds no load and does not limit what it sends.
 type baselineDecider struct {
 	byCapacity bool // weights are the listed capacities; else equal
 	classes    []int
@@ -45,7 +45,7 @@
 // SetTime begins a round of decisions.
 func (b *baselineDecider) SetTime(float64) { b.timerRequested = false }
 
-// UpdateEndpoints takes in an endpoint list. Servers that a full list lacks are kept.
+// UpdateEndpoints applies an endpoint list. Servers that a full list lacks are kept.
 func (b *baselineDecider) UpdateEndpoints(kind policy.UpdateKind, list []policy.Endpoint) {
 	if kind == policy.FailedUpdate {
 		return
@@ -77,10 +77,10 @@
 // Acknowledge does nothing: a baseline waits for no acknowledgement.
 func (b *baselineDecider) Acknowledge(int, int, float64) {}
 
-// SetLagging does nothing: a baseline has no work to put off.
+// SetLagging does nothing: a baseline has no deferrable decisions.
 func (b *baselineDecider) SetLagging(bool) {}
 
-// Next passes the next decision to the host, and reports whether there was one.
+// Next carries out at most one decision on the host, and reports whether there was one.
 func (b *baselineDecider) Next(host policy.Host) bool {
 	for _, server := range b.servers {
 		if b.updateServer(host, server) {
@@ -101,7 +101,7 @@
 	return false
 }
 
-// updateServer passes the next decision on one server, and reports whether there was one.
+// updateServer carries out the next decision about one server, and reports whether there was one.
 func (b *baselineDecider) updateServer(host policy.Host, server string) bool {
 	endpoint := b.endpoints[server]
 	if endpoint.State != policy.Ready {
--- a/internal/scenario/decider_test.go
+++ b/internal/scenario/decider_test.go
@@ -5,20 +5,20 @@
 	"lichenpick/policy"
 )
 
-// editingDecider is a policy whose decisions are changed on their way to the planner, as by a faulty planner. It is both the
-// planner's decider and the policy's host. Functions that are nil change nothing.
+// editingDecider wraps a policy and changes its decisions on their way to the planner, as a defective planner would. It is
+// both the planner's decider and the policy's host. Functions that are nil change nothing.
 type editingDecider struct {
 	planner.Decider
-	host  policy.Host     // of the planner
-	cold  map[string]bool // servers that were listed with a time of start
-	fresh bool            // the next decision is the first since SetTime
+	host     policy.Host     // of the planner
+	cold     map[string]bool // servers with a start time in the endpoint list
+	newRound bool            // the next decision is the first since SetTime
 
 	editWeight   func(d *editingDecider, table int, server string, weight float64)
 	editEjection func(d *editingDecider, server string, ejected bool)
 	beforeRound  func(d *editingDecider) // called once after each SetTime
 }
 
-// editDecisions returns a hook that wraps the policy; configure sets the functions of the wrapper.
+// editDecisions returns a hook that wraps the policy in an editingDecider, whose functions configure sets.
 func editDecisions(configure func(d *editingDecider)) func(planner.Decider) planner.Decider {
 	return func(wrapped planner.Decider) planner.Decider {
 		decider := &editingDecider{Decider: wrapped, cold: map[string]bool{}}
@@ -28,7 +28,7 @@
 }
 
 func (d *editingDecider) SetTime(nowMs float64) {
-	d.fresh = true
+	d.newRound = true
 	d.Decider.SetTime(nowMs)
 }
 
@@ -41,8 +41,8 @@
 
 func (d *editingDecider) Next(host policy.Host) bool {
 	d.host = host
-	if d.fresh && d.beforeRound != nil {
-		d.fresh = false
+	if d.newRound && d.beforeRound != nil {
+		d.newRound = false
 		d.beforeRound(d)
 	}
 	return d.Decider.Next(d)
--- a/internal/scenario/disk.go
+++ b/internal/scenario/disk.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// diskFault makes the writes of a planner's process fail as on a full disk, over its restarts. Its methods may be called by any
-// goroutine.
+// diskFault makes the file writes of a planner's process fail as on a full disk. It stays in effect when the process is
+// restarted. Its methods may be called by any goroutine.
 type diskFault struct {
 	log *slog.Logger
 
@@ -18,7 +18,7 @@
 	pid  int // of the current or last process; 0: none yet
 }
 
-// attach puts the state of the disk into effect for a process that was started.
+// attach applies the fault, if the disk is full, to a process that was started.
 func (d *diskFault) attach(pid int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -28,7 +28,7 @@
 	}
 }
 
-// setFull makes all writes to files fail, also of processes that are started later, or ends that.
+// setFull sets whether the disk is full. While it is, all writes to files fail, also those of processes started later.
 func (d *diskFault) setFull(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -38,14 +38,15 @@
 	}
 }
 
-// apply limits the size of files that the process may write, to nothing where the disk is full. The caller holds the lock.
+// apply limits the size of files that the process may write: to 0 while the disk is full, and not at all otherwise. The
+// caller holds the lock.
 func (d *diskFault) apply() {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if d.full {
 		limit.Cur = 0
 	}
 	err := unix.Prlimit(d.pid, unix.RLIMIT_FSIZE, &limit, nil)
-	if err != nil && !errors.Is(err, unix.ESRCH) { // a process that has ended needs none
-		d.log.Error("cannot limit the files of a planner", "pid", d.pid, "error", err)
+	if err != nil && !errors.Is(err, unix.ESRCH) { // the process may have ended
+		d.log.Error("setting the file size limit of a planner failed", "pid", d.pid, "error", err)
 	}
 }
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -11,7 +11,7 @@
 	"lichenpick/proto/script"
 )
 
-// faultHandler plays a fault from its beginning to its end. It returns early when the context ends.
+// faultHandler injects a fault and returns when the fault has ended, or early when the context ends.
 type faultHandler func(ctx context.Context, f *fleet, fault *script.Trouble) error
 
 // faultHandlers has the handler of each kind of fault, by the name of its field in a script.
@@ -37,15 +37,15 @@
 	"disk_full":        newFaultHandler((*script.Trouble).GetDiskFull, (*fleet).injectDiskFull),
 }
 
-// newFaultHandler returns the handler of one kind of fault, from the function that gets its parameters and the one that plays it for
-// a time.
-func newFaultHandler[F any](parameters func(*script.Trouble) F, play func(*fleet, context.Context, F, time.Duration) error) faultHandler {
+// newFaultHandler returns the handler of one kind of fault: parameters gets the fault's parameters from a script, and inject
+// injects the fault for a duration.
+func newFaultHandler[F any](parameters func(*script.Trouble) F, inject func(*fleet, context.Context, F, time.Duration) error) faultHandler {
 	return func(ctx context.Context, f *fleet, fault *script.Trouble) error {
-		return play(f, ctx, parameters(fault), settings.Duration(fault.Lasts))
+		return inject(f, ctx, parameters(fault), settings.Duration(fault.Lasts))
 	}
 }
 
-// faultKind returns the kind of a fault: the name of its field in a script, and empty for one that names none.
+// faultKind returns the kind of a fault, which is the name of its field in a script, or empty for a fault without one.
 func faultKind(fault *script.Trouble) protoreflect.Name {
 	message := fault.ProtoReflect()
 	field := message.WhichOneof(message.Descriptor().Oneofs().ByName("what"))
@@ -55,30 +55,30 @@
 	return field.Name()
 }
 
-// injectFault waits until a fault is due and plays it. It returns early, without an error, when the run ends.
+// injectFault waits until a fault is due and injects it. It returns early, without an error, when the run ends.
 func (f *fleet) injectFault(ctx context.Context, fault *script.Trouble) error {
 	if f.sleep(ctx, settings.Duration(fault.At)) != nil {
 		return nil
 	}
 	kind := faultKind(fault)
-	play, known := faultHandlers[kind]
+	inject, known := faultHandlers[kind]
 	if !known {
 		return nil
 	}
 	f.log.Info("fault begins", "kind", string(kind))
 	defer f.log.Info("fault ends", "kind", string(kind))
-	if err := play(ctx, f, fault); err != nil {
-		return fmt.Errorf("playing the fault %s at %s: %w", kind, fault.At, err)
+	if err := inject(ctx, f, fault); err != nil {
+		return fmt.Errorf("injecting the fault %s at %s: %w", kind, fault.At, err)
 	}
 	return nil
 }
 
-// waitFor waits for a time or until the run ends: what a fault changed is restored in either case.
+// waitFor waits for a duration or until the run ends. It returns no error, as the caller has to end its fault in either case.
 func (f *fleet) waitFor(ctx context.Context, duration time.Duration) {
 	_ = f.sleep(ctx, duration)
 }
 
-// injectLinkFault puts a fault of links into effect for a time.
+// injectLinkFault applies a link fault for a duration.
 func (f *fleet) injectLinkFault(ctx context.Context, fault linkFaultFunc, lasts time.Duration) error {
 	remove := f.addLinkFault(fault)
 	f.waitFor(ctx, lasts)
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -18,17 +18,17 @@
 	}
 }
 
-// Kinds of faults that put invariants at stake, on a small fleet: all must hold, and requests must go on.
+// Injects faults that endanger invariants into a small fleet: all invariants must hold, and requests must still succeed.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		fields     string
-		minService float64 // far below what is measured, as it tells only that the fleet serves
+		minService float64 // far below the usual service, as it only shows that the fleet serves requests
 	}{
-		"a planner killed amid its messages, then started from a stale list": {`listed_late: "2s"
+		"a planner that is killed while it sends, and restarts from a stale list": {`listed_late: "2s"
 			troubles { at: "2500ms" lasts: "800ms" planner_restart { kill: true after_bytes: 60 } }
 			troubles { at: "2s" lasts: "3s" deploy { servers: 2 drain: "6s" } }`, 0.7},
-		"an endpoint list that is empty for two polls":  {`troubles { at: "2s" lasts: "2s" wrong_list { missing: 1 } }`, 0.8},
-		"an endpoint list that names unknown endpoints": {`troubles { at: "2s" lasts: "3s" wrong_list { strangers: 3 } }`, 0.5},
+		"an endpoint list that is empty for two seconds": {`troubles { at: "2s" lasts: "2s" wrong_list { missing: 1 } }`, 0.8},
+		"an endpoint list that names unknown endpoints":  {`troubles { at: "2s" lasts: "3s" wrong_list { strangers: 3 } }`, 0.5},
 		"stuck streams during a drain": {`troubles { at: "1s" lasts: "5s" stuck_proxy {} }
 			troubles { at: "1500ms" lasts: "3s" deploy { servers: 2 drain: "9s" } }`, 0.7},
 		"a zone that is lost and returns": {`troubles { at: "1500ms" lasts: "1500ms" zone_loss { zone: "a" } }`, 0.3},
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	missingServerMs    = 10_000.0               // after which the product takes a server that lists lack for removed
-	observationSlackMs = 100.0                  // between observing a frame or request and its effect
-	reconnectDelay     = 200 * time.Millisecond // of planners to the endpoint registry
-	heartbeatTimeout   = 5 * time.Second        // likewise
-	maxListFrameBytes  = 16 << 20               // likewise
+	missingServerMs    = 10_000.0               // after which a server that is missing from endpoint lists counts as removed
+	observationSlackMs = 100.0                  // tolerance between the observation of a frame or request and its effect
+	reconnectDelay     = 200 * time.Millisecond // of planners, to the endpoint registry
+	heartbeatTimeout   = 5 * time.Second        // of planners, for the stream of the endpoint list
+	maxListFrameBytes  = 16 << 20               // of frames with endpoint lists
 	anyPort            = ":0"
 	plannerListen      = "127.0.0.1" + anyPort
 )
 
-// fleet is one run of a script, with all that takes part in it.
+// fleet is one run of a script, with all components that take part in it.
 type fleet struct {
 	script    *script.Script
 	hooks     Hooks
@@ -38,9 +38,9 @@
 	directory string // for files of planners
 	recorder  *recorder
 	group     *errgroup.Group // owns the goroutines of the run
-	runCtx    context.Context // of the whole run, for planners that a fault starts again
+	runCtx    context.Context // of the whole run; planners that a fault restarts run under it
 
-	// Made by start, and not changed afterwards.
+	// The next fields are set by start, and not changed afterwards.
 	registry       *fake.EndpointRegistry
 	loadGenerator  *fake.LoadGenerator
 	planners       []*plannerInstance
@@ -52,9 +52,9 @@
 	lastServerNumber int // number of the server that was started last
 	linkFaults       map[int]linkFaultFunc
 	nextLinkFault    int
-	plannerStatuses  []*planner.Status // as planners ended
-	hungPlanners     int               // that did not end when asked to
-	plannerCPU       time.Duration     // of planners that ran as processes
+	plannerStatuses  []*planner.Status // last status of each planner that has ended
+	hungPlanners     int               // number of planner processes that did not exit when asked to
+	plannerCPU       time.Duration     // CPU time of planners that ran as processes
 }
 
 // newFleet returns a fleet that is not started. The script must not change during the run.
@@ -74,7 +74,7 @@
 	return f
 }
 
-// limits returns the parameters of the invariants, from the script.
+// limits returns the limits of the invariants that the script sets.
 func (f *fleet) limits() invariant.Limits {
 	channel := f.script.Channel
 	servers := f.script.Servers
@@ -100,7 +100,7 @@
 	return limits
 }
 
-// idempotencyOf returns the checker's term for a setting. An unset one is not idempotent.
+// idempotencyOf converts a setting to the checker's type. An unset one counts as not idempotent.
 func idempotencyOf(repeat pb.Repeat) invariant.Idempotency {
 	switch repeat {
 	case pb.Repeat_RETRIABLE:
@@ -112,7 +112,7 @@
 	}
 }
 
-// start starts everything but the clients: the registry, servers, planners and proxies, in this order. What it started
+// start starts everything but the clients: the registry, servers, planners and proxies, in this order. All that it starts
 // ends with the context; the group owns the goroutines.
 func (f *fleet) start(ctx context.Context, group *errgroup.Group) error {
 	f.group = group
@@ -131,7 +131,7 @@
 	return f.startProxies(ctx)
 }
 
-// random returns a number from 0 to below 1, from the seed of the run.
+// random returns a random number in [0, 1) from the random source of the run.
 func (f *fleet) random() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/scenario/headparser.go
+++ b/internal/scenario/headparser.go
@@ -7,21 +7,21 @@
 	"strconv"
 )
 
-// maxHeadBytes is the size from which a head is taken for corrupt.
+// maxHeadBytes is the size of an incomplete head above which it counts as corrupt.
 const maxHeadBytes = 1 << 16
 
 // headEnd ends the head of an HTTP/1.1 message.
 var headEnd = []byte("\r\n\r\n")
 
-// headParser finds the heads of the messages in one direction of an HTTP/1.1 connection. Bodies must have a stated length,
-// as both ends here send them so. The zero value is at the beginning of a connection.
+// headParser finds the heads of the messages in one direction of an HTTP/1.1 connection. Bodies must have a Content-Length,
+// which the proxies and fake servers always send. The zero value is ready for a new connection.
 type headParser struct {
 	buffer    []byte
-	bodyBytes int  // of the current body that are still to come
-	corrupt   bool // nothing is parsed any more
+	bodyBytes int  // of the current body that are not received yet
+	corrupt   bool // parsing failed, and further bytes are ignored
 }
 
-// feed parses bytes, and calls found with the first line and the header of each head that is complete.
+// feed parses further bytes, and calls found with the first line and the header of each head that they complete.
 func (p *headParser) feed(data []byte, found func(firstLine string, header textproto.MIMEHeader)) {
 	if p.corrupt {
 		return
@@ -41,12 +41,12 @@
 			p.corrupt = true
 			return
 		}
-		p.bodyBytes, _ = strconv.Atoi(header.Get("Content-Length")) // none: no body
+		p.bodyBytes, _ = strconv.Atoi(header.Get("Content-Length")) // without the header there is no body
 		found(firstLine, header)
 	}
 }
 
-// skipBody discards what has come of the current body.
+// skipBody discards the buffered bytes of the current body.
 func (p *headParser) skipBody() {
 	count := min(p.bodyBytes, len(p.buffer))
 	p.buffer = p.buffer[count:]
--- a/internal/scenario/linkfaults.go
+++ b/internal/scenario/linkfaults.go
@@ -21,7 +21,7 @@
 	}, lasts)
 }
 
-// injectZoneCut cuts the links between proxies and servers that cross the border of a zone.
+// injectZoneCut cuts the links between proxies and servers that connect a zone with another.
 func (f *fleet) injectZoneCut(ctx context.Context, cut *script.ZoneCut, lasts time.Duration) error {
 	zone := f.zoneByName(cut.Zone)
 	return f.injectLinkFault(ctx, func(from netip.Addr, to linkTarget) fake.LinkFault {
@@ -32,7 +32,7 @@
 	}, lasts)
 }
 
-// injectOneSided cuts the links of some servers to the proxies of one zone.
+// injectOneSided cuts the links between the proxies of one zone and some servers, which are drawn at random.
 func (f *fleet) injectOneSided(ctx context.Context, oneSided *script.OneSided, lasts time.Duration) error {
 	zone := f.zoneByName(oneSided.Zone)
 	servers := f.reserveServers(int(oneSided.GetServers()), nil)
@@ -48,7 +48,7 @@
 
 // injectStreamBreak breaks the streams between planners and a share of the proxies, once.
 func (f *fleet) injectStreamBreak(_ context.Context, streamBreak *script.StreamBreak, _ time.Duration) error {
-	// The proxies of a zone share an address, so that the share is drawn by zone.
+	// The proxies of a zone share an address, so each zone is affected as a whole, with the share as its probability.
 	affected := map[int]bool{}
 	for zone := range f.script.Places {
 		affected[zone] = f.random() < streamBreak.GetShare()
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// injectStuckProxy has the proxies of one zone, which is drawn, receive nothing from planners while their streams stay open.
+// injectStuckProxy holds back what planners send to the proxies of one zone, drawn at random, while the streams stay open.
 func (f *fleet) injectStuckProxy(ctx context.Context, _ *script.StuckProxy, lasts time.Duration) error {
 	zone := int(f.random() * float64(len(f.script.Places)))
 	return f.injectLinkFault(ctx, func(from netip.Addr, to linkTarget) fake.LinkFault {
@@ -67,7 +67,7 @@
 	}, lasts)
 }
 
-// injectSlowStreams delays what passes between proxies and planners, each way.
+// injectSlowStreams delays what proxies and planners send to each other, in both directions.
 func (f *fleet) injectSlowStreams(ctx context.Context, slowStreams *script.SlowStreams, lasts time.Duration) error {
 	delayMs := settings.Milliseconds(slowStreams.Delay)
 	return f.injectLinkFault(ctx, func(_ netip.Addr, to linkTarget) fake.LinkFault {
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -7,17 +7,17 @@
 	"lichenpick/internal/fake"
 )
 
-// unknownZone is the zone of what belongs to no zone.
+// unknownZone is the zone of an address or name that belongs to none.
 const unknownZone = -1
 
-// dialAddress returns the address from which a zone's proxies dial: 127.ZONE.0.1, with zones counted from 1.
+// dialAddress returns the address from which a zone's proxies dial: 127.ZONE.0.1, where zones count from 1.
 func dialAddress(zone int) string { return fmt.Sprintf("127.%d.0.1", zone+1) }
 
-// listenAddress returns the address at which a zone's proxies and servers listen. It differs from dialAddress, as a port that
-// is listened at again after a restart must not have gone to a connection in the meantime.
+// listenAddress returns the address at which a zone's proxies and servers listen. It differs from dialAddress, so that no
+// outgoing connection can take the port of a server that is restarted.
 func listenAddress(zone int) string { return fmt.Sprintf("127.%d.1.1", zone+1) }
 
-// zoneOf returns the zone of an address from which a proxy dials.
+// zoneOf returns the zone of an address from which a proxy dials, and unknownZone for one that is not IPv4.
 func zoneOf(from netip.Addr) int {
 	if !from.Is4() {
 		return unknownZone
@@ -35,16 +35,17 @@
 	return unknownZone
 }
 
-// linkTarget is the far end of links that pass a relay: a server or a planner, the other is nil.
+// linkTarget is the target of the links through a relay: either a server or a planner; the other is nil.
 type linkTarget struct {
 	server  *serverInstance
 	planner *plannerInstance
 }
 
-// linkFaultFunc says what is wrong with links from an address to a target. It is called on each connection, by any goroutine.
+// linkFaultFunc returns what is wrong with the links from an address to a target. It is called for each connection, by any
+// goroutine.
 type linkFaultFunc func(from netip.Addr, to linkTarget) fake.LinkFault
 
-// addLinkFault puts a fault of links into effect, and returns a function that ends it.
+// addLinkFault adds a link fault to those in effect, and returns a function that ends it.
 func (f *fleet) addLinkFault(fault linkFaultFunc) (remove func()) {
 	f.mu.Lock()
 	number := f.nextLinkFault
@@ -60,7 +61,7 @@
 	}
 }
 
-// updateLinks tells all relays which faults their links have now.
+// updateLinks sets the faults that are in effect now at all relays.
 func (f *fleet) updateLinks() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,8 +77,8 @@
 	}
 }
 
-// combineLinkFaults returns what is wrong with the links to one target, the worst of all faults, by the address they come
-// from. It returns nil where there are no faults.
+// combineLinkFaults returns a function that combines the faults of the links to one target, by the address that they come
+// from: the worst value of each property applies. It returns nil if there are no faults.
 func combineLinkFaults(active []linkFaultFunc, to linkTarget) func(from netip.Addr) fake.LinkFault {
 	if len(active) == 0 {
 		return nil
--- a/internal/scenario/localplanner.go
+++ b/internal/scenario/localplanner.go
@@ -9,13 +9,13 @@
 	pb "lichenpick/proto/settings"
 )
 
-// localPlanner is a planner in this process.
+// localPlanner is a planner that runs in this process.
 type localPlanner struct {
 	cancel context.CancelFunc
 	ended  chan struct{} // closed when it has ended
 }
 
-// stop ends the planner and waits until it has. It cannot be killed; the caller cuts its streams instead.
+// stop ends the planner and waits until it has ended. It cannot be killed; the caller cuts its streams instead.
 func (l *localPlanner) stop(bool) {
 	l.cancel()
 	<-l.ended
@@ -67,7 +67,7 @@
 	}
 }
 
-// newDecider returns what decides in a planner of this process: the policy or a baseline, wrapped as hooks say.
+// newDecider returns the decider of a planner in this process: the policy or a baseline, wrapped if a hook does so.
 func (f *fleet) newDecider(set *pb.Planner) planner.Decider {
 	var decider planner.Decider
 	if f.hooks.Baseline == NoBaseline {
--- a/internal/scenario/options.go
+++ b/internal/scenario/options.go
@@ -8,7 +8,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Baseline names a simple policy that is run beside the real one, for comparison.
+// Baseline names a simple policy that a script is run with for comparison with the real one.
 type Baseline string
 
 // The baselines.
@@ -18,15 +18,15 @@
 	ListedCapacity Baseline = "size" // one table with the capacities of the endpoint list as weights
 )
 
-// Hooks change a run: they select what it is run with, and plant faults to prove that the checker detects them. The zero
-// value is the scenario as written, with one planner.
+// Hooks change a run: they select what a script is run with, and plant defects, by which tests show that the checker detects
+// violations. The zero value runs a script with one planner as it is written.
 type Hooks struct {
 	// Spawn returns a command that runs a planner with a settings file, with its log on standard error. It is required for
 	// more than one planner.
 	Spawn func(file string) *exec.Cmd
 
 	SinglePlanner bool     // run one planner, whatever the script says
-	Unshared      bool     // run several planners that share nothing
+	Unshared      bool     // run several planners that do not share the fleet: each proxy belongs to one
 	Baseline      Baseline // run a baseline in one planner instead of the policy
 
 	DisableFencing bool                                  // proxies do not check epochs
@@ -35,7 +35,7 @@
 	Planner        func(set *pb.Planner)                 // changes the settings of each planner
 }
 
-// deciderName returns what a report calls the deciding side of a run. Readers of reports know these names.
+// deciderName returns the name that reports give to what decides in a run. Programs read these names, so they must not change.
 func (h Hooks) deciderName() string {
 	switch {
 	case h.Unshared:
--- a/internal/scenario/planner_process_test.go
+++ b/internal/scenario/planner_process_test.go
@@ -19,9 +19,11 @@
 )
 
 const (
-	// plannerFileVariable names a settings file; where it is set, the test binary runs as a planner with that file.
+	// plannerFileVariable is an environment variable. If it is set, the test binary runs as a planner with the settings file
+	// that it names.
 	plannerFileVariable = "LICHENPICK_TEST_AS_PLANNER"
-	// clockRateVariable sets the rate of such a planner's clock; 1 where it is not set.
+	// clockRateVariable is an environment variable with the rate of such a planner's monotonic clock. If it is not set, the
+	// rate is 1.
 	clockRateVariable = "LICHENPICK_TEST_RATE"
 )
 
@@ -76,7 +78,7 @@
 	return command
 }
 
-// skewedClock is a clock whose monotonic time runs too fast or too slowly; its wall time is right.
+// skewedClock is a clock whose monotonic time runs too fast or too slowly. Its wall time is correct.
 type skewedClock struct {
 	*clock.Real
 	rate float64
--- a/internal/scenario/plannerfaults.go
+++ b/internal/scenario/plannerfaults.go
@@ -9,7 +9,7 @@
 	"lichenpick/proto/script"
 )
 
-// injectPlannerRestart ends a planner, gracefully or by a kill, and starts it again.
+// injectPlannerRestart stops a planner, gracefully or by a kill, and starts it again after a duration.
 func (f *fleet) injectPlannerRestart(ctx context.Context, restart *script.PlannerRestart, lasts time.Duration) error {
 	instance := f.plannerByNumber(restart.GetController())
 	instance.stop(restart.Kill, int(restart.GetAfterBytes()))
@@ -20,7 +20,7 @@
 	return instance.start(f.runCtx)
 }
 
-// injectPlannerPause stops a planner's process without ending it. A planner in this process cannot be paused.
+// injectPlannerPause suspends a planner's process. It does nothing to a planner that runs in this process.
 func (f *fleet) injectPlannerPause(ctx context.Context, pause *script.ControllerPause, lasts time.Duration) error {
 	process := f.plannerByNumber(pause.GetController()).process
 	if process == nil {
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// injectPlannerCut breaks a planner's streams with the proxies of a zone or with all, or holds back what it sends on them.
+// injectPlannerCut breaks a planner's streams with the proxies of a zone, or with all proxies if the script names no zone.
+// With Hold, it holds back what the planner sends on these streams instead.
 func (f *fleet) injectPlannerCut(ctx context.Context, cut *script.ControllerCut, lasts time.Duration) error {
 	instance := f.plannerByNumber(cut.GetController())
 	zone := f.zoneByName(cut.Zone)
@@ -42,7 +43,7 @@
 	}, lasts)
 }
 
-// injectPlannerDrain has a planner's process hand its proxies over to others for the time.
+// injectPlannerDrain makes a planner's process hand its proxies over to other planners for a duration.
 func (f *fleet) injectPlannerDrain(ctx context.Context, drain *script.ControllerDrain, lasts time.Duration) error {
 	instance := f.plannerByNumber(drain.GetController())
 	if instance.process == nil {
@@ -52,10 +53,10 @@
 		return err
 	}
 	f.waitFor(ctx, lasts)
-	return instance.process.setDraining(ctx, false) // it may be another process by now
+	return instance.process.setDraining(ctx, false) // the planner may have been restarted as another process
 }
 
-// injectDiskFull has all writes of a planner's process fail.
+// injectDiskFull makes all file writes of a planner's process fail.
 func (f *fleet) injectDiskFull(ctx context.Context, diskFull *script.DiskFull, lasts time.Duration) error {
 	diskFault := f.plannerByNumber(diskFull.GetController()).diskFault
 	diskFault.setFull(true)
--- a/internal/scenario/plannerprocess.go
+++ b/internal/scenario/plannerprocess.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	startAttempts     = 3                     // a free port may be taken by another process before the planner listens
-	startPollInterval = 20 * time.Millisecond // of the status, until it answers
-	// stopTimeout is how long a planner's process may take to end; one that takes longer hangs, and the run has failed.
+	startAttempts     = 3                     // another process may take a free port before the planner listens at it
+	startPollInterval = 20 * time.Millisecond // between requests for the status of a planner that starts
+	// stopTimeout is how long a planner's process may take to exit. A process that takes longer is hung, and the run has failed.
 	stopTimeout = 5 * time.Second
 )
 
-// ErrNoSpawn tells that a script needs several planners, but [Hooks.Spawn] is nil.
-var ErrNoSpawn = errors.New("several planners need a way to run them as processes")
+// ErrNoSpawn is returned for a script with several planners if [Hooks.Spawn] is nil.
+var ErrNoSpawn = errors.New("a script with several planners requires Hooks.Spawn")
 
-// plannerProcess is a planner in its own process.
+// plannerProcess is a planner that runs in a process of its own.
 type plannerProcess struct {
 	fleet         *fleet
 	name          string
 	command       *exec.Cmd
 	statusAddress string
-	ended         chan struct{} // closed when it has ended and command.ProcessState is set
+	ended         chan struct{} // closed when the process has ended and command.ProcessState is set
 }
 
-// startProcess runs the planner as a process, and returns when its status answers.
+// startProcess runs the planner as a process, and returns when the planner serves its status.
 func (p *plannerInstance) startProcess(ctx context.Context, set *pb.Planner) error {
 	if p.fleet.hooks.Spawn == nil {
 		return ErrNoSpawn
@@ -53,7 +53,7 @@
 	return err
 }
 
-// tryStartProcess makes one attempt to run the planner as a process, on ports that are free now.
+// tryStartProcess makes one attempt to run the planner as a process, with ports that are free now.
 func (p *plannerInstance) tryStartProcess(ctx context.Context, set *pb.Planner) error {
 	file, err := p.writeSettings(set)
 	if err != nil {
@@ -74,7 +74,7 @@
 	p.process = process
 	p.runtime = process
 	p.fleet.group.Go(func() error {
-		_ = command.Wait() // how it ended is read from its state
+		_ = command.Wait() // command.ProcessState tells how it ended
 		close(process.ended)
 		return nil
 	})
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// writeSettings completes the planner's settings with free addresses, and writes them and an empty store where the planner
-// needs one. It returns the settings file.
+// writeSettings completes the planner's settings with free addresses, and writes them to a file, whose path it returns. If
+// the planner needs a store, it creates an empty one.
 func (p *plannerInstance) writeSettings(set *pb.Planner) (file string, err error) {
 	set.Listen, err = freeAddress()
 	if err != nil {
@@ -109,24 +109,24 @@
 	return file, nil
 }
 
-// freeAddress returns a loopback address at which nobody listens now.
+// freeAddress returns a loopback address with a port at which no process listens now.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.1.1"+anyPort)
 	if err != nil {
-		return "", fmt.Errorf("looking for a free port: %w", err)
+		return "", fmt.Errorf("finding a free port: %w", err)
 	}
 	address := listener.Addr().String()
 	return address, listener.Close()
 }
 
-// waitUntilReady returns when the status answers, or with the reason why it will not. The process is then gone or killed.
+// waitUntilReady waits until the planner serves its status. After an error, the process has ended or was killed.
 func (p *plannerProcess) waitUntilReady(ctx context.Context) error {
 	for {
 		if _, err := p.status(ctx); err == nil {
 			return nil
 		}
 		if p.hasEnded() {
-			return fmt.Errorf("%s ended at its start: %v", p.name, p.command.ProcessState)
+			return fmt.Errorf("%s exited during its start: %v", p.name, p.command.ProcessState)
 		}
 		if err := p.fleet.sleep(ctx, startPollInterval); err != nil {
 			p.signal(os.Kill)
@@ -135,13 +135,13 @@
 	}
 }
 
-// status asks the planner for its status.
+// status fetches the planner's status.
 func (p *plannerProcess) status(ctx context.Context) (*planner.Status, error) {
 	return planner.FetchStatus(ctx, p.statusAddress)
 }
 
-// setDraining asks the planner to hand its proxies over to others, or to take part again. The end of the run does not cancel
-// it, so that a fault can still be ended then.
+// setDraining asks the planner to hand its proxies over to other planners, or to accept proxies again. The end of the run
+// does not cancel the request, so that a fault can still be ended then.
 func (p *plannerProcess) setDraining(ctx context.Context, draining bool) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
@@ -157,13 +157,13 @@
 	return response.Body.Close()
 }
 
-// pause stops the process without ending it.
+// pause suspends the process.
 func (p *plannerProcess) pause() { p.signal(syscall.SIGSTOP) }
 
-// resume lets a paused process go on.
+// resume continues a paused process.
 func (p *plannerProcess) resume() { p.signal(syscall.SIGCONT) }
 
-// signal sends a signal. A process that has ended needs none.
+// signal sends a signal to the process, unless it has ended.
 func (p *plannerProcess) signal(signal os.Signal) {
 	if err := p.command.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		p.fleet.log.Error("cannot signal a planner", "planner", p.name, "signal", signal.String(), "error", err)
@@ -180,7 +180,7 @@
 	}
 }
 
-// stop ends the process, by SIGTERM or SIGKILL, and waits until it has. One that hangs is killed and counted.
+// stop ends the process, by SIGTERM or SIGKILL, and waits until it has ended. A process that hangs is counted and killed.
 func (p *plannerProcess) stop(kill bool) {
 	f := p.fleet
 	if status, err := p.status(context.Background()); err == nil {
@@ -205,7 +205,7 @@
 	f.plannerCPU += state.UserTime() + state.SystemTime()
 }
 
-// waitEnded waits until the process has ended, for at most a time, and reports whether it has.
+// waitEnded waits until the process has ended, for at most a timeout, and reports whether it has.
 func (p *plannerProcess) waitEnded(c clock.Clock, timeout time.Duration) bool {
 	expired, stopTimer := c.NewTimer(milliseconds(timeout))
 	defer stopTimer()
--- a/internal/scenario/planners.go
+++ b/internal/scenario/planners.go
@@ -16,11 +16,11 @@
 	pb "lichenpick/proto/settings"
 )
 
-// disconnectDelay is how long the bytes that may still pass before a kill have to do so.
+// disconnectDelay is the time that a planner has, before it is killed, to send the bytes that may still pass on its streams.
 const disconnectDelay = 50 * time.Millisecond
 
-// plannerInstance is one planner with its relays, over all its restarts. It runs in this process where there is one planner,
-// and else in its own.
+// plannerInstance is one planner with its relays, over all its restarts. It runs in this process if it is the only planner,
+// and otherwise in a process of its own.
 type plannerInstance struct {
 	fleet         *fleet
 	name          string
@@ -28,17 +28,17 @@
 	endpointRelay *fake.Relay // between the planner and the endpoint registry
 
 	runtime   plannerRuntime  // the current or last one; nil before the first start
-	process   *plannerProcess // the same where it is a process; else nil
+	process   *plannerProcess // the same if it is a process; otherwise nil
 	diskFault *diskFault
 }
 
-// plannerRuntime is a planner that runs or has ended.
+// plannerRuntime is one run of a planner, from a start to its end.
 type plannerRuntime interface {
 	// stop ends the planner, gracefully or at once, and returns when it has ended.
 	stop(kill bool)
 }
 
-// plannerCount returns how many planners run.
+// plannerCount returns the number of planners in the run.
 func (f *fleet) plannerCount() int {
 	if f.hooks.SinglePlanner || f.hooks.Baseline != NoBaseline {
 		return 1
@@ -51,8 +51,8 @@
 	return f.script.Sharing && f.plannerCount() > 1 && !f.hooks.Unshared
 }
 
-// plannerByNumber returns a planner by its number in the script. Where fewer run than the script counts on, another takes
-// its part.
+// plannerByNumber returns a planner by its number in the script. If fewer planners run than the script has, the numbers wrap
+// around.
 func (f *fleet) plannerByNumber(number uint32) *plannerInstance {
 	return f.planners[int(number)%len(f.planners)]
 }
@@ -134,13 +134,13 @@
 	if f.hooks.Planner != nil {
 		f.hooks.Planner(set)
 	}
-	// Read back through the check, which fills in what the script leaves to the settings' own defaults.
+	// Parsing checks the settings, and sets the defaults of those that the script leaves unset.
 	full := &pb.Planner{}
 	err := settings.Parse(p.name+" of the scenario", []byte(settings.Format(set)), full)
 	return full, err
 }
 
-// start starts the planner, again or for the first time, and returns when it listens. The planner ends with the context, or
+// start starts the planner, for the first time or again, and returns when it listens. The planner ends with the context, or
 // by stop.
 func (p *plannerInstance) start(ctx context.Context) error {
 	set, err := p.settings()
@@ -153,7 +153,7 @@
 	return p.startLocal(ctx, set)
 }
 
-// stop ends the planner: gracefully, or by a kill after some bytes of each of its streams have still passed.
+// stop ends the planner: gracefully, or by a kill before which some more bytes may pass on each of its streams.
 func (p *plannerInstance) stop(kill bool, afterBytes int) {
 	f := p.fleet
 	restoreLinks := func() {}
@@ -161,7 +161,7 @@
 		restoreLinks = p.cutLinks(afterBytes)
 		f.waitFor(context.Background(), disconnectDelay)
 	} else if kill && p.process == nil {
-		restoreLinks = p.cutLinks(0) // in this process nothing else keeps it from ending its streams gracefully
+		restoreLinks = p.cutLinks(0) // otherwise a planner in this process would close its streams gracefully
 	}
 	p.runtime.stop(kill)
 	p.relay.Disconnect(func(netip.Addr) bool { return true })
@@ -169,21 +169,21 @@
 	f.recorder.recordPlannerExit(p.name, f.clock.Monotonic())
 }
 
-// cutLinks breaks the planner's streams after some bytes, and returns a function that ends this.
+// cutLinks breaks each of the planner's streams after some more bytes, and returns a function that ends the fault.
 func (p *plannerInstance) cutLinks(afterBytes int) (restore func()) {
 	return p.fleet.addLinkFault(func(_ netip.Addr, to linkTarget) fake.LinkFault {
 		return fake.LinkFault{Cut: to.planner == p, CutAfterBytes: afterBytes}
 	})
 }
 
-// recordStatus keeps what a planner last said of itself, for the report.
+// recordStatus keeps the last status of a planner for the report.
 func (f *fleet) recordStatus(status *planner.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.plannerStatuses = append(f.plannerStatuses, status)
 }
 
-// stopPlannerProcesses ends all planner processes that still run, at the end of a run.
+// stopPlannerProcesses stops all planner processes that still run at the end of a run, also paused ones.
 func (f *fleet) stopPlannerProcesses() {
 	for _, instance := range f.planners {
 		if instance.process == nil || instance.process.hasEnded() {
--- a/internal/scenario/planted_test.go
+++ b/internal/scenario/planted_test.go
@@ -9,7 +9,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// A checker that cannot fail proves nothing: each planted fault must violate its invariant, and no other.
+// Guards against a checker that misses violations: each planted defect must violate its invariant, and no other.
 func TestPlantedFaultsAreDetected(t *testing.T) {
 	const deploy = `troubles { at: "1s" lasts: "3s" deploy { servers: 2 drain: "9s" } }`
 	for name, test := range map[string]struct {
@@ -99,7 +99,7 @@
 	declareIdempotent(set.Groups)
 }
 
-// retryAllInPlanner deceives the policy as well, or it would forbid the retries.
+// retryAllInPlanner declares all classes idempotent to the policy as well, which would otherwise forbid the retries.
 func retryAllInPlanner(set *pb.Planner) {
 	set.DefaultRetry = pb.Retry_ONCE
 	declareIdempotent(set.Groups)
@@ -111,7 +111,7 @@
 	}
 }
 
-// raiseChannelLimits lifts the planner's own limits, by which it would end the streams; the checker's stay.
+// raiseChannelLimits raises the planner's own limits, over which it would close the streams. The checker's limits stay.
 func raiseChannelLimits(set *pb.Planner) {
 	set.Channel = proto.CloneOf(set.Channel)
 	set.Channel.MostMessages = proto.Uint32(100_000)
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -1,11 +1,11 @@
-// Package scenario plays scripted scenarios on loopback: real planners and proxies, fake servers and clients, with all links
-// through relays. Faults come as the script says, and the invariants are judged from what passed on the sockets.
+// Package scenario plays scripted scenarios on loopback, with real planners and proxies, and fake servers and clients. All
+// links pass through relays. The faults of the script are injected, and the invariants are checked from the observed traffic.
 //
 // [Play] runs a script under the real policy and, for comparison, under baselines at the same time; [PlayOne] runs it once.
-// One planner runs in this process; several run as processes of their own, so that they can be paused and killed. Each zone
-// has its own loopback addresses, by which relays tell where a connection comes from.
+// A single planner runs in this process; several run as processes of their own, so that they can be paused and killed. Each
+// zone has its own loopback addresses, by which relays identify the zone that a connection comes from.
 //
-// A run takes real time. Its result depends on the machine, and a busy machine can break invariants by its delays alone.
+// A run takes real time, and its result depends on the machine: on a busy one, delays alone can violate invariants.
 package scenario
 
 import (
@@ -25,14 +25,14 @@
 	"lichenpick/proto/script"
 )
 
-// cooldown is how long a run goes on after its last request, so that drains end and invariants are still judged.
+// cooldown is how long a run goes on after its last request, so that drains end and invariants are still checked.
 const cooldown = 1500 * time.Millisecond
 
-// Play runs a script under the policy and, unless the script says no, under two variants for comparison at the same time:
-// baselines for one planner, planners that share nothing and a single planner for a shared fleet. The machine is only passed
-// on to the report. Only the policy's run logs to log. See [Hooks.Spawn] for spawn.
+// Play runs a script under the policy and, unless the script disables it, two variants for comparison at the same time. For
+// a shared fleet, these are planners that do not share it and a single planner; otherwise they are two baselines. The machine
+// is only named in the report. Only the policy's run logs to log. See [Hooks.Spawn] for spawn.
 //
-// A broken invariant is no error; see [Report.Passed]. An error tells that a run could not be played.
+// A violated invariant is no error; see [Report.Passed]. An error means that a run could not be completed.
 func Play(ctx context.Context, scenario *script.Script, machine string, log *slog.Logger, spawn func(file string) *exec.Cmd) (*Report, error) {
 	variants := variantsOf(scenario, spawn)
 	report := &Report{Script: scenario.Name, Runs: make([]Result, len(variants)), Machine: machine}
@@ -45,7 +45,7 @@
 		group.Go(func() error {
 			result, err := PlayOne(ctx, scenario, hooks, runLog)
 			if err != nil {
-				return fmt.Errorf("playing with %s: %w", hooks.deciderName(), err)
+				return fmt.Errorf("playing the script with %s: %w", hooks.deciderName(), err)
 			}
 			report.Runs[n] = *result
 			return nil
@@ -82,7 +82,7 @@
 	observed, err := f.play(running, group)
 	f.stopPlannerProcesses()
 	cancel()
-	// An error of a component is the cause of whatever else failed.
+	// An error of a component is the cause of any other error.
 	if groupErr := group.Wait(); groupErr != nil && !errors.Is(groupErr, context.Canceled) {
 		err = groupErr
 	}
@@ -92,7 +92,7 @@
 	return f.summarize(observed), nil
 }
 
-// play starts the fleet, sends it the script's requests under the script's faults, and returns what was observed.
+// play starts the fleet, sends it the script's requests while it injects the script's faults, and returns what was observed.
 func (f *fleet) play(ctx context.Context, group *errgroup.Group) (*observations, error) {
 	f.loadGenerator = &fake.LoadGenerator{
 		Clock:             f.clock,
@@ -116,8 +116,8 @@
 	return f.recorder.finish(f.clock.Monotonic()), nil
 }
 
-// runLoadWithFaults sends the requests and plays the faults beside them. Faults that last longer end with the cooldown. An
-// error of a fault ends the other faults and is returned at the end.
+// runLoadWithFaults sends the requests and injects the faults at the same time. Faults that would last longer end with the
+// cooldown. An error of a fault ends the other faults, and is returned at the end.
 func (f *fleet) runLoadWithFaults(ctx context.Context) error {
 	faults, faultsCtx := errgroup.WithContext(ctx)
 	faultsCtx, endFaults := context.WithCancel(faultsCtx)
@@ -137,12 +137,12 @@
 	return faultErr
 }
 
-// sleep waits for a time on the run's clock. Its only error is that of a context that ends before.
+// sleep waits for a duration on the run's clock. It returns an error only if the context ends first.
 func (f *fleet) sleep(ctx context.Context, duration time.Duration) error {
 	return clock.Sleep(ctx, f.clock, milliseconds(duration))
 }
 
-// milliseconds returns a duration in the unit of package clock.
+// milliseconds converts a duration to ms, the unit of package clock.
 func milliseconds(duration time.Duration) float64 {
 	return float64(duration) / float64(time.Millisecond)
 }
--- a/internal/scenario/play_test.go
+++ b/internal/scenario/play_test.go
@@ -10,7 +10,7 @@
 	"lichenpick/proto/script"
 )
 
-// smallScenario is the fleet and traffic of all tests; they merge their own fields into it.
+// smallScenario is the script of all tests, which merge their own fields into it.
 const smallScenario = `name: "small" length: "5s" no_baselines: true warm: "1s"
 places { name: "a" proxies: 2 servers: 4 } places { name: "b" proxies: 2 servers: 4 }
 groups { name: "check" latency_budget: "600ms" expiry: "1.5s" repeat: RETRIABLE }
@@ -29,7 +29,7 @@
 	return parsed
 }
 
-// play plays the small scenario with further fields, and fails the test where anything could not be judged.
+// play runs the small scenario with further fields, and fails the test if anything could not be checked.
 func play(t *testing.T, fields string, hooks Hooks) *Result {
 	t.Helper()
 	merged := parseScript(t, smallScenario)
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	if len(result.Unparsed) > 0 {
-		t.Errorf("not judged: %v", result.Unparsed)
+		t.Errorf("could not be checked: %v", result.Unparsed)
 	}
 	return result
 }
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// minZoneServers is the number of servers in a zone from which its proxies know only these at their start.
+	// minZoneServers is the number of servers in a zone from which on its proxies start with servers of that zone only.
 	minZoneServers = 3
-	// minUsualRatePerSecond is the least rate that a proxy says is usual, in requests a second.
+	// minUsualRatePerSecond is the least usual rate in the settings of a proxy, in requests per second.
 	minUsualRatePerSecond = 0.001
 )
 
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// knownServers returns the servers from which the proxies of a zone draw their standing tables: those of the zone, or all
-// where the zone has few.
+// knownServers returns the servers from which the standing tables of a zone's proxies are drawn, which they use until a
+// planner assigns others: the servers of the zone, or all servers if the zone has fewer than minZoneServers.
 func knownServers(endpoints []*order.Listing_Entry, zoneName string) []string {
 	var inZone, inFleet []string
 	for _, endpoint := range endpoints {
@@ -54,7 +54,7 @@
 	return inZone
 }
 
-// newProxySettings returns the checked settings of a proxy, its number in its zone given.
+// newProxySettings returns the checked settings of a proxy with a number in its zone.
 func (f *fleet) newProxySettings(zone, number int, known []string) (*pb.Proxy, error) {
 	zoneName := f.script.Places[zone].Name
 	usualRate := settings.PerSecond(f.script.Traffic.Rate) / float64(max(settings.ProxyCount(f.script), 1))
@@ -82,7 +82,7 @@
 	return full, err
 }
 
-// drawSeedAndStanding draws the seed and the standing servers of a proxy.
+// drawSeedAndStanding draws the seed of a proxy and the servers of its standing table.
 func (f *fleet) drawSeedAndStanding(known []string) (seed uint64, standing []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,8 +94,8 @@
 	return seed, standing
 }
 
-// plannerAddresses returns the addresses of all planners, beginning with another for each proxy: the first is the one that
-// leads it where planners share nothing.
+// plannerAddresses returns the addresses of all planners, rotated by the number of the proxy. If the planners do not share
+// the fleet, the proxy belongs to the first one.
 func (f *fleet) plannerAddresses(proxyNumber int) []string {
 	addresses := make([]string, 0, len(f.planners))
 	for n := range f.planners {
--- a/internal/scenario/recorder.go
+++ b/internal/scenario/recorder.go
@@ -9,7 +9,7 @@
 	"lichenpick/internal/invariant"
 )
 
-// What could not be judged, by kind. Readers of reports know these names.
+// Kinds of what could not be checked, as named in reports. Programs read these names, so they must not change.
 const (
 	unparsedPlannerFrame  = "frame to a planner"
 	unparsedProxyFrame    = "frame to a proxy"
@@ -19,7 +19,7 @@
 	hungPlanners          = "planners that did not end when told"
 )
 
-// recorder passes what observers of many connections see to one checker. Observers hold its lock while they do so.
+// recorder passes what the observers of many connections see to one checker. Observers hold mu while they do so.
 type recorder struct {
 	wallOffsetMs float64 // wall time minus monotonic time, both of this process
 
@@ -30,7 +30,7 @@
 	unparsed  map[string]int // what could not be parsed, by kind
 }
 
-// newRecorder returns a recorder that has seen nothing.
+// newRecorder returns a recorder without any observations.
 func newRecorder(checker *invariant.Checker, c clock.Clock) *recorder {
 	return &recorder{
 		wallOffsetMs: float64(c.WallTime().UnixMicro())/1000 - c.Monotonic(),
@@ -59,7 +59,7 @@
 	r.checker.RecordPlannerExit(planner, atMs)
 }
 
-// observations are what was recorded until the end of a run.
+// observations is what was recorded until the end of a run.
 type observations struct {
 	violations      []invariant.Violation
 	violationCounts map[invariant.Rule]int
@@ -75,7 +75,7 @@
 	unparsed        map[string]int
 }
 
-// finish judges the run and returns what was recorded. Nothing that passes later changes it.
+// finish completes the checks of the run and returns what was recorded. Traffic that is observed later does not change it.
 func (r *recorder) finish(atMs float64) *observations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -16,41 +16,41 @@
 type ClassResult struct {
 	Name string
 	fake.Tally
-	Service float64 // priority weight of requests that succeeded in time, as a part of that of all requests
+	Service float64 // priority weight of requests that succeeded in time, as a fraction of that of all requests
 }
 
-// Result is the result of one run of a script. The names in JSON are those of earlier reports, so that they can be compared.
+// Result is the result of one run of a script. The names in JSON are those of earlier reports, to keep reports comparable.
 type Result struct {
 	Decider         string
-	Service         float64       // as of ClassResult, over all classes
+	Service         float64       // as in ClassResult, over all classes
 	Classes         []ClassResult `json:"Groups"`
 	Seconds         []float64     // service of each second that had requests
 	Requests        int           `json:"Asks"`  // from clients to proxies, retries included
 	Attempts        int           `json:"Tries"` // from proxies to servers
 	Messages        int           // from planners to proxies
 	Entries         float64       `json:"Lines"` // weight entries in them
-	OrderMsP50      float64       // from the decision of an order to its acknowledgement, the worst planner's
+	OrderMsP50      float64       // from the decision of an order to its acknowledgement, the maximum of all planners
 	OrderMsP99      float64
-	PeakBacklog     float64               `json:"LinesPeak"` // weight entries, as planners counted
+	PeakBacklog     float64               `json:"LinesPeak"` // weight entries, as counted by the planners; their maximum
 	Violations      []invariant.Violation `json:"Breaches"`  // at most 20 of each rule
 	ViolationCounts map[string]int        `json:"Broken"`    // by rule
-	Closes          map[string]uint64     `json:"Endings"`   // of streams at planners, by reason
-	Unparsed        map[string]int        `json:"Unread"`    // what observers could not parse; a run with any has failed
-	ColdOverloads   int                   `json:"Fell"`      // servers that crashed while warming up, as they were sent too much
+	Closes          map[string]uint64     `json:"Endings"`   // number of streams that ended at planners, by close reason
+	Unparsed        map[string]int        `json:"Unread"`    // what could not be checked, by kind; a run with any has failed
+	ColdOverloads   int                   `json:"Fell"`      // crashes of servers that were sent too much work while warming up
 	Servers         int
 	Proxies         int
 
-	// For shared fleets. A takeover is a lease after a proxy's first one. The times are in ms, from the last frame of the
-	// leader before until the next lease.
+	// The next fields are for shared fleets. A takeover is any lease of a proxy after its first one. The times without a
+	// leader are in ms, from the last frame of the previous leader to the next lease.
 	Takeovers        int
 	WithoutLeaderP50 float64        `json:"BareP50"`
 	WithoutLeaderP99 float64        `json:"BareP99"`
 	WithoutLeaderMax float64        `json:"BareMost"`
-	Rejected         int            `json:"Refused"`  // messages that proxies rejected for a past epoch
-	LeasesByPlanner  map[string]int `json:"Holders"`  // at the end
-	ResentEntries    int            `json:"Reissued"` // entries of whole tables that a later leader sent again
+	Rejected         int            `json:"Refused"`  // messages that proxies rejected because of a past epoch
+	LeasesByPlanner  map[string]int `json:"Holders"`  // leases held at the end
+	ResentEntries    int            `json:"Reissued"` // weight entries of whole tables that later leaders sent again
 
-	CPUMs     float64 // of planners that ran as processes
+	CPUMs     float64 // CPU time of planners that ran as processes
 	BytesUp   int     `json:"UpBytes"`   // on control streams, from proxies to planners
 	BytesDown int     `json:"DownBytes"` // from planners to proxies
 }
@@ -64,19 +64,19 @@
 	return count
 }
 
-// Report is the result of a script.
+// Report is the result of all runs of a script.
 type Report struct {
 	Script  string
 	Runs    []Result `json:"Days"` // the policy's first, then those for comparison
 	Machine string
 }
 
-// Passed reports whether the policy's run kept all invariants, and all that passed could be judged.
+// Passed reports whether all invariants held in the policy's run, and everything in it could be checked.
 func (r *Report) Passed() bool {
 	return len(r.Runs) > 0 && len(r.Runs[0].ViolationCounts) == 0 && len(r.Runs[0].Unparsed) == 0
 }
 
-// Print writes the report for people. The report must have a run.
+// Print writes the report as text for human readers. The report must have a run.
 func (r *Report) Print(w io.Writer) error {
 	first := &r.Runs[0]
 	if _, err := fmt.Fprintf(w, "scenario %s: %d proxies, %d fake servers on loopback\n", r.Script, first.Proxies, first.Servers); err != nil {
@@ -127,7 +127,7 @@
 		late, rejected, failed, r.Messages, r.Entries, r.OrderMsP50, r.OrderMsP99, r.ColdOverloads, invariants)
 }
 
-// notes returns what the table does not show of a run: takeovers, violations and what could not be judged.
+// notes returns what the table does not show of a run: takeovers, violations and what could not be checked.
 func (r *Result) notes() string {
 	var text strings.Builder
 	if r.Takeovers > 0 {
--- a/internal/scenario/requestobserver.go
+++ b/internal/scenario/requestobserver.go
@@ -10,14 +10,14 @@
 	"lichenpick/internal/proxy"
 )
 
-// requestObserver parses the requests of a connection from a proxy to a server.
+// requestObserver parses the requests and responses on a connection from a proxy to a server.
 type requestObserver struct {
 	recorder  *recorder
 	server    string
 	classes   map[string]int // numbers of traffic classes by name
 	requests  headParser
 	responses headParser
-	current   invariant.Attempt // the latest on this connection; HTTP/1.1 without pipelining has one at a time
+	current   invariant.Attempt // the latest on this connection, which has one at a time, as there is no pipelining
 }
 
 var _ fake.Observer = (*requestObserver)(nil)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Delivered does nothing: requests and responses count from their passing on.
+// Delivered does nothing: requests and responses are recorded when the relay receives them.
 func (o *requestObserver) Delivered(float64, int) {}
 
 // Closed does nothing: connections of proxies to servers may end at any time.
--- a/internal/scenario/serverfaults.go
+++ b/internal/scenario/serverfaults.go
@@ -15,11 +15,11 @@
 const (
 	// slowSteps is the number of steps in which a gradual slowdown grows.
 	slowSteps = 10
-	// firstUnknownPort is the port of the first endpoint that a wrong list names and that does not exist.
+	// firstUnknownPort is the port of the first of the nonexistent endpoints in a wrong list.
 	firstUnknownPort = 9000
 )
 
-// injectBurst multiplies the rate of requests.
+// injectBurst multiplies the rate of requests for a duration.
 func (f *fleet) injectBurst(ctx context.Context, burst *script.Burst, lasts time.Duration) error {
 	f.loadGenerator.SetRateFactor(burst.GetFactor())
 	f.waitFor(ctx, lasts)
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// injectHang has servers receive requests and answer none, all the time or for every other period.
+// injectHang makes servers receive requests without answering them, all the time or in every other period.
 func (f *fleet) injectHang(ctx context.Context, hang *script.Hang, lasts time.Duration) error {
 	servers := f.reserveServers(int(hang.GetServers()), nil)
 	defer f.releaseServers(servers)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// injectSlow slows servers down, at once or step by step.
+// injectSlow slows servers down, at once or gradually.
 func (f *fleet) injectSlow(ctx context.Context, slow *script.Slow, lasts time.Duration) error {
 	servers := f.reserveServers(int(slow.GetServers()), nil)
 	defer f.releaseServers(servers)
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// injectFailing has servers answer with errors, reset connections or refuse requests.
+// injectFailing makes servers answer with errors, reset connections or refuse requests.
 func (f *fleet) injectFailing(ctx context.Context, failing *script.Failing, lasts time.Duration) error {
 	servers := f.reserveServers(int(failing.GetServers()), nil)
 	defer f.releaseServers(servers)
@@ -73,13 +73,13 @@
 	return nil
 }
 
-// injectCrash ends servers, and starts them again cold.
+// injectCrash crashes servers, and restarts them cold after a duration.
 func (f *fleet) injectCrash(ctx context.Context, crash *script.Crash, lasts time.Duration) error {
 	servers := f.reserveServers(int(crash.GetServers()), nil)
 	return f.crashServers(ctx, servers, crash.Listed, lasts)
 }
 
-// injectZoneLoss ends all servers of a zone, and starts them again cold.
+// injectZoneLoss crashes all servers of a zone, and restarts them cold after a duration.
 func (f *fleet) injectZoneLoss(ctx context.Context, loss *script.ZoneLoss, lasts time.Duration) error {
 	zone := f.zoneByName(loss.Zone)
 	inZone := func(candidate *serverInstance) bool { return candidate.zone == zone }
@@ -87,8 +87,8 @@
 	return f.crashServers(ctx, servers, true, lasts)
 }
 
-// crashServers ends reserved servers for a time, and starts them again cold at their addresses. If listed, the endpoint list
-// shows that they are gone.
+// crashServers crashes reserved servers, and restarts them cold at their addresses after a duration. If listed, the endpoint
+// list shows them as removed meanwhile.
 func (f *fleet) crashServers(ctx context.Context, servers []*serverInstance, listed bool, lasts time.Duration) error {
 	for _, crashed := range servers {
 		crashed.stop()
@@ -110,7 +110,8 @@
 	return nil
 }
 
-// injectDeploy replaces servers in turn over a time: each drains and is removed, and a cold one is started in its place.
+// injectDeploy replaces servers one by one over a duration: each drains and is removed, and a cold one is started in its
+// place.
 func (f *fleet) injectDeploy(ctx context.Context, deploy *script.Deploy, lasts time.Duration) error {
 	replaced := f.reserveServers(int(deploy.GetServers()), nil)
 	var started []*serverInstance
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// removeDrained ends a draining server after its drain.
+// removeDrained stops a draining server after the time that its drain takes.
 func (f *fleet) removeDrained(ctx context.Context, old *serverInstance, drain time.Duration) {
 	f.waitFor(ctx, drain)
 	old.stop()
@@ -143,7 +144,7 @@
 	}
 }
 
-// injectWrongList has the endpoint list lack some servers, and name some that do not exist.
+// injectWrongList makes the endpoint list omit some servers, and include some that do not exist.
 func (f *fleet) injectWrongList(ctx context.Context, wrong *script.WrongList, lasts time.Duration) error {
 	f.registry.Override(func(endpoints []*order.Listing_Entry) []*order.Listing_Entry {
 		missing := int(float64(len(endpoints)) * wrong.GetMissing())
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -17,14 +17,14 @@
 	*fake.Server
 	zone     int
 	settings *pb.Server
-	capacity float64 // as listed
+	capacity float64 // as stated in the endpoint list
 	relay    *fake.Relay
-	address  string // of the relay: the one that is listed
+	address  string // of the relay, as stated in the endpoint list
 	fault    fake.Fault
-	reserved bool // a fault has it; guarded by the fleet's lock
+	reserved bool // for a fault; guarded by the fleet's mu
 }
 
-// startServers starts the servers of the script, warm.
+// startServers starts the servers of the script, all of them warm.
 func (f *fleet) startServers(ctx context.Context) error {
 	for zone, place := range f.script.Places {
 		for range place.GetServers() {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// addServer starts a server, cold or warm, and lists it.
+// addServer starts a server, cold or warm, and adds it to the endpoint list.
 func (f *fleet) addServer(ctx context.Context, zone int, cold bool) (*serverInstance, error) {
 	set := f.newServerSettings(zone)
 	added := &serverInstance{
@@ -108,7 +108,7 @@
 	f.registry.SetEndpoint(server.address, zoneName, state, server.capacity, startedUnixMs)
 }
 
-// warmingCapacity returns the capacity of a server that is warming up, in ms of work a ms, and 0 for any other.
+// warmingCapacity returns the capacity of a server that is warming up, in ms of work per ms, and 0 for any other.
 func (f *fleet) warmingCapacity(address string, atMs float64) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,7 +126,7 @@
 	return 0
 }
 
-// stop ends a server at once, with its relay: dials are refused.
+// stop crashes a server and closes its relay, so that dials are refused.
 func (s *serverInstance) stop() {
 	s.relay.Close()
 	s.Crash()
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// reserveServers draws up to count servers that no fault has yet, of those that are eligible, and reserves them for the
-// caller until it calls releaseServers. A nil eligible means all.
+// reserveServers draws up to count eligible servers that no other fault has reserved, and reserves them for the caller until
+// it calls releaseServers. If eligible is nil, all servers are eligible.
 func (f *fleet) reserveServers(count int, eligible func(*serverInstance) bool) []*serverInstance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -163,7 +163,7 @@
 	return drawn
 }
 
-// releaseServers ends the faults of reserved servers.
+// releaseServers ends the faults of reserved servers and their reservation.
 func (f *fleet) releaseServers(servers []*serverInstance) {
 	changeFaults(servers, func(fault *fake.Fault) { *fault = fake.Fault{} })
 	f.mu.Lock()
@@ -173,7 +173,7 @@
 	}
 }
 
-// changeFaults changes what is wrong with reserved servers.
+// changeFaults changes the faults of reserved servers.
 func changeFaults(servers []*serverInstance, change func(*fake.Fault)) {
 	for _, server := range servers {
 		change(&server.fault)
--- a/internal/scenario/shared_fleet_test.go
+++ b/internal/scenario/shared_fleet_test.go
@@ -5,16 +5,17 @@
 	"testing"
 )
 
-// sharedFaults is a fleet shared by three planners, through a pause longer than a lease, a kill amid messages and a cut.
+// sharedFaults is a script with a fleet shared by three planners: one is paused for longer than a lease lasts, one is killed
+// while it sends, and the streams of one with a zone are cut.
 const sharedFaults = `controllers: 3 sharing: true length: "9s"
 	troubles { at: "1500ms" lasts: "3s" controller_pause { controller: 0 } }
 	troubles { at: "2s" lasts: "4s" deploy { servers: 2 drain: "7s" } }
 	troubles { at: "4s" lasts: "2s" planner_restart { controller: 1 kill: true after_bytes: 30 } }
 	troubles { at: "6s" lasts: "2s" controller_cut { controller: 2 zone: "a" } }`
 
-// sharedStalls holds back what a planner sends for longer than its lease, while a deploy makes it decide. It guards against
-// proxies that apply orders of a past leader. Drains take long in it, so the grace must be long. By 4 s each planner holds
-// its quota of leases.
+// sharedStalls is a script that holds back what two planners send for longer than their leases last, while a deploy makes them
+// decide. It guards against proxies that apply orders of a past leader. Its drains take 20 s, so the drain grace is as long.
+// The stalls begin at 4 s, when each planner holds its quota of leases.
 const sharedStalls = `controllers: 3 sharing: true length: "9s" limits { drain_grace: "20s" warm_up: "5s" fall_window: "1s" }
 	places { name: "c" proxies: 4 servers: 4 }
 	troubles { at: "3500ms" lasts: "3s" deploy { servers: 8 drain: "20s" } }
@@ -41,7 +42,7 @@
 		}})
 		checkTakenOver(t, result)
 	})
-	t.Run("orders that arrive after a successor's are rejected", func(t *testing.T) {
+	t.Run("orders that arrive after those of a later leader are rejected", func(t *testing.T) {
 		t.Parallel()
 		result := play(t, sharedStalls, Hooks{Spawn: plannerCommand})
 		if len(result.ViolationCounts) > 0 || result.Rejected == 0 {
@@ -57,7 +58,7 @@
 	})
 }
 
-// checkTakenOver checks that invariants held, proxies were taken over and requests went on.
+// checkTakenOver checks that invariants held, proxies were taken over and requests still succeeded.
 func checkTakenOver(t *testing.T, result *Result) {
 	t.Helper()
 	if len(result.ViolationCounts) > 0 || result.Takeovers == 0 || result.Service < 0.7 {
@@ -65,18 +66,18 @@
 	}
 }
 
-// testSharedRecovery runs subtests in which invariants must hold, and all proxies must have a leader again at the end.
+// testSharedRecovery runs subtests in which the invariants must hold, and all proxies must have a leader at the end.
 func testSharedRecovery(t *testing.T) {
 	t.Helper()
 	for name, test := range map[string]struct {
 		fields               string
-		plannerWithoutLeases string // planner that may hold no lease at the end; empty: any may
+		plannerWithoutLeases string // planner that must hold no lease at the end; empty: none
 	}{
 		"a fourth planner joins under load": {fields: `controllers: 4 length: "10s" traffic { rate: "160/s" }
 			troubles { at: "0s" lasts: "3s" planner_restart { controller: 3 kill: true } }`},
-		"a takeover amid a drain": {fields: `controllers: 3 length: "9s" troubles { at: "2500ms" lasts: "3s" deploy { servers: 3 drain: "6s" } }
+		"a takeover during a drain": {fields: `controllers: 3 length: "9s" troubles { at: "2500ms" lasts: "3s" deploy { servers: 3 drain: "6s" } }
 			troubles { at: "3s" lasts: "3s" planner_restart { controller: 0 kill: true after_bytes: 50 } }`},
-		"a takeover amid the loss of a zone": {fields: `controllers: 3 length: "9s" troubles { at: "3s" lasts: "3s" zone_loss { zone: "a" } }
+		"a takeover during the loss of a zone": {fields: `controllers: 3 length: "9s" troubles { at: "3s" lasts: "3s" zone_loss { zone: "a" } }
 			troubles { at: "3200ms" lasts: "3s" planner_restart { controller: 1 kill: true } }`},
 		"all three planners restart at once": {fields: `controllers: 3 length: "9s" bare_within: "5s" troubles { at: "3s" lasts: "1s" planner_restart { controller: 0 kill: true } }
 			troubles { at: "3s" lasts: "1s" planner_restart { controller: 1 kill: true } }
--- a/internal/scenario/streamobserver.go
+++ b/internal/scenario/streamobserver.go
@@ -8,19 +8,19 @@
 	"lichenpick/proto/order"
 )
 
-// maxObservedFrameBytes bounds the frames that are parsed; no limit of either end is larger.
+// maxObservedFrameBytes bounds the frames that observers parse. Neither end of a stream has a larger limit.
 const maxObservedFrameBytes = 32 << 20
 
-// streamObserver parses the control stream of a proxy to a planner, which the proxy dialled.
+// streamObserver parses a control stream, which a proxy has opened to a planner.
 type streamObserver struct {
 	recorder  *recorder
 	planner   string
-	proxy     string // as it named itself; empty: not yet
+	proxy     string // its name, from its join; empty: not received yet
 	toPlanner *controlstream.Decoder
 	toProxy   *controlstream.Decoder
 
-	receivedBytes  int // that came from the planner
-	deliveredBytes int // of these, that reached the proxy
+	receivedBytes  int // from the planner
+	deliveredBytes int // of these, those that reached the proxy
 	undelivered    []undeliveredMessage
 
 	corrupt bool // a frame could not be parsed
@@ -29,9 +29,9 @@
 
 var _ fake.Observer = (*streamObserver)(nil)
 
-// undeliveredMessage is a message of a planner that has not reached the proxy as a whole; one of welcome and orders is nil.
+// undeliveredMessage is a message of a planner that has not completely reached the proxy. Either welcome or orders is nil.
 type undeliveredMessage struct {
-	endBytes int // position on the stream after its last byte
+	endBytes int // offset in the stream after its last byte
 	welcome  *order.Welcome
 	orders   *order.Orders
 }
@@ -85,12 +85,12 @@
 	}
 }
 
-// FromTarget parses bytes that came from the planner. What they do at the proxy is recorded when they reach it.
+// FromTarget parses bytes that came from the planner. Their effect on the proxy is recorded when they reach it.
 func (o *streamObserver) FromTarget(atMs float64, data []byte) {
 	o.recorder.mu.Lock()
 	defer o.recorder.mu.Unlock()
 	o.recorder.bytesDown += len(data)
-	endBytes := o.receivedBytes - o.toProxy.Buffered() // position after the last complete frame
+	endBytes := o.receivedBytes - o.toProxy.Buffered() // offset after the last complete frame
 	o.receivedBytes += len(data)
 	o.toProxy.Feed(data)
 	for {
@@ -104,7 +104,7 @@
 	}
 }
 
-// recordPlannerFrame records a frame that a planner sent; endBytes is the position on the stream after it.
+// recordPlannerFrame records a frame that a planner sent; endBytes is the offset in the stream after it.
 func (o *streamObserver) recordPlannerFrame(atMs float64, frame controlstream.Frame, endBytes int) {
 	switch frame.Kind {
 	case controlstream.FrameWelcome:
@@ -122,7 +122,7 @@
 	}
 }
 
-// Delivered records the messages that reached the proxy as a whole.
+// Delivered records the messages that have completely reached the proxy.
 func (o *streamObserver) Delivered(atMs float64, count int) {
 	o.recorder.mu.Lock()
 	defer o.recorder.mu.Unlock()
@@ -151,7 +151,7 @@
 	}
 }
 
-// checkCorrupt counts the first error of the stream.
+// checkCorrupt counts the first parse error of the stream.
 func (o *streamObserver) checkCorrupt(err error, kind string) {
 	if err != nil && !o.corrupt {
 		o.corrupt = true
@@ -159,7 +159,7 @@
 	}
 }
 
-// endpointObserver parses the stream of the endpoint list to a planner, which the planner dialled.
+// endpointObserver parses the stream of the endpoint list, which a planner has opened to the registry.
 type endpointObserver struct {
 	recorder *recorder
 	planner  string
@@ -191,8 +191,8 @@
 	}
 }
 
-// Delivered does nothing: a list counts from its passing on.
+// Delivered does nothing: a list is recorded when the relay receives it.
 func (o *endpointObserver) Delivered(float64, int) {}
 
-// Closed does nothing: a planner keeps its list.
+// Closed does nothing: a planner keeps its list when the stream ends.
 func (o *endpointObserver) Closed(float64) {}
--- a/internal/scenario/summary.go
+++ b/internal/scenario/summary.go
@@ -43,7 +43,7 @@
 	return result
 }
 
-// addRequests adds how the requests of clients ended.
+// addRequests adds the outcomes of the clients' requests.
 func (f *fleet) addRequests(result *Result) {
 	classes, seconds, requests := f.loadGenerator.Tallies()
 	result.Requests = requests
@@ -61,10 +61,10 @@
 	}
 }
 
-// serviceOf returns the priority weight that was earned, as a part of the weight that there was.
+// serviceOf returns the priority weight of requests that succeeded in time, as a fraction of that of all requests.
 func serviceOf(tally fake.Tally) float64 { return tally.Value / max(tally.MaxValue, 1e-9) }
 
-// addPlannerStatuses adds what planners said of themselves, the worst of each.
+// addPlannerStatuses adds the statuses of the planners: the maximum of latencies and backlogs, and the sum of closes.
 func (f *fleet) addPlannerStatuses(result *Result) {
 	for _, status := range f.plannerStatuses {
 		result.OrderMsP50 = max(result.OrderMsP50, status.OrderMsP50)
