--- a/internal/invariant/orders.go
+++ b/internal/invariant/orders.go
@@ -6,7 +6,7 @@
 	"lichenpick/proto/order"
 )
 
-// RecordSend records that a message left a planner for a proxy at atMs. It was decided at decidedMs, by the same clock.
+// RecordSend records that a planner sent a message to a proxy at atMs. It was decided at decidedMs, on the same clock.
 func (c *Checker) RecordSend(name, plannerName string, atMs, decidedMs float64, orders *order.Orders) {
 	c.Messages++
 	c.Entries += orders.Lines
@@ -22,7 +22,7 @@
 	c.evaluateMessageRate(name, proxy, atMs, decidedMs)
 }
 
-// evaluateSingleLeader judges [SingleLeader] for a message that a planner decided.
+// evaluateSingleLeader checks [SingleLeader] for a message that a planner decided.
 func (c *Checker) evaluateSingleLeader(name string, proxy *proxyState, plannerName string, atMs, decidedMs float64) {
 	lease := &proxy.lease
 	if lease.holder == "" || lease.holder == plannerName || lease.grantedAtMs >= decidedMs {
@@ -32,7 +32,7 @@
 		plannerName, name, decidedMs-lease.grantedAtMs, lease.holder, lease.epoch)
 }
 
-// recordSend keeps the epoch of a message until it is acknowledged.
+// recordSend remembers the epoch of a message until it is acknowledged.
 func (l *leaseState) recordSend(plannerName string, orders *order.Orders) {
 	if l.unacknowledged[plannerName] == nil {
 		l.unacknowledged[plannerName] = map[uint64]uint64{}
@@ -40,7 +40,7 @@
 	l.unacknowledged[plannerName][orders.Number] = orders.Epoch
 }
 
-// evaluateMessageRate judges the part of [BacklogExceeded] that limits the messages to one proxy.
+// evaluateMessageRate checks the part of [BacklogExceeded] that limits the messages to one proxy.
 func (c *Checker) evaluateMessageRate(name string, proxy *proxyState, atMs, decidedMs float64) {
 	proxy.recentMessagesMs = append(proxy.recentMessagesMs, decidedMs)
 	proxy.recentMessagesMs = slices.DeleteFunc(proxy.recentMessagesMs, func(messageMs float64) bool {
@@ -55,7 +55,7 @@
 	}
 }
 
-// RecordDelivery records that a message of a planner reached a proxy. It was decided at decidedMs, by the same clock.
+// RecordDelivery records that a message of a planner reached a proxy at atMs. It was decided at decidedMs, on the same clock.
 func (c *Checker) RecordDelivery(name, plannerName string, atMs, decidedMs float64, orders *order.Orders) {
 	proxy := c.proxies[name]
 	if proxy == nil {
@@ -64,31 +64,31 @@
 	if proxy.lease.shared && (proxy.lease.holder != plannerName || proxy.lease.epoch != orders.Epoch) {
 		return // the proxy rejects it
 	}
-	proxy.appliedMs = decidedMs
+	proxy.appliedDecisionMs = decidedMs
 	for _, single := range orders.Orders {
-		switch what := single.What.(type) {
+		switch change := single.What.(type) {
 		case *order.Order_Bind:
 			if proxy.lease.grants > 1 {
-				c.ResentEntries += len(what.Bind.Lines)
+				c.ResentEntries += len(change.Bind.Lines)
 			}
-			proxy.assign(what.Bind)
+			proxy.assignTable(change.Bind)
 		case *order.Order_Line:
-			proxy.setEntry(what.Line)
+			proxy.setEntry(change.Line)
 		case *order.Order_Withdraw:
-			proxy.setEjected(what.Withdraw)
+			proxy.setEjected(change.Withdraw)
 		}
 	}
 	c.evaluateNoServer(name, proxy, atMs)
 }
 
-// assign applies an order that assigns a whole table.
-func (p *proxyState) assign(bind *order.Bind) {
+// assignTable applies an order that assigns a whole table.
+func (p *proxyState) assignTable(bind *order.Bind) {
 	for _, server := range bind.Withdrawn {
 		p.ejected[server] = true
 	}
 	table := &weightTable{weights: weightsOf(bind.Lines), ejected: p.ejected}
 	p.tables[bind.Table] = table
-	p.use(table, bind.Groups)
+	p.useForClasses(table, bind.Groups)
 }
 
 // setEntry applies an order that sets one entry of a table.
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -11,41 +11,41 @@
 	"lichenpick/proto/script"
 )
 
-// faultHandler plays a fault from its beginning to its end. It returns early when the context ends.
+// faultHandler injects a fault and returns when the fault has ended, or early when the context ends.
 type faultHandler func(ctx context.Context, f *fleet, fault *script.Trouble) error
 
 // faultHandlers has the handler of each kind of fault, by the name of its field in a script.
 var faultHandlers = map[protoreflect.Name]faultHandler{
-	"burst":            handle((*script.Trouble).GetBurst, (*fleet).playBurst),
-	"hang":             handle((*script.Trouble).GetHang, (*fleet).playHang),
-	"slow":             handle((*script.Trouble).GetSlow, (*fleet).playSlow),
-	"failing":          handle((*script.Trouble).GetFailing, (*fleet).playFailing),
-	"crash":            handle((*script.Trouble).GetCrash, (*fleet).playCrash),
-	"zone_loss":        handle((*script.Trouble).GetZoneLoss, (*fleet).playZoneLoss),
-	"deploy":           handle((*script.Trouble).GetDeploy, (*fleet).playDeploy),
-	"wrong_list":       handle((*script.Trouble).GetWrongList, (*fleet).playWrongList),
-	"handshakes":       handle((*script.Trouble).GetHandshakes, (*fleet).playHandshakes),
-	"zone_cut":         handle((*script.Trouble).GetZoneCut, (*fleet).playZoneCut),
-	"one_sided":        handle((*script.Trouble).GetOneSided, (*fleet).playOneSided),
-	"stream_break":     handle((*script.Trouble).GetStreamBreak, (*fleet).playStreamBreak),
-	"stuck_proxy":      handle((*script.Trouble).GetStuckProxy, (*fleet).playStuckProxy),
-	"slow_streams":     handle((*script.Trouble).GetSlowStreams, (*fleet).playSlowStreams),
-	"planner_restart":  handle((*script.Trouble).GetPlannerRestart, (*fleet).playPlannerRestart),
-	"controller_pause": handle((*script.Trouble).GetControllerPause, (*fleet).playPlannerPause),
-	"controller_cut":   handle((*script.Trouble).GetControllerCut, (*fleet).playPlannerCut),
-	"controller_drain": handle((*script.Trouble).GetControllerDrain, (*fleet).playPlannerDrain),
-	"disk_full":        handle((*script.Trouble).GetDiskFull, (*fleet).playDiskFull),
+	"burst":            newFaultHandler((*script.Trouble).GetBurst, (*fleet).injectBurst),
+	"hang":             newFaultHandler((*script.Trouble).GetHang, (*fleet).injectHang),
+	"slow":             newFaultHandler((*script.Trouble).GetSlow, (*fleet).injectSlow),
+	"failing":          newFaultHandler((*script.Trouble).GetFailing, (*fleet).injectFailing),
+	"crash":            newFaultHandler((*script.Trouble).GetCrash, (*fleet).injectCrash),
+	"zone_loss":        newFaultHandler((*script.Trouble).GetZoneLoss, (*fleet).injectZoneLoss),
+	"deploy":           newFaultHandler((*script.Trouble).GetDeploy, (*fleet).injectDeploy),
+	"wrong_list":       newFaultHandler((*script.Trouble).GetWrongList, (*fleet).injectWrongList),
+	"handshakes":       newFaultHandler((*script.Trouble).GetHandshakes, (*fleet).injectHandshakes),
+	"zone_cut":         newFaultHandler((*script.Trouble).GetZoneCut, (*fleet).injectZoneCut),
+	"one_sided":        newFaultHandler((*script.Trouble).GetOneSided, (*fleet).injectOneSided),
+	"stream_break":     newFaultHandler((*script.Trouble).GetStreamBreak, (*fleet).injectStreamBreak),
+	"stuck_proxy":      newFaultHandler((*script.Trouble).GetStuckProxy, (*fleet).injectStuckProxy),
+	"slow_streams":     newFaultHandler((*script.Trouble).GetSlowStreams, (*fleet).injectSlowStreams),
+	"planner_restart":  newFaultHandler((*script.Trouble).GetPlannerRestart, (*fleet).injectPlannerRestart),
+	"controller_pause": newFaultHandler((*script.Trouble).GetControllerPause, (*fleet).injectPlannerPause),
+	"controller_cut":   newFaultHandler((*script.Trouble).GetControllerCut, (*fleet).injectPlannerCut),
+	"controller_drain": newFaultHandler((*script.Trouble).GetControllerDrain, (*fleet).injectPlannerDrain),
+	"disk_full":        newFaultHandler((*script.Trouble).GetDiskFull, (*fleet).injectDiskFull),
 }
 
-// handle returns the handler of one kind of fault, from the function that gets its parameters and the one that plays it for
-// a time.
-func handle[F any](parameters func(*script.Trouble) F, play func(*fleet, context.Context, F, time.Duration) error) faultHandler {
+// newFaultHandler returns the handler of one kind of fault: parameters gets the fault's parameters from a script, and inject
+// injects the fault for a duration.
+func newFaultHandler[F any](parameters func(*script.Trouble) F, inject func(*fleet, context.Context, F, time.Duration) error) faultHandler {
 	return func(ctx context.Context, f *fleet, fault *script.Trouble) error {
-		return play(f, ctx, parameters(fault), settings.Duration(fault.Lasts))
+		return inject(f, ctx, parameters(fault), settings.Duration(fault.Lasts))
 	}
 }
 
-// faultKind returns the kind of a fault: the name of its field in a script, and empty for one that names none.
+// faultKind returns the kind of a fault, which is the name of its field in a script, or empty for a fault without one.
 func faultKind(fault *script.Trouble) protoreflect.Name {
 	message := fault.ProtoReflect()
 	field := message.WhichOneof(message.Descriptor().Oneofs().ByName("what"))
@@ -55,31 +55,31 @@
 	return field.Name()
 }
 
-// playFault waits until a fault is due and plays it. It returns early, without an error, when the run ends.
-func (f *fleet) playFault(ctx context.Context, fault *script.Trouble) error {
+// injectFault waits until a fault is due and injects it. It returns early, without an error, when the run ends.
+func (f *fleet) injectFault(ctx context.Context, fault *script.Trouble) error {
 	if f.sleep(ctx, settings.Duration(fault.At)) != nil {
 		return nil
 	}
 	kind := faultKind(fault)
-	play, known := faultHandlers[kind]
+	inject, known := faultHandlers[kind]
 	if !known {
 		return nil
 	}
 	f.log.Info("fault begins", "kind", string(kind))
 	defer f.log.Info("fault ends", "kind", string(kind))
-	if err := play(ctx, f, fault); err != nil {
-		return fmt.Errorf("playing the fault %s at %s: %w", kind, fault.At, err)
+	if err := inject(ctx, f, fault); err != nil {
+		return fmt.Errorf("injecting the fault %s at %s: %w", kind, fault.At, err)
 	}
 	return nil
 }
 
-// waitFor waits for a time or until the run ends: what a fault changed is restored in either case.
+// waitFor waits for a duration or until the run ends. It returns no error, as the caller has to end its fault in either case.
 func (f *fleet) waitFor(ctx context.Context, duration time.Duration) {
 	_ = f.sleep(ctx, duration)
 }
 
-// playLinkFault puts a fault of links into effect for a time.
-func (f *fleet) playLinkFault(ctx context.Context, fault linkFault, lasts time.Duration) error {
+// injectLinkFault applies a link fault for a duration.
+func (f *fleet) injectLinkFault(ctx context.Context, fault linkFaultFunc, lasts time.Duration) error {
 	remove := f.addLinkFault(fault)
 	f.waitFor(ctx, lasts)
 	remove()
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// minZoneServers is the number of servers in a zone from which its proxies know only these at their start.
+	// minZoneServers is the number of servers in a zone from which on its proxies start with servers of that zone only.
 	minZoneServers = 3
-	// minUsualRate is the least rate that a proxy says is usual, in requests a second.
-	minUsualRate = 0.001
+	// minUsualRatePerSecond is the least usual rate in the settings of a proxy, in requests per second.
+	minUsualRatePerSecond = 0.001
 )
 
 // startProxies starts the proxies of the script.
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// knownServers returns the servers from which the proxies of a zone draw their standing tables: those of the zone, or all
-// where the zone has few.
+// knownServers returns the servers from which the standing tables of a zone's proxies are drawn, which they use until a
+// planner assigns others: the servers of the zone, or all servers if the zone has fewer than minZoneServers.
 func knownServers(endpoints []*order.Listing_Entry, zoneName string) []string {
 	var inZone, inFleet []string
 	for _, endpoint := range endpoints {
@@ -54,11 +54,11 @@
 	return inZone
 }
 
-// newProxySettings returns the checked settings of a proxy, its number in its zone given.
+// newProxySettings returns the checked settings of a proxy with a number in its zone.
 func (f *fleet) newProxySettings(zone, number int, known []string) (*pb.Proxy, error) {
 	zoneName := f.script.Places[zone].Name
 	usualRate := settings.PerSecond(f.script.Traffic.Rate) / float64(max(settings.ProxyCount(f.script), 1))
-	seed, standing := f.drawProxy(known)
+	seed, standing := f.drawSeedAndStanding(known)
 	set := &pb.Proxy{
 		Name:           fmt.Sprintf("edge-%s-%d", zoneName, number),
 		Listen:         listenAddress(zone) + anyPort,
@@ -71,7 +71,7 @@
 		ReportEvery:    f.script.Reports.Every,
 		ConnectionIdle: f.script.Limits.ConnectionIdle,
 		Seed:           proto.Uint64(seed),
-		Usual:          fmt.Sprintf("%g/s", max(usualRate, minUsualRate)),
+		Usual:          fmt.Sprintf("%g/s", max(usualRate, minUsualRatePerSecond)),
 		Standing:       standing,
 	}
 	if f.hooks.Proxy != nil {
@@ -82,20 +82,20 @@
 	return full, err
 }
 
-// drawProxy draws the seed and the standing servers of a proxy.
-func (f *fleet) drawProxy(known []string) (seed uint64, standing []string) {
+// drawSeedAndStanding draws the seed of a proxy and the servers of its standing table.
+func (f *fleet) drawSeedAndStanding(known []string) (seed uint64, standing []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	seed = uint64(f.chance.Int63())
+	seed = uint64(f.rng.Int63())
 	count := min(int(f.script.GetStanding()), len(known))
-	for _, n := range f.chance.Perm(len(known))[:count] {
+	for _, n := range f.rng.Perm(len(known))[:count] {
 		standing = append(standing, known[n])
 	}
 	return seed, standing
 }
 
-// plannerAddresses returns the addresses of all planners, beginning with another for each proxy: the first is the one that
-// leads it where planners share nothing.
+// plannerAddresses returns the addresses of all planners, rotated by the number of the proxy. If the planners do not share
+// the fleet, the proxy belongs to the first one.
 func (f *fleet) plannerAddresses(proxyNumber int) []string {
 	addresses := make([]string, 0, len(f.planners))
 	for n := range f.planners {
--- a/internal/scenario/recorder.go
+++ b/internal/scenario/recorder.go
@@ -9,7 +9,7 @@
 	"lichenpick/internal/invariant"
 )
 
-// What could not be judged, by kind. Readers of reports know these names.
+// Kinds of what could not be checked, as named in reports. Programs read these names, so they must not change.
 const (
 	unparsedPlannerFrame  = "frame to a planner"
 	unparsedProxyFrame    = "frame to a proxy"
@@ -19,7 +19,7 @@
 	hungPlanners          = "planners that did not end when told"
 )
 
-// recorder passes what observers of many connections see to one checker. Observers hold its lock while they do so.
+// recorder passes what the observers of many connections see to one checker. Observers hold mu while they do so.
 type recorder struct {
 	wallOffsetMs float64 // wall time minus monotonic time, both of this process
 
@@ -30,7 +30,7 @@
 	unparsed  map[string]int // what could not be parsed, by kind
 }
 
-// newRecorder returns a recorder that has seen nothing.
+// newRecorder returns a recorder without any observations.
 func newRecorder(checker *invariant.Checker, c clock.Clock) *recorder {
 	return &recorder{
 		wallOffsetMs: float64(c.WallTime().UnixMicro())/1000 - c.Monotonic(),
@@ -59,39 +59,39 @@
 	r.checker.RecordPlannerExit(planner, atMs)
 }
 
-// observations are what was recorded until the end of a run.
+// observations is what was recorded until the end of a run.
 type observations struct {
-	violations         []invariant.Violation
-	violationCounts    map[invariant.Rule]int
-	messages           int
-	entries            float64
-	attempts           int
-	takeovers          []invariant.Takeover
-	rejected           int
-	leasesByController map[string]int
-	resentEntries      int
-	bytesUp            int
-	bytesDown          int
-	unparsed           map[string]int
+	violations      []invariant.Violation
+	violationCounts map[invariant.Rule]int
+	messages        int
+	entries         float64
+	attempts        int
+	takeovers       []invariant.Takeover
+	rejected        int
+	leasesByPlanner map[string]int
+	resentEntries   int
+	bytesUp         int
+	bytesDown       int
+	unparsed        map[string]int
 }
 
-// finish judges the run and returns what was recorded. Nothing that passes later changes it.
+// finish completes the checks of the run and returns what was recorded. Traffic that is observed later does not change it.
 func (r *recorder) finish(atMs float64) *observations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	violations, counts := r.checker.Finish(atMs)
 	return &observations{
-		violations:         violations,
-		violationCounts:    counts,
-		messages:           r.checker.Messages,
-		entries:            r.checker.Entries,
-		attempts:           r.checker.Attempts,
-		takeovers:          slices.Clone(r.checker.Takeovers),
-		rejected:           r.checker.Rejected,
-		leasesByController: r.checker.LeasesByPlanner(),
-		resentEntries:      r.checker.ResentEntries,
-		bytesUp:            r.bytesUp,
-		bytesDown:          r.bytesDown,
-		unparsed:           maps.Clone(r.unparsed),
+		violations:      violations,
+		violationCounts: counts,
+		messages:        r.checker.Messages,
+		entries:         r.checker.Entries,
+		attempts:        r.checker.Attempts,
+		takeovers:       slices.Clone(r.checker.Takeovers),
+		rejected:        r.checker.Rejected,
+		leasesByPlanner: r.checker.LeasesByPlanner(),
+		resentEntries:   r.checker.ResentEntries,
+		bytesUp:         r.bytesUp,
+		bytesDown:       r.bytesDown,
+		unparsed:        maps.Clone(r.unparsed),
 	}
 }
