--- a/cmd/lichenpick/daemons.go
+++ b/cmd/lichenpick/daemons.go
@@ -26,30 +26,30 @@
 	registryMaxFrameBytes      = 16 << 20
 )
 
-// machine is the network of this machine. Keep-alive ends connections to peers that are gone without a word.
-var machine = clock.TCP{KeepAlive: 15 * time.Second}
+// localNetwork is the network of this machine. Keep-alive ends connections to peers that are gone without a word.
+var localNetwork = clock.TCP{KeepAlive: 15 * time.Second}
 
-// daemon returns a sub-command that reads a settings file of one kind and runs until a signal.
-func daemon[M proto.Message](name, short string, empty func() M, run func(ctx context.Context, set M, log *slog.Logger) error) *cobra.Command {
+// daemonCommand returns a sub-command that reads a settings file of one kind and runs until a signal.
+func daemonCommand[M proto.Message](name, short string, empty func() M, run func(ctx context.Context, config M, log *slog.Logger) error) *cobra.Command {
 	var file string
 	var logging logFlags
 	command := &cobra.Command{
 		Use:   name + " -c FILE",
 		Short: short,
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			log, err := logging.logger()
 			if err != nil {
 				return err
 			}
 			if file == "" {
-				return usage{fmt.Errorf("%s needs -c FILE", name)}
+				return usageError{fmt.Errorf("%s needs -c FILE", name)}
 			}
-			set := empty()
-			if err := settings.Load(file, set); err != nil {
+			config := empty()
+			if err := settings.Load(file, config); err != nil {
 				return err
 			}
-			return run(command.Context(), set, log)
+			return run(command.Context(), config, log)
 		},
 	}
 	command.Flags().StringVarP(&file, "config", "c", "", "settings file, protobuf text format")
@@ -58,24 +58,24 @@
 }
 
 func plannerCommand() *cobra.Command {
-	return daemon("planner", "Run a planner until SIGTERM; proxies then keep their weight tables",
+	return daemonCommand("planner", "Run a planner until SIGTERM; proxies then keep their weight tables",
 		func() *pb.Planner { return &pb.Planner{} }, runPlanner)
 }
 
 // runPlanner runs a planner until the context ends.
-func runPlanner(ctx context.Context, set *pb.Planner, log *slog.Logger) error {
-	if cores := int(set.GetCores()); cores > 0 {
+func runPlanner(ctx context.Context, config *pb.Planner, log *slog.Logger) error {
+	if cores := int(config.GetCores()); cores > 0 {
 		runtime.GOMAXPROCS(cores)
 	}
 	realClock := clock.NewReal()
-	source, err := endpointSource(set.List, realClock)
+	source, err := endpointSource(config.List, realClock)
 	if err != nil {
 		return err
 	}
 	return planner.Run(ctx, planner.Options{
-		Settings: set,
+		Settings: config,
 		Clock:    realClock,
-		Network:  machine,
+		Network:  localNetwork,
 		Log:      log,
 		Source:   source,
 	})
@@ -94,7 +94,7 @@
 			HeartbeatTimeoutMs: registryHeartbeatTimeoutMs,
 			MaxFrameBytes:      registryMaxFrameBytes,
 			Clock:              c,
-			Network:            machine,
+			Network:            localNetwork,
 		}, nil
 	case *pb.ListSource_File:
 		return &discovery.FileSource{
@@ -107,17 +107,17 @@
 }
 
 func proxyCommand() *cobra.Command {
-	return daemon("proxy", "Run a plain proxy that follows a planner's weight tables",
+	return daemonCommand("proxy", "Run a plain proxy that follows a planner's weight tables",
 		func() *pb.Proxy { return &pb.Proxy{} },
-		func(ctx context.Context, set *pb.Proxy, log *slog.Logger) error {
-			return proxy.New(proxy.Options{Settings: set, Clock: clock.NewReal(), Network: machine, Log: log}).Run(ctx)
+		func(ctx context.Context, config *pb.Proxy, log *slog.Logger) error {
+			return proxy.New(proxy.Options{Settings: config, Clock: clock.NewReal(), Network: localNetwork, Log: log}).Run(ctx)
 		})
 }
 
 func serverCommand() *cobra.Command {
-	return daemon("server", "Run a fake server, for trials",
+	return daemonCommand("server", "Run a fake server, for trials",
 		func() *pb.Server { return &pb.Server{} },
-		func(ctx context.Context, set *pb.Server, log *slog.Logger) error {
-			return fake.RunServer(ctx, set, clock.NewReal(), machine, log)
+		func(ctx context.Context, config *pb.Server, log *slog.Logger) error {
+			return fake.RunServer(ctx, config, clock.NewReal(), localNetwork, log)
 		})
 }
--- a/cmd/lichenpick/examples_test.go
+++ b/cmd/lichenpick/examples_test.go
@@ -41,7 +41,7 @@
 	if err := planner.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	checkEndsWell(t, planner)
+	checkExitsCleanly(t, planner)
 	before := burst.succeeded.Load()
 	await(t, "requests without a planner", func() bool { return burst.succeeded.Load() > before+burstRequests })
 	burst.stop()
@@ -76,8 +76,8 @@
 	return command
 }
 
-// checkEndsWell checks that a process which was signalled to stop ends in time, with exit code 0.
-func checkEndsWell(t *testing.T, command *exec.Cmd) {
+// checkExitsCleanly checks that a process which was signalled to stop ends in time, with exit code 0.
+func checkExitsCleanly(t *testing.T, command *exec.Cmd) {
 	t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- command.Wait() }()
@@ -92,10 +92,10 @@
 }
 
 // await polls a condition until it holds.
-func await(t *testing.T, what string, holds func() bool) {
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(exampleTimeout)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
 			t.Fatalf("not seen: %s", what)
 		}
--- a/cmd/lichenpick/load.go
+++ b/cmd/lichenpick/load.go
@@ -14,8 +14,8 @@
 	"lichenpick/internal/settings"
 )
 
-// errNoRateHolds tells that not even the first rate of a ramp met the objective.
-var errNoRateHolds = errors.New("not even the first rate holds")
+// errFirstRateFailed tells that not even the first rate of a ramp met the objective.
+var errFirstRateFailed = errors.New("not even the first rate holds")
 
 // loadFlags are the flags of the sub-command load, before they are checked.
 type loadFlags struct {
@@ -37,7 +37,7 @@
 	command := &cobra.Command{
 		Use:   "load --to ADDRESS[,ADDRESS]",
 		Short: "Send open-loop traffic to proxies, and find the rate up to which they hold",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		Long: "Sends requests at times drawn ahead, at a set rate, and measures each from the time it was due: what is late shows,\n" +
 			"whoever is late. With --ramp FROM:TO:BY each rate lasts --length, and the first that misses the objective ends the run.",
 		RunE: func(command *cobra.Command, _ []string) error {
@@ -86,12 +86,12 @@
 	if f.ramp != "" {
 		rates, err := parseRamp(f.ramp)
 		if err != nil {
-			return options, usage{err}
+			return options, usageError{err}
 		}
 		options.Rates = rates
 	}
 	if err := options.Check(); err != nil {
-		return options, usage{err}
+		return options, usageError{err}
 	}
 	return options, nil
 }
@@ -118,9 +118,9 @@
 	if err != nil || !ramp {
 		return err
 	}
-	rate, found := highestHoldingRate(options, steps)
+	rate, found := highestSustainedRate(options, steps)
 	if !found {
-		return errNoRateHolds
+		return errFirstRateFailed
 	}
 	_, err = fmt.Fprintf(out, "holds up to %g/s\n", rate)
 	return err
@@ -138,8 +138,8 @@
 	return writeTable(out, table.String())
 }
 
-// highestHoldingRate returns the last rate that met the objective, and whether there was one.
-func highestHoldingRate(options load.Options, steps []load.Step) (rate float64, found bool) {
+// highestSustainedRate returns the last rate that met the objective, and whether there was one.
+func highestSustainedRate(options load.Options, steps []load.Step) (rate float64, found bool) {
 	for _, step := range steps {
 		if options.MeetsObjective(step) {
 			rate = step.Rate
--- a/cmd/lichenpick/log.go
+++ b/cmd/lichenpick/log.go
@@ -24,7 +24,7 @@
 func logger(levelName, form string) (*slog.Logger, error) {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(levelName)); err != nil {
-		return nil, usage{fmt.Errorf("no log level %q; debug, info, warn or error", levelName)}
+		return nil, usageError{fmt.Errorf("no log level %q; debug, info, warn or error", levelName)}
 	}
 	options := &slog.HandlerOptions{Level: level}
 	switch form {
@@ -33,5 +33,5 @@
 	case "json":
 		return slog.New(slog.NewJSONHandler(os.Stderr, options)), nil
 	}
-	return nil, usage{fmt.Errorf("no log form %q; text or json", form)}
+	return nil, usageError{fmt.Errorf("no log form %q; text or json", form)}
 }
--- a/cmd/lichenpick/main.go
+++ b/cmd/lichenpick/main.go
@@ -19,19 +19,19 @@
 
 // Exit codes other than 0.
 const (
-	failed   = 1 // a run failed or violated an invariant
-	badInput = 2 // the call or a file cannot be used
+	exitFailed   = 1 // a run failed or violated an invariant
+	exitBadInput = 2 // the call or a file cannot be used
 )
 
-// usage is an error of the call itself, such as a bad flag.
-type usage struct{ error }
+// usageError is an error of the call itself, such as a bad flag.
+type usageError struct{ error }
 
 // Unwrap returns what is wrong with the call.
-func (u usage) Unwrap() error { return u.error }
+func (e usageError) Unwrap() error { return e.error }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	err := root().ExecuteContext(ctx)
+	err := rootCommand().ExecuteContext(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "lichenpick:", err)
@@ -42,22 +42,22 @@
 // exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var badFile *settings.Error
-	var badCall usage
+	var badCall usageError
 	if errors.As(err, &badFile) || errors.As(err, &badCall) {
-		return badInput
+		return exitBadInput
 	}
-	return failed
+	return exitFailed
 }
 
-// root returns the command of the program, with all sub-commands.
-func root() *cobra.Command {
+// rootCommand returns the command of the program, with all sub-commands.
+func rootCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:           "lichenpick",
 		Short:         "A traffic director for fleets of proxies",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	command.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
+	command.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	command.AddCommand(
 		plannerCommand(),
 		serveCommand(),
@@ -74,11 +74,11 @@
 	return command
 }
 
-// exactly returns cobra's check of the number of arguments with an error of type usage.
-func exactly(count int) cobra.PositionalArgs {
+// exactArgs returns cobra's check of the number of arguments with an error of type usageError.
+func exactArgs(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(count)(command, args); err != nil {
-			return usage{err}
+			return usageError{err}
 		}
 		return nil
 	}
--- a/cmd/lichenpick/main_test.go
+++ b/cmd/lichenpick/main_test.go
@@ -74,7 +74,7 @@
 			if code != test.code || !strings.Contains(errorText.String(), test.want) {
 				t.Errorf("exit %d, want %d with %q: %s", code, test.code, test.want, errorText)
 			}
-			if test.code == badInput && strings.Count(errorText.String(), "\n") != 1 {
+			if test.code == exitBadInput && strings.Count(errorText.String(), "\n") != 1 {
 				t.Errorf("more than one line: %s", errorText)
 			}
 		})
--- a/cmd/lichenpick/plannergroup.go
+++ b/cmd/lichenpick/plannergroup.go
@@ -50,19 +50,19 @@
 // newPlannerGroup writes the settings of planners on the next ports, and their stores where they share a fleet.
 func newPlannerGroup(template *pb.Planner, proxies, count int, directory string) (*plannerGroup, error) {
 	if template.Status == "" {
-		return nil, usage{errNoStatusAddress}
+		return nil, usageError{errNoStatusAddress}
 	}
 	group := &plannerGroup{list: filepath.Join(directory, "list.txtpb"), proxies: proxies}
 	for number := range count {
-		set := proto.CloneOf(template)
-		set.Name = fmt.Sprintf("planner-%d", number+1)
-		set.Proxies = proto.Uint32(uint32(proxies))
-		set.Planners = proto.Uint32(uint32(count))
-		set.List.GetFile().Path = group.list
-		set.List.Keep = ""
-		member, err := newPlannerMember(set, number, directory)
+		config := proto.CloneOf(template)
+		config.Name = fmt.Sprintf("planner-%d", number+1)
+		config.Proxies = proto.Uint32(uint32(proxies))
+		config.Planners = proto.Uint32(uint32(count))
+		config.List.GetFile().Path = group.list
+		config.List.Keep = ""
+		member, err := newPlannerMember(config, number, directory)
 		if err != nil {
-			return nil, fmt.Errorf("preparing %s: %w", set.Name, err)
+			return nil, fmt.Errorf("preparing %s: %w", config.Name, err)
 		}
 		group.members = append(group.members, member)
 	}
--- a/cmd/lichenpick/plannermember.go
+++ b/cmd/lichenpick/plannermember.go
@@ -29,27 +29,27 @@
 }
 
 // newPlannerMember writes what one planner needs; its ports are those of the settings, plus its number.
-func newPlannerMember(set *pb.Planner, number int, directory string) (*plannerMember, error) {
+func newPlannerMember(config *pb.Planner, number int, directory string) (*plannerMember, error) {
 	var err error
-	set.Listen, err = shiftPort(set.Listen, number)
+	config.Listen, err = shiftPort(config.Listen, number)
 	if err != nil {
 		return nil, err
 	}
-	set.Status, err = shiftPort(set.Status, number)
+	config.Status, err = shiftPort(config.Status, number)
 	if err != nil {
 		return nil, err
 	}
-	if set.Sharing != nil {
-		set.Sharing.Store = filepath.Join(directory, set.Name+".store")
-		if err := store.Init(set.Sharing.Store, set.Name); err != nil {
+	if config.Sharing != nil {
+		config.Sharing.Store = filepath.Join(directory, config.Name+".store")
+		if err := store.Init(config.Sharing.Store, config.Name); err != nil {
 			return nil, err
 		}
 	}
-	file := filepath.Join(directory, set.Name+".txtpb")
-	if err := os.WriteFile(file, []byte(settings.Format(set)), 0o600); err != nil {
+	file := filepath.Join(directory, config.Name+".txtpb")
+	if err := os.WriteFile(file, []byte(settings.Format(config)), 0o600); err != nil {
 		return nil, fmt.Errorf("writing planner settings: %w", err)
 	}
-	return &plannerMember{file: file, address: set.Listen, statusAddress: set.Status}, nil
+	return &plannerMember{file: file, address: config.Listen, statusAddress: config.Status}, nil
 }
 
 // shiftPort returns an address with its port raised by a number.
@@ -67,7 +67,7 @@
 
 // start starts the planner's process.
 func (m *plannerMember) start() error {
-	command := spawnPlanner(m.file)
+	command := newPlannerProcess(m.file)
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("starting the planner of %s: %w", m.file, err)
 	}
--- a/cmd/lichenpick/scenario.go
+++ b/cmd/lichenpick/scenario.go
@@ -30,7 +30,7 @@
 	command := &cobra.Command{
 		Use:   "scenario SCRIPT",
 		Short: "Play a scripted scenario on loopback and judge the invariants",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		Long: "Plays a scenario with a real planner, plain proxies and fake servers on loopback, and judges the invariants from what\n" +
 			"passed on the sockets. Exit 0: all invariants held; 1: one was violated, or the run failed; 2: the script is bad.",
 		RunE: func(command *cobra.Command, args []string) error {
@@ -52,8 +52,8 @@
 	if err := settings.Load(file, parsed); err != nil {
 		return err
 	}
-	machineName := fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
-	report, err := scenario.Play(ctx, parsed, machineName, log, spawnPlanner)
+	hostDescription := fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
+	report, err := scenario.Play(ctx, parsed, hostDescription, log, newPlannerProcess)
 	if err != nil {
 		return err
 	}
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// spawnPlanner returns a command that runs this program as a planner, with its errors logged to this one's standard error.
-func spawnPlanner(file string) *exec.Cmd {
+// newPlannerProcess returns a command that runs this program as a planner, with its errors logged to this one's standard error.
+func newPlannerProcess(file string) *exec.Cmd {
 	executable, err := os.Executable()
 	if err != nil {
 		executable = os.Args[0]
--- a/cmd/lichenpick/serve.go
+++ b/cmd/lichenpick/serve.go
@@ -15,7 +15,7 @@
 
 const (
 	heapMemoryShare = 0.5 // of the memory limit for the Go runtime; the remainder is code, kernel buffers and a reserve
-	garbagePercent  = 50  // growth of the heap between collections: a small heap, collected often
+	gcPercent       = 50  // growth of the heap between collections: a small heap, collected often
 )
 
 func serveCommand() *cobra.Command {
@@ -24,7 +24,7 @@
 	command := &cobra.Command{
 		Use:   "serve",
 		Short: "Run a planner on the operators' platform until SIGTERM; EDGE_CONFIG names its configuration",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			hangup := make(chan os.Signal, 1)
 			signal.Notify(hangup, syscall.SIGHUP) // first of all: by itself it would end the program
@@ -39,7 +39,7 @@
 			}
 			limitResources(config)
 			options := platform.Options{
-				Config: config, Reload: reload, Hangup: hangup, Clock: clock.NewReal(), Network: machine, Log: log,
+				Config: config, Reload: reload, Hangup: hangup, Clock: clock.NewReal(), Network: localNetwork, Log: log,
 			}
 			if trace {
 				options.Trace = os.Stderr
@@ -60,6 +60,6 @@
 	runtime.GOMAXPROCS(max(int(config.Cores), 1))
 	if config.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapMemoryShare * float64(config.MemoryMB) * (1 << 20)))
-		debug.SetGCPercent(garbagePercent)
+		debug.SetGCPercent(gcPercent)
 	}
 }
--- a/cmd/lichenpick/settings.go
+++ b/cmd/lichenpick/settings.go
@@ -33,7 +33,7 @@
 func loadSettings(kind, path string) (proto.Message, error) {
 	newMessage, known := settingsKinds[kind]
 	if !known {
-		return nil, usage{fmt.Errorf("no kind of file %q; there are %s", kind, settingsKindNames())}
+		return nil, usageError{fmt.Errorf("no kind of file %q; there are %s", kind, settingsKindNames())}
 	}
 	message := newMessage()
 	return message, settings.Load(path, message)
@@ -47,7 +47,7 @@
 
 func settingsCheckCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "check KIND FILE", Short: "Check a file; one line and exit 2 if it is bad", Args: exactly(2),
+		Use: "check KIND FILE", Short: "Check a file; one line and exit 2 if it is bad", Args: exactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, err := loadSettings(args[0], args[1])
 			return err
@@ -57,7 +57,7 @@
 
 func settingsPrintCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "print KIND FILE", Short: "Print a file with all defaults filled in", Args: exactly(2),
+		Use: "print KIND FILE", Short: "Print a file with all defaults filled in", Args: exactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			message, err := loadSettings(args[0], args[1])
 			if err != nil {
--- a/cmd/lichenpick/simulate.go
+++ b/cmd/lichenpick/simulate.go
@@ -21,12 +21,12 @@
 	command := &cobra.Command{
 		Use:   "simulate SCRIPT",
 		Short: "Play a scenario in simulated time, with models of servers, clients and links",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		Long: "Planner core, policy and proxies are the program's own; the rest is modelled. One seed gives one run. Faults that only\n" +
 			"sockets can have are refused.",
 		RunE: func(command *cobra.Command, args []string) error {
 			if seeds < 1 || seeds > maxSeeds {
-				return usage{fmt.Errorf("--seeds from 1 to %d, not %d", maxSeeds, seeds)}
+				return usageError{fmt.Errorf("--seeds from 1 to %d, not %d", maxSeeds, seeds)}
 			}
 			return simulate(args[0], seeds, command.OutOrStdout())
 		},
--- a/cmd/lichenpick/store.go
+++ b/cmd/lichenpick/store.go
@@ -24,7 +24,7 @@
 		Use:   "init PLANNER-FILE",
 		Short: "Make the store of a new controller",
 		Long:  "Makes the store that the settings name. For a controller that is new: one that loses its store should get a new name.",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			planner, err := loadSharingPlanner(args[0])
 			if err != nil {
@@ -39,7 +39,7 @@
 	return &cobra.Command{
 		Use:   "show PLANNER-FILE",
 		Short: "Check a store, and print whose it is",
-		Args:  exactly(1),
+		Args:  exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			planner, err := loadSharingPlanner(args[0])
 			if err != nil {
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if planner.Sharing == nil {
-		return nil, usage{fmt.Errorf("%s: has no sharing block", file)}
+		return nil, usageError{fmt.Errorf("%s: has no sharing block", file)}
 	}
 	return planner, nil
 }
--- a/cmd/lichenpick/stress.go
+++ b/cmd/lichenpick/stress.go
@@ -39,7 +39,7 @@
 	command := &cobra.Command{
 		Use:   "stress -c PLANNER-FILE",
 		Short: "Load planners with many fake proxies that only speak the control stream",
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		Long: "Reads a planner's settings for its address, zones, traffic classes and list file, writes that list, and joins. Requests are\n" +
 			"made up by the weights that the proxies hold. For measurements of planners at large sizes. With --spawn it also starts\n" +
 			"planners made from that file in a directory of their own, on the next ports, and says at the end what each used.",
@@ -83,31 +83,31 @@
 
 // plan returns the checked plan.
 func (f *stressFlags) plan() (*stressPlan, error) {
-	set := &pb.Planner{}
-	if err := settings.Load(f.file, set); err != nil {
+	config := &pb.Planner{}
+	if err := settings.Load(f.file, config); err != nil {
 		return nil, err
 	}
 	lengthMs := settings.Milliseconds(f.length)
-	list, hasList := set.List.From.(*pb.ListSource_File)
+	list, hasList := config.List.From.(*pb.ListSource_File)
 	sized := lengthMs > 0 && f.test.Proxies > 0 && f.test.Servers > 0
 	if !hasList || !sized || f.spawned < 0 || f.spawned > maxSpawned {
-		return nil, usage{errStressUsage}
+		return nil, usageError{errStressUsage}
 	}
 	if f.plannerCores > 0 && f.spawned > 0 {
-		set.Cores = proto.Uint32(uint32(f.plannerCores))
+		config.Cores = proto.Uint32(uint32(f.plannerCores))
 	}
 	test := &f.test
 	test.Clock = clock.NewReal()
-	test.Network = machine
-	test.Planners = []string{set.Listen}
+	test.Network = localNetwork
+	test.Planners = []string{config.Listen}
 	test.List = list.File.Path
-	test.Classes = set.Groups
-	test.ReportIntervalMs = settings.Milliseconds(set.Reports.Every)
-	test.SharedFleet = set.Sharing != nil
-	for _, zone := range set.Zones {
+	test.Classes = config.Groups
+	test.ReportIntervalMs = settings.Milliseconds(config.Reports.Every)
+	test.SharedFleet = config.Sharing != nil
+	for _, zone := range config.Zones {
 		test.Zones = append(test.Zones, zone.Name)
 	}
-	return &stressPlan{test: test, settings: set, lengthMs: lengthMs, spawned: f.spawned, kill: f.kill}, nil
+	return &stressPlan{test: test, settings: config, lengthMs: lengthMs, spawned: f.spawned, kill: f.kill}, nil
 }
 
 // run runs the stress test, with planners of its own where the plan has any, and prints the result.
--- a/cmd/lichenpick/version.go
+++ b/cmd/lichenpick/version.go
@@ -9,7 +9,7 @@
 
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Print the version", Args: exactly(0),
+		Use: "version", Short: "Print the version", Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			_, err := fmt.Fprintln(command.OutOrStdout(), "lichenpick", version())
 			return err
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const longMs = 3_600_000
+const hourMs = 3_600_000
 
 func TestSleep(t *testing.T) {
 	t.Run("it lasts for the span", func(t *testing.T) {
@@ -23,14 +23,14 @@
 		}
 	})
 	t.Run("a negative span ends at once", func(t *testing.T) {
-		if err := Sleep(t.Context(), NewReal(), -longMs); err != nil {
+		if err := Sleep(t.Context(), NewReal(), -hourMs); err != nil {
 			t.Error(err)
 		}
 	})
 	t.Run("the end of the context ends it", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		if err := Sleep(ctx, NewReal(), longMs); !errors.Is(err, context.Canceled) {
+		if err := Sleep(ctx, NewReal(), hourMs); !errors.Is(err, context.Canceled) {
 			t.Errorf("ended by %v, want %v", err, context.Canceled)
 		}
 	})
@@ -39,11 +39,11 @@
 func TestRealDeadline(t *testing.T) {
 	clock := NewReal()
 	before := time.Now()
-	deadline := clock.Deadline(longMs)
-	if span := deadline.Sub(before); span < longMs*time.Millisecond || span > (longMs+60_000)*time.Millisecond {
+	deadline := clock.Deadline(hourMs)
+	if span := deadline.Sub(before); span < hourMs*time.Millisecond || span > (hourMs+60_000)*time.Millisecond {
 		t.Errorf("a deadline in %v", span)
 	}
-	if past := clock.Deadline(-longMs); past.Before(before) {
+	if past := clock.Deadline(-hourMs); past.Before(before) {
 		t.Errorf("a negative span gives a deadline before now: %v", past)
 	}
 }
--- a/internal/golden/digest_test.go
+++ b/internal/golden/digest_test.go
@@ -5,26 +5,26 @@
 	"testing"
 )
 
-func digestOf(second string) []byte {
-	digest := NewDigest("story", 1000)
+func testDigest(second string) []byte {
+	digest := NewDigest("test", 1000)
 	digest.Add(100, "first %d", 1)
 	digest.Add(1500, "%s", second)
 	return digest.Finish(2500)
 }
 
 func TestDigest(t *testing.T) {
-	one := bytes.Split(digestOf("second"), []byte("\n"))
-	other := bytes.Split(digestOf("secund"), []byte("\n"))
-	if len(one) != 4 || !bytes.HasPrefix(one[0], []byte("story until=1s events=1 sha256=")) {
-		t.Fatalf("%q", one)
+	base := bytes.Split(testDigest("second"), []byte("\n"))
+	changed := bytes.Split(testDigest("secund"), []byte("\n"))
+	if len(base) != 4 || !bytes.HasPrefix(base[0], []byte("test until=1s events=1 sha256=")) {
+		t.Fatalf("%q", base)
 	}
-	if !bytes.Equal(one[0], other[0]) {
+	if !bytes.Equal(base[0], changed[0]) {
 		t.Error("the interval before the difference has another hash")
 	}
-	if bytes.Equal(one[1], other[1]) || bytes.Equal(one[2], other[2]) {
+	if bytes.Equal(base[1], changed[1]) || bytes.Equal(base[2], changed[2]) {
 		t.Error("the interval of the difference, or one after it, has the same hash")
 	}
-	if !bytes.Equal(digestOf("second"), digestOf("second")) {
+	if !bytes.Equal(testDigest("second"), testDigest("second")) {
 		t.Error("equal events give other lines")
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -27,7 +27,7 @@
 func Check(t *testing.T, path string, got []byte) {
 	t.Helper()
 	if *update {
-		write(t, path, got)
+		writeFile(t, path, got)
 		return
 	}
 	want, err := os.ReadFile(path)
@@ -43,7 +43,7 @@
 	}
 }
 
-func write(t *testing.T, path string, content []byte) {
+func writeFile(t *testing.T, path string, content []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), directoryMode); err != nil {
 		t.Fatalf("creating the directory of a golden file: %v", err)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -18,8 +18,8 @@
 	return nil
 }
 
-// checkOf gives what the .proto file states beside a field; nil, which reads as nothing, if it states nothing.
-func checkOf(field protoreflect.FieldDescriptor) *options.Check {
+// fieldCheck gives what the .proto file states beside a field; nil, which reads as nothing, if it states nothing.
+func fieldCheck(field protoreflect.FieldDescriptor) *options.Check {
 	check, _ := proto.GetExtension(field.Options(), options.E_Check).(*options.Check)
 	return check
 }
@@ -37,13 +37,13 @@
 
 // checkList checks a repeated field. An empty one stays empty: lists have no defaults.
 func checkList(list protoreflect.List, field protoreflect.FieldDescriptor, parent path) *problem {
-	check := checkOf(field)
+	check := fieldCheck(field)
 	name := string(field.Name())
 	if check.GetRequired() && list.Len() == 0 {
 		return newProblem(parent.field(name), "is missing; at least one is needed")
 	}
-	if most := int(check.GetMost()); most > 0 && list.Len() > most {
-		return newProblem(parent.field(name), "has %d entries; at most %d", list.Len(), most)
+	if maxEntries := int(check.GetMost()); maxEntries > 0 && list.Len() > maxEntries {
+		return newProblem(parent.field(name), "has %d entries; at most %d", list.Len(), maxEntries)
 	}
 	for index := range list.Len() {
 		if found := checkEntry(list.Get(index), field, parent.entry(name, index)); found != nil {
@@ -59,9 +59,9 @@
 	if field.Message() != nil {
 		return checkMessage(entry.Message(), at)
 	}
-	check := checkOf(field)
+	check := fieldCheck(field)
 	if check.GetKind() == options.Kind_PREFIX && entry.String() == "" {
-		return wrongPrefix("", at)
+		return invalidPrefix("", at)
 	}
 	return checkValue(entry, field, check, at)
 }
@@ -70,10 +70,10 @@
 // a choice that was not made, or a block that needs values of its own.
 func checkSubmessage(message protoreflect.Message, field protoreflect.FieldDescriptor, at path) *problem {
 	if !message.Has(field) {
-		if checkOf(field).GetRequired() {
+		if fieldCheck(field).GetRequired() {
 			return newProblem(at, "is missing")
 		}
-		if field.ContainingOneof() != nil || !hasDefaults(field.Message()) {
+		if field.ContainingOneof() != nil || !hasOnlyOptionalFields(field.Message()) {
 			return nil
 		}
 	}
@@ -81,7 +81,7 @@
 }
 
 func checkScalar(message protoreflect.Message, field protoreflect.FieldDescriptor, at path) *problem {
-	check := checkOf(field)
+	check := fieldCheck(field)
 	if !message.Has(field) {
 		if check.GetRequired() {
 			return newProblem(at, "is missing")
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -38,10 +38,10 @@
 	}
 }
 
-// hasDefaults says whether a message that is left out can be filled in: none of its fields is required.
-func hasDefaults(message protoreflect.MessageDescriptor) bool {
+// hasOnlyOptionalFields says whether a message that is left out can be filled in: none of its fields is required.
+func hasOnlyOptionalFields(message protoreflect.MessageDescriptor) bool {
 	for index := range message.Fields().Len() {
-		if checkOf(message.Fields().Get(index)).GetRequired() {
+		if fieldCheck(message.Fields().Get(index)).GetRequired() {
 			return false
 		}
 	}
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// notRepeated is the index of a step to a field that is not repeated, or to a repeated one as a whole.
-const notRepeated = -1
+// noIndex is the index of a step to a field that is not repeated, or to a repeated one as a whole.
+const noIndex = -1
 
 // step is one part of a path: a field and, in a repeated one, which entry.
 type step struct {
@@ -20,15 +20,15 @@
 
 // fieldPath is the path of a field below the file's message, through messages that are not repeated.
 func fieldPath(names ...string) path {
-	var to path
+	var result path
 	for _, name := range names {
-		to = to.field(name)
+		result = result.field(name)
 	}
-	return to
+	return result
 }
 
 // field is the path of a field below.
-func (p path) field(name string) path { return append(slices.Clip(p), step{name, notRepeated}) }
+func (p path) field(name string) path { return append(slices.Clip(p), step{name, noIndex}) }
 
 // entry is the path of an entry of a repeated field below.
 func (p path) entry(name string, index int) path { return append(slices.Clip(p), step{name, index}) }
@@ -36,10 +36,10 @@
 // String gives a path such as groups[1].expiry.
 func (p path) String() string {
 	parts := make([]string, len(p))
-	for depth, one := range p {
-		parts[depth] = one.name
-		if one.index != notRepeated {
-			parts[depth] = fmt.Sprintf("%s[%d]", one.name, one.index)
+	for depth, current := range p {
+		parts[depth] = current.name
+		if current.index != noIndex {
+			parts[depth] = fmt.Sprintf("%s[%d]", current.name, current.index)
 		}
 	}
 	return strings.Join(parts, ".")
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -14,15 +14,15 @@
 // ClassShares returns the share of each traffic class in the requests of a checked scenario; they add up to 1. Where the
 // scenario states none, all are equal.
 func ClassShares(scenario *script.Script) []float64 {
-	given := scenario.Traffic.Shares
+	configured := scenario.Traffic.Shares
 	shares := make([]float64, len(scenario.Groups))
 	total := 0.0
 	for class := range shares {
 		switch {
-		case len(given) == 0:
+		case len(configured) == 0:
 			shares[class] = 1
-		case class < len(given):
-			shares[class] = given[class]
+		case class < len(configured):
+			shares[class] = configured[class]
 		}
 		total += shares[class]
 	}
--- a/internal/settings/source.go
+++ b/internal/settings/source.go
@@ -26,8 +26,8 @@
 func (s *source) locate(found *problem) *Error {
 	located := &Error{File: s.name, Line: 1, Column: 1, Field: found.at.String(), Problem: found.text}
 	nodes := s.nodes
-	for _, one := range found.at {
-		node := findNode(nodes, one)
+	for _, next := range found.at {
+		node := findNode(nodes, next)
 		if node == nil {
 			break
 		}
@@ -39,14 +39,14 @@
 
 // findNode finds the node of a step among the fields of a message; nil if there is none. A repeated field may be written as
 // one node for each entry, as a list of messages or as a list of values.
-func findNode(nodes []*ast.Node, one step) *ast.Node {
+func findNode(nodes []*ast.Node, target step) *ast.Node {
 	index := 0
 	for _, node := range nodes {
-		if node.Name != one.name {
+		if node.Name != target.name {
 			continue
 		}
 		for _, entry := range entriesOf(node) {
-			if one.index == notRepeated || index == one.index {
+			if target.index == noIndex || index == target.index {
 				return entry
 			}
 			index++
--- a/internal/settings/units.go
+++ b/internal/settings/units.go
@@ -10,8 +10,8 @@
 
 // Errors of texts with a unit. They stay in this package: a problem says what is wanted instead.
 var (
-	errNoUnit = errors.New("no unit")
-	errNoRate = errors.New("no rate")
+	errNoUnit      = errors.New("no unit")
+	errInvalidRate = errors.New("no rate")
 )
 
 // Milliseconds gives a checked time in ms; empty is 0.
@@ -50,7 +50,7 @@
 	seconds := secondsByRateUnit[unit]
 	count, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
 	if !hasUnit || err != nil || seconds == 0 || math.IsNaN(count) {
-		return 0, errNoRate
+		return 0, errInvalidRate
 	}
 	return count / seconds, nil
 }
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -57,13 +57,13 @@
 		}
 	case options.Kind_PREFIX:
 		if _, err := netip.ParsePrefix(text); err != nil {
-			return wrongPrefix(text, at)
+			return invalidPrefix(text, at)
 		}
 	}
 	return nil
 }
 
-func wrongPrefix(text string, at path) *problem {
+func invalidPrefix(text string, at path) *problem {
 	return newProblem(at, "holds %q; an IP prefix is wanted, such as \"10.1.0.0/16\"", text)
 }
 
@@ -87,14 +87,14 @@
 
 // checkRange checks a number against its limits. It rejects infinities and NaN, which compares with no limit. Shown is the
 // value as the file has it; limits are written by format.
-func checkRange(number float64, shown string, check *options.Check, at path, format func(float64) string) *problem {
-	outside := math.IsNaN(number) || math.IsInf(number, 0)
+func checkRange(number float64, valueText string, check *options.Check, at path, format func(float64) string) *problem {
+	outOfRange := math.IsNaN(number) || math.IsInf(number, 0)
 	if check != nil {
-		outside = outside || check.Min != nil && number < check.GetMin()
-		outside = outside || check.Max != nil && number > check.GetMax()
+		outOfRange = outOfRange || check.Min != nil && number < check.GetMin()
+		outOfRange = outOfRange || check.Max != nil && number > check.GetMax()
 	}
-	if outside {
-		return newProblem(at, "holds %s, out of its range%s", shown, describeRange(check, format))
+	if outOfRange {
+		return newProblem(at, "holds %s, out of its range%s", valueText, describeRange(check, format))
 	}
 	return nil
 }
--- a/internal/simulator/adapter.go
+++ b/internal/simulator/adapter.go
@@ -15,14 +15,14 @@
 
 // adapter owns the instances and drives them batch by batch.
 type adapter struct {
-	instances   map[string]*instance // by name
-	actions     actionWriter         // of the present batch
-	diagnostics io.Writer
-	unknown     map[string]bool // names of unknown messages that were reported
+	instances       map[string]*instance // by name
+	actions         actionWriter         // of the present batch
+	diagnostics     io.Writer
+	reportedUnknown map[string]bool // names of unknown messages that were reported
 }
 
 func newAdapter(diagnostics io.Writer) *adapter {
-	return &adapter{instances: map[string]*instance{}, diagnostics: diagnostics, unknown: map[string]bool{}}
+	return &adapter{instances: map[string]*instance{}, diagnostics: diagnostics, reportedUnknown: map[string]bool{}}
 }
 
 // Serve reads batches and writes a reply to each until the input ends, and then returns nil. Input that it cannot decode ends
@@ -82,7 +82,7 @@
 	for _, target := range pending {
 		target.pending = false
 		if a.instances[target.name] == target { // not killed, or replaced, later in the batch
-			target.guarded(func() { pullDecisions(target) })
+			target.runRecovered(func() { pullDecisions(target) })
 		}
 	}
 	return nil
@@ -133,9 +133,9 @@
 		return err
 	}
 	var err error
-	target.guarded(func() {
+	target.runRecovered(func() {
 		target.policy.SetTime(nowMs)
-		var apply input
+		var apply policyCall
 		apply, err = decode(raw)
 		if err == nil {
 			apply(target.policy)
@@ -158,9 +158,9 @@
 
 // reportUnknown reports the name of an unknown message, once: a newer simulator may send many.
 func (a *adapter) reportUnknown(name string) {
-	if a.unknown[name] {
+	if a.reportedUnknown[name] {
 		return
 	}
-	a.unknown[name] = true
+	a.reportedUnknown[name] = true
 	_, _ = fmt.Fprintf(a.diagnostics, "adapter: unknown message %q skipped\n", name) // without diagnostics, replies still count
 }
--- a/internal/simulator/adapter_test.go
+++ b/internal/simulator/adapter_test.go
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	crashing := adapter.instances["planner_0"]
-	crashing.guarded(func() { panic("odd") })
+	crashing.runRecovered(func() { panic("odd") })
 	actions := string(adapter.actions.buffer)
 	if !strings.Contains(actions, `"what":"Crash","Who":"planner_0","Line":"odd"`) || crashing.policy != nil {
 		t.Errorf("%s", actions)
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -50,37 +50,37 @@
 	return *header.What, instance, nil
 }
 
-// input is a message as the call on the policy that it means.
-type input func(*policy.Policy)
+// policyCall is a message as the call on the policy that it means.
+type policyCall func(*policy.Policy)
 
 // decoder reads a message of one name.
-type decoder func(raw []byte) (input, error)
+type decoder func(raw []byte) (policyCall, error)
 
 // decoders are by message name. Those of the adapter itself decode nothing here.
 var decoders = map[string]decoder{
-	messageOpen:  ignore,
-	messageKill:  ignore,
+	messageOpen:  decodeIgnored,
+	messageKill:  decodeIgnored,
 	"Registry":   decodeEndpoints,
 	"DialledIn":  decode((*wireProxyAdded).apply),
 	"LostStream": decode((*wireProxyRemoved).apply),
 	"Stats":      decode((*wireLoadReport).apply),
 	"Usage":      decode((*wireDemandReport).apply),
 	"CaughtUp":   decode((*wireAcknowledgement).apply),
-	"Ring":       ignore, // a timer: being called is all that it is for
+	"Ring":       decodeIgnored, // a timer: being called is all that it is for
 	// Known and not needed: health checks, slices of keys, and messages among instances.
-	"Health":     ignore,
-	"Datagram":   ignore,
-	"Hotness":    ignore,
-	"Handed":     ignore,
-	"StoredLine": ignore,
+	"Health":     decodeIgnored,
+	"Datagram":   decodeIgnored,
+	"Hotness":    decodeIgnored,
+	"Handed":     decodeIgnored,
+	"StoredLine": decodeIgnored,
 }
 
-// ignore decodes a message that means no call.
-func ignore([]byte) (input, error) { return func(*policy.Policy) {}, nil }
+// decodeIgnored decodes a message that means no call.
+func decodeIgnored([]byte) (policyCall, error) { return func(*policy.Policy) {}, nil }
 
 // decode makes a decoder of a message with plain fields.
 func decode[M any](apply func(*M, *policy.Policy)) decoder {
-	return func(raw []byte) (input, error) {
+	return func(raw []byte) (policyCall, error) {
 		message := new(M)
 		if err := json.Unmarshal(raw, message); err != nil {
 			return nil, err
@@ -161,33 +161,33 @@
 	BornMs       float64
 }
 
-// updateKinds are the forms of a list.
-var updateKinds = map[string]policy.UpdateKind{
+// updateKindByName are the forms of a list.
+var updateKindByName = map[string]policy.UpdateKind{
 	"update":      policy.DeltaUpdate,
 	"replace":     policy.FullUpdate,
 	"restored":    policy.RestoredUpdate,
 	"unavailable": policy.FailedUpdate,
 }
 
-// endpointStates are the states of a server in a list.
-var endpointStates = map[string]policy.State{
+// endpointStateByName are the states of a server in a list.
+var endpointStateByName = map[string]policy.State{
 	"SERVING":  policy.Ready,
 	"DRAINING": policy.Draining,
 	"DELETED":  policy.Removed,
 }
 
-func decodeEndpoints(raw []byte) (input, error) {
+func decodeEndpoints(raw []byte) (policyCall, error) {
 	var message wireEndpoints
 	if err := json.Unmarshal(raw, &message); err != nil {
 		return nil, err
 	}
-	kind, known := updateKinds[message.Form]
+	kind, known := updateKindByName[message.Form]
 	if !known {
 		return nil, fmt.Errorf("field Form holds %q, which is no kind of list", message.Form)
 	}
 	endpoints := make([]policy.Endpoint, 0, len(message.NodesList))
 	for _, node := range message.NodesList {
-		state, known := endpointStates[node.Availability]
+		state, known := endpointStateByName[node.Availability]
 		if !known {
 			return nil, fmt.Errorf("field NodesList.Availability holds %q, which is no state", node.Availability)
 		}
--- a/internal/simulator/encode.go
+++ b/internal/simulator/encode.go
@@ -30,21 +30,21 @@
 	w.start("HandTable", instance)
 	w.number("Proxy", float64(proxy))
 	w.number("MapId", float64(table))
-	w.number("ForClasses", classSet(classes...))
+	w.number("ForClasses", classBitmask(classes...))
 	w.end()
 }
 
 func (w *actionWriter) setEjected(instance, server string, ejected bool) {
 	w.start("Mask", instance)
 	w.text("Server", server)
-	w.flag("Active", ejected)
+	w.boolean("Active", ejected)
 	w.end()
 }
 
 func (w *actionWriter) setAdmission(instance string, table, class int, fraction float64, retry int) {
 	w.start("Ration", instance)
 	w.number("How", float64(retry))
-	w.number("ForClasses", classSet(class))
+	w.number("ForClasses", classBitmask(class))
 	w.number("MapId", float64(table))
 	w.number("Limit", fraction)
 	w.end()
@@ -53,13 +53,13 @@
 func (w *actionWriter) requestAcknowledgement(instance string, number int) {
 	w.start("AskReceipt", instance)
 	w.number("Number", float64(number))
-	w.flag("Active", false)
+	w.boolean("Active", false)
 	w.end()
 }
 
 func (w *actionWriter) watchEndpoints(instance string) {
 	w.start("Follow", instance)
-	w.flag("Active", true)
+	w.boolean("Active", true)
 	w.end()
 }
 
@@ -76,8 +76,8 @@
 	w.end()
 }
 
-// classSet is a set of traffic classes as the wire has it: a number with a bit for each.
-func classSet(classes ...int) float64 {
+// classBitmask is a set of traffic classes as the wire has it: a number with a bit for each.
+func classBitmask(classes ...int) float64 {
 	set := 0.0
 	for _, class := range classes {
 		set += float64(uint64(1) << class)
@@ -114,7 +114,7 @@
 	w.buffer = strconv.AppendFloat(w.buffer, value, 'f', -1, 64)
 }
 
-func (w *actionWriter) flag(name string, value bool) {
+func (w *actionWriter) boolean(name string, value bool) {
 	w.key(name)
 	w.buffer = strconv.AppendBool(w.buffer, value)
 }
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -114,7 +114,7 @@
 }
 
 // conversation gives all batches, one a line. One planner is killed and opened again, another closed for good.
-func conversation() string {
+func generateInput() string {
 	fleet := &simulatedFleet{random: rand.New(rand.NewSource(seed))}
 	var lines strings.Builder
 	planners := []string{"planner_0", "planner_1"}
@@ -140,7 +140,7 @@
 // was split by concern.
 func TestGoldenAdapter(t *testing.T) {
 	var output, diagnostics bytes.Buffer
-	if err := simulator.Serve(strings.NewReader(conversation()), &output, &diagnostics); err != nil {
+	if err := simulator.Serve(strings.NewReader(generateInput()), &output, &diagnostics); err != nil {
 		t.Fatal(err)
 	}
 	digest := golden.NewDigest("adapter", digestMs)
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -18,9 +18,9 @@
 
 var _ policy.Host = (*instance)(nil)
 
-// guarded calls a function that uses the policy. It guards the other instances against a fault of one: a panic is reported
+// runRecovered calls a function that uses the policy. It guards the other instances against a fault of one: a panic is reported
 // to the simulator as the instance's crash.
-func (i *instance) guarded(call func()) {
+func (i *instance) runRecovered(call func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			i.actions.crash(i.name, fmt.Sprint(cause))
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -23,8 +23,8 @@
 	watchedDiscovery = "subscribe"
 )
 
-// idempotencies are by their names; any other name is policy.NonIdempotent.
-var idempotencies = map[string]policy.Idempotency{
+// idempotencyByName are by their names; any other name is policy.NonIdempotent.
+var idempotencyByName = map[string]policy.Idempotency{
 	"read_like":       policy.Idempotent,
 	"idempotency_key": policy.Deduplicated,
 }
@@ -90,15 +90,15 @@
 		settings.Policy.Classes = append(settings.Policy.Classes, policy.TrafficClass{
 			LatencyObjectiveMs: class.AimMs,
 			PriorityWeight:     class.Worth,
-			Idempotency:        idempotencies[class.Repeat],
-			SameZoneOnly:       wire.FamilyInfo.staysLocal(index),
+			Idempotency:        idempotencyByName[class.Repeat],
+			SameZoneOnly:       wire.FamilyInfo.sameZoneOnly(index),
 		})
 	}
 	return settings, nil
 }
 
-// staysLocal says whether a class may go only to servers of the proxy's zone.
-func (f *wireFamily) staysLocal(class int) bool {
+// sameZoneOnly says whether a class may go only to servers of the proxy's zone.
+func (f *wireFamily) sameZoneOnly(class int) bool {
 	return class < len(f.StaysLocal) && f.StaysLocal[class]
 }
 
