--- a/cmd/lichenpick/main_test.go
+++ b/cmd/lichenpick/main_test.go
@@ -61,7 +61,7 @@
 		"an unknown flag": {[]string{"proxy", "--odd"}, 2, "--odd"},
 		"a bad script": {
 			[]string{"scenario", write("script", shortScenario+`troubles { at: "1s" zone_loss { zone: "mars" } }`)},
-			2, `holds "mars", which is no place`,
+			2, `is "mars", which is not the name of a place`,
 		},
 		"a scenario that keeps the invariants": {[]string{"scenario", write("kept", shortScenario)}, 0, ""},
 		"a scenario that breaks an invariant":  {[]string{"scenario", write("broken", brokenScenario)}, 1, "broke a rule"},
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock is the program's only way to time and network. All other packages are handed a Clock and a Network, so that
-// the same code runs with the machine's own (Real, TCP) and with simulated ones.
+// Package clock provides the program's only access to time and to the network. Other packages receive a Clock and a Network,
+// so that the same code runs with those of the machine (Real, TCP) and with simulated ones.
 //
-// Spans are in ms, as float64, like those of the policy. All types are safe for use by several goroutines.
+// Durations are in ms, as float64, like those of the policy. All types are safe for use by several goroutines.
 package clock
 
 import (
@@ -13,27 +13,29 @@
 
 // Clock tells time and sets timers.
 type Clock interface {
-	// Monotonic is the time since an arbitrary origin, in ms. It never jumps. It is for spans, limits and deadlines.
+	// Monotonic returns the time since an arbitrary origin, in ms. It never jumps. It is for durations, limits and deadlines.
 	Monotonic() float64
-	// WallTime is the date. It jumps when the machine's clock is set, so it is only to be shown or sent along.
+	// WallTime returns the date and time of day. It jumps when the machine's clock is set, so use it only for display and in
+	// messages.
 	WallTime() time.Time
-	// NewTimer returns a channel that gets one value after a span, and a function that releases the timer before that. The
-	// function is to be called in any case; it may be called more than once.
+	// NewTimer returns a channel that receives one value after the given duration in ms, and a function that releases the timer.
+	// The caller must call the function in any case, and may call it more than once.
 	NewTimer(ms float64) (fired <-chan time.Time, stop func())
-	// Deadline is the time after a span, as net.Conn takes it for reads and writes. A jump of the date does not move it.
+	// Deadline returns the time after the given duration in ms, for the deadline methods of net.Conn. It does not move when the
+	// machine's clock is set.
 	Deadline(ms float64) time.Time
 }
 
 // Network dials and listens.
 type Network interface {
-	// Dial connects to an address, host:port, from a local address, or from any if that is invalid. The context bounds the
-	// time until the connection is up.
+	// Dial connects to an address, host:port, from a local IP address, or from any if from is the zero Addr. The context limits
+	// the time until the connection is established, not the connection.
 	Dial(ctx context.Context, from netip.Addr, to string) (net.Conn, error)
-	// Listen accepts connections at an address, host:port. The context does not end the listener.
+	// Listen listens on an address, host:port. The end of the context does not close the listener.
 	Listen(ctx context.Context, at string) (net.Listener, error)
 }
 
-// Sleep waits for a span. If the context ends before, it returns the context's error.
+// Sleep waits for the given duration in ms. If the context ends first, it returns the context's error.
 func Sleep(ctx context.Context, clock Clock, ms float64) error {
 	fired, stop := clock.NewTimer(ms)
 	defer stop()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,7 +11,7 @@
 const hourMs = 3_600_000
 
 func TestSleep(t *testing.T) {
-	t.Run("it lasts for the span", func(t *testing.T) {
+	t.Run("returns no earlier than after the duration", func(t *testing.T) {
 		const spanMs = 5
 		clock := NewReal()
 		startMs := clock.Monotonic()
@@ -22,12 +22,12 @@
 			t.Errorf("ended after %g ms", elapsedMs)
 		}
 	})
-	t.Run("a negative span ends at once", func(t *testing.T) {
+	t.Run("a negative duration returns at once", func(t *testing.T) {
 		if err := Sleep(t.Context(), NewReal(), -hourMs); err != nil {
 			t.Error(err)
 		}
 	})
-	t.Run("the end of the context ends it", func(t *testing.T) {
+	t.Run("returns when the context ends", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if err := Sleep(ctx, NewReal(), hourMs); !errors.Is(err, context.Canceled) {
@@ -41,14 +41,14 @@
 	before := time.Now()
 	deadline := clock.Deadline(hourMs)
 	if span := deadline.Sub(before); span < hourMs*time.Millisecond || span > (hourMs+60_000)*time.Millisecond {
-		t.Errorf("a deadline in %v", span)
+		t.Errorf("the deadline is in %v, want one hour", span)
 	}
 	if past := clock.Deadline(-hourMs); past.Before(before) {
-		t.Errorf("a negative span gives a deadline before now: %v", past)
+		t.Errorf("the deadline of a negative duration is in the past: %v", past)
 	}
 }
 
-// TestTCPDialsFromAddress states that a connection comes from the local address that was asked for.
+// TestTCPDialsFromAddress checks that Dial connects from the requested local address.
 func TestTCPDialsFromAddress(t *testing.T) {
 	listener, err := TCP{}.Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
--- a/internal/golden/digest.go
+++ b/internal/golden/digest.go
@@ -7,25 +7,25 @@
 	"hash"
 )
 
-const hashBytes = 12 // of a digest's SHA-256 that are written down
+const hashBytes = 12 // leading bytes of the SHA-256 that a line shows
 
-// Digest sums up a sequence of events as one line for each interval of simulated time. A line's hash covers all events up
-// to its end, so the first line that differs names the interval in which behaviour first diverged.
+// Digest summarises a sequence of events as one line per interval of simulated time. The hash of a line covers all events from
+// the start up to the end of its interval, so the first line that differs shows the interval in which behaviour diverged.
 type Digest struct {
 	name       string
 	intervalMs float64
-	endMs      float64 // of the interval that is open
-	events     int     // since the start
+	endMs      float64 // end of the current interval
+	events     int     // number of events since the start
 	hash       hash.Hash
 	text       bytes.Buffer
 }
 
-// NewDigest starts a digest of what happens from 0 ms on.
+// NewDigest starts a digest at a time of 0 ms.
 func NewDigest(name string, intervalMs float64) *Digest {
 	return &Digest{name: name, intervalMs: intervalMs, endMs: intervalMs, hash: sha256.New()}
 }
 
-// Add takes in an event at a time, in ms, that is no earlier than that of the one before.
+// Add adds an event at a time in ms, which must not be earlier than the previous event's.
 func (d *Digest) Add(atMs float64, format string, args ...any) {
 	d.closeIntervals(atMs)
 	d.events++
@@ -34,7 +34,7 @@
 	d.hash.Write(append(line, '\n'))
 }
 
-// Finish ends the digest at a time, in ms, and gives its lines.
+// Finish ends the digest at a time in ms, and returns its lines.
 func (d *Digest) Finish(atMs float64) []byte {
 	d.closeIntervals(atMs)
 	d.writeLine(atMs)
--- a/internal/golden/digest_test.go
+++ b/internal/golden/digest_test.go
@@ -19,12 +19,12 @@
 		t.Fatalf("%q", base)
 	}
 	if !bytes.Equal(base[0], changed[0]) {
-		t.Error("the interval before the difference has another hash")
+		t.Error("the interval before the changed event has another hash")
 	}
 	if bytes.Equal(base[1], changed[1]) || bytes.Equal(base[2], changed[2]) {
-		t.Error("the interval of the difference, or one after it, has the same hash")
+		t.Error("the interval of the changed event, or the one after it, has the same hash")
 	}
 	if !bytes.Equal(testDigest("second"), testDigest("second")) {
-		t.Error("equal events give other lines")
+		t.Error("equal events give different lines")
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden compares the output of a test with a file that was recorded by an earlier run. It is for tests alone.
+// Package golden compares the output of a test with a file that an earlier run recorded. Only tests may import it.
 //
-// A golden file is changed only by running the test with the flag -update, which this package registers, in a commit
-// that says which behaviour changed and why.
+// To change a golden file, run the test with the flag -update, which this package registers, and commit the file with a
+// message that says which behaviour changed and why.
 package golden
 
 import (
@@ -22,8 +22,8 @@
 
 var update = flag.Bool("update", false, "rewrite golden files with the output of this run")
 
-// Check fails the test when got differs from the golden file at path, which is relative to the directory of the test's
-// package, and names the first line that differs. With the flag -update it writes got to the file instead.
+// Check fails the test if got differs from the golden file at path, and reports the first line that differs. The path is
+// relative to the directory of the test's package. With the flag -update, Check writes got to the file instead.
 func Check(t *testing.T, path string, got []byte) {
 	t.Helper()
 	if *update {
@@ -53,7 +53,8 @@
 	}
 }
 
-// firstDifference describes the first line in which two texts differ, counted from 1. It is empty when they are equal.
+// firstDifference describes the first line in which two texts differ, with line numbers that start at 1. It returns an empty
+// string if the texts are equal.
 func firstDifference(want, got []byte) string {
 	if bytes.Equal(want, got) {
 		return ""
@@ -67,7 +68,7 @@
 			return fmt.Sprintf("line %d differs\nwant %s\n got %s", index+1, wantLine, gotLine)
 		}
 	}
-	return "" // not reached: texts of equal lines are equal
+	return "" // unreachable: texts whose lines are equal are equal
 }
 
 func lineAt(lines [][]byte, index int) string {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -25,6 +25,7 @@
 	}
 }
 
+// TestUpdateWritesTheFile checks that a file which Check wrote with -update passes Check without it.
 func TestUpdateWritesTheFile(t *testing.T) {
 	before := *update
 	defer func() { *update = before }()
--- a/internal/golden/names.go
+++ b/internal/golden/names.go
@@ -2,8 +2,9 @@
 
 import "google.golang.org/protobuf/reflect/protoreflect"
 
-// CollectNames notes the fields that a message, or one below it, holds, and the names of their values of enumerations. Tests
-// compare them with all that the messages declare, so that nothing is missing from a golden file.
+// CollectNames adds to seen the full names of all fields that are set in a message and its submessages, and of the enumeration
+// values of singular fields. Tests compare them with the names that the .proto files declare, so that golden files cover all
+// of them.
 func CollectNames(message protoreflect.Message, seen map[protoreflect.FullName]bool) {
 	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		seen[field.FullName()] = true
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -7,7 +7,7 @@
 	"lichenpick/proto/options"
 )
 
-// checkMessage checks a message and all below it, field by field, and fills in what is left out.
+// checkMessage checks a message and its submessages field by field, and sets the defaults of omitted fields.
 func checkMessage(message protoreflect.Message, at path) *problem {
 	fields := message.Descriptor().Fields()
 	for index := range fields.Len() {
@@ -18,7 +18,8 @@
 	return nil
 }
 
-// fieldCheck gives what the .proto file states beside a field; nil, which reads as nothing, if it states nothing.
+// fieldCheck returns the check option of a field in the .proto file. It is nil, whose getters return zero values, if the field
+// has none.
 func fieldCheck(field protoreflect.FieldDescriptor) *options.Check {
 	check, _ := proto.GetExtension(field.Options(), options.E_Check).(*options.Check)
 	return check
@@ -35,15 +36,15 @@
 	}
 }
 
-// checkList checks a repeated field. An empty one stays empty: lists have no defaults.
+// checkList checks a repeated field. An empty list stays empty, as lists have no defaults.
 func checkList(list protoreflect.List, field protoreflect.FieldDescriptor, parent path) *problem {
 	check := fieldCheck(field)
 	name := string(field.Name())
 	if check.GetRequired() && list.Len() == 0 {
-		return newProblem(parent.field(name), "is missing; at least one is needed")
+		return newProblem(parent.field(name), "is missing; needs at least one entry")
 	}
 	if maxEntries := int(check.GetMost()); maxEntries > 0 && list.Len() > maxEntries {
-		return newProblem(parent.field(name), "has %d entries; at most %d", list.Len(), maxEntries)
+		return newProblem(parent.field(name), "has %d entries; the maximum is %d", list.Len(), maxEntries)
 	}
 	for index := range list.Len() {
 		if found := checkEntry(list.Get(index), field, parent.entry(name, index)); found != nil {
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// checkEntry checks an entry of a repeated field. An empty prefix, which as a field of its own would be left out, is rejected:
-// the planner's tables of prefixes take no such entry.
+// checkEntry checks an entry of a repeated field. An empty string in a list of prefixes is rejected, whereas an empty singular
+// field counts as omitted: the planner parses every entry of the list as a prefix.
 func checkEntry(entry protoreflect.Value, field protoreflect.FieldDescriptor, at path) *problem {
 	if field.Message() != nil {
 		return checkMessage(entry.Message(), at)
@@ -66,8 +67,8 @@
 	return checkValue(entry, field, check, at)
 }
 
-// checkSubmessage checks a message in a field. One that is left out is filled in, unless it says something by being left out:
-// a choice that was not made, or a block that needs values of its own.
+// checkSubmessage checks a field that holds a message. An omitted message is created with its defaults, except where its
+// absence has a meaning: it is an alternative of a oneof that was not chosen, or it has required fields.
 func checkSubmessage(message protoreflect.Message, field protoreflect.FieldDescriptor, at path) *problem {
 	if !message.Has(field) {
 		if fieldCheck(field).GetRequired() {
--- a/internal/settings/crossfield.go
+++ b/internal/settings/crossfield.go
@@ -9,10 +9,10 @@
 	pb "lichenpick/proto/settings"
 )
 
-// minMessagesQueued is how many messages without entries a planner's send queue must hold at the least.
+// minMessagesQueued is the minimum number of messages without entries that must fit into a planner's send queue.
 const minMessagesQueued = 4
 
-// checkAcrossFields checks what no field shows alone. Each field by itself was checked, and filled in, before.
+// checkAcrossFields checks the relations between fields. Every field must have passed its own check, with defaults set.
 func checkAcrossFields(message proto.Message) *problem {
 	switch message := message.(type) {
 	case *pb.Planner:
@@ -35,15 +35,15 @@
 		return found
 	}
 	if planner.List.From == nil {
-		return newProblem(fieldPath("list"), "names no source; file or stream is wanted")
+		return newProblem(fieldPath("list"), "has no source; set file or stream")
 	}
 	if planner.GetPlanners() > planner.GetProxies() {
-		return newProblem(fieldPath("planners"), "holds %d, more than the %d proxies", planner.GetPlanners(), planner.GetProxies())
+		return newProblem(fieldPath("planners"), "is %d, more than the %d proxies", planner.GetPlanners(), planner.GetProxies())
 	}
 	overhead := planner.Channel.GetHeadLines()
 	most := float64(planner.Channel.GetMostWaiting())
 	if overhead*minMessagesQueued > most {
-		return newProblem(fieldPath("channel", "most_waiting"), "holds %g, under four head_lines of %g", most, overhead)
+		return newProblem(fieldPath("channel", "most_waiting"), "is %g, less than four times head_lines (%g)", most, overhead)
 	}
 	return nil
 }
@@ -56,60 +56,61 @@
 		return nil
 	}
 	if _, err := netip.ParseAddr(proxy.From); err != nil {
-		return newProblem(fieldPath("from"), "holds %q; an IP address is wanted", proxy.From)
+		return newProblem(fieldPath("from"), "is %q; want an IP address", proxy.From)
 	}
 	return nil
 }
 
-// checkEndpointList checks that no server is listed twice, and that start times can be computed from the list's own time.
+// checkEndpointList checks that no server is listed twice, and that no server's start time is later than the time of the list.
+// A server's age is the difference of the two.
 func checkEndpointList(list *pb.List) *problem {
 	seen := map[string]bool{}
 	for index, endpoint := range list.Servers {
 		at := path(nil).entry("servers", index)
 		if seen[endpoint.Server] {
-			return newProblem(at, "names %s a second time", endpoint.Server)
+			return newProblem(at, "repeats server %s", endpoint.Server)
 		}
 		seen[endpoint.Server] = true
 		if endpoint.BornUnixMs > 0 && list.AsOfUnixMs == 0 {
-			return newProblem(fieldPath("as_of_unix_ms"), "is missing; born_unix_ms needs it")
+			return newProblem(fieldPath("as_of_unix_ms"), "is missing; required where born_unix_ms is set")
 		}
 		if endpoint.BornUnixMs > list.AsOfUnixMs {
-			return newProblem(at.field("born_unix_ms"), "holds %d, after as_of_unix_ms", endpoint.BornUnixMs)
+			return newProblem(at.field("born_unix_ms"), "is %d, later than as_of_unix_ms", endpoint.BornUnixMs)
 		}
 	}
 	return nil
 }
 
-// checkClasses checks traffic classes: names apart, and deadlines no shorter than latency objectives.
+// checkClasses checks that traffic classes have distinct names, and deadlines that are no shorter than their latency objectives.
 func checkClasses(classes []*pb.Group) *problem {
 	seen := map[string]bool{}
 	for index, class := range classes {
 		at := path(nil).entry("groups", index)
 		if seen[class.Name] {
-			return newProblem(at.field("name"), "holds %q, which an earlier group has", class.Name)
+			return newProblem(at.field("name"), "is %q, the name of an earlier group", class.Name)
 		}
 		seen[class.Name] = true
 		if Milliseconds(class.Expiry) < Milliseconds(class.LatencyBudget) {
-			return newProblem(at.field("expiry"), "holds %q, under the latency_budget of %q", class.Expiry, class.LatencyBudget)
+			return newProblem(at.field("expiry"), "is %q, shorter than the latency_budget of %q", class.Expiry, class.LatencyBudget)
 		}
 	}
 	return nil
 }
 
-// checkZones checks that names and prefixes are apart, so that each address is in one zone.
+// checkZones checks that zones have distinct names and prefixes, so that every address belongs to at most one zone.
 func checkZones(zones []*pb.Zone) *problem {
 	names := map[string]bool{}
 	zoneByPrefix := map[netip.Prefix]string{}
 	for index, zone := range zones {
 		at := path(nil).entry("zones", index)
 		if names[zone.Name] {
-			return newProblem(at.field("name"), "holds %q, which an earlier zone has", zone.Name)
+			return newProblem(at.field("name"), "is %q, the name of an earlier zone", zone.Name)
 		}
 		names[zone.Name] = true
 		for prefixIndex, text := range zone.Prefixes {
-			prefix := netip.MustParsePrefix(text).Masked() // checked before
+			prefix := netip.MustParsePrefix(text).Masked() // cannot panic: checkEntry parsed it
 			if other, used := zoneByPrefix[prefix]; used {
-				return newProblem(at.entry("prefixes", prefixIndex), "holds %s, which zone %q has", text, other)
+				return newProblem(at.entry("prefixes", prefixIndex), "is %s, which zone %q already has", text, other)
 			}
 			zoneByPrefix[prefix] = zone.Name
 		}
--- a/internal/settings/crossfield_script.go
+++ b/internal/settings/crossfield_script.go
@@ -2,10 +2,10 @@
 
 import "lichenpick/proto/script"
 
-// maxShare bounds a traffic class's share; shares are relative to each other.
+// maxShare is the highest share of a traffic class. Shares are relative weights, so they need not add up to 1.
 const maxShare = 1e6
 
-// checkScript checks a scenario's script.
+// checkScript checks the relations between the fields of a scenario script.
 func checkScript(scenario *script.Script) *problem {
 	if found := checkClasses(scenario.Groups); found != nil {
 		return found
@@ -18,7 +18,7 @@
 		return found
 	}
 	if scenario.Servers.GetSlowest() > scenario.Servers.GetFastest() {
-		return newProblem(fieldPath("servers", "slowest"), "holds %g, over fastest", scenario.Servers.GetSlowest())
+		return newProblem(fieldPath("servers", "slowest"), "is %g, greater than fastest", scenario.Servers.GetSlowest())
 	}
 	for index, fault := range scenario.Troubles {
 		at := path(nil).entry("troubles", index)
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// checkShares checks the shares of the traffic classes: none, or one each.
+// checkShares checks that shares are given for all traffic classes or for none, are in range, and do not add up to 0.
 func checkShares(scenario *script.Script) *problem {
 	shares := scenario.Traffic.Shares
 	if len(shares) == 0 {
@@ -41,18 +41,19 @@
 	}
 	total := 0.0
 	for index, share := range shares {
-		if !(share >= 0 && share <= maxShare) { // NaN is neither
-			return newProblem(fieldPath("traffic").entry("shares", index), "holds %g, out of its range; from 0 to 1e+06", share)
+		if !(share >= 0 && share <= maxShare) { // negated, so that NaN is rejected too
+			return newProblem(fieldPath("traffic").entry("shares", index), "is %g, out of range; from 0 to 1e+06", share)
 		}
 		total += share
 	}
 	if total == 0 {
-		return newProblem(at, "add up to nothing")
+		return newProblem(at, "add up to 0")
 	}
 	return nil
 }
 
-// checkPlaces checks the zones of a scenario's fleet and gives their names.
+// checkPlaces checks that the zones of a scenario's fleet have distinct names, and at least one proxy and one server in total.
+// It returns the set of names.
 func checkPlaces(places []*script.Place) (names map[string]bool, found *problem) {
 	names = map[string]bool{}
 	proxies := uint32(0)
@@ -60,33 +61,34 @@
 	for index, place := range places {
 		if names[place.Name] {
 			at := path(nil).entry("places", index)
-			return nil, newProblem(at.field("name"), "holds %q, which an earlier place has", place.Name)
+			return nil, newProblem(at.field("name"), "is %q, the name of an earlier place", place.Name)
 		}
 		names[place.Name] = true
 		proxies += place.GetProxies()
 		servers += place.GetServers()
 	}
 	if proxies == 0 || servers == 0 {
-		return nil, newProblem(fieldPath("places"), "have %d proxies and %d servers; one of each is needed", proxies, servers)
+		return nil, newProblem(fieldPath("places"), "have %d proxies and %d servers in total; at least one of each is needed", proxies, servers)
 	}
 	return names, nil
 }
 
-// checkFault checks one fault of a scenario: of a known kind, in a zone of the fleet, and before the scenario's end.
+// checkFault checks that a fault of a scenario names its kind, affects a zone of the fleet if any, and begins before the
+// scenario ends.
 func checkFault(fault *script.Trouble, zones map[string]bool, length string, at path) *problem {
 	if fault.What == nil {
-		return newProblem(at, "says nothing of what goes wrong")
+		return newProblem(at, "names no kind of fault")
 	}
 	if field, zone := zoneOf(fault); field != "" && !zones[zone] {
-		return newProblem(at.field(field).field("zone"), "holds %q, which is no place of this script", zone)
+		return newProblem(at.field(field).field("zone"), "is %q, which is not the name of a place of this script", zone)
 	}
 	if Milliseconds(fault.At) >= Milliseconds(length) {
-		return newProblem(at.field("at"), "holds %q, after the day's length of %q", fault.At, length)
+		return newProblem(at.field("at"), "is %q, not before the end of the scenario at %q", fault.At, length)
 	}
 	return nil
 }
 
-// zoneOf gives the field of a fault that concerns a zone, and the zone's name; empty for other faults.
+// zoneOf returns the field and the zone's name of a fault that affects one required zone, and empty strings for other faults.
 func zoneOf(fault *script.Trouble) (field, zone string) {
 	switch what := fault.What.(type) {
 	case *script.Trouble_ZoneCut:
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -9,17 +9,17 @@
 	"lichenpick/proto/options"
 )
 
-// setDefault fills in a field that is left out and has a default.
+// setDefault sets an omitted field to the default of its check option.
 func setDefault(message protoreflect.Message, field protoreflect.FieldDescriptor, check *options.Check, at path) *problem {
 	value, err := defaultValue(field, check.GetOtherwise())
-	if err != nil { // a fault of the .proto file, which each test that reads a settings file would show
-		return newProblem(at, "has a default that cannot be read: %v", err)
+	if err != nil { // a mistake in the .proto file, not in the settings file
+		return newProblem(at, "has an invalid default: %v", err)
 	}
 	message.Set(field, value)
 	return nil
 }
 
-// defaultValue reads a default as it stands in the .proto file.
+// defaultValue parses the text of a default for the field's kind.
 func defaultValue(field protoreflect.FieldDescriptor, text string) (protoreflect.Value, error) {
 	switch field.Kind() {
 	case protoreflect.StringKind:
@@ -34,11 +34,12 @@
 		number, err := strconv.ParseUint(text, 10, 64)
 		return protoreflect.ValueOfUint64(number), err
 	default:
-		return protoreflect.Value{}, fmt.Errorf("kind %s takes no default", field.Kind())
+		return protoreflect.Value{}, fmt.Errorf("fields of kind %s cannot have a default", field.Kind())
 	}
 }
 
-// hasOnlyOptionalFields says whether a message that is left out can be filled in: none of its fields is required.
+// hasOnlyOptionalFields reports whether none of a message's fields is required, so that an omitted message can be created
+// from defaults.
 func hasOnlyOptionalFields(message protoreflect.MessageDescriptor) bool {
 	for index := range message.Fields().Len() {
 		if fieldCheck(message.Fields().Get(index)).GetRequired() {
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,17 +1,17 @@
-// Package settings reads settings files: protobuf text format, one message a file, checked against the limits that stand
-// beside each field in the .proto files (package options), with what is left out filled in.
+// Package settings reads settings files in the protobuf text format, one message per file. It checks every field against the
+// limits that the .proto files declare with the option of package options, and sets defaults for omitted fields.
 //
 //	var planner settingspb.Planner
 //	if err := settings.Load(path, &planner); err != nil { ... }
 //
-// A file is accepted whole or rejected whole. The first problem found is an *Error with file, line, column, the field's path
-// and what would be right, in one line. Checks run in this order:
+// A file is accepted or rejected as a whole. The first problem is returned as an *Error, whose one-line text has the file,
+// line, column, the field's path and the values that are allowed. Checks run in this order:
 //
 //   - the text decodes to the message, without unknown fields
-//   - each field by itself, in the order of the .proto file: required, number of entries, range, form; a field that is left
-//     out gets its default, also below messages that are left out
-//   - fields against each other, such as a deadline against its latency objective
+//   - each field by itself, in the order of the .proto file: presence, number of entries, syntax, range; an omitted field
+//     gets its default, also in messages that are themselves omitted
+//   - fields against each other, such as a deadline against the latency objective of its traffic class
 //
-// Times, rates, addresses and prefixes are texts in the file and stay so in the message. Milliseconds, Duration and PerSecond
-// read those that were checked.
+// Durations, rates, addresses and prefixes are strings in the file and remain strings in the message. Milliseconds, Duration
+// and PerSecond convert them after the check.
 package settings
--- a/internal/settings/error.go
+++ b/internal/settings/error.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Error is the first problem of a file.
+// Error describes the first problem found in a settings file.
 type Error struct {
 	File   string
-	Line   int    // from 1; 0: the whole file
-	Column int    // in bytes, from 1; 0 with Line
+	Line   int    // starts at 1; 0: the problem concerns the whole file
+	Column int    // in bytes, starts at 1; 0 where Line is 0
 	Field  string // path such as groups[1].expiry; may be empty
 
-	Problem string // what is wrong, and what would be right
+	Problem string // what is wrong and, where it helps, which values are allowed
 }
 
-// Error gives file:line:column, the field and the problem, in one line.
+// Error returns file:line:column, the field and the problem, in one line.
 func (e *Error) Error() string {
 	position := e.File
 	if e.Line > 0 {
@@ -29,31 +29,31 @@
 	return fmt.Sprintf("%s: %s", position, e.Problem)
 }
 
-// Forms of the errors of the protobuf library.
+// Patterns of the error texts of the protobuf library.
 var (
 	positionedError   = regexp.MustCompile(`\(line (\d+):(\d+)\): ?(.*)$`)
 	unknownFieldError = regexp.MustCompile(`^unknown field: (.*)$`)
 )
 
-// syntaxError gives the library's error on a text that does not decode, as an Error with its position.
+// syntaxError converts the protobuf library's decoding error to an Error, with the position that its text states.
 func syntaxError(name string, text []byte, err error) *Error {
-	problem := strings.ReplaceAll(err.Error(), "\u00a0", " ") // the library varies its spaces on purpose
+	problem := strings.ReplaceAll(err.Error(), "\u00a0", " ") // the library uses either space at random, so that nobody relies on its texts
 	problem = strings.ReplaceAll(problem, "\n", " ")
 	match := positionedError.FindStringSubmatch(problem)
 	if match == nil {
 		return unexpectedEnd(name, text, problem)
 	}
 	found := &Error{File: name, Problem: match[3]}
-	found.Line, _ = strconv.Atoi(match[1])   // digits, by the expression
-	found.Column, _ = strconv.Atoi(match[2]) // likewise
+	found.Line, _ = strconv.Atoi(match[1])   // cannot fail: the pattern matches digits only
+	found.Column, _ = strconv.Atoi(match[2]) // cannot fail, for the same reason
 	if field := unknownFieldError.FindStringSubmatch(found.Problem); field != nil {
 		found.Field = field[1]
-		found.Problem = "no such field here"
+		found.Problem = "unknown field"
 	}
 	return found
 }
 
-// unexpectedEnd is a problem at the text's end: the library names no position where the text ends too early.
+// unexpectedEnd returns an Error at the end of the text: the library states no position where the text ends too early.
 func unexpectedEnd(name string, text []byte, problem string) *Error {
 	content := strings.TrimRight(string(text), " \t\r\n")
 	return &Error{
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -17,8 +17,9 @@
 	pb "lichenpick/proto/settings"
 )
 
-// fileKinds are the kinds of settings files, each with the directory below testdata that has some as of 2026-12-02. They
-// stand for the files of operators: a field that they name must be read as ever, whatever the program calls it.
+// fileKinds has the constructor of the message of each kind of settings file. The files of a kind are in the directory of that
+// name below testdata, as they were on 2026-12-02. They stand for the files of operators, which must keep their meaning when
+// names in the code change.
 var fileKinds = map[string]func() proto.Message{
 	"planner": func() proto.Message { return &pb.Planner{} },
 	"proxy":   func() proto.Message { return &pb.Proxy{} },
@@ -39,7 +40,8 @@
 	return paths
 }
 
-// TestGoldenSettings reads each file and compares all that was read, defaults included, with a golden print.
+// TestGoldenSettings compares the values of each file, defaults included, with a golden file, and checks that the printed
+// values read back to the same message.
 func TestGoldenSettings(t *testing.T) {
 	for kind, newMessage := range fileKinds {
 		for _, path := range settingsFiles(t, kind) {
@@ -56,14 +58,14 @@
 					t.Fatal(err)
 				}
 				if !proto.Equal(again, message) {
-					t.Error("the print does not read back to the same values")
+					t.Error("the printed settings do not read back to the same values")
 				}
 			})
 		}
 	}
 }
 
-// TestGoldenUnits compares how texts with a unit are read as a time, in ms, and as a rate, per second.
+// TestGoldenUnits compares the conversion of durations to ms and of rates to rates per second with a golden file.
 func TestGoldenUnits(t *testing.T) {
 	var text strings.Builder
 	for _, duration := range []string{"", "0s", "250ms", "1500us", "3.6s", "2m", "1h30m", "0.1ms", "7"} {
@@ -75,7 +77,8 @@
 	golden.Check(t, "testdata/units.golden.txt", []byte(text.String()))
 }
 
-// TestSettingsFilesAreComplete guards the test above: each field and each name of an enumeration must stand in some file.
+// TestSettingsFilesAreComplete checks that the files of TestGoldenSettings together set every field and use every enumeration
+// value that the .proto files declare. A name that no file uses could change unnoticed.
 func TestSettingsFilesAreComplete(t *testing.T) {
 	seen := map[protoreflect.FullName]bool{}
 	for kind, newMessage := range fileKinds {
@@ -84,7 +87,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			message := newMessage() // without the defaults that Load fills in
+			message := newMessage() // decoded without the defaults that Load sets
 			if err := prototext.Unmarshal(text, message); err != nil {
 				t.Fatalf("%s: %v", path, err)
 			}
@@ -117,7 +120,7 @@
 		values := enums.Get(index).Values()
 		for number := range values.Len() {
 			value := values.Get(number)
-			if value.Number() != 0 && !seen[value.FullName()] { // zero is not held: it is the same as none
+			if value.Number() != 0 && !seen[value.FullName()] { // an explicit zero value decodes like an omitted field
 				t.Errorf("no file names %s", value.FullName())
 			}
 		}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,18 +10,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxFileBytes bounds a settings file; a list of 100,000 servers fits.
+// maxFileBytes is the maximum size of a settings file. An endpoint list of 100,000 servers fits.
 const maxFileBytes = 32 << 20
 
-// Load reads a file into an empty message, checks every field and fills in what is left out. The error is an *Error. After
-// one, the message must not be used.
+// Load reads a settings file into an empty message, checks every field and sets the defaults of omitted fields. The error is
+// an *Error; after an error the message must not be used.
 func Load(path string, into proto.Message) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return fileError(path, err)
 	}
 	if info.Size() > maxFileBytes {
-		return &Error{File: path, Problem: fmt.Sprintf("holds %d bytes; at most %d", info.Size(), maxFileBytes)}
+		return &Error{File: path, Problem: fmt.Sprintf("has %d bytes; the maximum is %d", info.Size(), maxFileBytes)}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return Parse(path, text, into)
 }
 
-// fileError is that a file cannot be read. The path stands in the Error already.
+// fileError converts an error of reading a file to an Error. It drops the path from the cause, as the Error has it already.
 func fileError(path string, err error) *Error {
 	var pathError *os.PathError
 	if errors.As(err, &pathError) {
@@ -39,7 +39,7 @@
 	return &Error{File: path, Problem: err.Error()}
 }
 
-// Parse is Load for a text at hand; the name stands for the file in errors.
+// Parse does what Load does, for a text instead of a file. Errors state the name as their file.
 func Parse(name string, text []byte, into proto.Message) error {
 	if err := prototext.Unmarshal(text, into); err != nil {
 		return syntaxError(name, text, err)
@@ -54,11 +54,12 @@
 	return newSource(name, text).locate(found)
 }
 
-// variableSpace is the space after a field's name, of which the library varies the length on purpose.
+// variableSpace matches the spaces after a field's name. The protobuf library varies their number at random, so that nobody
+// relies on its output.
 var variableSpace = regexp.MustCompile(`(?m)^( *[a-z_0-9]+:) +`)
 
-// Format writes a message, with all that was filled in, as text that Parse reads back to the same. Equal messages give equal
-// texts.
+// Format returns a message as text, including the defaults that were set. Parse reads the text back to an equal message. Equal
+// messages have equal texts.
 func Format(message proto.Message) string {
 	text := prototext.MarshalOptions{Multiline: true, Indent: "  "}.Format(message)
 	return variableSpace.ReplaceAllString(text, "$1 ")
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// noIndex is the index of a step to a field that is not repeated, or to a repeated one as a whole.
+// noIndex is the index of a step to a singular field, or to a repeated field as a whole.
 const noIndex = -1
 
-// step is one part of a path: a field and, in a repeated one, which entry.
+// step is one element of a path: a field and, for an entry of a repeated field, its index.
 type step struct {
 	name  string
 	index int
 }
 
-// path leads from a file's message to a field; nil is the message itself. Its methods leave it as it is.
+// path is the sequence of steps from a file's message to a field; nil is the message itself. Methods return a new path and do
+// not modify their receiver.
 type path []step
 
-// fieldPath is the path of a field below the file's message, through messages that are not repeated.
+// fieldPath returns the path of a field from the file's message, through singular submessages.
 func fieldPath(names ...string) path {
 	var result path
 	for _, name := range names {
@@ -27,13 +28,13 @@
 	return result
 }
 
-// field is the path of a field below.
+// field returns the path extended by a field.
 func (p path) field(name string) path { return append(slices.Clip(p), step{name, noIndex}) }
 
-// entry is the path of an entry of a repeated field below.
+// entry returns the path extended by an entry of a repeated field.
 func (p path) entry(name string, index int) path { return append(slices.Clip(p), step{name, index}) }
 
-// String gives a path such as groups[1].expiry.
+// String returns the path in a form such as groups[1].expiry.
 func (p path) String() string {
 	parts := make([]string, len(p))
 	for depth, current := range p {
@@ -45,7 +46,7 @@
 	return strings.Join(parts, ".")
 }
 
-// problem is what a check found wrong, before its position is known.
+// problem is a failed check, before the position in the file is known. The text follows the field's path in the error.
 type problem struct {
 	at   path
 	text string
--- a/internal/settings/retry.go
+++ b/internal/settings/retry.go
@@ -5,7 +5,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// RetryMode gives the policy's number of a retry mode of the settings.
+// RetryMode converts a retry mode of the settings to the policy's constant, such as policy.RetryOnce.
 func RetryMode(retry pb.Retry) int {
 	switch retry {
 	case pb.Retry_AFTER_PROOF:
--- a/internal/settings/source.go
+++ b/internal/settings/source.go
@@ -7,22 +7,22 @@
 	"github.com/protocolbuffers/txtpbfmt/parser"
 )
 
-// source is a file's text with its syntax tree, to find positions.
+// source is a file's text with its syntax tree, from which the positions of fields are found.
 type source struct {
 	name  string
 	text  []byte
 	nodes []*ast.Node
 }
 
-// newSource parses a text that decoded before. Where this parser differs and fails, problems have the file's start for their
-// position.
+// newSource parses a text that the protobuf library has decoded already. If the parser of the syntax tree fails on it all the
+// same, problems are located at the start of the file.
 func newSource(name string, text []byte) *source {
 	nodes, _ := parser.Parse(text)
 	return &source{name: name, text: text, nodes: nodes}
 }
 
-// locate gives a problem with its position: that of the deepest node of its path that the file has, as a field that is left
-// out has none.
+// locate adds the position to a problem: that of the deepest element of the path that the file has. For an omitted field this
+// is the message around it, or the start of the file.
 func (s *source) locate(found *problem) *Error {
 	located := &Error{File: s.name, Line: 1, Column: 1, Field: found.at.String(), Problem: found.text}
 	nodes := s.nodes
@@ -37,8 +37,8 @@
 	return located
 }
 
-// findNode finds the node of a step among the fields of a message; nil if there is none. A repeated field may be written as
-// one node for each entry, as a list of messages or as a list of values.
+// findNode returns the node of a step among the fields of a message, and nil if there is none. A repeated field may be written
+// as one node per entry, as a list of messages or as a list of values.
 func findNode(nodes []*ast.Node, target step) *ast.Node {
 	index := 0
 	for _, node := range nodes {
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// entriesOf gives the node of each entry that a field's node stands for.
+// entriesOf returns one node for each entry that a field's node contains. The entries of a list of values share the field's
+// node.
 func entriesOf(node *ast.Node) []*ast.Node {
 	switch {
 	case node.ChildrenAsList:
@@ -71,7 +72,8 @@
 	}
 }
 
-// position gives a node's line and column. It skips the blanks and comments before, which the parser counts to the node.
+// position returns a node's line and column. It skips the white space and comments before the field, which the parser includes
+// in the node.
 func (s *source) position(node *ast.Node) (line, column int) {
 	offset := int(node.Start.Byte)
 	for offset < len(s.text) {
@@ -88,7 +90,7 @@
 	return int(node.Start.Line), int(node.Start.Column)
 }
 
-// lineLength is the number of bytes before the first line's end.
+// lineLength returns the length of the first line in bytes, without its line break.
 func lineLength(text []byte) int {
 	if end := bytes.IndexByte(text, '\n'); end >= 0 {
 		return end
--- a/internal/settings/units.go
+++ b/internal/settings/units.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// Errors of texts with a unit. They stay in this package: a problem says what is wanted instead.
+// Errors of parsing a text with a unit. They are not returned to callers of this package, which get a problem that states the
+// expected form.
 var (
-	errNoUnit      = errors.New("no unit")
-	errInvalidRate = errors.New("no rate")
+	errNoUnit      = errors.New("missing unit")
+	errInvalidRate = errors.New("not a rate")
 )
 
-// Milliseconds gives a checked time in ms; empty is 0.
+// Milliseconds converts a checked duration such as "250ms" to ms. An empty text is 0.
 func Milliseconds(text string) float64 {
 	ms, _ := parseMilliseconds(text)
 	return ms
 }
 
-// Duration gives a checked time; empty is 0.
+// Duration converts a checked duration such as "250ms". An empty text is 0.
 func Duration(text string) time.Duration {
 	duration, _ := time.ParseDuration(text)
 	return duration
 }
 
-// PerSecond gives a checked rate per second; empty is 0.
+// PerSecond converts a checked rate such as "90/m" to a rate per second. An empty text is 0.
 func PerSecond(text string) float64 {
 	perSecond, _ := parsePerSecond(text)
 	return perSecond
 }
 
-// parseMilliseconds reads a time with its unit. A bare 0, which time.ParseDuration takes, has none.
+// parseMilliseconds parses a duration with a unit. It rejects a bare 0, which time.ParseDuration accepts without a unit.
 func parseMilliseconds(text string) (float64, error) {
 	if !strings.ContainsAny(text, "nuµmsh") {
 		return 0, errNoUnit
@@ -41,10 +42,10 @@
 	return float64(duration) / float64(time.Millisecond), err
 }
 
-// secondsByRateUnit are the units of a rate, as they stand after the slash.
+// secondsByRateUnit has the length in seconds of each unit that may follow the slash of a rate.
 var secondsByRateUnit = map[string]float64{"s": 1, "m": 60, "h": 3600}
 
-// parsePerSecond reads a rate such as 90/m.
+// parsePerSecond parses a rate such as "90/m" and returns it per second.
 func parsePerSecond(text string) (float64, error) {
 	number, unit, hasUnit := strings.Cut(text, "/")
 	seconds := secondsByRateUnit[unit]
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -11,10 +11,10 @@
 	"lichenpick/proto/options"
 )
 
-// maxTextBytes bounds a text for which the .proto file states no limit.
+// maxTextBytes is the maximum length of a string for which the .proto file states no limit.
 const maxTextBytes = 1024
 
-// checkValue checks one value, be it a field's or an entry's.
+// checkValue checks one value: that of a singular field, or an entry of a repeated field.
 func checkValue(value protoreflect.Value, field protoreflect.FieldDescriptor, check *options.Check, at path) *problem {
 	switch field.Kind() {
 	case protoreflect.StringKind:
@@ -25,20 +25,20 @@
 		return checkRange(float64(value.Uint()), fmt.Sprint(value.Uint()), check, at, formatNumber)
 	case protoreflect.EnumKind:
 		if field.Enum().Values().ByNumber(value.Enum()) == nil {
-			return newProblem(at, "holds %d, which is none of its names", value.Enum())
+			return newProblem(at, "is %d, which is not a value of the enumeration", value.Enum())
 		}
 	}
 	return nil
 }
 
-// checkText checks a text by its kind. An empty one is as if left out.
+// checkText checks a string by its kind. An empty string counts as omitted.
 func checkText(text string, check *options.Check, at path) *problem {
 	most := maxTextBytes
-	if check.GetMost() > 0 && check.GetKind() == options.Kind_PLAIN { // of other kinds it is the number of entries
+	if check.GetMost() > 0 && check.GetKind() == options.Kind_PLAIN { // for other kinds, it limits the number of entries
 		most = int(check.GetMost())
 	}
 	if len(text) > most {
-		return newProblem(at, "has %d characters; at most %d", len(text), most)
+		return newProblem(at, "has %d bytes; the maximum is %d", len(text), most)
 	}
 	if text == "" {
 		if check.GetRequired() {
@@ -53,7 +53,7 @@
 		return checkRate(text, check, at)
 	case options.Kind_ADDRESS:
 		if _, err := netip.ParseAddrPort(text); err != nil {
-			return newProblem(at, "holds %q; an IP address and port are wanted, such as \"127.0.0.1:7100\"", text)
+			return newProblem(at, "is %q; want an IP address and port, such as \"127.0.0.1:7100\"", text)
 		}
 	case options.Kind_PREFIX:
 		if _, err := netip.ParsePrefix(text); err != nil {
@@ -64,13 +64,13 @@
 }
 
 func invalidPrefix(text string, at path) *problem {
-	return newProblem(at, "holds %q; an IP prefix is wanted, such as \"10.1.0.0/16\"", text)
+	return newProblem(at, "is %q; want an IP prefix, such as \"10.1.0.0/16\"", text)
 }
 
 func checkDuration(text string, check *options.Check, at path) *problem {
 	ms, err := parseMilliseconds(text)
 	if err != nil {
-		return newProblem(at, "holds %q; a time with its unit is wanted, such as \"250ms\" or \"3s\"%s",
+		return newProblem(at, "is %q; want a duration with a unit, such as \"250ms\" or \"3s\"%s",
 			text, describeRange(check, formatMilliseconds))
 	}
 	return checkRange(ms, strconv.Quote(text), check, at, formatMilliseconds)
@@ -79,14 +79,14 @@
 func checkRate(text string, check *options.Check, at path) *problem {
 	perSecond, err := parsePerSecond(text)
 	if err != nil {
-		return newProblem(at, "holds %q; a rate with its unit is wanted, such as \"500/s\" or \"90/m\"%s",
+		return newProblem(at, "is %q; want a rate with a unit, such as \"500/s\" or \"90/m\"%s",
 			text, describeRange(check, formatPerSecond))
 	}
 	return checkRange(perSecond, strconv.Quote(text), check, at, formatPerSecond)
 }
 
-// checkRange checks a number against its limits. It rejects infinities and NaN, which compares with no limit. Shown is the
-// value as the file has it; limits are written by format.
+// checkRange checks a number against its limits, and rejects infinities and NaN. The problem shows valueText, the value as the
+// file has it, and the limits as formatted by format.
 func checkRange(number float64, valueText string, check *options.Check, at path, format func(float64) string) *problem {
 	outOfRange := math.IsNaN(number) || math.IsInf(number, 0)
 	if check != nil {
@@ -94,12 +94,12 @@
 		outOfRange = outOfRange || check.Max != nil && number > check.GetMax()
 	}
 	if outOfRange {
-		return newProblem(at, "holds %s, out of its range%s", valueText, describeRange(check, format))
+		return newProblem(at, "is %s, out of range%s", valueText, describeRange(check, format))
 	}
 	return nil
 }
 
-// describeRange says what is allowed, to be appended to a problem; empty if there are no limits.
+// describeRange returns the allowed range, to be appended to a problem's text. It is empty if there are no limits.
 func describeRange(check *options.Check, format func(float64) string) string {
 	if check == nil {
 		return ""
--- a/internal/simulator/adapter.go
+++ b/internal/simulator/adapter.go
@@ -10,23 +10,23 @@
 	"lichenpick/policy"
 )
 
-// ioBufferBytes is the size of the buffers of input and output.
+// ioBufferBytes is the size of the input buffer and of the output buffer.
 const ioBufferBytes = 1 << 16
 
-// adapter owns the instances and drives them batch by batch.
+// adapter owns the planner instances and processes the batches of input.
 type adapter struct {
 	instances       map[string]*instance // by name
-	actions         actionWriter         // of the present batch
+	actions         actionWriter         // of the current batch
 	diagnostics     io.Writer
-	reportedUnknown map[string]bool // names of unknown messages that were reported
+	reportedUnknown map[string]bool // names of unknown messages, once reported
 }
 
 func newAdapter(diagnostics io.Writer) *adapter {
 	return &adapter{instances: map[string]*instance{}, diagnostics: diagnostics, reportedUnknown: map[string]bool{}}
 }
 
-// Serve reads batches and writes a reply to each until the input ends, and then returns nil. Input that it cannot decode ends
-// it with an error of one line. Messages of unknown names are skipped, and reported once each on diagnostics.
+// Serve reads batches and writes a reply to each, until the input ends; then it returns nil. It returns an error, of one line,
+// for input that it cannot decode. Messages with an unknown name are skipped; each name is reported once on diagnostics.
 func Serve(input io.Reader, output, diagnostics io.Writer) error {
 	adapter := newAdapter(diagnostics)
 	reader := bufio.NewReaderSize(input, ioBufferBytes)
@@ -50,7 +50,7 @@
 	}
 }
 
-// writeReply writes the actions of the present batch as one line.
+// writeReply writes the actions of the current batch as one line.
 func (a *adapter) writeReply(writer *bufio.Writer) error {
 	for _, part := range [][]byte{replyStart, a.actions.buffer, replyEnd} {
 		if _, err := writer.Write(part); err != nil {
@@ -60,8 +60,8 @@
 	return writer.Flush()
 }
 
-// handleBatch delivers all messages of a batch to their instances, in order, and then pulls the decisions of those that got one,
-// in the order of their first messages.
+// handleBatch delivers the messages of a batch to their instances, in order. Then it pulls the decisions of each instance that
+// received a message, in the order of the first messages.
 func (a *adapter) handleBatch(line []byte) error {
 	a.actions.reset()
 	batch, err := decodeBatch(line)
@@ -81,21 +81,21 @@
 	}
 	for _, target := range pending {
 		target.pending = false
-		if a.instances[target.name] == target { // not killed, or replaced, later in the batch
+		if a.instances[target.name] == target { // not killed or replaced later in the batch
 			target.runRecovered(func() { pullDecisions(target) })
 		}
 	}
 	return nil
 }
 
-// pullDecisions writes all decisions that an instance's policy has to make now.
+// pullDecisions has an instance's policy make all decisions that are due, which the instance writes as actions.
 func pullDecisions(target *instance) {
 	for target.policy.Next(target) {
 	}
 }
 
-// handleMessage decodes a message and applies it. It returns the instance that it was for, or nil if no decisions can follow
-// from it.
+// handleMessage decodes a message and applies it. It returns the instance that the message was for, or nil if no decisions can
+// follow: the name is unknown, the instance does not run or was killed.
 func (a *adapter) handleMessage(raw []byte, nowMs float64) (*instance, error) {
 	name, instanceName, err := decodeHeader(raw)
 	if err != nil {
@@ -107,7 +107,7 @@
 		return nil, nil
 	}
 	if instanceName == "" {
-		return nil, fmt.Errorf("message %s without its instance: field Who", name)
+		return nil, fmt.Errorf("message %s has no instance: field Who is missing", name)
 	}
 	target := a.instances[instanceName]
 	switch name {
@@ -125,8 +125,8 @@
 	return target, nil
 }
 
-// deliver decodes a message and applies it to an instance, which is nil if none of its name runs: fields of the wrong type
-// are then faults of the input all the same.
+// deliver decodes a message and applies it to an instance. The instance is nil if none of that name runs; the message is then
+// only decoded, so that a field of the wrong type is an error in any case.
 func deliver(target *instance, decode decoder, raw []byte, nowMs float64) error {
 	if target == nil {
 		_, err := decode(raw)
@@ -144,7 +144,7 @@
 	return err
 }
 
-// open starts an instance, in place of one of the same name if there is one.
+// open starts an instance, and replaces one of the same name.
 func (a *adapter) open(name string, raw []byte, nowMs float64) (*instance, error) {
 	settings, seed, err := decodeOpen(raw)
 	if err != nil {
@@ -156,11 +156,11 @@
 	return opened, nil
 }
 
-// reportUnknown reports the name of an unknown message, once: a newer simulator may send many.
+// reportUnknown reports the name of an unknown message once, as a newer simulator may send many such messages.
 func (a *adapter) reportUnknown(name string) {
 	if a.reportedUnknown[name] {
 		return
 	}
 	a.reportedUnknown[name] = true
-	_, _ = fmt.Fprintf(a.diagnostics, "adapter: unknown message %q skipped\n", name) // without diagnostics, replies still count
+	_, _ = fmt.Fprintf(a.diagnostics, "adapter: unknown message %q skipped\n", name) // a failure to report does not affect the replies
 }
--- a/internal/simulator/adapter_test.go
+++ b/internal/simulator/adapter_test.go
@@ -16,12 +16,12 @@
 
 const killMessage = `{"what":"Kill","Who":"planner_0"}`
 
-// batch is one line of input.
+// batch returns one line of input.
 func batch(timeMs, messages string) string {
 	return `{"TMs":` + timeMs + `,"msgs":[` + messages + "]}\n"
 }
 
-// serve gives the replies, the diagnostics, and the error that ended it.
+// serve runs Serve on the input and returns the replies, the diagnostics and the error.
 func serve(input string) (replies []string, diagnostics string, err error) {
 	var output, diagnosticsBuffer bytes.Buffer
 	err = Serve(strings.NewReader(input), &output, &diagnosticsBuffer)
@@ -29,18 +29,18 @@
 }
 
 func TestServe(t *testing.T) {
-	t.Run("a proxy that connects gets its table", checkConnectingProxy)
-	t.Run("an empty batch is answered, and the end of input is no error", func(t *testing.T) {
+	t.Run("a connecting proxy is assigned its weight table", checkConnectingProxy)
+	t.Run("an empty batch is answered, and the end of input is not an error", func(t *testing.T) {
 		replies, _, err := serve(`{"TMs":8412.25,"msgs":[]}` + "\n")
 		if err != nil || replies[0] != `{"output":[]}` {
 			t.Errorf("%v %v", replies, err)
 		}
 	})
-	t.Run("a killed instance does not act, also if it was killed and opened again in one batch before", func(t *testing.T) {
+	t.Run("a killed instance writes no actions, also after a batch that killed and reopened it", func(t *testing.T) {
 		replies, _, err := serve(batch("1000", openMessage) + batch("2000", killMessage+","+openMessage) +
 			batch("3000", killMessage) + batch("4000", `{"what":"Ring","Who":"planner_0","Nonce":1}`))
 		if err != nil || replies[2] != `{"output":[]}` || replies[3] != `{"output":[]}` {
-			t.Errorf("a killed instance acts: %v %v", replies, err)
+			t.Errorf("a killed instance writes actions: %v %v", replies, err)
 		}
 	})
 	t.Run("an unknown message is reported once and skipped", func(t *testing.T) {
@@ -54,12 +54,12 @@
 		t.Run("bad input: "+name, func(t *testing.T) {
 			_, _, err := serve(test.input)
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, not one line with %q", err, test.want)
+				t.Errorf("got error %v, want one line with %q", err, test.want)
 			}
 		})
 	}
-	t.Run("a panic of the policy becomes a crash of its instance", checkCrash)
-	t.Run("tables by slices of keys are not assigned", func(t *testing.T) {
+	t.Run("a panic of the policy is reported as a crash of its instance", checkCrash)
+	t.Run("weight tables are not assigned where tables are sharded by key range", func(t *testing.T) {
 		sharded := strings.Replace(openMessage, `"DefaultRetry":1`, `"DefaultRetry":1,"Slices":64`, 1)
 		replies, _, err := serve(batch("1", sharded) + batch("2", `{"what":"DialledIn","Who":"planner_0","Proxy":1,"Hall":0}`))
 		if err != nil || strings.Contains(replies[1], "HandTable") {
@@ -68,14 +68,14 @@
 	})
 }
 
-// badInput is an input, and what the error must contain.
+// badInput is an invalid input, and a part of the expected error.
 type badInput struct{ input, want string }
 
 func badInputs() map[string]badInput {
 	return map[string]badInput{
 		"not JSON":        {"hello\n", "not JSON"},
 		"no message name": {batch("1", `{"Who":"planner_0"}`), "field what"},
-		"no instance":     {batch("1", `{"what":"LostStream","Proxy":1}`), "LostStream without its instance"},
+		"no instance":     {batch("1", `{"what":"LostStream","Proxy":1}`), "LostStream has no instance"},
 		"wrong type":      {batch("1", `{"what":"LostStream","Who":"planner_0","Proxy":"x"}`), "LostStream: field Proxy"},
 		"unknown list":    {batch("1", `{"what":"Registry","Who":"planner_0","Form":"odd"}`), "Registry: field Form"},
 		"unknown state":   {batch("1", `{"what":"Registry","Who":"planner_0","Form":"update","NodesList":[{"Server":"a","Availability":"ODD"}]}`), "NodesList.Availability"},
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -8,25 +8,25 @@
 	"lichenpick/policy"
 )
 
-// Names of messages that the adapter itself handles.
+// Names of the messages that the adapter handles itself instead of the policy.
 const (
 	messageOpen = "OpenInstance"
 	messageKill = "Kill"
 )
 
-// wireBatch is one line of input.
+// wireBatch is one line of input: a time in ms and the messages of that time.
 type wireBatch struct {
 	TMs      float64
 	Messages []json.RawMessage `json:"msgs"`
 }
 
-// wireHeader is what each message has.
+// wireHeader has the fields of every message: its name, and the instance that it is for.
 type wireHeader struct {
 	What *string `json:"what"`
 	Who  *string
 }
 
-// decodeBatch reads a batch, but for the messages in it.
+// decodeBatch decodes a batch and leaves its messages undecoded.
 func decodeBatch(line []byte) (wireBatch, error) {
 	var batch wireBatch
 	if err := json.Unmarshal(line, &batch); err != nil {
@@ -35,14 +35,14 @@
 	return batch, nil
 }
 
-// decodeHeader reads a message's name; its instance may be empty.
+// decodeHeader decodes a message's name and instance. The instance may be empty.
 func decodeHeader(raw []byte) (name, instance string, err error) {
 	var header wireHeader
 	if err := json.Unmarshal(raw, &header); err != nil {
 		return "", "", fmt.Errorf("message: %w", &decodeError{err})
 	}
 	if header.What == nil || *header.What == "" {
-		return "", "", errors.New("message without its name: field what")
+		return "", "", errors.New("message has no name: field what is missing")
 	}
 	if header.Who != nil {
 		instance = *header.Who
@@ -50,13 +50,13 @@
 	return *header.What, instance, nil
 }
 
-// policyCall is a message as the call on the policy that it means.
+// policyCall applies a decoded message to the policy.
 type policyCall func(*policy.Policy)
 
-// decoder reads a message of one name.
+// decoder decodes the messages of one name.
 type decoder func(raw []byte) (policyCall, error)
 
-// decoders are by message name. Those of the adapter itself decode nothing here.
+// decoders has the decoder of each known message, by name. The adapter decodes the messages that it handles itself.
 var decoders = map[string]decoder{
 	messageOpen:  decodeIgnored,
 	messageKill:  decodeIgnored,
@@ -66,8 +66,8 @@
 	"Stats":      decode((*wireLoadReport).apply),
 	"Usage":      decode((*wireDemandReport).apply),
 	"CaughtUp":   decode((*wireAcknowledgement).apply),
-	"Ring":       decodeIgnored, // a timer: being called is all that it is for
-	// Known and not needed: health checks, slices of keys, and messages among instances.
+	"Ring":       decodeIgnored, // a timer fired: the adapter sets the time and pulls decisions for any message
+	// The policy does not use health checks, key ranges and messages between instances.
 	"Health":     decodeIgnored,
 	"Datagram":   decodeIgnored,
 	"Hotness":    decodeIgnored,
@@ -75,10 +75,10 @@
 	"StoredLine": decodeIgnored,
 }
 
-// decodeIgnored decodes a message that means no call.
+// decodeIgnored decodes a message that changes nothing in the policy.
 func decodeIgnored([]byte) (policyCall, error) { return func(*policy.Policy) {}, nil }
 
-// decode makes a decoder of a message with plain fields.
+// decode returns a decoder for messages that package json decodes into M without further conversion.
 func decode[M any](apply func(*M, *policy.Policy)) decoder {
 	return func(raw []byte) (policyCall, error) {
 		message := new(M)
@@ -89,43 +89,43 @@
 	}
 }
 
-// wireProxyAdded tells that a proxy connected.
+// wireProxyAdded reports that a proxy connected.
 type wireProxyAdded struct {
-	Active bool // decoded to check its type
+	Active bool // unused; decoded to check its type
 	Proxy  int
-	W      float64 // its usual demand, in requests per second
-	Hall   int     // its zone
+	W      float64 // usual demand of the proxy, in requests per second
+	Hall   int     // zone of the proxy
 }
 
 func (m *wireProxyAdded) apply(target *policy.Policy) { target.AddProxy(m.Proxy, m.Hall, m.W) }
 
-// wireProxyRemoved tells that a proxy's connection ended.
+// wireProxyRemoved reports that a proxy's connection ended.
 type wireProxyRemoved struct{ Proxy int }
 
 func (m *wireProxyRemoved) apply(target *policy.Policy) { target.RemoveProxy(m.Proxy) }
 
-// wireLoadReport is what the proxies of a zone met at one server.
+// wireLoadReport is the load report of one server: the outcomes of the attempts from one zone's proxies.
 type wireLoadReport struct {
 	Server  string
-	Hall    int // zone of the proxies
-	Count   int // attempts
-	Failed  int // of them
-	TookMs  float64
-	Metrics []float64 // decoded to check its type
+	Hall    int       // zone of the proxies
+	Count   int       // attempts
+	Failed  int       // failed attempts, included in Count
+	TookMs  float64   // mean latency of the attempts that succeeded
+	Metrics []float64 // unused; decoded to check its type
 
-	CoversMs float64
+	CoversMs float64 // length of the period that the report covers
 }
 
 func (m *wireLoadReport) apply(target *policy.Policy) {
 	target.RecordLoadReport(m.Server, m.Hall, m.Count, m.Failed, m.TookMs, m.CoversMs)
 }
 
-// wireDemandReport is what one proxy met of one traffic class.
+// wireDemandReport is the demand report of one proxy for one traffic class.
 type wireDemandReport struct {
 	Proxy    int
 	Service  int // traffic class
 	Count    int // requests
-	Failed   int // of them
+	Failed   int // failed requests, included in Count
 	CoversMs float64
 }
 
@@ -133,35 +133,36 @@
 	target.RecordDemandReport(m.Proxy, m.Service, m.Count, m.Failed, m.CoversMs)
 }
 
-// wireAcknowledgement tells that a proxy applied what it was sent.
+// wireAcknowledgement reports that a proxy applied everything up to a request for acknowledgement.
 type wireAcknowledgement struct {
 	Proxy  int
-	Number int
-	TookMs float64
+	Number int     // of the request
+	TookMs float64 // since the request
 }
 
 func (m *wireAcknowledgement) apply(target *policy.Policy) {
 	target.Acknowledge(m.Proxy, m.Number, m.TookMs)
 }
 
-// wireEndpoints is a list of servers, or a change of one.
+// wireEndpoints is an endpoint list or an update of one. Form tells which.
 type wireEndpoints struct {
-	Number    int // decoded to check its type
+	Number    int // unused; decoded to check its type
 	Form      string
 	NodesList []wireEndpoint
 }
 
+// wireEndpoint is an entry of an endpoint list.
 type wireEndpoint struct {
 	Server       string
 	Hall         int // zone
-	Shape        int // decoded to check its type, like Cluster
-	Cluster      int
+	Shape        int // unused; decoded to check its type
+	Cluster      int // unused; decoded to check its type
 	Availability string
 	W            float64 // relative capacity
-	BornMs       float64
+	BornMs       float64 // time of the last start; 0: long ago
 }
 
-// updateKindByName are the forms of a list.
+// updateKindByName translates the values of the field Form.
 var updateKindByName = map[string]policy.UpdateKind{
 	"update":      policy.DeltaUpdate,
 	"replace":     policy.FullUpdate,
@@ -169,7 +170,7 @@
 	"unavailable": policy.FailedUpdate,
 }
 
-// endpointStateByName are the states of a server in a list.
+// endpointStateByName translates the values of the field Availability.
 var endpointStateByName = map[string]policy.State{
 	"SERVING":  policy.Ready,
 	"DRAINING": policy.Draining,
@@ -183,13 +184,13 @@
 	}
 	kind, known := updateKindByName[message.Form]
 	if !known {
-		return nil, fmt.Errorf("field Form holds %q, which is no kind of list", message.Form)
+		return nil, fmt.Errorf("field Form is %q, which is not a known kind of list", message.Form)
 	}
 	endpoints := make([]policy.Endpoint, 0, len(message.NodesList))
 	for _, node := range message.NodesList {
 		state, known := endpointStateByName[node.Availability]
 		if !known {
-			return nil, fmt.Errorf("field NodesList.Availability holds %q, which is no state", node.Availability)
+			return nil, fmt.Errorf("field NodesList.Availability is %q, which is not a known state", node.Availability)
 		}
 		endpoints = append(endpoints, policy.Endpoint{
 			Server:           node.Server,
@@ -205,10 +206,10 @@
 // wireOpen starts an instance.
 type wireOpen struct {
 	RandomSeed uint64
-	Info       json.RawMessage // as ReadSettings takes it
+	Info       json.RawMessage // the settings object; see ReadSettings
 }
 
-// decodeOpen reads what a new instance starts with.
+// decodeOpen decodes the settings and the random seed of a new instance.
 func decodeOpen(raw []byte) (settings Settings, seed int64, err error) {
 	var message wireOpen
 	if err := json.Unmarshal(raw, &message); err != nil {
@@ -218,13 +219,13 @@
 	return settings, int64(message.RandomSeed), err
 }
 
-// decodeError words a JSON error in one line and without Go's own terms.
+// decodeError describes a JSON error in one line and without names of Go types.
 type decodeError struct{ cause error }
 
 func (e *decodeError) Error() string {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(e.cause, &wrongType) {
-		return fmt.Sprintf("field %s holds a %s where a value of another type belongs", wrongType.Field, wrongType.Value)
+		return fmt.Sprintf("field %s has the wrong type: %s", wrongType.Field, wrongType.Value)
 	}
 	var syntax *json.SyntaxError
 	if errors.As(e.cause, &syntax) {
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -1,10 +1,10 @@
-// Package simulator connects the policy to the simulator's wire. It decides nothing.
+// Package simulator connects the policy to the simulator's protocol. It makes no decisions of its own.
 //
-// The simulator sends batches, each one line of JSON: a time and the messages of that time, each with its name ("what") and
-// the planner instance that it is for ("Who"). Each batch is answered by one line with the actions of all instances. Serve
-// reads and answers batches until its input ends.
+// The simulator sends batches, each as one line of JSON. A batch has a time and the messages of that time. Each message has a
+// name ("what") and the planner instance that it is for ("Who"). The reply to a batch is one line with the actions of all
+// instances. Serve reads and answers batches until its input ends.
 //
-// The package has three parts. The codec (decode.go, encode.go, settings.go) knows the wire's words and maps them to the
-// policy's terms; no other file does. The adapter (adapter.go) owns the instances, delivers each its messages in order and
-// then pulls its decisions. An instance (host.go) is the policy.Host that turns decisions into actions.
+// The package has three parts. The codec (decode.go, encode.go, settings.go) translates between the protocol's names and the
+// policy's; no other file uses the protocol's names. The adapter (adapter.go) owns the instances, delivers messages to them in
+// order and then pulls their decisions. An instance (host.go) is a policy.Host that writes decisions as actions.
 package simulator
--- a/internal/simulator/encode.go
+++ b/internal/simulator/encode.go
@@ -5,14 +5,15 @@
 	"strconv"
 )
 
-// A reply is one line: the actions between these.
+// The start and the end of a reply. The actions, separated by commas, stand between them on one line.
 var (
 	replyStart = []byte(`{"output":[`)
 	replyEnd   = []byte("]}\n")
 )
 
-// actionWriter builds the actions of one reply as JSON, without allocating for each. Every method but the helpers below
-// appends one action of an instance. Fields stand in the order in which the simulator documents them.
+// actionWriter builds the actions of one reply as JSON, without an allocation per action. The methods that are named after
+// decisions append one action of an instance each; the helpers below them append its parts. Fields are written in the order in
+// which the simulator documents them.
 type actionWriter struct{ buffer []byte }
 
 // reset starts the next reply.
@@ -76,7 +77,7 @@
 	w.end()
 }
 
-// classBitmask is a set of traffic classes as the wire has it: a number with a bit for each.
+// classBitmask encodes a set of traffic classes as a number with one bit per class.
 func classBitmask(classes ...int) float64 {
 	set := 0.0
 	for _, class := range classes {
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -13,9 +13,9 @@
 
 const (
 	runMs       = 40_000
-	batchMs     = 250 // from one batch to the next
-	digestMs    = 2000.0
-	overloadMs  = 8000 // when it starts; it lasts until the half
+	batchMs     = 250    // interval between batches
+	digestMs    = 2000.0 // interval of one digest line
+	overloadMs  = 8000   // start of the overload, which lasts until half of runMs
 	serverCount = 12
 	proxyCount  = 6
 	classCount  = 2
@@ -29,8 +29,8 @@
 	`"Limits":{"ConnIdleMs":15000},"PeriodMs":250,"Prices":{"CrossZone":0.01},` +
 	`"Rules":{"AskWithinMs":2000,"ColdShare":0.2,"WarmUpMs":16000,"FallMs":3000,"StopSendingWithinMs":3000}}`
 
-// simulatedFleet writes the simulator's side of a conversation, at random by a seed: every kind of message that the adapter
-// reads, with servers that drain, fail and come back.
+// simulatedFleet generates random messages of every kind that the adapter reads, from a fixed seed. Servers drain, fail and
+// come back.
 type simulatedFleet struct {
 	random   *rand.Rand
 	messages []string
@@ -65,7 +65,7 @@
 	f.add("Registry", planner, `,"Number":1,"Form":%q,"NodesList":[%s]`, form, strings.Join(entries, ","))
 }
 
-// reports adds a load report of each server and a demand report of each proxy; in an overload, servers are slow and fail.
+// reports adds a load report of each server and a demand report of each proxy. In an overload, servers are slow and fail.
 func (f *simulatedFleet) reports(planner string, overload bool) {
 	slowness := 1
 	if overload {
@@ -85,7 +85,7 @@
 	}
 }
 
-// batch is what happens within one interval.
+// batch adds the messages of one interval.
 func (f *simulatedFleet) batch(planner string, nowMs int) {
 	if nowMs%1000 == 0 {
 		f.reports(planner, nowMs >= overloadMs && nowMs < runMs/2)
@@ -113,7 +113,7 @@
 	}
 }
 
-// conversation gives all batches, one a line. One planner is killed and opened again, another closed for good.
+// generateInput returns all batches, one per line. One planner is killed and opened again, the other is killed for good.
 func generateInput() string {
 	fleet := &simulatedFleet{random: rand.New(rand.NewSource(seed))}
 	var lines strings.Builder
@@ -136,8 +136,8 @@
 	return lines.String()
 }
 
-// TestGoldenAdapter compares every reply to the simulator, byte for byte, with those that were recorded before the adapter
-// was split by concern.
+// TestGoldenAdapter compares the digest of all replies, byte for byte, with the recorded one. It also checks that the input
+// leads to every kind of action, so that the golden file covers them all.
 func TestGoldenAdapter(t *testing.T) {
 	var output, diagnostics bytes.Buffer
 	if err := simulator.Serve(strings.NewReader(generateInput()), &output, &diagnostics); err != nil {
@@ -155,7 +155,7 @@
 	golden.Check(t, "testdata/adapter.golden.txt", digest.Finish(runMs))
 	for _, action := range []string{"SetLine", "HandTable", "Mask", "Ration", "AskReceipt", "Follow", "SetTimer"} {
 		if !strings.Contains(output.String(), `"what":"`+action+`"`) {
-			t.Errorf("the conversation has no %s", action)
+			t.Errorf("no reply has the action %s", action)
 		}
 	}
 }
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -7,19 +7,19 @@
 )
 
 // instance is one planner of the simulator: a policy, and the policy.Host that writes its decisions as actions. The policy
-// calls the Host's methods from within Next only.
+// calls the methods of policy.Host only from within Next.
 type instance struct {
 	name        string
-	policy      *policy.Policy // nil after it panicked: the instance then does nothing more
-	actions     *actionWriter  // the adapter's
-	timerNumber uint64         // of the last timer
-	pending     bool           // got a message in this batch, so its decisions are to be pulled
+	policy      *policy.Policy // nil after it panicked; the instance then ignores all messages
+	actions     *actionWriter  // shared by all instances of the adapter
+	timerNumber uint64         // number of the last timer
+	pending     bool           // it received a message in this batch, so its decisions must be pulled
 }
 
 var _ policy.Host = (*instance)(nil)
 
-// runRecovered calls a function that uses the policy. It guards the other instances against a fault of one: a panic is reported
-// to the simulator as the instance's crash.
+// runRecovered calls a function that uses the policy, unless the policy has panicked before. It recovers from a panic and
+// reports it to the simulator as a crash of this instance, so that the other instances go on.
 func (i *instance) runRecovered(call func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -32,38 +32,40 @@
 	}
 }
 
-// SetWeight writes a change of a table's entry.
+// SetWeight implements policy.Host. It writes a changed weight of a table's entry.
 func (i *instance) SetWeight(table int, server string, weight float64) {
 	i.actions.setWeight(i.name, table, server, weight)
 }
 
-// AssignTable writes that a proxy is to use a table for some traffic classes.
+// AssignTable implements policy.Host. It writes that a proxy must use a table for some traffic classes. Omitted servers do not
+// occur, as the settings do not have OmitsEntries.
 func (i *instance) AssignTable(proxy, table int, classes []int, _ []string) {
 	i.actions.assignTable(i.name, proxy, table, classes)
 }
 
-// SetEjected writes that no proxy may use a server, or may again.
+// SetEjected implements policy.Host. It writes that a server is ejected or readmitted, at all proxies.
 func (i *instance) SetEjected(server string, ejected, _ bool) {
 	i.actions.setEjected(i.name, server, ejected)
 }
 
-// RestoreServers writes nothing: here the policy never learns of a proxy that holds ejections of another planner.
+// RestoreServers implements policy.Host. It writes nothing: the simulator never reports a proxy that holds ejections of another
+// planner.
 func (i *instance) RestoreServers(int, []string) {}
 
-// SetAdmission writes which fraction of a class's requests is admitted, and its retry mode.
+// SetAdmission implements policy.Host. It writes the admission rate of a traffic class and its retry mode.
 func (i *instance) SetAdmission(table, class int, fraction float64, retry int) {
 	i.actions.setAdmission(i.name, table, class, fraction, retry)
 }
 
-// RequestAcknowledgement writes that all proxies are to acknowledge what they were sent so far.
+// RequestAcknowledgement implements policy.Host. It writes that all proxies must acknowledge what they were sent so far.
 func (i *instance) RequestAcknowledgement(number int) {
 	i.actions.requestAcknowledgement(i.name, number)
 }
 
-// WatchEndpoints writes that the instance wants the endpoint list.
+// WatchEndpoints implements policy.Host. It writes that the instance requests the endpoint list.
 func (i *instance) WatchEndpoints() { i.actions.watchEndpoints(i.name) }
 
-// SetTimer writes that the instance wants to be called again after some ms.
+// SetTimer implements policy.Host. It writes that the simulator must send the instance a message after a delay.
 func (i *instance) SetTimer(delayMs float64) {
 	i.timerNumber++
 	i.actions.setTimer(i.name, delayMs, i.timerNumber)
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -6,30 +6,33 @@
 	"lichenpick/policy"
 )
 
-// Settings is what the operators' settings object says: the policy's part, and the names that are needed beside it.
+// Settings is the decoded settings object: the settings of the policy, and the names of zones and traffic classes, which the
+// policy knows by number.
 type Settings struct {
 	Policy               policy.Settings
-	Zones                []string // names, by the policy's number
-	Classes              []string // names, by the policy's number
-	EvaluationIntervalMs float64  // least time between two evaluations of the policy
+	Zones                []string // names, indexed by the policy's zone number
+	Classes              []string // names, indexed by the policy's class number
+	EvaluationIntervalMs float64  // minimum time between two evaluations of the policy
 }
 
-// unlimited stands for a limit that binds nothing.
+// unlimited is the value of a limit without effect.
 const unlimited = 1e12
 
-// partialAdmission is the name of admission by fractions, and watchedDiscovery that of a list that comes only to who asks.
+// Values of the fields Admit and Discovery. With partialAdmission, proxies can admit a fraction of a class's requests. With
+// watchedDiscovery, the endpoint list is sent only to planners that request it.
 const (
 	partialAdmission = "share"
 	watchedDiscovery = "subscribe"
 )
 
-// idempotencyByName are by their names; any other name is policy.NonIdempotent.
+// idempotencyByName translates the values of the field Repeat. Any other value is policy.NonIdempotent.
 var idempotencyByName = map[string]policy.Idempotency{
 	"read_like":       policy.Idempotent,
 	"idempotency_key": policy.Deduplicated,
 }
 
-// wireSettings is the settings object. The operators' pages explain its keys.
+// wireSettings is the settings object as it is encoded. Its keys are explained in the operators' documentation; policySettings
+// shows what each becomes.
 type wireSettings struct {
 	Azs        []string
 	Classes    []wireClass
@@ -62,7 +65,7 @@
 	ReloadSpanMs      float64
 	ReportEveryMs     float64
 	TransitMaxMs      float64
-	StaysLocal        []bool // by class; those beyond its end may leave their zone
+	StaysLocal        []bool // by class; classes beyond its end may use servers of other zones
 }
 
 type wireRules struct {
@@ -73,8 +76,8 @@
 	StopSendingWithinMs float64
 }
 
-// ReadSettings decodes the settings object of an instance's first message; the operators' platform hands out the same one.
-// Unknown keys are skipped.
+// ReadSettings decodes a settings object: from the first message of an instance, or from the configuration of the operators'
+// platform, which has the same form. Unknown keys are ignored.
 func ReadSettings(raw []byte) (Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(raw, &wire); err != nil {
@@ -97,12 +100,12 @@
 	return settings, nil
 }
 
-// sameZoneOnly says whether a class may go only to servers of the proxy's zone.
+// sameZoneOnly reports whether requests of a class may go only to servers of the proxy's zone.
 func (f *wireFamily) sameZoneOnly(class int) bool {
 	return class < len(f.StaysLocal) && f.StaysLocal[class]
 }
 
-// policySettings gives the policy's settings but for the traffic classes.
+// policySettings returns the policy's settings without the traffic classes.
 func (w *wireSettings) policySettings() policy.Settings {
 	family := &w.FamilyInfo
 	return policy.Settings{
@@ -131,8 +134,8 @@
 	}
 }
 
-// orUnlimited reads a limit that is 0 or left out as none. It guards against taking that for 'none are allowed', or 'at
-// once', which would cut every table down to its fewest entries.
+// orUnlimited returns a limit, or unlimited if it is 0 or omitted. A limit of 0 connections or of 0 ms, taken literally, would
+// shorten every weight table to the minimum number of entries.
 func orUnlimited(limit float64) float64 {
 	if limit <= 0 {
 		return unlimited
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// A limit of 0, or one left out, is no limit. Taken as it stood, 0 connections and 0 ms of idle time cut every table down to
-// its fewest entries.
+// TestZeroLimitIsUnlimited checks that a limit of 0, or an omitted one, does not restrict weight tables. When 0 connections
+// and an idle time of 0 ms were taken literally, every table had only the minimum number of entries.
 func TestZeroLimitIsUnlimited(t *testing.T) {
 	stated := longestTable(t, `,"SmallestConnTable":1000},"Limits":{"ConnIdleMs":60000`)
 	for _, limits := range []string{`},"Limits":{`, `,"SmallestConnTable":0},"Limits":{"ConnIdleMs":0`} {
 		if entries := longestTable(t, limits); entries != stated || entries < 30 {
-			t.Errorf("%d entries in the longest table with %q, %d where limits do not bind", entries, limits, stated)
+			t.Errorf("the longest table has %d entries with %q, and %d with limits that have no effect", entries, limits, stated)
 		}
 	}
 }
 
-// longestTable runs a planner of one proxy and 40 servers, and gives the number of entries of its longest table. The limits
-// are spliced into the settings, from within one object into the next.
+// longestTable runs a planner with one proxy and 40 servers, and returns the number of entries of the longest weight table. The
+// text of limits is inserted at the end of FamilyInfo; it closes that object and may begin the object Limits.
 func longestTable(t *testing.T, limits string) int {
 	t.Helper()
 	var servers []string
