--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts planners on the simulator's wire, on standard input and output. It ends with the input, or with
-// status 1 and one line on standard error when the input cannot be decoded.
+// Command adapter runs planners for the simulator, which it talks to on standard input and output. It exits with 0 at the end
+// of the input, and with 1 and one line on standard error if it cannot read, decode or answer the input.
 package main
 
 import (
--- a/cmd/lichenpick/daemons.go
+++ b/cmd/lichenpick/daemons.go
@@ -20,16 +20,16 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Limits of a planner's stream to an endpoint registry.
+// Limits of a planner's stream from an endpoint registry.
 const (
 	registryHeartbeatTimeoutMs = 10_000
 	registryMaxFrameBytes      = 16 << 20
 )
 
-// localNetwork is the network of this machine. Keep-alive ends connections to peers that are gone without a word.
+// localNetwork is the network of this machine. Keep-alive probes detect peers that vanished without closing the connection.
 var localNetwork = clock.TCP{KeepAlive: 15 * time.Second}
 
-// daemonCommand returns a sub-command that reads a settings file of one kind and runs until a signal.
+// daemonCommand returns a sub-command that reads a settings file of one kind and runs until SIGTERM or SIGINT.
 func daemonCommand[M proto.Message](name, short string, empty func() M, run func(ctx context.Context, config M, log *slog.Logger) error) *cobra.Command {
 	var file string
 	var logging logFlags
@@ -52,7 +52,7 @@
 			return run(command.Context(), config, log)
 		},
 	}
-	command.Flags().StringVarP(&file, "config", "c", "", "settings file, protobuf text format")
+	command.Flags().StringVarP(&file, "config", "c", "", "settings file, in protobuf text format")
 	logging.register(command, "info")
 	return command
 }
@@ -81,10 +81,10 @@
 	})
 }
 
-// errNoSource tells that settings name no endpoint source; their check refuses such settings.
+// errNoSource means that the settings name no endpoint source. The check of package settings rejects such settings.
 var errNoSource = errors.New("the settings name no endpoint source")
 
-// endpointSource returns the endpoint source that settings name.
+// endpointSource returns the endpoint source that the settings name.
 func endpointSource(list *pb.ListSource, c clock.Clock) (discovery.Source, error) {
 	switch from := list.From.(type) {
 	case *pb.ListSource_Stream:
@@ -107,7 +107,7 @@
 }
 
 func proxyCommand() *cobra.Command {
-	return daemonCommand("proxy", "Run a plain proxy that follows a planner's weight tables",
+	return daemonCommand("proxy", "Run a simple HTTP proxy that uses the weight tables of a planner",
 		func() *pb.Proxy { return &pb.Proxy{} },
 		func(ctx context.Context, config *pb.Proxy, log *slog.Logger) error {
 			return proxy.New(proxy.Options{Settings: config, Clock: clock.NewReal(), Network: localNetwork, Log: log}).Run(ctx)
@@ -115,7 +115,7 @@
 }
 
 func serverCommand() *cobra.Command {
-	return daemonCommand("server", "Run a fake server, for trials",
+	return daemonCommand("server", "Run a fake server for trials, which models work, queues and slow start",
 		func() *pb.Server { return &pb.Server{} },
 		func(ctx context.Context, config *pb.Server, log *slog.Logger) error {
 			return fake.RunServer(ctx, config, clock.NewReal(), localNetwork, log)
--- a/cmd/lichenpick/examples_test.go
+++ b/cmd/lichenpick/examples_test.go
@@ -15,51 +15,52 @@
 )
 
 const (
-	exampleTimeout   = 20 * time.Second // for anything that a test of the examples awaits
+	exampleTimeout   = 20 * time.Second // limit of each wait
 	examplePoll      = 20 * time.Millisecond
 	burstClients     = 8
-	burstRequests    = 50 // that must succeed before the test goes on
+	burstRequests    = 50 // successful requests to wait for
 	exampleProxyURL  = "http://127.0.0.1:7200/"
 	exampleStatusURL = "http://127.0.0.1:7180/status"
 	exampleMetrics   = "http://127.0.0.1:7180/metrics"
 )
 
-// The examples run as processes. A planner that is asked to stop amid a burst of requests ends well, and its proxy goes on
-// serving; a planner that is killed and started again takes the proxy back.
+// TestExamples runs the files of deploy/examples as processes. It checks that a planner which is stopped during a burst of
+// requests exits with code 0 while the proxy goes on serving, and that the proxy joins a planner that is started again, also
+// after a kill.
 func TestExamples(t *testing.T) {
 	startExample(t, "server")
 	planner := startExample(t, "planner")
 	startExample(t, "proxy")
-	await(t, "a request", requestSucceeds)
-	await(t, "the join", proxyJoined)
+	await(t, "a successful request", requestSucceeds)
+	await(t, "the join of the proxy", proxyJoined)
 	if !strings.Contains(get(exampleMetrics), "lichenpick_proxies 1") {
-		t.Error("no metrics")
+		t.Error("the metrics do not have lichenpick_proxies 1")
 	}
 
 	burst := startBurst(t)
-	await(t, "the burst", func() bool { return burst.succeeded.Load() > burstRequests })
+	await(t, "successful requests of the burst", func() bool { return burst.succeeded.Load() > burstRequests })
 	if err := planner.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	checkExitsCleanly(t, planner)
 	before := burst.succeeded.Load()
-	await(t, "requests without a planner", func() bool { return burst.succeeded.Load() > before+burstRequests })
+	await(t, "successful requests without a planner", func() bool { return burst.succeeded.Load() > before+burstRequests })
 	burst.stop()
 
 	planner = startExample(t, "planner")
-	await(t, "the join of a new planner", proxyJoined)
+	await(t, "the join at the planner that was started again", proxyJoined)
 	if err := planner.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	if err := planner.Wait(); err == nil || errors.As(err, new(*os.PathError)) {
-		t.Errorf("killed, and ended with %v", err)
+		t.Errorf("a killed planner ended with %v, want an exit error", err)
 	}
-	await(t, "a request after the kill", requestSucceeds)
+	await(t, "a successful request after the kill", requestSucceeds)
 	startExample(t, "planner")
-	await(t, "the join after a kill", proxyJoined)
+	await(t, "the join after the kill", proxyJoined)
 }
 
-// startExample starts the program with an example file, until the end of the test.
+// startExample starts a sub-command with its example file. The process is killed at the end of the test.
 func startExample(t *testing.T, kind string) *exec.Cmd {
 	t.Helper()
 	command, errorText := programCommand(kind, "-c", "deploy/examples/"+kind+".txtpb", "--log-level", "warn")
@@ -76,7 +77,7 @@
 	return command
 }
 
-// checkExitsCleanly checks that a process which was signalled to stop ends in time, with exit code 0.
+// checkExitsCleanly checks that a process that received SIGTERM exits with code 0 within exampleTimeout.
 func checkExitsCleanly(t *testing.T, command *exec.Cmd) {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -84,10 +85,10 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("the planner ended with %v", err)
+			t.Errorf("the planner ended with %v, want exit code 0", err)
 		}
 	case <-time.After(exampleTimeout):
-		t.Error("the planner does not end")
+		t.Error("the planner did not exit in time")
 	}
 }
 
@@ -97,13 +98,13 @@
 	deadline := time.Now().Add(exampleTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not seen: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(examplePoll)
 	}
 }
 
-// get returns the body of a response, and nothing where there is none.
+// get returns the body of a response, and an empty string if the request fails.
 func get(url string) string {
 	response, err := http.Get(url)
 	if err != nil {
@@ -120,14 +121,14 @@
 
 func proxyJoined() bool { return strings.Contains(get(exampleStatusURL), `"Proxies":1`) }
 
-// requestBurst is some clients that send requests one after the other.
+// requestBurst is a set of concurrent clients, each of which sends one request after the other.
 type requestBurst struct {
 	succeeded atomic.Int32
 	stopping  chan struct{}
 	clients   sync.WaitGroup
 }
 
-// startBurst starts the clients, until stop is called.
+// startBurst starts the clients, which run until stop is called.
 func startBurst(t *testing.T) *requestBurst {
 	t.Helper()
 	burst := &requestBurst{stopping: make(chan struct{})}
@@ -150,7 +151,7 @@
 	}
 }
 
-// stop ends the clients and waits for them.
+// stop stops the clients and waits for them.
 func (b *requestBurst) stop() {
 	close(b.stopping)
 	b.clients.Wait()
--- a/cmd/lichenpick/load.go
+++ b/cmd/lichenpick/load.go
@@ -14,15 +14,15 @@
 	"lichenpick/internal/settings"
 )
 
-// errFirstRateFailed tells that not even the first rate of a ramp met the objective.
-var errFirstRateFailed = errors.New("not even the first rate holds")
+// errFirstRateFailed means that the first rate of a ramp already missed the objective.
+var errFirstRateFailed = errors.New("the first rate of the ramp misses the objective")
 
-// loadFlags are the flags of the sub-command load, before they are checked.
+// loadFlags has the unchecked flags of the sub-command load.
 type loadFlags struct {
 	targets   string
-	rate      float64 // requests a second
-	ramp      string  // empty: only rate
-	length    string
+	rate      float64 // requests per second
+	ramp      string  // FROM:TO:BY; empty: run at one rate only
+	length    string  // duration of each rate
 	class     string
 	deadline  string
 	objective string
@@ -36,10 +36,10 @@
 	flags := &loadFlags{}
 	command := &cobra.Command{
 		Use:   "load --to ADDRESS[,ADDRESS]",
-		Short: "Send open-loop traffic to proxies, and find the rate up to which they hold",
+		Short: "Send open-loop traffic to proxies, and find the highest rate that meets an objective",
 		Args:  exactArgs(0),
-		Long: "Sends requests at times drawn ahead, at a set rate, and measures each from the time it was due: what is late shows,\n" +
-			"whoever is late. With --ramp FROM:TO:BY each rate lasts --length, and the first that misses the objective ends the run.",
+		Long: "Sends requests at a given rate, at times drawn beforehand, and measures each from the time it was due, so that delays of\n" +
+			"this tool count too. With --ramp FROM:TO:BY, each rate lasts --length, and the first that misses the objective ends the run.",
 		RunE: func(command *cobra.Command, _ []string) error {
 			options, err := flags.plan()
 			if err != nil {
@@ -56,18 +56,18 @@
 func (f *loadFlags) register(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVar(&f.targets, "to", "", "addresses of proxies, separated by commas")
-	flags.Float64Var(&f.rate, "rate", 100, "requests a second")
-	flags.StringVar(&f.length, "length", "10s", "how long, or how long each step of a ramp")
-	flags.StringVar(&f.ramp, "ramp", "", "FROM:TO:BY requests a second")
-	flags.StringVar(&f.class, "group", "", "traffic class; none: the proxies' first")
+	flags.Float64Var(&f.rate, "rate", 100, "requests per second")
+	flags.StringVar(&f.length, "length", "10s", "duration of the run, or of each rate of a ramp")
+	flags.StringVar(&f.ramp, "ramp", "", "rates to try one after the other, as FROM:TO:BY in requests per second")
+	flags.StringVar(&f.class, "group", "", "traffic class; if empty, the first one of the proxies")
 	flags.StringVar(&f.deadline, "expiry", "5s", "deadline of a request, after which it counts as failed")
-	flags.StringVar(&f.objective, "budget", "500ms", "p99 that a rate must keep to hold")
-	flags.Float64Var(&f.minSuccessRatio, "least", 0.99, "part that must succeed for a rate to hold")
-	flags.IntVar(&f.maxInFlight, "most", 10000, "requests in flight; more are not sent, and counted")
-	flags.Int64Var(&f.seed, "seed", 1, "seed of chance")
+	flags.StringVar(&f.objective, "budget", "500ms", "latency objective: the highest p99 with which a rate holds")
+	flags.Float64Var(&f.minSuccessRatio, "least", 0.99, "lowest ratio of successful requests with which a rate holds")
+	flags.IntVar(&f.maxInFlight, "most", 10000, "maximum number of requests in flight; requests beyond it are not sent, and counted as unsent")
+	flags.Int64Var(&f.seed, "seed", 1, "seed of the random numbers")
 }
 
-// plan returns the checked options of the run. All errors are errors of the call.
+// plan returns the checked options of the run. All its errors are of type usageError.
 func (f *loadFlags) plan() (load.Options, error) {
 	options := load.Options{
 		Clock:              clock.NewReal(),
@@ -100,15 +100,15 @@
 func parseRamp(text string) ([]float64, error) {
 	var from, to, by float64
 	if _, err := fmt.Sscanf(text, "%f:%f:%f", &from, &to, &by); err != nil {
-		return nil, fmt.Errorf("no ramp %q; FROM:TO:BY, such as 100:1000:100", text)
+		return nil, fmt.Errorf("invalid ramp %q; want FROM:TO:BY, such as 100:1000:100", text)
 	}
 	return load.Ramp(from, to, by)
 }
 
-// runLoad sends the traffic, with progress on one writer and the result on the other.
+// runLoad sends the traffic, and writes the result to out and a line after each rate to progress.
 func runLoad(ctx context.Context, options load.Options, ramp bool, out, progress io.Writer) error {
 	options.Progress = func(step load.Step) {
-		// Progress is for whoever watches; the run does not depend on it.
+		// A failure to write progress does not affect the run.
 		_, _ = fmt.Fprintf(progress, "%g/s: %d due, %d succeeded, p50 %.1f ms, p99 %.1f ms\n", step.Rate, step.Due, step.Succeeded, step.P50, step.P99)
 	}
 	steps, err := load.Run(ctx, options)
@@ -126,7 +126,7 @@
 	return err
 }
 
-// printSteps prints a line for each rate.
+// printSteps prints a table with one row per rate.
 func printSteps(out io.Writer, options load.Options, steps []load.Step) error {
 	var table strings.Builder
 	table.WriteString("rate/s\tdue\tsucceeded\trejected\tfailed\tunsent\tp50 ms\tp90\tp99\tp99.9\tmax\ttool late ms\tholds\n")
@@ -138,7 +138,7 @@
 	return writeTable(out, table.String())
 }
 
-// highestSustainedRate returns the last rate that met the objective, and whether there was one.
+// highestSustainedRate returns the last rate that met the objective, and reports whether any did.
 func highestSustainedRate(options load.Options, steps []load.Step) (rate float64, found bool) {
 	for _, step := range steps {
 		if options.MeetsObjective(step) {
--- a/cmd/lichenpick/main.go
+++ b/cmd/lichenpick/main.go
@@ -1,7 +1,8 @@
-// Lichenpick directs the traffic of a fleet of proxies. The program is planner, proxy and the tools to try them in one binary,
-// with a sub-command for each.
+// Lichenpick distributes the traffic of a fleet of proxies over servers. This binary contains the planner, a proxy and tools to
+// test them, each as a sub-command.
 //
-// It exits with 0 when it ended as asked, 1 when a run failed or violated an invariant, and 2 when the call or a file is bad.
+// Its exit code is 0 for success or a requested stop, 1 if a run failed or violated an invariant, and 2 if the command line or
+// a settings file is invalid.
 package main
 
 import (
@@ -20,13 +21,13 @@
 // Exit codes other than 0.
 const (
 	exitFailed   = 1 // a run failed or violated an invariant
-	exitBadInput = 2 // the call or a file cannot be used
+	exitBadInput = 2 // the command line or a settings file is invalid
 )
 
-// usageError is an error of the call itself, such as a bad flag.
+// usageError is an error in the command line, such as an unknown flag.
 type usageError struct{ error }
 
-// Unwrap returns what is wrong with the call.
+// Unwrap returns the cause.
 func (e usageError) Unwrap() error { return e.error }
 
 func main() {
@@ -49,11 +50,11 @@
 	return exitFailed
 }
 
-// rootCommand returns the command of the program, with all sub-commands.
+// rootCommand returns the top-level command with all sub-commands.
 func rootCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:           "lichenpick",
-		Short:         "A traffic director for fleets of proxies",
+		Short:         "Distribute the traffic of a fleet of proxies over servers",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
@@ -74,7 +75,7 @@
 	return command
 }
 
-// exactArgs returns cobra's check of the number of arguments with an error of type usageError.
+// exactArgs is cobra.ExactArgs with an error of type usageError.
 func exactArgs(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(count)(command, args); err != nil {
--- a/cmd/lichenpick/main_test.go
+++ b/cmd/lichenpick/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// asProgramVariable makes the test binary run as the program itself where it is set.
+// asProgramVariable is an environment variable. If it is set, the test binary runs main instead of the tests.
 const asProgramVariable = "LICHENPICK_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -20,7 +20,8 @@
 	os.Exit(m.Run())
 }
 
-// programCommand returns a run of the program from the repository's root, and what it will have written to standard error.
+// programCommand returns a command that runs the program in the root directory of the repository, and a buffer that collects
+// its standard error.
 func programCommand(args ...string) (*exec.Cmd, *bytes.Buffer) {
 	command := exec.Command(os.Args[0], args...)
 	command.Env = append(os.Environ(), asProgramVariable+"=1")
@@ -31,10 +32,10 @@
 }
 
 const (
-	// shortScenario is a scenario that keeps all invariants.
+	// shortScenario is a scenario in which all invariants hold.
 	shortScenario = `name: "x" length: "2s" warm: "500ms" no_baselines: true groups { name: "g" latency_budget: "500ms" expiry: "1s" }
 		places { name: "a" proxies: 1 servers: 2 } traffic { rate: "20/s" } `
-	// brokenScenario has a cold server that can do nothing: any request overloads it.
+	// brokenScenario violates an invariant: a restarted server has so little capacity that any request overloads it.
 	brokenScenario = `name: "x" length: "6s" warm: "500ms" no_baselines: true groups { name: "g" latency_budget: "500ms" expiry: "1s" }
 		places { name: "a" proxies: 1 servers: 2 } traffic { rate: "100/s" } servers { work: "1s" fall_multiple: 1 }
 		limits { cold_share: 0.001 fall_window: "100ms" } troubles { at: "200ms" lasts: "300ms" crash { servers: 1 listed: true } }`
@@ -63,13 +64,13 @@
 			[]string{"scenario", write("script", shortScenario+`troubles { at: "1s" zone_loss { zone: "mars" } }`)},
 			2, `is "mars", which is not the name of a place`,
 		},
-		"a scenario that keeps the invariants": {[]string{"scenario", write("kept", shortScenario)}, 0, ""},
-		"a scenario that breaks an invariant":  {[]string{"scenario", write("broken", brokenScenario)}, 1, "broke a rule"},
+		"a scenario without a violation":        {[]string{"scenario", write("kept", shortScenario)}, 0, ""},
+		"a scenario that violates an invariant": {[]string{"scenario", write("broken", brokenScenario)}, 1, "violated an invariant"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			command, errorText := programCommand(test.args...)
-			_ = command.Run() // judged by its exit code
+			_ = command.Run() // the exit code is checked instead of the error
 			code := command.ProcessState.ExitCode()
 			if code != test.code || !strings.Contains(errorText.String(), test.want) {
 				t.Errorf("exit %d, want %d with %q: %s", code, test.code, test.want, errorText)
--- a/cmd/lichenpick/plannergroup.go
+++ b/cmd/lichenpick/plannergroup.go
@@ -21,33 +21,35 @@
 	plannerStartTimeout = 5 * time.Second
 	plannerStartPollMs  = 20.0
 	plannerPollMs       = 100.0
-	// finalPollMarginMs is how long before the end planners are polled last, so that they are not seen as proxies leave.
+	// finalPollMarginMs is the time before the end of the run at which polling stops, so that the last status does not show
+	// the proxies' departure.
 	finalPollMarginMs = 300.0
-	// rebalancedTenths is the part of its quota, in tenths, with which a restarted planner counts as rebalanced.
+	// rebalancedTenths is the part of its lease quota, in tenths, that a restarted planner must hold to count as rebalanced.
 	rebalancedTenths = 9
-	// killedMember is the number of the planner that is killed.
+	// killedMember is the index of the planner that is killed.
 	killedMember = 1
 )
 
-// errNoStatusAddress tells that planners cannot be started as their status could not be read.
+// errNoStatusAddress means that planners cannot be started because their status could not be read.
 var errNoStatusAddress = errors.New("--spawn needs a planner file with a 'status' address")
 
-// killSchedule says when the second planner is killed and started again, in ms from the start of a run.
+// killSchedule says when the second planner is killed, and when it is started again.
 type killSchedule struct {
-	atMs           float64 // 0: never
-	restartAfterMs float64 // from the kill
+	atMs           float64 // since the start of the run; 0: never
+	restartAfterMs float64 // since the kill
 }
 
-// plannerGroup is some planners as processes, made from one file.
+// plannerGroup is a group of planner processes whose settings are derived from one file.
 type plannerGroup struct {
-	list         string // endpoint list, which all read
-	proxies      int    // of the fleet
+	list         string // path of the endpoint list of all members
+	proxies      int    // number of proxies in the fleet
 	members      []*plannerMember
-	restartedMs  float64 // when the killed one was started again; 0: not
-	rebalancedMs float64 // from then until it held nine tenths of its quota of leases; 0: not yet
+	restartedMs  float64 // when the killed planner was restarted, since the start of the run; 0: not yet
+	rebalancedMs float64 // from the restart until it held nine tenths of its quota of leases; 0: not yet
 }
 
-// newPlannerGroup writes the settings of planners on the next ports, and their stores where they share a fleet.
+// newPlannerGroup writes the settings files of all members, on consecutive ports, and initialises their stores if they share a
+// fleet.
 func newPlannerGroup(template *pb.Planner, proxies, count int, directory string) (*plannerGroup, error) {
 	if template.Status == "" {
 		return nil, usageError{errNoStatusAddress}
@@ -69,7 +71,7 @@
 	return group, nil
 }
 
-// addresses returns the addresses of all planners, for proxies.
+// addresses returns the addresses at which the planners listen for proxies.
 func (g *plannerGroup) addresses() []string {
 	var addresses []string
 	for _, member := range g.members {
@@ -78,7 +80,7 @@
 	return addresses
 }
 
-// start starts all planners, and returns when their status answers.
+// start starts all planners, and returns when all serve their status.
 func (g *plannerGroup) start(ctx context.Context) error {
 	for _, member := range g.members {
 		if err := member.start(); err != nil {
@@ -98,7 +100,8 @@
 	return nil
 }
 
-// watch polls the planners until the context ends, and kills and restarts one by the schedule. The run lasts lengthMs.
+// watch polls the planners until the context ends, and kills and restarts one according to the schedule. The run lasts
+// lengthMs.
 func (g *plannerGroup) watch(ctx context.Context, c clock.Clock, kill killSchedule, lengthMs float64) error {
 	startMs := c.Monotonic()
 	pending := kill.atMs > 0 && len(g.members) > killedMember
@@ -122,13 +125,13 @@
 	return nil
 }
 
-// restartDue reports whether the planner that was killed is to be started again.
+// restartDue reports whether the killed planner must be restarted now.
 func (g *plannerGroup) restartDue(kill killSchedule, nowMs float64) bool {
 	scheduled := kill.atMs > 0 && len(g.members) > killedMember
 	return scheduled && g.restartedMs == 0 && nowMs >= kill.atMs+kill.restartAfterMs
 }
 
-// checkRebalanced notes when the planner that was started again holds nearly its quota of leases.
+// checkRebalanced records when the restarted planner first holds nine tenths of its quota of leases.
 func (g *plannerGroup) checkRebalanced(nowMs float64) {
 	if g.restartedMs == 0 || g.rebalancedMs > 0 {
 		return
@@ -137,13 +140,13 @@
 	if member.command == nil || member.poll() != nil {
 		return
 	}
-	// In integers, as quotas need not be whole.
+	// The quota, proxies per member, need not be an integer, so both sides are multiplied instead of divided.
 	if 10*len(g.members)*member.status.LeasesHeld >= rebalancedTenths*g.proxies {
 		g.rebalancedMs = nowMs - g.restartedMs
 	}
 }
 
-// pollAll polls the planners that run. One that does not answer keeps its last status.
+// pollAll polls the running planners. A planner that does not answer keeps its last status.
 func (g *plannerGroup) pollAll() {
 	for _, member := range g.members {
 		if member.command != nil {
@@ -152,14 +155,14 @@
 	}
 }
 
-// stop ends all planners gracefully, and waits until they have ended.
+// stop stops all planners with SIGTERM, and waits until they have exited.
 func (g *plannerGroup) stop() {
 	for _, member := range g.members {
 		member.stop(syscall.SIGTERM)
 	}
 }
 
-// print prints what each planner used and counted.
+// print prints a table with the resource usage and counters of each planner.
 func (g *plannerGroup) print(out io.Writer) error {
 	var table strings.Builder
 	table.WriteString("planner\tCPU s\tmax memory MB\tleases\ttakeovers\ttransferred\texpired\tepoch reservations\tmessages\t" +
--- a/cmd/lichenpick/plannermember.go
+++ b/cmd/lichenpick/plannermember.go
@@ -17,18 +17,19 @@
 	pb "lichenpick/proto/settings"
 )
 
-// plannerMember is one planner of a group, over its restarts.
+// plannerMember is one planner of a group, including all its restarts.
 type plannerMember struct {
-	file          string // of its settings
-	address       string // for proxies
+	file          string // path of its settings file
+	address       string // at which it listens for proxies
 	statusAddress string
-	command       *exec.Cmd // nil: it does not run
-	cpu           time.Duration
-	maxRSSBytes   int64
-	status        planner.Status // as it answered last
+	command       *exec.Cmd      // nil: it does not run
+	cpu           time.Duration  // user and system time of all processes that have exited
+	maxRSSBytes   int64          // maximum resident set size of these processes
+	status        planner.Status // at the last successful poll
 }
 
-// newPlannerMember writes what one planner needs; its ports are those of the settings, plus its number.
+// newPlannerMember writes the settings file of one planner, and initialises its store if it shares a fleet. Its ports are those
+// of the settings plus its number.
 func newPlannerMember(config *pb.Planner, number int, directory string) (*plannerMember, error) {
 	var err error
 	config.Listen, err = shiftPort(config.Listen, number)
@@ -52,7 +53,7 @@
 	return &plannerMember{file: file, address: config.Listen, statusAddress: config.Status}, nil
 }
 
-// shiftPort returns an address with its port raised by a number.
+// shiftPort returns an address with its port increased by a number.
 func shiftPort(address string, by int) (string, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -85,16 +86,16 @@
 	return nil
 }
 
-// stop ends the planner's process by a signal, waits until it has ended, and adds up what it used. It does nothing where
-// the planner does not run.
+// stop sends the planner's process a signal, waits until it has exited, and records its resource usage. It does nothing if the
+// planner does not run.
 func (m *plannerMember) stop(signal os.Signal) {
 	if m.command == nil {
 		return
 	}
 	command := m.command
 	m.command = nil
-	_ = command.Process.Signal(signal) // fails only where it has ended already
-	_ = command.Wait()                 // how it ended does not matter
+	_ = command.Process.Signal(signal) // fails only if the process has exited already
+	_ = command.Wait()                 // the exit code does not matter
 	state := command.ProcessState
 	m.cpu += state.UserTime() + state.SystemTime()
 	if usage, ok := state.SysUsage().(*syscall.Rusage); ok {
--- a/cmd/lichenpick/scenario.go
+++ b/cmd/lichenpick/scenario.go
@@ -16,12 +16,12 @@
 	"lichenpick/proto/script"
 )
 
-// errInvariantViolated tells that a scenario was played and violated an invariant.
-var errInvariantViolated = errors.New("the scenario broke a rule")
+// errInvariantViolated means that a scenario ran to its end and violated an invariant.
+var errInvariantViolated = errors.New("the scenario violated an invariant")
 
-// scenarioFlags are the flags of the sub-command scenario.
+// scenarioFlags has the flags of the sub-command scenario.
 type scenarioFlags struct {
-	report  string // path; empty: not written
+	report  string // path of the JSON report; empty: none is written
 	logging logFlags
 }
 
@@ -29,10 +29,10 @@
 	flags := &scenarioFlags{}
 	command := &cobra.Command{
 		Use:   "scenario SCRIPT",
-		Short: "Play a scripted scenario on loopback and judge the invariants",
+		Short: "Run a scripted scenario on loopback and check the invariants",
 		Args:  exactArgs(1),
-		Long: "Plays a scenario with a real planner, plain proxies and fake servers on loopback, and judges the invariants from what\n" +
-			"passed on the sockets. Exit 0: all invariants held; 1: one was violated, or the run failed; 2: the script is bad.",
+		Long: "Runs a scenario with real planners and proxies and with fake servers on loopback, and checks the invariants against the\n" +
+			"observed traffic. Exit code 0: all invariants held; 1: one was violated, or the run failed; 2: the script is invalid.",
 		RunE: func(command *cobra.Command, args []string) error {
 			return playScenario(command.Context(), args[0], flags, command.OutOrStdout())
 		},
@@ -42,7 +42,7 @@
 	return command
 }
 
-// playScenario plays the script of a file and prints its report.
+// playScenario runs the scenario of a script file and prints its report.
 func playScenario(ctx context.Context, file string, flags *scenarioFlags, out io.Writer) error {
 	log, err := flags.logging.logger()
 	if err != nil {
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// newPlannerProcess returns a command that runs this program as a planner, with its errors logged to this one's standard error.
+// newPlannerProcess returns a command that runs this program as a planner with a settings file. The planner logs errors to the
+// standard error of this process.
 func newPlannerProcess(file string) *exec.Cmd {
 	executable, err := os.Executable()
 	if err != nil {
--- a/cmd/lichenpick/serve.go
+++ b/cmd/lichenpick/serve.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	heapMemoryShare = 0.5 // of the memory limit for the Go runtime; the remainder is code, kernel buffers and a reserve
-	gcPercent       = 50  // growth of the heap between collections: a small heap, collected often
+	heapMemoryShare = 0.5 // part of the process's memory limit for the Go runtime; the rest is for code, kernel buffers and a reserve
+	gcPercent       = 50  // GOGC: below the default of 100, so that the heap stays small at the cost of more collections
 )
 
 func serveCommand() *cobra.Command {
@@ -23,11 +23,11 @@
 	var trace bool
 	command := &cobra.Command{
 		Use:   "serve",
-		Short: "Run a planner on the operators' platform until SIGTERM; EDGE_CONFIG names its configuration",
+		Short: "Run a planner on the operators' platform until SIGTERM; EDGE_CONFIG is the path of its configuration",
 		Args:  exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			hangup := make(chan os.Signal, 1)
-			signal.Notify(hangup, syscall.SIGHUP) // first of all: by itself it would end the program
+			signal.Notify(hangup, syscall.SIGHUP) // first of all, as an unhandled SIGHUP would end the process
 			log, err := logger(logLevel, logForm)
 			if err != nil {
 				return err
@@ -48,14 +48,14 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringVarP(&path, "config", "c", os.Getenv("EDGE_CONFIG"), "configuration, in the platform's JSON")
-	flags.BoolVar(&trace, "trace", false, "write each second what the policy believes, beside what the sockets said")
-	flags.StringVar(&logLevel, "log-level", "info", "debug, info, warn or error")
-	flags.StringVar(&logForm, "log-form", "text", "text or json")
+	flags.StringVarP(&path, "config", "c", os.Getenv("EDGE_CONFIG"), "configuration file, in the platform's JSON format")
+	flags.BoolVar(&trace, "trace", false, "write to standard error, once per second, the policy's estimates beside the observed values")
+	flags.StringVar(&logLevel, "log-level", "info", "lowest level that is logged: debug, info, warn or error")
+	flags.StringVar(&logForm, "log-form", "text", "format of the log: text or json")
 	return command
 }
 
-// limitResources sets the limits of a configuration to the Go runtime.
+// limitResources applies a configuration's limits on cores and memory to the Go runtime.
 func limitResources(config platform.Config) {
 	runtime.GOMAXPROCS(max(int(config.Cores), 1))
 	if config.MemoryMB > 0 {
--- a/cmd/lichenpick/settings.go
+++ b/cmd/lichenpick/settings.go
@@ -14,7 +14,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// settingsKinds are the kinds of settings files, by the sub-command that reads them.
+// settingsKinds has the constructor of the message of each kind of settings file.
 var settingsKinds = map[string]func() proto.Message{
 	"planner": func() proto.Message { return &pb.Planner{} },
 	"proxy":   func() proto.Message { return &pb.Proxy{} },
@@ -23,17 +23,17 @@
 	"script":  func() proto.Message { return &script.Script{} },
 }
 
-// settingsKindNames lists the kinds for an error text.
+// settingsKindNames returns the names of all kinds, separated by commas.
 func settingsKindNames() string {
 	names := slices.Sorted(maps.Keys(settingsKinds))
 	return strings.Join(names, ", ")
 }
 
-// loadSettings reads a file of a kind; the error is a usage error or a *settings.Error.
+// loadSettings reads a settings file of a kind. The error is a usageError for an unknown kind, and else a *settings.Error.
 func loadSettings(kind, path string) (proto.Message, error) {
 	newMessage, known := settingsKinds[kind]
 	if !known {
-		return nil, usageError{fmt.Errorf("no kind of file %q; there are %s", kind, settingsKindNames())}
+		return nil, usageError{fmt.Errorf("unknown kind of settings file %q; want one of %s", kind, settingsKindNames())}
 	}
 	message := newMessage()
 	return message, settings.Load(path, message)
@@ -47,7 +47,7 @@
 
 func settingsCheckCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "check KIND FILE", Short: "Check a file; one line and exit 2 if it is bad", Args: exactArgs(2),
+		Use: "check KIND FILE", Short: "Check a settings file; an invalid one gives one line on standard error and exit code 2", Args: exactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, err := loadSettings(args[0], args[1])
 			return err
@@ -57,7 +57,7 @@
 
 func settingsPrintCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "print KIND FILE", Short: "Print a file with all defaults filled in", Args: exactArgs(2),
+		Use: "print KIND FILE", Short: "Print a settings file with the defaults of all omitted fields", Args: exactArgs(2),
 		RunE: func(command *cobra.Command, args []string) error {
 			message, err := loadSettings(args[0], args[1])
 			if err != nil {
--- a/cmd/lichenpick/simulate.go
+++ b/cmd/lichenpick/simulate.go
@@ -13,29 +13,29 @@
 	"lichenpick/proto/script"
 )
 
-// maxSeeds is the most seeds that one call plays.
+// maxSeeds is the maximum number of seeds in one call.
 const maxSeeds = 10_000
 
 func simulateCommand() *cobra.Command {
 	var seeds int
 	command := &cobra.Command{
 		Use:   "simulate SCRIPT",
-		Short: "Play a scenario in simulated time, with models of servers, clients and links",
+		Short: "Run a scenario in simulated time, with models of servers, clients and links",
 		Args:  exactArgs(1),
-		Long: "Planner core, policy and proxies are the program's own; the rest is modelled. One seed gives one run. Faults that only\n" +
-			"sockets can have are refused.",
+		Long: "Runs the program's own planner core, policy and proxies; servers, clients and links are models. The same seed gives the\n" +
+			"same run. Faults that only occur on sockets are rejected.",
 		RunE: func(command *cobra.Command, args []string) error {
 			if seeds < 1 || seeds > maxSeeds {
-				return usageError{fmt.Errorf("--seeds from 1 to %d, not %d", maxSeeds, seeds)}
+				return usageError{fmt.Errorf("--seeds must be from 1 to %d, not %d", maxSeeds, seeds)}
 			}
 			return simulate(args[0], seeds, command.OutOrStdout())
 		},
 	}
-	command.Flags().IntVar(&seeds, "seeds", 1, "number of runs, with seeds from the script's on")
+	command.Flags().IntVar(&seeds, "seeds", 1, "number of runs, with consecutive seeds that start at the script's")
 	return command
 }
 
-// simulate plays the script of a file under several seeds and prints a line for each.
+// simulate runs the scenario of a script file once per seed and prints a table with one row per run.
 func simulate(file string, seeds int, out io.Writer) error {
 	scenario := &script.Script{}
 	if err := settings.Load(file, scenario); err != nil {
@@ -64,7 +64,8 @@
 	return writeTable(out, table.String())
 }
 
-// formatSimulation appends the line of one run, with tabs between its cells. The speed is in simulated seconds a second.
+// formatSimulation appends the row of one run, with cells separated by tabs. The speed is in simulated seconds per second of
+// real time.
 func formatSimulation(table *strings.Builder, seed uint64, result *simulation.Result, speed float64) {
 	fmt.Fprintf(table, "%d\t%.3f", seed, result.Service)
 	late := 0
--- a/cmd/lichenpick/store.go
+++ b/cmd/lichenpick/store.go
@@ -12,9 +12,10 @@
 	pb "lichenpick/proto/settings"
 )
 
-// storeCommand returns the command that makes and checks the stores of controllers.
+// storeCommand returns the command that creates and checks the store of a planner that shares its fleet with others. Where
+// planners share a fleet, they are also called controllers.
 func storeCommand() *cobra.Command {
-	command := &cobra.Command{Use: "store", Short: "The store of a planner that shares its fleet"}
+	command := &cobra.Command{Use: "store", Short: "Create or check the store of a planner that shares its fleet with others"}
 	command.AddCommand(storeInitCommand(), storeShowCommand())
 	return command
 }
@@ -22,8 +23,8 @@
 func storeInitCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "init PLANNER-FILE",
-		Short: "Make the store of a new controller",
-		Long:  "Makes the store that the settings name. For a controller that is new: one that loses its store should get a new name.",
+		Short: "Create the store of a new planner",
+		Long:  "Creates the store that the settings name. A planner that has lost its store must get a new name as well.",
 		Args:  exactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			planner, err := loadSharingPlanner(args[0])
@@ -38,7 +39,7 @@
 func storeShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show PLANNER-FILE",
-		Short: "Check a store, and print whose it is",
+		Short: "Check the store of a planner, and print its name and epochs",
 		Args:  exactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			planner, err := loadSharingPlanner(args[0])
@@ -50,19 +51,19 @@
 	}
 }
 
-// loadSharingPlanner reads a planner's settings, which must have a sharing block.
+// loadSharingPlanner reads the settings of a planner. They must have a sharing block.
 func loadSharingPlanner(file string) (*pb.Planner, error) {
 	planner := &pb.Planner{}
 	if err := settings.Load(file, planner); err != nil {
 		return nil, err
 	}
 	if planner.Sharing == nil {
-		return nil, usageError{fmt.Errorf("%s: has no sharing block", file)}
+		return nil, usageError{fmt.Errorf("%s: the settings have no sharing block", file)}
 	}
 	return planner, nil
 }
 
-// showStore opens a planner's store, which checks it, and prints what it holds.
+// showStore opens a planner's store, which checks it, and prints its contents.
 func showStore(output io.Writer, planner *pb.Planner) error {
 	opened, err := store.Open(planner.Sharing.Store, planner.Name)
 	if err != nil {
--- a/cmd/lichenpick/stress.go
+++ b/cmd/lichenpick/stress.go
@@ -18,31 +18,31 @@
 	pb "lichenpick/proto/settings"
 )
 
-// maxSpawned is the most planners that one call starts.
+// maxSpawned is the maximum number of planners that one call starts.
 const maxSpawned = 16
 
-// errStressUsage tells what a stress test needs.
-var errStressUsage = errors.New("stress needs a planner with a list file, a --length such as 20s, proxies and servers above 0, and --spawn up to 16")
+// errStressUsage states the requirements of a stress test. The limit of --spawn is maxSpawned.
+var errStressUsage = errors.New("stress needs planner settings with a list file, a --length such as 20s, more than 0 --proxies and --servers, and a --spawn from 0 to 16")
 
-// stressFlags are the flags of the sub-command stress, before they are checked.
+// stressFlags has the unchecked flags of the sub-command stress.
 type stressFlags struct {
 	file         string
 	length       string
-	spawned      int // planners to start
-	plannerCores int
+	spawned      int // number of planners to start
+	plannerCores int // per started planner; 0: as in the settings
 	kill         killSchedule
-	test         fake.StressTest // the fields that are flags
+	test         fake.StressTest // with the fields that have a flag
 }
 
 func stressCommand() *cobra.Command {
 	flags := &stressFlags{}
 	command := &cobra.Command{
 		Use:   "stress -c PLANNER-FILE",
-		Short: "Load planners with many fake proxies that only speak the control stream",
+		Short: "Load planners with many fake proxies that only implement the control stream",
 		Args:  exactArgs(0),
-		Long: "Reads a planner's settings for its address, zones, traffic classes and list file, writes that list, and joins. Requests are\n" +
-			"made up by the weights that the proxies hold. For measurements of planners at large sizes. With --spawn it also starts\n" +
-			"planners made from that file in a directory of their own, on the next ports, and says at the end what each used.",
+		Long: "Measures planners with large fleets. Reads a planner's settings, writes its endpoint list, and joins with fake proxies. They\n" +
+			"send no requests: their load reports are computed from their weight tables. With --spawn it also starts planners whose settings\n" +
+			"are derived from that file, in a temporary directory and on consecutive ports, and prints the resource usage of each.",
 		RunE: func(command *cobra.Command, _ []string) error {
 			plan, err := flags.plan()
 			if err != nil {
@@ -59,29 +59,29 @@
 func (f *stressFlags) register(command *cobra.Command) {
 	flags := command.Flags()
 	flags.StringVarP(&f.file, "config", "c", "", "the planner's settings file")
-	flags.IntVar(&f.test.Proxies, "proxies", 100, "proxies")
-	flags.IntVar(&f.test.Servers, "servers", 50, "servers in the list")
-	flags.Float64Var(&f.test.RequestsPerSecond, "rate", 5, "requests a proxy and second")
-	flags.Float64Var(&f.test.DrainIntervalMs, "flip-ms", 2000, "ms between changes of the list: one server drains, or is ready again")
-	flags.Float64Var(&f.test.JoinSpreadMs, "join-over-ms", 100, "ms over which the joins are spread")
-	flags.Int64Var(&f.test.Seed, "seed", 1, "seed of chance")
-	flags.StringVar(&f.length, "length", "20s", "how long")
-	flags.IntVar(&f.spawned, "spawn", 0, "planners to start; 0: one runs already")
-	flags.IntVar(&f.plannerCores, "planner-cores", 0, "cores that each of these may use; 0: what their file says")
-	flags.Float64Var(&f.kill.atMs, "kill-at-ms", 0, "ms after which the second planner is killed; 0: never")
-	flags.Float64Var(&f.kill.restartAfterMs, "back-after-ms", 5000, "ms after which it is started again")
+	flags.IntVar(&f.test.Proxies, "proxies", 100, "number of fake proxies")
+	flags.IntVar(&f.test.Servers, "servers", 50, "number of servers in the endpoint list")
+	flags.Float64Var(&f.test.RequestsPerSecond, "rate", 5, "reported requests per second and proxy")
+	flags.Float64Var(&f.test.DrainIntervalMs, "flip-ms", 2000, "ms between changes of the endpoint list: one server drains, or is ready again")
+	flags.Float64Var(&f.test.JoinSpreadMs, "join-over-ms", 100, "ms over which the joins of the proxies are spread")
+	flags.Int64Var(&f.test.Seed, "seed", 1, "seed of the random numbers")
+	flags.StringVar(&f.length, "length", "20s", "duration of the test")
+	flags.IntVar(&f.spawned, "spawn", 0, "number of planners to start; 0: use a planner that runs already")
+	flags.IntVar(&f.plannerCores, "planner-cores", 0, "cores that each started planner may use; 0: as in the settings")
+	flags.Float64Var(&f.kill.atMs, "kill-at-ms", 0, "ms from the start until the second planner is killed; 0: never")
+	flags.Float64Var(&f.kill.restartAfterMs, "back-after-ms", 5000, "ms from the kill until the planner is started again")
 }
 
-// stressPlan is a stress test that can be run.
+// stressPlan is a checked stress test, ready to run.
 type stressPlan struct {
 	test     *fake.StressTest
-	settings *pb.Planner // of the planner, or of those to start
+	settings *pb.Planner // of the running planner, or the template for the planners to start
 	lengthMs float64
-	spawned  int
+	spawned  int // number of planners to start
 	kill     killSchedule
 }
 
-// plan returns the checked plan.
+// plan checks the flags, reads the settings file and returns the stress test.
 func (f *stressFlags) plan() (*stressPlan, error) {
 	config := &pb.Planner{}
 	if err := settings.Load(f.file, config); err != nil {
@@ -110,7 +110,7 @@
 	return &stressPlan{test: test, settings: config, lengthMs: lengthMs, spawned: f.spawned, kill: f.kill}, nil
 }
 
-// run runs the stress test, with planners of its own where the plan has any, and prints the result.
+// run runs the stress test, with planners of its own if the plan has any, and prints the result.
 func (p *stressPlan) run(ctx context.Context, out io.Writer) error {
 	if p.spawned == 0 {
 		result, err := p.test.Run(ctx, p.lengthMs)
@@ -122,11 +122,12 @@
 	return p.runWithPlanners(ctx, out)
 }
 
-// runWithPlanners starts planners, runs the stress test against them and prints the result of both.
+// runWithPlanners starts planners in a temporary directory, runs the stress test against them, and prints the results of the
+// proxies and of the planners.
 func (p *stressPlan) runWithPlanners(ctx context.Context, out io.Writer) (err error) {
 	directory, err := os.MkdirTemp("", "lichenpick-stress-")
 	if err != nil {
-		return fmt.Errorf("making a directory for planners: %w", err)
+		return fmt.Errorf("creating a directory for planners: %w", err)
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(directory)) }()
 	planners, err := newPlannerGroup(p.settings, p.test.Proxies, p.spawned, directory)
@@ -153,7 +154,7 @@
 	return planners.print(out)
 }
 
-// runWatched runs the stress test while the planners are polled, and one is killed if the plan says so.
+// runWatched runs the stress test. Meanwhile it polls the planners, and kills and restarts one if the plan has a kill.
 func (p *stressPlan) runWatched(ctx context.Context, planners *plannerGroup) (fake.StressResult, error) {
 	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -164,7 +165,7 @@
 	return result, errors.Join(err, watch.Wait())
 }
 
-// print prints what the proxies observed.
+// print prints a table with the measurements of the fake proxies.
 func (p *stressPlan) print(out io.Writer, result fake.StressResult) error {
 	proxySeconds := float64(p.test.Proxies) * p.lengthMs / 1000
 	var table strings.Builder
--- a/cmd/lichenpick/stress_test.go
+++ b/cmd/lichenpick/stress_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Three planners as processes share a fleet of fake proxies, and one is killed. It guards against a stress test that
-// measures a fleet without a leader: every proxy must have been assigned tables, and the leases of the killed planner must
-// have gone to others.
+// TestStressSharesTheFleet starts three planners that share a fleet of fake proxies, and kills one. It guards against stress
+// tests that measure proxies without a planner: every proxy must have been assigned tables, and the other two planners must
+// hold the leases of the killed one.
 func TestStressSharesTheFleet(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes six seconds")
@@ -34,6 +34,6 @@
 		}
 	}
 	if leases != 30 {
-		t.Errorf("the two planners that live hold %d of 30 leases:\n%s", leases, out)
+		t.Errorf("the two running planners hold %d of 30 leases:\n%s", leases, out)
 	}
 }
--- a/cmd/lichenpick/version.go
+++ b/cmd/lichenpick/version.go
@@ -9,7 +9,7 @@
 
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Print the version", Args: exactArgs(0),
+		Use: "version", Short: "Print the version of the program", Args: exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			_, err := fmt.Fprintln(command.OutOrStdout(), "lichenpick", version())
 			return err
@@ -17,10 +17,10 @@
 	}
 }
 
-// revisionLength is how many characters of a commit's hash name a version.
+// revisionLength is the number of characters of a commit hash that a version shows.
 const revisionLength = 12
 
-// version names the commit that the program was built from, or its module's version.
+// version returns the commit that the program was built from, or the module's version if the build has no commit.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
