--- a/cmd/lichenpick/main_test.go
+++ b/cmd/lichenpick/main_test.go
@@ -76,7 +76,7 @@
 				t.Errorf("exit %d, want %d with %q: %s", code, test.code, test.want, errorText)
 			}
 			if test.code == exitBadInput && strings.Count(errorText.String(), "\n") != 1 {
-				t.Errorf("more than one line: %s", errorText)
+				t.Errorf("want one line on standard error, got: %s", errorText)
 			}
 		})
 	}
--- a/cmd/lichenpick/serve.go
+++ b/cmd/lichenpick/serve.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	heapMemoryShare = 0.5 // part of the process's memory limit for the Go runtime; the rest is for code, kernel buffers and a reserve
+	heapMemoryShare = 0.5 // of the memory limit, for the Go runtime; the rest is for code, kernel buffers and a reserve
 	gcPercent       = 50  // GOGC: below the default of 100, so that the heap stays small at the cost of more collections
 )
 
--- a/cmd/lichenpick/stress_test.go
+++ b/cmd/lichenpick/stress_test.go
@@ -17,11 +17,11 @@
 		"--proxies", "30", "--servers", "12", "--length", "6s", "--kill-at-ms", "2000", "--back-after-ms", "30000")
 	out, err := command.Output()
 	if err != nil {
-		t.Fatalf("%v\n%s", err, errorText)
+		t.Fatalf("the stress test failed: %v\n%s", err, errorText)
 	}
 	lines := strings.Split(strings.TrimSpace(string(out)), "\n")
 	if len(lines) != 6 {
-		t.Fatalf("lines:\n%s", out)
+		t.Fatalf("want 6 lines of output, got:\n%s", out)
 	}
 	if cells := strings.Fields(lines[1]); cells[0] != "30x12" || cells[2] != "30" {
 		t.Errorf("not all proxies were assigned tables:\n%s", out)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		if elapsedMs := clock.Monotonic() - startMs; elapsedMs < spanMs {
-			t.Errorf("ended after %g ms", elapsedMs)
+			t.Errorf("returned after only %g ms", elapsedMs)
 		}
 	})
 	t.Run("a negative duration returns at once", func(t *testing.T) {
@@ -31,7 +31,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if err := Sleep(ctx, NewReal(), hourMs); !errors.Is(err, context.Canceled) {
-			t.Errorf("ended by %v, want %v", err, context.Canceled)
+			t.Errorf("got error %v, want %v", err, context.Canceled)
 		}
 	})
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -39,6 +39,6 @@
 		t.Fatal(err)
 	}
 	if string(content) != "a\nb\n" {
-		t.Errorf("the file holds %q", content)
+		t.Errorf("the written file has %q", content)
 	}
 }
--- a/internal/golden/names_test.go
+++ b/internal/golden/names_test.go
@@ -26,6 +26,6 @@
 	}
 	slices.Sort(want)
 	if got := slices.Sorted(maps.Keys(seen)); !slices.Equal(got, want) {
-		t.Errorf("names %v, want %v", got, want)
+		t.Errorf("collected names %v, want %v", got, want)
 	}
 }
--- a/internal/settings/error.go
+++ b/internal/settings/error.go
@@ -37,7 +37,8 @@
 
 // syntaxError converts the protobuf library's decoding error to an Error, with the position that its text states.
 func syntaxError(name string, text []byte, err error) *Error {
-	problem := strings.ReplaceAll(err.Error(), "\u00a0", " ") // the library uses either space at random, so that nobody relies on its texts
+	// The library uses either kind of space at random, so that nobody relies on its texts.
+	problem := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	problem = strings.ReplaceAll(problem, "\n", " ")
 	match := positionedError.FindStringSubmatch(problem)
 	if match == nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 		if PerSecond(planner.Channel.Lines) != 2500 || planner.Streams.GetMost() != 4096 || planner.Groups[0].GetUtility() != 1 {
-			t.Errorf("%v", &planner)
+			t.Errorf("the defaults are not those of the .proto file: %v", &planner)
 		}
 	})
 	for name, test := range badPlanners {
@@ -62,7 +62,7 @@
 		}
 		printed := Format(&planner)
 		if err := Parse("g", []byte(printed), &again); err != nil || Format(&again) != printed {
-			t.Errorf("%v\n%s\n%s", err, printed, Format(&again))
+			t.Errorf("error %v\nformatted:\n%s\nformatted again:\n%s", err, printed, Format(&again))
 		}
 	})
 	t.Run("start times of servers require the time of the list", func(t *testing.T) {
@@ -77,7 +77,7 @@
 	err := Parse("f", []byte(text), into)
 	var found *Error
 	if !errors.As(err, &found) || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("got %q, want one line with %q", err, want)
+		t.Errorf("got error %q, want one line with %q", err, want)
 	}
 }
 
--- a/internal/simulator/adapter_test.go
+++ b/internal/simulator/adapter_test.go
@@ -33,21 +33,21 @@
 	t.Run("an empty batch is answered, and the end of input is not an error", func(t *testing.T) {
 		replies, _, err := serve(`{"TMs":8412.25,"msgs":[]}` + "\n")
 		if err != nil || replies[0] != `{"output":[]}` {
-			t.Errorf("%v %v", replies, err)
+			t.Errorf("replies %v, error %v; want one empty reply", replies, err)
 		}
 	})
 	t.Run("a killed instance writes no actions, also after a batch that killed and reopened it", func(t *testing.T) {
 		replies, _, err := serve(batch("1000", openMessage) + batch("2000", killMessage+","+openMessage) +
 			batch("3000", killMessage) + batch("4000", `{"what":"Ring","Who":"planner_0","Nonce":1}`))
 		if err != nil || replies[2] != `{"output":[]}` || replies[3] != `{"output":[]}` {
-			t.Errorf("a killed instance writes actions: %v %v", replies, err)
+			t.Errorf("a killed instance writes actions: replies %v, error %v", replies, err)
 		}
 	})
 	t.Run("an unknown message is reported once and skipped", func(t *testing.T) {
 		unknown := `{"what":"Weather","Who":"planner_0"}`
 		_, diagnostics, err := serve(batch("1", unknown+","+unknown))
 		if err != nil || strings.Count(diagnostics, "Weather") != 1 {
-			t.Errorf("%q %v", diagnostics, err)
+			t.Errorf("diagnostics %q, error %v; want one report", diagnostics, err)
 		}
 	})
 	for name, test := range badInputs() {
@@ -63,7 +63,7 @@
 		sharded := strings.Replace(openMessage, `"DefaultRetry":1`, `"DefaultRetry":1,"Slices":64`, 1)
 		replies, _, err := serve(batch("1", sharded) + batch("2", `{"what":"DialledIn","Who":"planner_0","Proxy":1,"Hall":0}`))
 		if err != nil || strings.Contains(replies[1], "HandTable") {
-			t.Errorf("%v %v", replies, err)
+			t.Errorf("replies %v, error %v; want no assignment", replies, err)
 		}
 	})
 }
@@ -86,7 +86,7 @@
 	replies, _, err := serve(batch("1000", openMessage) +
 		batch("1500", `{"what":"DialledIn","Who":"planner_0","Active":true,"Proxy":41,"W":6.5,"Hall":0}`))
 	if err != nil || len(replies) != 2 || !strings.Contains(replies[1], `"what":"HandTable","Who":"planner_0","Proxy":41`) {
-		t.Errorf("%v %v", replies, err)
+		t.Errorf("replies %v, error %v; want an assignment for proxy 41", replies, err)
 	}
 	for _, reply := range replies {
 		if !json.Valid([]byte(reply)) {
@@ -104,6 +104,6 @@
 	crashing.runRecovered(func() { panic("odd") })
 	actions := string(adapter.actions.buffer)
 	if !strings.Contains(actions, `"what":"Crash","Who":"planner_0","Line":"odd"`) || crashing.policy != nil {
-		t.Errorf("%s", actions)
+		t.Errorf("the instance did not crash: actions %s", actions)
 	}
 }
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -146,7 +146,7 @@
 	digest := golden.NewDigest("adapter", digestMs)
 	replies := strings.Split(strings.TrimSuffix(output.String(), "\n"), "\n")
 	if len(replies) != runMs/batchMs {
-		t.Fatalf("%d replies, want %d", len(replies), runMs/batchMs)
+		t.Fatalf("got %d replies, want %d", len(replies), runMs/batchMs)
 	}
 	for index, reply := range replies {
 		digest.Add(float64(index*batchMs), "%s", reply)
