--- a/cmd/lichenpick/main.go
+++ b/cmd/lichenpick/main.go
@@ -1,7 +1,8 @@
-// Lichenpick directs the traffic of a fleet of proxies. The program is planner, proxy and the tools to try them in one binary,
-// with a sub-command for each.
+// Lichenpick distributes the traffic of a fleet of proxies over servers. This binary contains the planner, a proxy and tools to
+// test them, each as a sub-command.
 //
-// It exits with 0 when it ended as asked, 1 when a run failed or violated an invariant, and 2 when the call or a file is bad.
+// Its exit code is 0 for success or a requested stop, 1 if a run failed or violated an invariant, and 2 if the command line or
+// a settings file is invalid.
 package main
 
 import (
@@ -19,19 +20,19 @@
 
 // Exit codes other than 0.
 const (
-	failed   = 1 // a run failed or violated an invariant
-	badInput = 2 // the call or a file cannot be used
+	exitFailed   = 1 // a run failed or violated an invariant
+	exitBadInput = 2 // the command line or a settings file is invalid
 )
 
-// usage is an error of the call itself, such as a bad flag.
-type usage struct{ error }
+// usageError is an error in the command line, such as an unknown flag.
+type usageError struct{ error }
 
-// Unwrap returns what is wrong with the call.
-func (u usage) Unwrap() error { return u.error }
+// Unwrap returns the cause.
+func (e usageError) Unwrap() error { return e.error }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	err := root().ExecuteContext(ctx)
+	err := rootCommand().ExecuteContext(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "lichenpick:", err)
@@ -42,22 +43,22 @@
 // exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var badFile *settings.Error
-	var badCall usage
+	var badCall usageError
 	if errors.As(err, &badFile) || errors.As(err, &badCall) {
-		return badInput
+		return exitBadInput
 	}
-	return failed
+	return exitFailed
 }
 
-// root returns the command of the program, with all sub-commands.
-func root() *cobra.Command {
+// rootCommand returns the top-level command with all sub-commands.
+func rootCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:           "lichenpick",
-		Short:         "A traffic director for fleets of proxies",
+		Short:         "Distribute the traffic of a fleet of proxies over servers",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	command.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage{err} })
+	command.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	command.AddCommand(
 		plannerCommand(),
 		serveCommand(),
@@ -74,11 +75,11 @@
 	return command
 }
 
-// exactly returns cobra's check of the number of arguments with an error of type usage.
-func exactly(count int) cobra.PositionalArgs {
+// exactArgs is cobra.ExactArgs with an error of type usageError.
+func exactArgs(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(count)(command, args); err != nil {
-			return usage{err}
+			return usageError{err}
 		}
 		return nil
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-const longMs = 3_600_000
+const hourMs = 3_600_000
 
 func TestSleep(t *testing.T) {
-	t.Run("it lasts for the span", func(t *testing.T) {
+	t.Run("returns no earlier than after the duration", func(t *testing.T) {
 		const spanMs = 5
 		clock := NewReal()
 		startMs := clock.Monotonic()
@@ -19,19 +19,19 @@
 			t.Fatal(err)
 		}
 		if elapsedMs := clock.Monotonic() - startMs; elapsedMs < spanMs {
-			t.Errorf("ended after %g ms", elapsedMs)
+			t.Errorf("returned after only %g ms", elapsedMs)
 		}
 	})
-	t.Run("a negative span ends at once", func(t *testing.T) {
-		if err := Sleep(t.Context(), NewReal(), -longMs); err != nil {
+	t.Run("a negative duration returns at once", func(t *testing.T) {
+		if err := Sleep(t.Context(), NewReal(), -hourMs); err != nil {
 			t.Error(err)
 		}
 	})
-	t.Run("the end of the context ends it", func(t *testing.T) {
+	t.Run("returns when the context ends", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		if err := Sleep(ctx, NewReal(), longMs); !errors.Is(err, context.Canceled) {
-			t.Errorf("ended by %v, want %v", err, context.Canceled)
+		if err := Sleep(ctx, NewReal(), hourMs); !errors.Is(err, context.Canceled) {
+			t.Errorf("got error %v, want %v", err, context.Canceled)
 		}
 	})
 }
@@ -39,16 +39,16 @@
 func TestRealDeadline(t *testing.T) {
 	clock := NewReal()
 	before := time.Now()
-	deadline := clock.Deadline(longMs)
-	if span := deadline.Sub(before); span < longMs*time.Millisecond || span > (longMs+60_000)*time.Millisecond {
-		t.Errorf("a deadline in %v", span)
+	deadline := clock.Deadline(hourMs)
+	if span := deadline.Sub(before); span < hourMs*time.Millisecond || span > (hourMs+60_000)*time.Millisecond {
+		t.Errorf("the deadline is in %v, want one hour", span)
 	}
-	if past := clock.Deadline(-longMs); past.Before(before) {
-		t.Errorf("a negative span gives a deadline before now: %v", past)
+	if past := clock.Deadline(-hourMs); past.Before(before) {
+		t.Errorf("the deadline of a negative duration is in the past: %v", past)
 	}
 }
 
-// TestTCPDialsFromAddress states that a connection comes from the local address that was asked for.
+// TestTCPDialsFromAddress checks that Dial connects from the requested local address.
 func TestTCPDialsFromAddress(t *testing.T) {
 	listener, err := TCP{}.Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -25,6 +25,7 @@
 	}
 }
 
+// TestUpdateWritesTheFile checks that a file which Check wrote with -update passes Check without it.
 func TestUpdateWritesTheFile(t *testing.T) {
 	before := *update
 	defer func() { *update = before }()
@@ -38,6 +39,6 @@
 		t.Fatal(err)
 	}
 	if string(content) != "a\nb\n" {
-		t.Errorf("the file holds %q", content)
+		t.Errorf("the written file has %q", content)
 	}
 }
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -6,46 +6,47 @@
 	"strings"
 )
 
-// notRepeated is the index of a step to a field that is not repeated, or to a repeated one as a whole.
-const notRepeated = -1
+// noIndex is the index of a step to a singular field, or to a repeated field as a whole.
+const noIndex = -1
 
-// step is one part of a path: a field and, in a repeated one, which entry.
+// step is one element of a path: a field and, for an entry of a repeated field, its index.
 type step struct {
 	name  string
 	index int
 }
 
-// path leads from a file's message to a field; nil is the message itself. Its methods leave it as it is.
+// path is the sequence of steps from a file's message to a field; nil is the message itself. Methods return a new path and do
+// not modify their receiver.
 type path []step
 
-// fieldPath is the path of a field below the file's message, through messages that are not repeated.
+// fieldPath returns the path of a field from the file's message, through singular submessages.
 func fieldPath(names ...string) path {
-	var to path
+	var result path
 	for _, name := range names {
-		to = to.field(name)
+		result = result.field(name)
 	}
-	return to
+	return result
 }
 
-// field is the path of a field below.
-func (p path) field(name string) path { return append(slices.Clip(p), step{name, notRepeated}) }
+// field returns the path extended by a field.
+func (p path) field(name string) path { return append(slices.Clip(p), step{name, noIndex}) }
 
-// entry is the path of an entry of a repeated field below.
+// entry returns the path extended by an entry of a repeated field.
 func (p path) entry(name string, index int) path { return append(slices.Clip(p), step{name, index}) }
 
-// String gives a path such as groups[1].expiry.
+// String returns the path in a form such as groups[1].expiry.
 func (p path) String() string {
 	parts := make([]string, len(p))
-	for depth, one := range p {
-		parts[depth] = one.name
-		if one.index != notRepeated {
-			parts[depth] = fmt.Sprintf("%s[%d]", one.name, one.index)
+	for depth, current := range p {
+		parts[depth] = current.name
+		if current.index != noIndex {
+			parts[depth] = fmt.Sprintf("%s[%d]", current.name, current.index)
 		}
 	}
 	return strings.Join(parts, ".")
 }
 
-// problem is what a check found wrong, before its position is known.
+// problem is a failed check, before the position in the file is known. The text follows the field's path in the error.
 type problem struct {
 	at   path
 	text string
--- a/internal/simulator/encode.go
+++ b/internal/simulator/encode.go
@@ -5,14 +5,15 @@
 	"strconv"
 )
 
-// A reply is one line: the actions between these.
+// The start and the end of a reply. The actions, separated by commas, stand between them on one line.
 var (
 	replyStart = []byte(`{"output":[`)
 	replyEnd   = []byte("]}\n")
 )
 
-// actionWriter builds the actions of one reply as JSON, without allocating for each. Every method but the helpers below
-// appends one action of an instance. Fields stand in the order in which the simulator documents them.
+// actionWriter builds the actions of one reply as JSON, without an allocation per action. The methods that are named after
+// decisions append one action of an instance each; the helpers below them append its parts. Fields are written in the order in
+// which the simulator documents them.
 type actionWriter struct{ buffer []byte }
 
 // reset starts the next reply.
@@ -30,21 +31,21 @@
 	w.start("HandTable", instance)
 	w.number("Proxy", float64(proxy))
 	w.number("MapId", float64(table))
-	w.number("ForClasses", classSet(classes...))
+	w.number("ForClasses", classBitmask(classes...))
 	w.end()
 }
 
 func (w *actionWriter) setEjected(instance, server string, ejected bool) {
 	w.start("Mask", instance)
 	w.text("Server", server)
-	w.flag("Active", ejected)
+	w.boolean("Active", ejected)
 	w.end()
 }
 
 func (w *actionWriter) setAdmission(instance string, table, class int, fraction float64, retry int) {
 	w.start("Ration", instance)
 	w.number("How", float64(retry))
-	w.number("ForClasses", classSet(class))
+	w.number("ForClasses", classBitmask(class))
 	w.number("MapId", float64(table))
 	w.number("Limit", fraction)
 	w.end()
@@ -53,13 +54,13 @@
 func (w *actionWriter) requestAcknowledgement(instance string, number int) {
 	w.start("AskReceipt", instance)
 	w.number("Number", float64(number))
-	w.flag("Active", false)
+	w.boolean("Active", false)
 	w.end()
 }
 
 func (w *actionWriter) watchEndpoints(instance string) {
 	w.start("Follow", instance)
-	w.flag("Active", true)
+	w.boolean("Active", true)
 	w.end()
 }
 
@@ -76,8 +77,8 @@
 	w.end()
 }
 
-// classSet is a set of traffic classes as the wire has it: a number with a bit for each.
-func classSet(classes ...int) float64 {
+// classBitmask encodes a set of traffic classes as a number with one bit per class.
+func classBitmask(classes ...int) float64 {
 	set := 0.0
 	for _, class := range classes {
 		set += float64(uint64(1) << class)
@@ -114,7 +115,7 @@
 	w.buffer = strconv.AppendFloat(w.buffer, value, 'f', -1, 64)
 }
 
-func (w *actionWriter) flag(name string, value bool) {
+func (w *actionWriter) boolean(name string, value bool) {
 	w.key(name)
 	w.buffer = strconv.AppendBool(w.buffer, value)
 }
