--- a/internal/architecture/page_test.go
+++ b/internal/architecture/page_test.go
@@ -25,15 +25,15 @@
 
 var (
 	codeSpan = regexp.MustCompile("`([^`\n]+)`")
-	// packagePathForm is a code span that names a package of the module by its path.
-	packagePathForm = regexp.MustCompile(`^(cmd|internal|policy|proto)(/[a-z]+)*$`)
-	// exportedNameForm is a code span that names something that a package exports: `planner.Core`, `planner.Core.Next`.
-	exportedNameForm = regexp.MustCompile(`^([a-z]+)\.([A-Z]\w*(\.[A-Z]\w*)?)$`)
-	// filePathForm is a word that names a file or folder of the repository.
-	filePathForm = regexp.MustCompile(`^(\./)?(cmd|internal|policy|proto|docs|scenarios|deploy|tools)/[\w./-]*$`)
-	testNameForm = regexp.MustCompile(`\b(Test|Fuzz)[A-Z]\w*`)
-	benchForm    = regexp.MustCompile(`-bench ([A-Z]\w*)`)
-	metricForm   = regexp.MustCompile(`\blichenpick_([a-z_0-9]+)`)
+	// packagePathPattern is a code span that names a package of the module by its path.
+	packagePathPattern = regexp.MustCompile(`^(cmd|internal|policy|proto)(/[a-z]+)*$`)
+	// exportedNamePattern is a code span that names something that a package exports: `planner.Core`, `planner.Core.Next`.
+	exportedNamePattern = regexp.MustCompile(`^([a-z]+)\.([A-Z]\w*(\.[A-Z]\w*)?)$`)
+	// filePathPattern is a word that names a file or folder of the repository.
+	filePathPattern = regexp.MustCompile(`^(\./)?(cmd|internal|policy|proto|docs|scenarios|deploy|tools)/[\w./-]*$`)
+	testNamePattern = regexp.MustCompile(`\b(Test|Fuzz)[A-Z]\w*`)
+	benchPattern    = regexp.MustCompile(`-bench ([A-Z]\w*)`)
+	metricPattern   = regexp.MustCompile(`\blichenpick_([a-z_0-9]+)`)
 )
 
 func TestArchitecturePageNamesEveryPackage(t *testing.T) {
@@ -41,7 +41,7 @@
 	page := readPage(t, architecturePage)
 	named := map[string]bool{}
 	for _, span := range codeSpan.FindAllStringSubmatch(page, -1) {
-		if packagePathForm.MatchString(span[1]) {
+		if packagePathPattern.MatchString(span[1]) {
 			named[span[1]] = true
 		}
 	}
@@ -67,14 +67,14 @@
 		}
 		maps.Copy(declared[base], exportedNames(files))
 	}
-	for number, line := range strings.Split(readPage(t, architecturePage), "\n") {
+	for index, line := range strings.Split(readPage(t, architecturePage), "\n") {
 		for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
-			name := exportedNameForm.FindStringSubmatch(span[1])
+			name := exportedNamePattern.FindStringSubmatch(span[1])
 			if name == nil || declared[name[1]] == nil {
 				continue
 			}
 			if !declared[name[1]][name[2]] {
-				t.Errorf("%s:%d: package %s has no %s; was it renamed?", architecturePage, number+1, name[1], name[2])
+				t.Errorf("%s:%d: package %s has no %s; was it renamed?", architecturePage, index+1, name[1], name[2])
 			}
 		}
 	}
@@ -90,18 +90,18 @@
 				t.Errorf("%s: there is no %s", place, name)
 			}
 		}
-		for _, name := range testNameForm.FindAllString(line, -1) {
+		for _, name := range testNamePattern.FindAllString(line, -1) {
 			if !functions[name] {
 				t.Errorf("%s: no package has %s; was it renamed?", place, name)
 			}
 		}
-		for _, name := range benchForm.FindAllStringSubmatch(line, -1) {
+		for _, name := range benchPattern.FindAllStringSubmatch(line, -1) {
 			isMatch := func(function string) bool { return strings.HasPrefix(function, "Benchmark"+name[1]) }
 			if !slices.ContainsFunc(slices.Collect(maps.Keys(functions)), isMatch) {
 				t.Errorf("%s: no package has Benchmark%s; was it renamed?", place, name[1])
 			}
 		}
-		for _, name := range metricForm.FindAllStringSubmatch(line, -1) {
+		for _, name := range metricPattern.FindAllStringSubmatch(line, -1) {
 			if !literals[name[1]] {
 				t.Errorf("%s: internal/planner exports no metric %s; was it renamed?", place, name[0])
 			}
@@ -112,7 +112,7 @@
 func TestPagesUseNoRetiredWords(t *testing.T) {
 	eachPageLine(t, func(place, line string) {
 		for _, word := range findRetired(proseTerms(line)) {
-			t.Errorf("%s: %q; instead: %s", place, word.Forms[0], word.Instead)
+			t.Errorf("%s: %q; instead: %s", place, word.Forms[0], word.Replacement)
 		}
 	})
 }
@@ -127,7 +127,7 @@
 		words = append(words, strings.Fields(line)...)
 	}
 	for _, word := range words {
-		if word = strings.TrimSuffix(word, "/..."); filePathForm.MatchString(word) {
+		if word = strings.TrimSuffix(word, "/..."); filePathPattern.MatchString(word) {
 			paths = append(paths, word)
 		}
 	}
@@ -138,8 +138,8 @@
 func eachPageLine(t *testing.T, visit func(place, line string)) {
 	t.Helper()
 	for _, page := range checkedPages {
-		for number, line := range strings.Split(readPage(t, page), "\n") {
-			visit(fmt.Sprintf("%s:%d", page, number+1), line)
+		for index, line := range strings.Split(readPage(t, page), "\n") {
+			visit(fmt.Sprintf("%s:%d", page, index+1), line)
 		}
 	}
 }
@@ -148,8 +148,8 @@
 func testFunctions(module goModule) map[string]bool {
 	names := map[string]bool{}
 	for _, files := range module.Packages {
-		isProgram := func(file sourceFile) bool { return !strings.HasSuffix(file.Path, "_test.go") }
-		maps.Copy(names, exportedNames(slices.DeleteFunc(slices.Clone(files), isProgram)))
+		isNotTestFile := func(file sourceFile) bool { return !strings.HasSuffix(file.Path, "_test.go") }
+		maps.Copy(names, exportedNames(slices.DeleteFunc(slices.Clone(files), isNotTestFile)))
 	}
 	return names
 }
--- a/internal/architecture/vocabulary_test.go
+++ b/internal/architecture/vocabulary_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	donePackagesFile = "testdata/done.txt"
-	maxShownHits     = 40 // of one package in a failure's text
+	checkedPackagesFile = "testdata/done.txt"
+	maxShownHits        = 40 // of one package in a failure's text
 )
 
 var shownPackage = flag.String("words", "", "list every hit of this package, as internal/planner, whether or not it is done")
@@ -37,7 +37,7 @@
 
 func (h hit) String() string {
 	return fmt.Sprintf("%s: %s has %q; instead: %s",
-		h.Position, h.Where, strings.TrimSuffix(h.Word.Forms[0], "*"), h.Word.Instead)
+		h.Position, h.Where, strings.TrimSuffix(h.Word.Forms[0], "*"), h.Word.Replacement)
 }
 
 // wordFinder collects the retired words of files.
@@ -48,9 +48,9 @@
 	hits      []hit
 }
 
-func TestWords(t *testing.T) {
+func TestPackagesUseNoRetiredWords(t *testing.T) {
 	module := loadModule(t)
-	done := donePackages(t)
+	checked := readCheckedPackages(t)
 	generated := generatedNames(module)
 	for _, packagePath := range slices.Sorted(maps.Keys(module.Packages)) {
 		finder := &wordFinder{positions: module.Positions, generated: generated, seen: map[string]bool{}}
@@ -60,9 +60,9 @@
 			}
 		}
 		switch {
-		case !done[packagePath] && len(finder.hits) == 0:
-			t.Logf("%-28s   0  clean: may be added to %s", packagePath, donePackagesFile)
-		case !done[packagePath]:
+		case !checked[packagePath] && len(finder.hits) == 0:
+			t.Logf("%-28s   0  clean: may be added to %s", packagePath, checkedPackagesFile)
+		case !checked[packagePath]:
 			t.Logf("%-28s %3d  %s", packagePath, len(finder.hits), summary(finder.hits))
 			if packagePath == *shownPackage {
 				t.Logf("\n%s", listing(finder.hits, len(finder.hits)))
@@ -71,16 +71,16 @@
 			t.Logf("%-28s   0  done", packagePath)
 		default:
 			t.Errorf("%s is listed in internal/architecture/%s, and has %d retired words:\n%s",
-				packagePath, donePackagesFile, len(finder.hits), listing(finder.hits, maxShownHits))
+				packagePath, checkedPackagesFile, len(finder.hits), listing(finder.hits, maxShownHits))
 		}
-		delete(done, packagePath)
+		delete(checked, packagePath)
 	}
-	for _, packagePath := range slices.Sorted(maps.Keys(done)) {
-		t.Errorf("%s lists %q, which is no package of the module", donePackagesFile, packagePath)
+	for _, packagePath := range slices.Sorted(maps.Keys(checked)) {
+		t.Errorf("%s lists %q, which is no package of the module", checkedPackagesFile, packagePath)
 	}
 }
 
-func TestWordsExemptFilesExist(t *testing.T) {
+func TestFilesExemptFromRetiredWordsExist(t *testing.T) {
 	module := loadModule(t)
 	for name := range exemptFiles {
 		exists := func(file sourceFile) bool { return file.Path == name }
@@ -90,20 +90,20 @@
 	}
 }
 
-// donePackages reads the packages that must be free of retired words.
-func donePackages(t *testing.T) map[string]bool {
+// readCheckedPackages reads the packages that must be free of retired words.
+func readCheckedPackages(t *testing.T) map[string]bool {
 	t.Helper()
-	text, err := os.ReadFile(donePackagesFile)
+	text, err := os.ReadFile(checkedPackagesFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := map[string]bool{}
+	checked := map[string]bool{}
 	for line := range strings.Lines(string(text)) {
 		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
-			done[line] = true
+			checked[line] = true
 		}
 	}
-	return done
+	return checked
 }
 
 // generatedNames gives every name that generated code exports, without its type or package.
@@ -176,7 +176,7 @@
 	case "Run":
 		where = "test name"
 	case "Debug", "Info", "Warn", "Error", "Log", "LogAttrs", "DebugContext", "InfoContext", "WarnContext", "ErrorContext":
-		if isNoLogger(method.X) {
+		if isNotLogger(method.X) {
 			return
 		}
 	default:
@@ -194,8 +194,8 @@
 	}
 }
 
-// isNoLogger says whether a method's receiver is known for methods of the same names: a test, or package http.
-func isNoLogger(receiver ast.Expr) bool {
+// isNotLogger says whether a method's receiver is known for methods of the same names: a test, or package http.
+func isNotLogger(receiver ast.Expr) bool {
 	name, isName := receiver.(*ast.Ident)
 	return isName && slices.Contains([]string{"t", "b", "f", "tb", "http"}, name.Name)
 }
@@ -231,18 +231,18 @@
 }
 
 // listing gives hits a line each, and says how many there are beyond the most that it shows.
-func listing(hits []hit, most int) string {
+func listing(hits []hit, limit int) string {
 	var lines []string
-	for _, found := range hits[:min(len(hits), most)] {
+	for _, found := range hits[:min(len(hits), limit)] {
 		lines = append(lines, "  "+found.String())
 	}
-	if more := len(hits) - most; more > 0 {
+	if more := len(hits) - limit; more > 0 {
 		lines = append(lines, fmt.Sprintf("  and %d more", more))
 	}
 	return strings.Join(lines, "\n")
 }
 
-func TestWordsAreFoundWhereReadersMeetThem(t *testing.T) {
+func TestRetiredWordsAreFound(t *testing.T) {
 	cases := []struct{ name, source, want string }{
 		{"identifier", "var toldWhen int", "x.go:3: told"},
 		{"acronym in an identifier", "var httpTROUBLE, jamCount int", "x.go:3: trouble; x.go:3: jam"},
--- a/internal/architecture/words_test.go
+++ b/internal/architecture/words_test.go
@@ -12,8 +12,8 @@
 // Forms are lower-case words or phrases. A form that ends with '*' stands for all words that begin with it. A phrase with a
 // space matches words that follow each other; one with a hyphen matches only hyphenated words and parts of an identifier.
 type retiredWord struct {
-	Forms   []string
-	Instead string
+	Forms       []string
+	Replacement string
 }
 
 // retiredWords are from the tables of names that the project gave up. Words that are also ordinary or standard terms are left
@@ -66,15 +66,15 @@
 }
 
 var (
-	// notProse is what a comment quotes: code, names on the wire, names of generated messages.
-	notProse = regexp.MustCompile("`[^`]*`" + `|"[^"\n]*"|\b(order|pb|script|settings)\.\w+`)
-	prose    = regexp.MustCompile(`[\pL\d_]+(-[\pL\d_]+)*`)
+	// quotedPattern is what a comment quotes: code, names on the wire, names of generated messages.
+	quotedPattern = regexp.MustCompile("`[^`]*`" + `|"[^"\n]*"|\b(order|pb|script|settings)\.\w+`)
+	wordPattern   = regexp.MustCompile(`[\pL\d_]+(-[\pL\d_]+)*`)
 )
 
 // proseTerms splits a comment or message into words. Identifiers in it are split as well.
 func proseTerms(text string) (terms []term) {
-	text = notProse.ReplaceAllString(text, " . ")
-	for _, compound := range prose.FindAllString(text, -1) {
+	text = quotedPattern.ReplaceAllString(text, " . ")
+	for _, compound := range wordPattern.FindAllString(text, -1) {
 		for position, word := range strings.Split(compound, "-") {
 			parts := identifierTerms(word)
 			if len(parts) > 0 {
@@ -130,7 +130,7 @@
 		for _, word := range retiredWords {
 			matches := func(form string) bool { return matchLength(terms[at:], form) > 0 }
 			if n := slices.IndexFunc(word.Forms, matches); n >= 0 && !permitted[at] {
-				found = append(found, retiredWord{word.Forms[n : n+1], word.Instead})
+				found = append(found, retiredWord{word.Forms[n : n+1], word.Replacement})
 			}
 		}
 	}
