--- a/internal/architecture/doc.go
+++ b/internal/architecture/doc.go
@@ -1,12 +1,13 @@
 // Package architecture holds checks of the module as a whole, and no program code. They run with the other tests:
 //
 //   - docs/architecture.md names every package of the module, and every package and exported name that it names exists;
-//   - files, tests and metrics that the checked pages name exist, and these pages are free of the retired vocabulary;
-//   - packages listed in testdata/done.txt are free of the project's retired vocabulary (words_test.go has the list).
+//   - files, tests and metrics that the checked pages name exist, and these pages use no retired words;
+//   - packages listed in testdata/done.txt use no retired words.
 //
-// The number of retired words in every package is logged by
+// Retired words are terms that the project has replaced by others; words_test.go lists them. This command logs how many are
+// left in each package:
 //
 //	go test ./internal/architecture -run Words -v
 //
-// and the places in one package with -words internal/planner added.
+// With -words and the path of a package that is not listed in testdata/done.txt, it also logs each place in that package.
 package architecture
--- a/internal/architecture/module_test.go
+++ b/internal/architecture/module_test.go
@@ -14,9 +14,9 @@
 // moduleRoot is the module's directory, relative to this package's.
 const moduleRoot = "../.."
 
-// sourceFile is one parsed Go file of the module.
+// sourceFile is a parsed Go file of the module.
 type sourceFile struct {
-	Path      string // from the module's root, with slashes
+	Path      string // relative to the module's root, with slashes
 	Tree      *ast.File
 	Generated bool
 }
@@ -27,7 +27,7 @@
 	Packages  map[string][]sourceFile
 }
 
-// loadModule parses the module. Hidden directories, testdata and nested modules are no part of it.
+// loadModule parses the Go files of the module. It skips hidden directories, testdata and nested modules.
 func loadModule(t *testing.T) goModule {
 	t.Helper()
 	module := goModule{Positions: token.NewFileSet(), Packages: map[string][]sourceFile{}}
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// exportedNames gives the exported names that files declare: types, functions, variables and constants by their name,
-// methods and fields of a type as "Type.Name".
-func exportedNames(files []sourceFile) map[string]bool {
+// declaredNames returns the names that files declare at package level, exported or not: types, functions, variables and
+// constants by their name, methods and fields of a type as "Type.Name".
+func declaredNames(files []sourceFile) map[string]bool {
 	names := map[string]bool{}
 	for _, file := range files {
 		for _, declaration := range file.Tree.Decls {
--- a/internal/architecture/page_test.go
+++ b/internal/architecture/page_test.go
@@ -17,7 +17,8 @@
 
 const architecturePage = "docs/architecture.md"
 
-// checkedPages describe the program as it is now. Pages that record what was, such as docs/results.md, are not among them.
+// checkedPages are the pages that describe the present state of the program. Pages that record past results, such as
+// docs/results.md, are left out.
 var checkedPages = []string{
 	"README.md", "CONTRIBUTING.md", architecturePage, "docs/cores.md", "docs/design.md", "docs/measurements.md", "docs/oncall.md",
 	"docs/operators.md", "docs/planner.md", "docs/platform.md", "docs/sharing.md", "docs/simulation.md",
@@ -25,11 +26,11 @@
 
 var (
 	codeSpan = regexp.MustCompile("`([^`\n]+)`")
-	// packagePathPattern is a code span that names a package of the module by its path.
+	// packagePathPattern matches a code span that names a package of the module by its path.
 	packagePathPattern = regexp.MustCompile(`^(cmd|internal|policy|proto)(/[a-z]+)*$`)
-	// exportedNamePattern is a code span that names something that a package exports: `planner.Core`, `planner.Core.Next`.
+	// exportedNamePattern matches a code span that names an exported declaration: `planner.Core`, `planner.Core.Next`.
 	exportedNamePattern = regexp.MustCompile(`^([a-z]+)\.([A-Z]\w*(\.[A-Z]\w*)?)$`)
-	// filePathPattern is a word that names a file or folder of the repository.
+	// filePathPattern matches a word that names a file or folder of the repository.
 	filePathPattern = regexp.MustCompile(`^(\./)?(cmd|internal|policy|proto|docs|scenarios|deploy|tools)/[\w./-]*$`)
 	testNamePattern = regexp.MustCompile(`\b(Test|Fuzz)[A-Z]\w*`)
 	benchPattern    = regexp.MustCompile(`-bench ([A-Z]\w*)`)
@@ -52,20 +53,20 @@
 	}
 	for _, packagePath := range slices.Sorted(maps.Keys(module.Packages)) {
 		if !named[packagePath] {
-			t.Errorf("%s does not name `%s`; add a line with its one job to the table of packages", architecturePage, packagePath)
+			t.Errorf("%s does not name `%s`; add a row that states its purpose to the table of packages", architecturePage, packagePath)
 		}
 	}
 }
 
 func TestArchitecturePageNamesExistingDeclarations(t *testing.T) {
 	module := loadModule(t)
-	declared := map[string]map[string]bool{} // by the last part of the package's path, as pages write it
+	declared := map[string]map[string]bool{} // by the last element of the package's path, which pages write
 	for packagePath, files := range module.Packages {
 		base := path.Base(packagePath)
 		if declared[base] == nil {
 			declared[base] = map[string]bool{}
 		}
-		maps.Copy(declared[base], exportedNames(files))
+		maps.Copy(declared[base], declaredNames(files))
 	}
 	for index, line := range strings.Split(readPage(t, architecturePage), "\n") {
 		for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
@@ -117,7 +118,7 @@
 	})
 }
 
-// namedPaths gives the files, folders and packages that a line names in code type or in an indented command.
+// namedPaths returns the files, folders and packages that a line of a page names in code spans or in an indented command.
 func namedPaths(line string) (paths []string) {
 	var words []string
 	for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
@@ -134,7 +135,7 @@
 	return paths
 }
 
-// eachPageLine visits the lines of all checked pages, with their place.
+// eachPageLine calls visit for each line of the checked pages, with its place as "page:line".
 func eachPageLine(t *testing.T, visit func(place, line string)) {
 	t.Helper()
 	for _, page := range checkedPages {
@@ -144,12 +145,12 @@
 	}
 }
 
-// testFunctions gives the names of all functions in test files.
+// testFunctions returns the names of the functions and other declarations in test files.
 func testFunctions(module goModule) map[string]bool {
 	names := map[string]bool{}
 	for _, files := range module.Packages {
 		isNotTestFile := func(file sourceFile) bool { return !strings.HasSuffix(file.Path, "_test.go") }
-		maps.Copy(names, exportedNames(slices.DeleteFunc(slices.Clone(files), isNotTestFile)))
+		maps.Copy(names, declaredNames(slices.DeleteFunc(slices.Clone(files), isNotTestFile)))
 	}
 	return names
 }
--- a/internal/architecture/vocabulary_test.go
+++ b/internal/architecture/vocabulary_test.go
@@ -17,21 +17,22 @@
 
 const (
 	checkedPackagesFile = "testdata/done.txt"
-	maxShownHits        = 40 // of one package in a failure's text
+	maxShownHits        = 40 // places that a failure message lists per package
 )
 
-var shownPackage = flag.String("words", "", "list every hit of this package, as internal/planner, whether or not it is done")
+var shownPackage = flag.String("words", "", "package, not listed in testdata/done.txt, whose retired words are logged")
 
-// exemptFiles gives the reason why a file may use retired words: it names what others define, and translates it at once.
+// exemptFiles maps each file that may use retired words to the reason. Such a file translates between names that others
+// define, such as the message kinds and fields of a protocol, and the names used here.
 var exemptFiles = map[string]string{
-	"internal/platform/decode.go": "the words of the operators' wire, read into typed messages",
-	"internal/platform/encode.go": "the words of the operators' wire, written from typed messages",
+	"internal/platform/decode.go": "it decodes messages of the operators' protocol",
+	"internal/platform/encode.go": "it encodes messages of the operators' protocol",
 }
 
-// hit is a retired word at a place.
+// hit is a retired word found at a position.
 type hit struct {
 	Position token.Position
-	Where    string // identifier, comment, ...
+	Where    string // what contains the word: "comment", "identifier x", "test name ..."
 	Word     retiredWord
 }
 
@@ -40,11 +41,11 @@
 		h.Position, h.Where, strings.TrimSuffix(h.Word.Forms[0], "*"), h.Word.Replacement)
 }
 
-// wordFinder collects the retired words of files.
+// wordFinder collects the retired words that source files use.
 type wordFinder struct {
 	positions *token.FileSet
-	generated map[string]bool // names of generated code, which may be used but not declared
-	seen      map[string]bool
+	generated map[string]bool // names of generated code; other code may use them, but not declare them
+	seen      map[string]bool // hits as text, to report each once
 	hits      []hit
 }
 
@@ -68,7 +69,7 @@
 				t.Logf("\n%s", listing(finder.hits, len(finder.hits)))
 			}
 		case len(finder.hits) == 0:
-			t.Logf("%-28s   0  done", packagePath)
+			t.Logf("%-28s   0  checked", packagePath)
 		default:
 			t.Errorf("%s is listed in internal/architecture/%s, and has %d retired words:\n%s",
 				packagePath, checkedPackagesFile, len(finder.hits), listing(finder.hits, maxShownHits))
@@ -85,12 +86,12 @@
 	for name := range exemptFiles {
 		exists := func(file sourceFile) bool { return file.Path == name }
 		if !slices.ContainsFunc(module.Packages[path.Dir(name)], exists) {
-			t.Errorf("exemptFiles names %s, which is no Go file of the module; name the file that holds the codec now", name)
+			t.Errorf("exemptFiles names %s, which is no Go file of the module; update exemptFiles if the file was renamed", name)
 		}
 	}
 }
 
-// readCheckedPackages reads the packages that must be free of retired words.
+// readCheckedPackages reads the paths of the packages that must not use retired words.
 func readCheckedPackages(t *testing.T) map[string]bool {
 	t.Helper()
 	text, err := os.ReadFile(checkedPackagesFile)
@@ -106,12 +107,13 @@
 	return checked
 }
 
-// generatedNames gives every name that generated code exports, without its type or package.
+// generatedNames returns the names that generated code declares, without their package, and without the type of a method or
+// field.
 func generatedNames(module goModule) map[string]bool {
 	names := map[string]bool{}
 	for _, files := range module.Packages {
 		generated := slices.DeleteFunc(slices.Clone(files), func(file sourceFile) bool { return !file.Generated })
-		for name := range exportedNames(generated) {
+		for name := range declaredNames(generated) {
 			names[name[strings.LastIndex(name, ".")+1:]] = true
 		}
 	}
@@ -139,7 +141,7 @@
 	})
 }
 
-// inspectComment takes a block comment line by line, so that a hit has its own line.
+// inspectComment checks a comment line by line, so that a hit in a block comment is reported at its own line.
 func (f *wordFinder) inspectComment(comment *ast.Comment) {
 	offset := 0
 	for line := range strings.Lines(comment.Text) {
@@ -148,7 +150,7 @@
 	}
 }
 
-// generatedUses gives the identifiers that name something of generated code: selected, or the key of a literal.
+// generatedUses returns the identifiers that use a name of generated code, as a selector or as a key in a composite literal.
 func (f *wordFinder) generatedUses(tree *ast.File) map[*ast.Ident]bool {
 	used := map[*ast.Ident]bool{}
 	ast.Inspect(tree, func(node ast.Node) bool {
@@ -165,7 +167,8 @@
 	return used
 }
 
-// inspectCall looks at the names of sub-tests and at log messages.
+// inspectCall checks the first string literal among the arguments of a call that starts a sub-test or logs a message: the
+// name of the sub-test, or the message.
 func (f *wordFinder) inspectCall(call *ast.CallExpr) {
 	method, isMethod := call.Fun.(*ast.SelectorExpr)
 	if !isMethod {
@@ -194,13 +197,14 @@
 	}
 }
 
-// isNotLogger says whether a method's receiver is known for methods of the same names: a test, or package http.
+// isNotLogger reports whether a method's receiver is a test handle or package http, whose methods and functions share names
+// with those of a logger.
 func isNotLogger(receiver ast.Expr) bool {
 	name, isName := receiver.(*ast.Ident)
 	return isName && slices.Contains([]string{"t", "b", "f", "tb", "http"}, name.Name)
 }
 
-// record adds the retired words among terms, each once a line.
+// record adds the retired words among terms, each once per line and container.
 func (f *wordFinder) record(at token.Pos, where string, terms []term) {
 	position := f.positions.Position(at)
 	position.Filename = strings.TrimPrefix(position.Filename, moduleRoot+"/")
@@ -214,7 +218,7 @@
 	}
 }
 
-// summary counts hits by word, most frequent first.
+// summary returns the number of hits for each word, most frequent first.
 func summary(hits []hit) string {
 	count := map[string]int{}
 	for _, found := range hits {
@@ -230,7 +234,7 @@
 	return strings.Join(text, ", ")
 }
 
-// listing gives hits a line each, and says how many there are beyond the most that it shows.
+// listing returns up to limit hits, one on each line, followed by the number of those left out.
 func listing(hits []hit, limit int) string {
 	var lines []string
 	for _, found := range hits[:min(len(hits), limit)] {
--- a/internal/architecture/words_test.go
+++ b/internal/architecture/words_test.go
@@ -7,17 +7,18 @@
 	"unicode"
 )
 
-// retiredWord is a word of the project's earlier vocabulary.
+// retiredWord is a word that the project no longer uses, with its replacement.
 //
-// Forms are lower-case words or phrases. A form that ends with '*' stands for all words that begin with it. A phrase with a
-// space matches words that follow each other; one with a hyphen matches only hyphenated words and parts of an identifier.
+// Forms are lower-case words or phrases. A form that ends with '*' stands for all words with this prefix. A phrase with a
+// space matches successive words or parts of an identifier; one with a hyphen matches only hyphenated words and parts of an
+// identifier.
 type retiredWord struct {
 	Forms       []string
 	Replacement string
 }
 
-// retiredWords are from the tables of names that the project gave up. Words that are also ordinary or standard terms are left
-// out: line, row, level, mark, sum, out, copy, look, list, report, usage.
+// retiredWords lists the words that the project has replaced. It leaves out retired names that are also everyday words or
+// standard terms: line, row, level, mark, sum, out, copy, look, list, report, usage.
 var retiredWords = []retiredWord{
 	{[]string{"flow", "flows"}, "request"},
 	{[]string{"traffic group", "traffic groups"}, "traffic class"},
@@ -56,22 +57,22 @@
 	{[]string{"wake", "wakes", "woken", "woke"}, "timer, signal"},
 }
 
-// permittedPhrases contain a retired word in a standard sense.
+// permittedPhrases are phrases in which a retired word has its standard sense.
 var permittedPhrases = []string{"flow control", "control flow", "mod tidy", "shell script", "told apart"}
 
 // term is one word of a text or one part of an identifier, in lower case.
 type term struct {
 	Text   string
-	Joined bool // by a hyphen or within an identifier, to the term before
+	Joined bool // whether a hyphen, or its place within an identifier, joins it to the term before
 }
 
 var (
-	// quotedPattern is what a comment quotes: code, names on the wire, names of generated messages.
+	// quotedPattern matches text that is not checked: quoted code and names, and names from generated packages.
 	quotedPattern = regexp.MustCompile("`[^`]*`" + `|"[^"\n]*"|\b(order|pb|script|settings)\.\w+`)
 	wordPattern   = regexp.MustCompile(`[\pL\d_]+(-[\pL\d_]+)*`)
 )
 
-// proseTerms splits a comment or message into words. Identifiers in it are split as well.
+// proseTerms splits a comment or message into words, and identifiers in it into their parts. It leaves out quoted text.
 func proseTerms(text string) (terms []term) {
 	text = quotedPattern.ReplaceAllString(text, " . ")
 	for _, compound := range wordPattern.FindAllString(text, -1) {
@@ -86,7 +87,7 @@
 	return terms
 }
 
-// identifierTerms splits an identifier at underscores and changes of case: "sendHTTPReply" is send, http, reply.
+// identifierTerms splits an identifier at changes of case, underscores and digits: "sendHTTPReply" is send, http, reply.
 func identifierTerms(name string) (terms []term) {
 	letters := []rune(name)
 	start := 0
@@ -109,12 +110,14 @@
 	return terms
 }
 
-// beginsPart says whether the upper-case letter at a place begins a new part: after a lower-case one, or before one.
+// beginsPart reports whether the upper-case letter at an index follows or precedes a lower-case letter, and so begins a new
+// part of an identifier.
 func beginsPart(letters []rune, at int) bool {
 	return unicode.IsLower(letters[at-1]) || at+1 < len(letters) && unicode.IsLower(letters[at+1])
 }
 
-// findRetired gives the retired forms among terms, each as often as it occurs, with what to write instead.
+// findRetired returns the retired forms among terms, each as often as it occurs, with its replacement. Terms in a permitted
+// phrase do not count.
 func findRetired(terms []term) (found []retiredWord) {
 	permitted := make([]bool, len(terms))
 	for _, phrase := range permittedPhrases {
@@ -137,7 +140,7 @@
 	return found
 }
 
-// matchLength gives how many terms at the beginning make up a form, 0 if they do not.
+// matchLength returns the number of terms that a form matches at the beginning of terms, or 0 if it does not match.
 func matchLength(terms []term, form string) int {
 	if stem, isStem := strings.CutSuffix(form, "*"); isStem {
 		if strings.HasPrefix(terms[0].Text, stem) {
