--- a/internal/architecture/vocabulary_test.go
+++ b/internal/architecture/vocabulary_test.go
@@ -38,7 +38,7 @@
 
 func (h hit) String() string {
 	return fmt.Sprintf("%s: %s has %q; instead: %s",
-		h.Position, h.Where, strings.TrimSuffix(h.Word.Forms[0], "*"), h.Word.Replacement)
+		h.Position, h.Where, strings.Trim(h.Word.Forms[0], ".*"), h.Word.Replacement)
 }
 
 // wordFinder collects the retired words that source files use.
@@ -255,6 +255,14 @@
 		{"block comment", "/* One line.\nThe verdict. */\nvar x int", "x.go:4: verdict*"},
 		{"hyphen in prose", "// a stand-in; they stand in the way\nvar x int", "x.go:3: stand-in"},
 		{"phrase in an identifier", "var letIn int", "x.go:3: let in"},
+		{
+			"word with a standard sense", "// A sound proof for soundProxies and a sound server.\nvar sound, soundOne int",
+			"x.go:3: sound proxies; x.go:3: sound server; x.go:4: .sound; x.go:4: .sound",
+		},
+		{
+			"word within a compound", "// the ex-commander\nvar newWaterLine, FAREWELLBytes int",
+			"x.go:3: commander; x.go:4: water line; x.go:4: farewell",
+		},
 		{"test name", `func f() { t.Run("the crowd", nil) }`, "x.go:3: crowd"},
 		{"log message", `func f() { log.Log(ctx, level, "trouble", "told", 1) }`, "x.go:3: trouble"},
 		{"declared name of generated code", "var Utility int", "x.go:3: utility"},
--- a/internal/architecture/words_test.go
+++ b/internal/architecture/words_test.go
@@ -11,7 +11,7 @@
 //
 // Forms are lower-case words or phrases. A form that ends with '*' stands for all words with this prefix. A phrase with a
 // space matches successive words or parts of an identifier; one with a hyphen matches only hyphenated words and parts of an
-// identifier.
+// identifier. A form that begins with '.' matches only in identifiers of code, for a word with a standard sense in prose.
 type retiredWord struct {
 	Forms       []string
 	Replacement string
@@ -55,6 +55,15 @@
 	{[]string{"shell", "shells"}, "server, runtime"},
 	{[]string{"door", "doors"}, "adapter"},
 	{[]string{"wake", "wakes", "woken", "woke"}, "timer, signal"},
+	{[]string{
+		".sound", "sound server", "sound servers", "sound proxy", "sound proxies", "sound planner", "sound planners",
+		"sound peer", "sound peers", "sound one", "sound ones",
+	}, "healthy"},
+	{[]string{"owe", "owes", "owed"}, "pending, unsent, due"},
+	{[]string{"dearest"}, "costliest"},
+	{[]string{"farewell", "farewells"}, "last frames, closing frames"},
+	{[]string{"waterline", "waterlines", "water line", "water lines"}, "water level"},
+	{[]string{"commander", "commanders"}, "lease holder"},
 }
 
 // permittedPhrases are phrases in which a retired word has its standard sense.
@@ -62,8 +71,9 @@
 
 // term is one word of a text or one part of an identifier, in lower case.
 type term struct {
-	Text   string
-	Joined bool // whether a hyphen, or its place within an identifier, joins it to the term before
+	Text    string
+	Joined  bool // whether a hyphen, or its place within an identifier, joins it to the term before
+	InProse bool // whether it comes from a comment, message or page, and not from an identifier of code
 }
 
 var (
@@ -81,6 +91,9 @@
 			if len(parts) > 0 {
 				parts[0].Joined = position > 0
 			}
+			for n := range parts {
+				parts[n].InProse = true
+			}
 			terms = append(terms, parts...)
 		}
 	}
@@ -93,7 +106,7 @@
 	start := 0
 	flush := func(end int) {
 		if end > start {
-			terms = append(terms, term{strings.ToLower(string(letters[start:end])), len(terms) > 0})
+			terms = append(terms, term{Text: strings.ToLower(string(letters[start:end])), Joined: len(terms) > 0})
 		}
 		start = end
 	}
@@ -148,6 +161,10 @@
 		}
 		return 0
 	}
+	form, identifierOnly := strings.CutPrefix(form, ".")
+	if identifierOnly && terms[0].InProse {
+		return 0
+	}
 	joined := strings.Contains(form, "-")
 	words := strings.FieldsFunc(form, func(r rune) bool { return r == ' ' || r == '-' })
 	if len(words) > len(terms) {
--- a/internal/planner/server_test.go
+++ b/internal/planner/server_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// The stream of each faulty peer must be closed for one reason, which is logged once and counted, without affecting a sound
+// The stream of each faulty peer must be closed for one reason, which is logged once and counted, without affecting a healthy
 // proxy.
 func TestFaultyPeer(t *testing.T) {
 	for name, variant := range map[string]struct {
@@ -57,7 +57,7 @@
 		"a join from another zone":  {encodeFrame(t, controlstream.FrameJoin, &order.Join{Proxy: "y", Zone: "mars", Groups: 2}), controlstream.ReasonUnknownPeer},
 		"a report before its join":  {encodeFrame(t, controlstream.FrameLoadReport, &order.Sums{}), controlstream.ReasonUnexpectedFrame},
 		"a huge size in its header": {[]byte{'L', 'P', 1, 1, 0xff, 0xff, 0xff, 0xff}, controlstream.ReasonBadSize},
-		"a name in use":             {encodeFrame(t, controlstream.FrameJoin, &order.Join{Proxy: "sound", Incarnation: 9, Groups: 2}), controlstream.ReasonNameInUse},
+		"a name in use":             {encodeFrame(t, controlstream.FrameJoin, &order.Join{Proxy: "healthy", Incarnation: 9, Groups: 2}), controlstream.ReasonNameInUse},
 		"a close frame":             {encodeFrame(t, controlstream.FrameClose, &order.Bye{Reason: "never mind"}), controlstream.ReasonPeerClosed},
 	} {
 		t.Run("a peer that sends "+name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 func testFaultyPeer(t *testing.T, bytes []byte, reason controlstream.CloseReason) {
 	t.Helper()
 	server := startServer(t, parseTestSettings(t, `proxies: 4 streams { join_within: "300ms" }`), nil, 4)
-	sound := server.joinAndAwaitTable("sound", 1, 1)
+	healthy := server.joinAndAwaitTable("healthy", 1, 1)
 	faulty := server.connect()
 	if _, err := faulty.conn.Write(bytes); err != nil {
 		t.Fatal(err)
@@ -80,8 +80,8 @@
 		return server.log.count("reason=\""+string(reason)+"\"")+server.log.count("reason="+string(reason)+" ") == 1
 	})
 	select {
-	case <-sound.done:
-		t.Error("the stream of the sound proxy was closed")
+	case <-healthy.done:
+		t.Error("the stream of the healthy proxy was closed")
 	default:
 	}
 	last := server.stop()
@@ -95,12 +95,12 @@
 	const drainGrace = 3 * time.Second // the default
 	server := startServer(t, parseTestSettings(t, "proxies: 4"), nil, 4)
 	stopped := server.joinAndAwaitTable("stopped", 1, 1)
-	sound := server.joinAndAwaitTable("sound", 1, 1)
+	healthy := server.joinAndAwaitTable("healthy", 1, 1)
 	time.Sleep(time.Second)
 	stopped.paused.Store(true)
 	begun := time.Now()
 	server.source <- stateChange("s0", policy.Draining)
-	eventually(t, "the ejection at the sound proxy", func() bool { return sound.received(isEjectionOf("s0")) })
+	eventually(t, "the ejection at the healthy proxy", func() bool { return healthy.received(isEjectionOf("s0")) })
 	eventually(t, "the log record of the closed stream", func() bool { return server.log.count("reason=answer") == 1 })
 	if took := time.Since(begun); took > drainGrace {
 		t.Errorf("the stream was closed after %v, the drain grace is %v", took, drainGrace)
--- a/internal/platform/acknowledgements.go
+++ b/internal/platform/acknowledgements.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	silenceTimeoutMs   = 6000.0 // ms without a message after which a proxy that owes an acknowledgement may be deactivated
+	silenceTimeoutMs   = 6000.0 // ms without a message after which a proxy whose acknowledgement is pending may be deactivated
 	progressIntervalMs = 200.0  // minimum ms between two progress marks
 	maxChannelSlowdown = 8.0    // by the operators' page, the channel may be this much slower than stated on some days
 	maxUnacknowledged  = 64     // acknowledgement requests remembered per proxy; older ones are forgotten
