--- a/policy/inputs_test.go
+++ b/policy/inputs_test.go
@@ -47,7 +47,7 @@
 
 // Each release adds servers with new names. When removed servers were kept for ever, the planner took ten times the CPU time
 // after twenty releases.
-func TestServerLongRemovedIsForgottenWithItsEjectionAndMayComeBack(t *testing.T) {
+func TestRemovedServerIsDeletedWithItsEjection(t *testing.T) {
 	f := startFleet(testSettings(), 8)
 	f.run(6, healthy)
 	f.update(Endpoint{Server: "s3", Zone: 1, RelativeCapacity: 1, State: Removed})
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -85,7 +85,7 @@
 
 // The channel's limit on waiting entries includes those for streams that have ended. When streams broke while the channel was
 // full, their proxies rejoined at once, and assignments to them were sent in addition to what still waited.
-func TestEntriesToProxiesThatLeftFillTheBacklogUntilTheChannelHasDrainedThem(t *testing.T) {
+func TestBacklogCountsEntriesToRemovedProxies(t *testing.T) {
 	for _, rejoin := range []bool{false, true} {
 		t.Run(fmt.Sprint("rejoin ", rejoin), func(t *testing.T) {
 			f := startFleet(testSettings(), 6)
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestRequestsWhoseAnswersWereLostAreNotKeptForEver(t *testing.T) {
+func TestUnansweredAcknowledgementRequestsAreForgotten(t *testing.T) {
 	f := startFleet(testSettings(), 6)
 	proxy := f.planner.proxies[0]
 	for number := range 100 {
