--- a/internal/architecture/page_test.go
+++ b/internal/architecture/page_test.go
@@ -17,7 +17,8 @@
 
 const architecturePage = "docs/architecture.md"
 
-// checkedPages describe the program as it is now. Pages that record what was, such as docs/results.md, are not among them.
+// checkedPages are the pages that describe the present state of the program. Pages that record past results, such as
+// docs/results.md, are left out.
 var checkedPages = []string{
 	"README.md", "CONTRIBUTING.md", architecturePage, "docs/cores.md", "docs/design.md", "docs/measurements.md", "docs/oncall.md",
 	"docs/operators.md", "docs/planner.md", "docs/platform.md", "docs/sharing.md", "docs/simulation.md",
@@ -25,15 +26,15 @@
 
 var (
 	codeSpan = regexp.MustCompile("`([^`\n]+)`")
-	// packagePathForm is a code span that names a package of the module by its path.
-	packagePathForm = regexp.MustCompile(`^(cmd|internal|policy|proto)(/[a-z]+)*$`)
-	// exportedNameForm is a code span that names something that a package exports: `planner.Core`, `planner.Core.Next`.
-	exportedNameForm = regexp.MustCompile(`^([a-z]+)\.([A-Z]\w*(\.[A-Z]\w*)?)$`)
-	// filePathForm is a word that names a file or folder of the repository.
-	filePathForm = regexp.MustCompile(`^(\./)?(cmd|internal|policy|proto|docs|scenarios|deploy|tools)/[\w./-]*$`)
-	testNameForm = regexp.MustCompile(`\b(Test|Fuzz)[A-Z]\w*`)
-	benchForm    = regexp.MustCompile(`-bench ([A-Z]\w*)`)
-	metricForm   = regexp.MustCompile(`\blichenpick_([a-z_0-9]+)`)
+	// packagePathPattern matches a code span that names a package of the module by its path.
+	packagePathPattern = regexp.MustCompile(`^(cmd|internal|policy|proto)(/[a-z]+)*$`)
+	// exportedNamePattern matches a code span that names an exported declaration: `planner.Core`, `planner.Core.Next`.
+	exportedNamePattern = regexp.MustCompile(`^([a-z]+)\.([A-Z]\w*(\.[A-Z]\w*)?)$`)
+	// filePathPattern matches a word that names a file or folder of the repository.
+	filePathPattern = regexp.MustCompile(`^(\./)?(cmd|internal|policy|proto|docs|scenarios|deploy|tools)/[\w./-]*$`)
+	testNamePattern = regexp.MustCompile(`\b(Test|Fuzz)[A-Z]\w*`)
+	benchPattern    = regexp.MustCompile(`-bench ([A-Z]\w*)`)
+	metricPattern   = regexp.MustCompile(`\blichenpick_([a-z_0-9]+)`)
 )
 
 func TestArchitecturePageNamesEveryPackage(t *testing.T) {
@@ -41,7 +42,7 @@
 	page := readPage(t, architecturePage)
 	named := map[string]bool{}
 	for _, span := range codeSpan.FindAllStringSubmatch(page, -1) {
-		if packagePathForm.MatchString(span[1]) {
+		if packagePathPattern.MatchString(span[1]) {
 			named[span[1]] = true
 		}
 	}
@@ -52,29 +53,29 @@
 	}
 	for _, packagePath := range slices.Sorted(maps.Keys(module.Packages)) {
 		if !named[packagePath] {
-			t.Errorf("%s does not name `%s`; add a line with its one job to the table of packages", architecturePage, packagePath)
+			t.Errorf("%s does not name `%s`; add a row that states its purpose to the table of packages", architecturePage, packagePath)
 		}
 	}
 }
 
 func TestArchitecturePageNamesExistingDeclarations(t *testing.T) {
 	module := loadModule(t)
-	declared := map[string]map[string]bool{} // by the last part of the package's path, as pages write it
+	declared := map[string]map[string]bool{} // by the last element of the package's path, which pages write
 	for packagePath, files := range module.Packages {
 		base := path.Base(packagePath)
 		if declared[base] == nil {
 			declared[base] = map[string]bool{}
 		}
-		maps.Copy(declared[base], exportedNames(files))
+		maps.Copy(declared[base], declaredNames(files))
 	}
-	for number, line := range strings.Split(readPage(t, architecturePage), "\n") {
+	for index, line := range strings.Split(readPage(t, architecturePage), "\n") {
 		for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
-			name := exportedNameForm.FindStringSubmatch(span[1])
+			name := exportedNamePattern.FindStringSubmatch(span[1])
 			if name == nil || declared[name[1]] == nil {
 				continue
 			}
 			if !declared[name[1]][name[2]] {
-				t.Errorf("%s:%d: package %s has no %s; was it renamed?", architecturePage, number+1, name[1], name[2])
+				t.Errorf("%s:%d: package %s has no %s; was it renamed?", architecturePage, index+1, name[1], name[2])
 			}
 		}
 	}
@@ -90,18 +91,18 @@
 				t.Errorf("%s: there is no %s", place, name)
 			}
 		}
-		for _, name := range testNameForm.FindAllString(line, -1) {
+		for _, name := range testNamePattern.FindAllString(line, -1) {
 			if !functions[name] {
 				t.Errorf("%s: no package has %s; was it renamed?", place, name)
 			}
 		}
-		for _, name := range benchForm.FindAllStringSubmatch(line, -1) {
+		for _, name := range benchPattern.FindAllStringSubmatch(line, -1) {
 			isMatch := func(function string) bool { return strings.HasPrefix(function, "Benchmark"+name[1]) }
 			if !slices.ContainsFunc(slices.Collect(maps.Keys(functions)), isMatch) {
 				t.Errorf("%s: no package has Benchmark%s; was it renamed?", place, name[1])
 			}
 		}
-		for _, name := range metricForm.FindAllStringSubmatch(line, -1) {
+		for _, name := range metricPattern.FindAllStringSubmatch(line, -1) {
 			if !literals[name[1]] {
 				t.Errorf("%s: internal/planner exports no metric %s; was it renamed?", place, name[0])
 			}
@@ -112,12 +113,12 @@
 func TestPagesUseNoRetiredWords(t *testing.T) {
 	eachPageLine(t, func(place, line string) {
 		for _, word := range findRetired(proseTerms(line)) {
-			t.Errorf("%s: %q; instead: %s", place, word.Forms[0], word.Instead)
+			t.Errorf("%s: %q; instead: %s", place, word.Forms[0], word.Replacement)
 		}
 	})
 }
 
-// namedPaths gives the files, folders and packages that a line names in code type or in an indented command.
+// namedPaths returns the files, folders and packages that a line of a page names in code spans or in an indented command.
 func namedPaths(line string) (paths []string) {
 	var words []string
 	for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
@@ -127,29 +128,29 @@
 		words = append(words, strings.Fields(line)...)
 	}
 	for _, word := range words {
-		if word = strings.TrimSuffix(word, "/..."); filePathForm.MatchString(word) {
+		if word = strings.TrimSuffix(word, "/..."); filePathPattern.MatchString(word) {
 			paths = append(paths, word)
 		}
 	}
 	return paths
 }
 
-// eachPageLine visits the lines of all checked pages, with their place.
+// eachPageLine calls visit for each line of the checked pages, with its place as "page:line".
 func eachPageLine(t *testing.T, visit func(place, line string)) {
 	t.Helper()
 	for _, page := range checkedPages {
-		for number, line := range strings.Split(readPage(t, page), "\n") {
-			visit(fmt.Sprintf("%s:%d", page, number+1), line)
+		for index, line := range strings.Split(readPage(t, page), "\n") {
+			visit(fmt.Sprintf("%s:%d", page, index+1), line)
 		}
 	}
 }
 
-// testFunctions gives the names of all functions in test files.
+// testFunctions returns the names of the functions and other declarations in test files.
 func testFunctions(module goModule) map[string]bool {
 	names := map[string]bool{}
 	for _, files := range module.Packages {
-		isProgram := func(file sourceFile) bool { return !strings.HasSuffix(file.Path, "_test.go") }
-		maps.Copy(names, exportedNames(slices.DeleteFunc(slices.Clone(files), isProgram)))
+		isNotTestFile := func(file sourceFile) bool { return !strings.HasSuffix(file.Path, "_test.go") }
+		maps.Copy(names, declaredNames(slices.DeleteFunc(slices.Clone(files), isNotTestFile)))
 	}
 	return names
 }
--- a/internal/architecture/vocabulary_test.go
+++ b/internal/architecture/vocabulary_test.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	donePackagesFile = "testdata/done.txt"
-	maxShownHits     = 40 // of one package in a failure's text
+	checkedPackagesFile = "testdata/done.txt"
+	maxShownHits        = 40 // places that a failure message lists per package
 )
 
-var shownPackage = flag.String("words", "", "list every hit of this package, as internal/planner, whether or not it is done")
+var shownPackage = flag.String("words", "", "package, not listed in testdata/done.txt, whose retired words are logged")
 
-// exemptFiles gives the reason why a file may use retired words: it names what others define, and translates it at once.
+// exemptFiles maps each file that may use retired words to the reason. Such a file translates between names that others
+// define, such as the message kinds and fields of a protocol, and the names used here.
 var exemptFiles = map[string]string{
-	"internal/platform/decode.go": "the words of the operators' wire, read into typed messages",
-	"internal/platform/encode.go": "the words of the operators' wire, written from typed messages",
+	"internal/platform/decode.go": "it decodes messages of the operators' protocol",
+	"internal/platform/encode.go": "it encodes messages of the operators' protocol",
 }
 
-// hit is a retired word at a place.
+// hit is a retired word found at a position.
 type hit struct {
 	Position token.Position
-	Where    string // identifier, comment, ...
+	Where    string // what contains the word: "comment", "identifier x", "test name ..."
 	Word     retiredWord
 }
 
 func (h hit) String() string {
 	return fmt.Sprintf("%s: %s has %q; instead: %s",
-		h.Position, h.Where, strings.TrimSuffix(h.Word.Forms[0], "*"), h.Word.Instead)
+		h.Position, h.Where, strings.Trim(h.Word.Forms[0], ".*"), h.Word.Replacement)
 }
 
-// wordFinder collects the retired words of files.
+// wordFinder collects the retired words that source files use.
 type wordFinder struct {
 	positions *token.FileSet
-	generated map[string]bool // names of generated code, which may be used but not declared
-	seen      map[string]bool
+	generated map[string]bool // names of generated code; other code may use them, but not declare them
+	seen      map[string]bool // hits as text, to report each once
 	hits      []hit
 }
 
-func TestWords(t *testing.T) {
+func TestPackagesUseNoRetiredWords(t *testing.T) {
 	module := loadModule(t)
-	done := donePackages(t)
+	checked := readCheckedPackages(t)
 	generated := generatedNames(module)
 	for _, packagePath := range slices.Sorted(maps.Keys(module.Packages)) {
 		finder := &wordFinder{positions: module.Positions, generated: generated, seen: map[string]bool{}}
@@ -60,58 +61,59 @@
 			}
 		}
 		switch {
-		case !done[packagePath] && len(finder.hits) == 0:
-			t.Logf("%-28s   0  clean: may be added to %s", packagePath, donePackagesFile)
-		case !done[packagePath]:
+		case !checked[packagePath] && len(finder.hits) == 0:
+			t.Logf("%-28s   0  clean: may be added to %s", packagePath, checkedPackagesFile)
+		case !checked[packagePath]:
 			t.Logf("%-28s %3d  %s", packagePath, len(finder.hits), summary(finder.hits))
 			if packagePath == *shownPackage {
 				t.Logf("\n%s", listing(finder.hits, len(finder.hits)))
 			}
 		case len(finder.hits) == 0:
-			t.Logf("%-28s   0  done", packagePath)
+			t.Logf("%-28s   0  checked", packagePath)
 		default:
 			t.Errorf("%s is listed in internal/architecture/%s, and has %d retired words:\n%s",
-				packagePath, donePackagesFile, len(finder.hits), listing(finder.hits, maxShownHits))
+				packagePath, checkedPackagesFile, len(finder.hits), listing(finder.hits, maxShownHits))
 		}
-		delete(done, packagePath)
+		delete(checked, packagePath)
 	}
-	for _, packagePath := range slices.Sorted(maps.Keys(done)) {
-		t.Errorf("%s lists %q, which is no package of the module", donePackagesFile, packagePath)
+	for _, packagePath := range slices.Sorted(maps.Keys(checked)) {
+		t.Errorf("%s lists %q, which is no package of the module", checkedPackagesFile, packagePath)
 	}
 }
 
-func TestWordsExemptFilesExist(t *testing.T) {
+func TestFilesExemptFromRetiredWordsExist(t *testing.T) {
 	module := loadModule(t)
 	for name := range exemptFiles {
 		exists := func(file sourceFile) bool { return file.Path == name }
 		if !slices.ContainsFunc(module.Packages[path.Dir(name)], exists) {
-			t.Errorf("exemptFiles names %s, which is no Go file of the module; name the file that holds the codec now", name)
+			t.Errorf("exemptFiles names %s, which is no Go file of the module; update exemptFiles if the file was renamed", name)
 		}
 	}
 }
 
-// donePackages reads the packages that must be free of retired words.
-func donePackages(t *testing.T) map[string]bool {
+// readCheckedPackages reads the paths of the packages that must not use retired words.
+func readCheckedPackages(t *testing.T) map[string]bool {
 	t.Helper()
-	text, err := os.ReadFile(donePackagesFile)
+	text, err := os.ReadFile(checkedPackagesFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := map[string]bool{}
+	checked := map[string]bool{}
 	for line := range strings.Lines(string(text)) {
 		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
-			done[line] = true
+			checked[line] = true
 		}
 	}
-	return done
+	return checked
 }
 
-// generatedNames gives every name that generated code exports, without its type or package.
+// generatedNames returns the names that generated code declares, without their package, and without the type of a method or
+// field.
 func generatedNames(module goModule) map[string]bool {
 	names := map[string]bool{}
 	for _, files := range module.Packages {
 		generated := slices.DeleteFunc(slices.Clone(files), func(file sourceFile) bool { return !file.Generated })
-		for name := range exportedNames(generated) {
+		for name := range declaredNames(generated) {
 			names[name[strings.LastIndex(name, ".")+1:]] = true
 		}
 	}
@@ -139,7 +141,7 @@
 	})
 }
 
-// inspectComment takes a block comment line by line, so that a hit has its own line.
+// inspectComment checks a comment line by line, so that a hit in a block comment is reported at its own line.
 func (f *wordFinder) inspectComment(comment *ast.Comment) {
 	offset := 0
 	for line := range strings.Lines(comment.Text) {
@@ -148,7 +150,7 @@
 	}
 }
 
-// generatedUses gives the identifiers that name something of generated code: selected, or the key of a literal.
+// generatedUses returns the identifiers that use a name of generated code, as a selector or as a key in a composite literal.
 func (f *wordFinder) generatedUses(tree *ast.File) map[*ast.Ident]bool {
 	used := map[*ast.Ident]bool{}
 	ast.Inspect(tree, func(node ast.Node) bool {
@@ -165,7 +167,8 @@
 	return used
 }
 
-// inspectCall looks at the names of sub-tests and at log messages.
+// inspectCall checks the first string literal among the arguments of a call that starts a sub-test or logs a message: the
+// name of the sub-test, or the message.
 func (f *wordFinder) inspectCall(call *ast.CallExpr) {
 	method, isMethod := call.Fun.(*ast.SelectorExpr)
 	if !isMethod {
@@ -176,7 +179,7 @@
 	case "Run":
 		where = "test name"
 	case "Debug", "Info", "Warn", "Error", "Log", "LogAttrs", "DebugContext", "InfoContext", "WarnContext", "ErrorContext":
-		if isNoLogger(method.X) {
+		if isNotLogger(method.X) {
 			return
 		}
 	default:
@@ -194,13 +197,14 @@
 	}
 }
 
-// isNoLogger says whether a method's receiver is known for methods of the same names: a test, or package http.
-func isNoLogger(receiver ast.Expr) bool {
+// isNotLogger reports whether a method's receiver is a test handle or package http, whose methods and functions share names
+// with those of a logger.
+func isNotLogger(receiver ast.Expr) bool {
 	name, isName := receiver.(*ast.Ident)
 	return isName && slices.Contains([]string{"t", "b", "f", "tb", "http"}, name.Name)
 }
 
-// record adds the retired words among terms, each once a line.
+// record adds the retired words among terms, each once per line and container.
 func (f *wordFinder) record(at token.Pos, where string, terms []term) {
 	position := f.positions.Position(at)
 	position.Filename = strings.TrimPrefix(position.Filename, moduleRoot+"/")
@@ -214,7 +218,7 @@
 	}
 }
 
-// summary counts hits by word, most frequent first.
+// summary returns the number of hits for each word, most frequent first.
 func summary(hits []hit) string {
 	count := map[string]int{}
 	for _, found := range hits {
@@ -230,19 +234,19 @@
 	return strings.Join(text, ", ")
 }
 
-// listing gives hits a line each, and says how many there are beyond the most that it shows.
-func listing(hits []hit, most int) string {
+// listing returns up to limit hits, one on each line, followed by the number of those left out.
+func listing(hits []hit, limit int) string {
 	var lines []string
-	for _, found := range hits[:min(len(hits), most)] {
+	for _, found := range hits[:min(len(hits), limit)] {
 		lines = append(lines, "  "+found.String())
 	}
-	if more := len(hits) - most; more > 0 {
+	if more := len(hits) - limit; more > 0 {
 		lines = append(lines, fmt.Sprintf("  and %d more", more))
 	}
 	return strings.Join(lines, "\n")
 }
 
-func TestWordsAreFoundWhereReadersMeetThem(t *testing.T) {
+func TestRetiredWordsAreFound(t *testing.T) {
 	cases := []struct{ name, source, want string }{
 		{"identifier", "var toldWhen int", "x.go:3: told"},
 		{"acronym in an identifier", "var httpTROUBLE, jamCount int", "x.go:3: trouble; x.go:3: jam"},
@@ -251,6 +255,14 @@
 		{"block comment", "/* One line.\nThe verdict. */\nvar x int", "x.go:4: verdict*"},
 		{"hyphen in prose", "// a stand-in; they stand in the way\nvar x int", "x.go:3: stand-in"},
 		{"phrase in an identifier", "var letIn int", "x.go:3: let in"},
+		{
+			"word with a standard sense", "// A sound proof for soundProxies and a sound server.\nvar sound, soundOne int",
+			"x.go:3: sound proxies; x.go:3: sound server; x.go:4: .sound; x.go:4: .sound",
+		},
+		{
+			"word within a compound", "// the ex-commander\nvar newWaterLine, FAREWELLBytes int",
+			"x.go:3: commander; x.go:4: water line; x.go:4: farewell",
+		},
 		{"test name", `func f() { t.Run("the crowd", nil) }`, "x.go:3: crowd"},
 		{"log message", `func f() { log.Log(ctx, level, "trouble", "told", 1) }`, "x.go:3: trouble"},
 		{"declared name of generated code", "var Utility int", "x.go:3: utility"},
--- a/internal/architecture/words_test.go
+++ b/internal/architecture/words_test.go
@@ -7,17 +7,18 @@
 	"unicode"
 )
 
-// retiredWord is a word of the project's earlier vocabulary.
+// retiredWord is a word that the project no longer uses, with its replacement.
 //
-// Forms are lower-case words or phrases. A form that ends with '*' stands for all words that begin with it. A phrase with a
-// space matches words that follow each other; one with a hyphen matches only hyphenated words and parts of an identifier.
+// Forms are lower-case words or phrases. A form that ends with '*' stands for all words with this prefix. A phrase with a
+// space matches successive words or parts of an identifier; one with a hyphen matches only hyphenated words and parts of an
+// identifier. A form that begins with '.' matches only in identifiers of code, for a word with a standard sense in prose.
 type retiredWord struct {
-	Forms   []string
-	Instead string
+	Forms       []string
+	Replacement string
 }
 
-// retiredWords are from the tables of names that the project gave up. Words that are also ordinary or standard terms are left
-// out: line, row, level, mark, sum, out, copy, look, list, report, usage.
+// retiredWords lists the words that the project has replaced. It leaves out retired names that are also everyday words or
+// standard terms: line, row, level, mark, sum, out, copy, look, list, report, usage.
 var retiredWords = []retiredWord{
 	{[]string{"flow", "flows"}, "request"},
 	{[]string{"traffic group", "traffic groups"}, "traffic class"},
@@ -54,45 +55,58 @@
 	{[]string{"shell", "shells"}, "server, runtime"},
 	{[]string{"door", "doors"}, "adapter"},
 	{[]string{"wake", "wakes", "woken", "woke"}, "timer, signal"},
+	{[]string{
+		".sound", "sound server", "sound servers", "sound proxy", "sound proxies", "sound planner", "sound planners",
+		"sound peer", "sound peers", "sound one", "sound ones",
+	}, "healthy"},
+	{[]string{"owe", "owes", "owed"}, "pending, unsent, due"},
+	{[]string{"dearest"}, "costliest"},
+	{[]string{"farewell", "farewells"}, "last frames, closing frames"},
+	{[]string{"waterline", "waterlines", "water line", "water lines"}, "water level"},
+	{[]string{"commander", "commanders"}, "lease holder"},
 }
 
-// permittedPhrases contain a retired word in a standard sense.
+// permittedPhrases are phrases in which a retired word has its standard sense.
 var permittedPhrases = []string{"flow control", "control flow", "mod tidy", "shell script", "told apart"}
 
 // term is one word of a text or one part of an identifier, in lower case.
 type term struct {
-	Text   string
-	Joined bool // by a hyphen or within an identifier, to the term before
+	Text    string
+	Joined  bool // whether a hyphen, or its place within an identifier, joins it to the term before
+	InProse bool // whether it comes from a comment, message or page, and not from an identifier of code
 }
 
 var (
-	// notProse is what a comment quotes: code, names on the wire, names of generated messages.
-	notProse = regexp.MustCompile("`[^`]*`" + `|"[^"\n]*"|\b(order|pb|script|settings)\.\w+`)
-	prose    = regexp.MustCompile(`[\pL\d_]+(-[\pL\d_]+)*`)
+	// quotedPattern matches text that is not checked: quoted code and names, and names from generated packages.
+	quotedPattern = regexp.MustCompile("`[^`]*`" + `|"[^"\n]*"|\b(order|pb|script|settings)\.\w+`)
+	wordPattern   = regexp.MustCompile(`[\pL\d_]+(-[\pL\d_]+)*`)
 )
 
-// proseTerms splits a comment or message into words. Identifiers in it are split as well.
+// proseTerms splits a comment or message into words, and identifiers in it into their parts. It leaves out quoted text.
 func proseTerms(text string) (terms []term) {
-	text = notProse.ReplaceAllString(text, " . ")
-	for _, compound := range prose.FindAllString(text, -1) {
+	text = quotedPattern.ReplaceAllString(text, " . ")
+	for _, compound := range wordPattern.FindAllString(text, -1) {
 		for position, word := range strings.Split(compound, "-") {
 			parts := identifierTerms(word)
 			if len(parts) > 0 {
 				parts[0].Joined = position > 0
 			}
+			for n := range parts {
+				parts[n].InProse = true
+			}
 			terms = append(terms, parts...)
 		}
 	}
 	return terms
 }
 
-// identifierTerms splits an identifier at underscores and changes of case: "sendHTTPReply" is send, http, reply.
+// identifierTerms splits an identifier at changes of case, underscores and digits: "sendHTTPReply" is send, http, reply.
 func identifierTerms(name string) (terms []term) {
 	letters := []rune(name)
 	start := 0
 	flush := func(end int) {
 		if end > start {
-			terms = append(terms, term{strings.ToLower(string(letters[start:end])), len(terms) > 0})
+			terms = append(terms, term{Text: strings.ToLower(string(letters[start:end])), Joined: len(terms) > 0})
 		}
 		start = end
 	}
@@ -109,12 +123,14 @@
 	return terms
 }
 
-// beginsPart says whether the upper-case letter at a place begins a new part: after a lower-case one, or before one.
+// beginsPart reports whether the upper-case letter at an index follows or precedes a lower-case letter, and so begins a new
+// part of an identifier.
 func beginsPart(letters []rune, at int) bool {
 	return unicode.IsLower(letters[at-1]) || at+1 < len(letters) && unicode.IsLower(letters[at+1])
 }
 
-// findRetired gives the retired forms among terms, each as often as it occurs, with what to write instead.
+// findRetired returns the retired forms among terms, each as often as it occurs, with its replacement. Terms in a permitted
+// phrase do not count.
 func findRetired(terms []term) (found []retiredWord) {
 	permitted := make([]bool, len(terms))
 	for _, phrase := range permittedPhrases {
@@ -130,14 +146,14 @@
 		for _, word := range retiredWords {
 			matches := func(form string) bool { return matchLength(terms[at:], form) > 0 }
 			if n := slices.IndexFunc(word.Forms, matches); n >= 0 && !permitted[at] {
-				found = append(found, retiredWord{word.Forms[n : n+1], word.Instead})
+				found = append(found, retiredWord{word.Forms[n : n+1], word.Replacement})
 			}
 		}
 	}
 	return found
 }
 
-// matchLength gives how many terms at the beginning make up a form, 0 if they do not.
+// matchLength returns the number of terms that a form matches at the beginning of terms, or 0 if it does not match.
 func matchLength(terms []term, form string) int {
 	if stem, isStem := strings.CutSuffix(form, "*"); isStem {
 		if strings.HasPrefix(terms[0].Text, stem) {
@@ -145,6 +161,10 @@
 		}
 		return 0
 	}
+	form, identifierOnly := strings.CutPrefix(form, ".")
+	if identifierOnly && terms[0].InProse {
+		return 0
+	}
 	joined := strings.Contains(form, "-")
 	words := strings.FieldsFunc(form, func(r rune) bool { return r == ' ' || r == '-' })
 	if len(words) > len(terms) {
