--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -33,9 +33,9 @@
 	Rejections  int // requests and orders that proxies rejected
 }
 
-// NewManager returns the manager of a controller that has no proxies yet. The incarnation must be drawn anew for each
-// process. reservedEpoch is the value from the controller's store: the manager only uses epochs above it, once they are
-// reserved. nowMs is the current time of the clock that SetTime refers to.
+// NewManager returns the manager of a controller that has no proxies yet. Each process of the controller must have a
+// different incarnation. reservedEpoch is the value from the controller's store: the manager only uses epochs above it,
+// once they are reserved. nowMs is the current time of the clock that SetTime refers to.
 func NewManager(name string, incarnation, reservedEpoch uint64, nowMs float64) *Manager {
 	return &Manager{
 		name:                   name,
@@ -211,8 +211,8 @@
 	proxy.heldUntilMs = max(proxy.heldUntilMs, heldUntilMs(request.sentMs, DurationMs))
 }
 
-// restartTransferDelay starts the transfer delay anew for a proxy that a better ranked controller left free, and doubles
-// the delay if the proxy came back soon after a transfer. Otherwise proxies would be transferred over and over to a
+// restartTransferDelay restarts the transfer delay for a proxy that a better ranked controller left free, and doubles
+// the delay if the proxy came back soon after a transfer. Otherwise proxies would be transferred repeatedly to a
 // controller that is paused while its streams stay up.
 func (m *Manager) restartTransferDelay(proxy *proxyState) {
 	if math.IsInf(proxy.outrankedSinceMs, 1) {
--- a/internal/planner/acknowledgements.go
+++ b/internal/planner/acknowledgements.go
@@ -43,7 +43,7 @@
 	timeoutMs      float64 // for every message
 	drainTimeoutMs float64 // for urgent messages: those that eject a server which drains or is removed
 	// earliestDeadlineMs is a lower bound of all proxies' deadlines. It saves scanning all proxies at each decision, and stays
-	// valid when acknowledgements come, as these only move deadlines later.
+	// valid when acknowledgements arrive, as these only move deadlines later.
 	earliestDeadlineMs float64
 }
 
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -63,7 +63,7 @@
 // loadSample counts attempts at a server, or requests of a traffic class.
 type loadSample struct {
 	count     int
-	failed    int     // of count
+	failed    int     // those of count that failed
 	latencyMs float64 // sum over the successful ones
 }
 
--- a/internal/planner/proxies.go
+++ b/internal/planner/proxies.go
@@ -30,13 +30,13 @@
 // joinedProxy is a proxy with a stream. It exists as long as the stream: a proxy that dials again gets a new joinedProxy.
 type joinedProxy struct {
 	name            string
-	id              int // by which the policy identifies it
+	id              int // identifies it to the policy
 	zone            int // index in the settings' zones
 	stream          *Stream
 	incarnation     uint64  // of its process
 	streamNumber    uint64  // counter of streams that its process sent in the join
 	expectedRate    float64 // requests per second that it stated in the join
-	lastFrameMs     float64 // when a frame last came from it
+	lastFrameMs     float64 // when the last frame from it was received
 	window          *controlstream.MessageWindow
 	tables          []*weighttable.Table[*joinedProxy] // by traffic class; nil if this stream assigned none for the class
 	reportedTables  []*order.Holding                   // tables from earlier streams, as it reported them
@@ -45,7 +45,7 @@
 	messageCount    uint64                             // messages created for this stream, which is the number of the last one
 	update          pendingUpdate
 	demand          []*pendingLoad // by traffic class; nil until its first report
-	commanded       bool           // it is added to the policy; always true if planners do not share the fleet
+	commanded       bool           // whether it was added to the policy; always true if planners do not share the fleet
 	epoch           uint64         // under which it is commanded; 0 if planners do not share the fleet
 	inheritedDrains []string       // servers that drain or are removed, as its previous planner knew
 	// inheritedDrainUntilMs holds those of inheritedDrains that are ready in this planner's endpoint list, which may be
--- a/internal/platform/acknowledgements.go
+++ b/internal/platform/acknowledgements.go
@@ -8,7 +8,7 @@
 const (
 	silenceTimeoutMs   = 6000.0 // ms without a message after which a proxy whose acknowledgement is pending may be deactivated
 	progressIntervalMs = 200.0  // minimum ms between two progress marks
-	maxChannelSlowdown = 8.0    // by the operators' page, the channel may be this much slower than stated on some days
+	maxChannelSlowdown = 8.0    // factor by which the channel may be slower than stated on some days, by the operators' page
 	maxUnacknowledged  = 64     // acknowledgement requests remembered per proxy; older ones are forgotten
 )
 
--- a/internal/platform/channel_test.go
+++ b/internal/platform/channel_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestStalledChannelIsNotOverfilled has a channel that sends nothing on and so holds every entry ever sent: their total
-// must stay within the maximum backlog whatever happens meanwhile. The policy must also count ejections for proxies without
+// must stay within the maximum backlog throughout the test. The policy must also count ejections for proxies without
 // a table, readmissions for proxies whose tables no longer hold the server, and the end of inherited ejections when a
 // server is added to a table.
 func TestStalledChannelIsNotOverfilled(t *testing.T) {
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -98,7 +98,7 @@
 	Zone     string
 	Server   string
 	Requests int
-	Failed   int     // of Requests
+	Failed   int     // those of Requests that failed
 	MeanMs   float64 // mean latency of the requests that succeeded
 	SpanMs   float64 // time that the report covers
 }
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -21,8 +21,8 @@
 	ErrUnreadable     = errors.New("bytes are not a message")
 )
 
-// messageReader splits the bytes of one connection into messages, whatever pieces they arrive in. The zero value is ready
-// to use. It only keeps the incomplete message at the end. It is guarded by the core's lock.
+// messageReader splits the bytes of one connection into messages, which may arrive in any number of pieces. The zero value
+// is ready to use. It only keeps the incomplete message at the end. It is guarded by the core's lock.
 type messageReader struct{ partial []byte }
 
 // feed passes each complete message, without its line end, to handle until handle returns false; the rest of the data is
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -148,8 +148,8 @@
 	return added
 }
 
-// dialServer is the DialContext of the transports. It wraps each error such that isDialError recognizes it, whatever type of
-// error the network returns.
+// dialServer is the DialContext of the transports. It wraps each error of the network, of any type, so that isDialError
+// recognizes it.
 func (p *Proxy) dialServer(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, settings.Duration(p.Settings.ConnectWithin))
 	defer cancel()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -96,7 +96,7 @@
 
 // remainingRetries returns how many more attempts the retry mode allows if the current one ends with the given outcome. To
 // prevent a request from being processed twice, it allows none for a request that is not idempotent unless the outcome proves
-// that the server did not process it, whatever the planner ordered.
+// that the server did not process it, even if the planner ordered retries.
 func (c *Core) remainingRetries(request *Request, outcome Outcome) int {
 	mode := c.admissions[request.Class].retry
 	idempotent := c.classes[request.Class].Repeat == pb.Repeat_RETRIABLE
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -27,7 +27,7 @@
 	joined         bool // whether the planner has welcomed the proxy
 	controller     string
 	incarnation    uint64
-	takesLeases    bool    // whether the controller accepts leases, by its own last statement
+	takesLeases    bool    // whether the controller accepts leases, as it last stated
 	lastReceivedMs float64 // time at which bytes were last received
 	protocolErr    error   // protocol violation by the planner, which ends the stream
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -15,8 +15,8 @@
 	return admission{target: 1, sent: 1, retry: defaultRetry}
 }
 
-// sheddingOrder returns the traffic classes by value for the work that they cause, lowest first. The latency objective stands
-// for the work of a request.
+// sheddingOrder returns the traffic classes by priority weight per work of a request, lowest first. The latency objective
+// of a class is taken as the work of its requests.
 func sheddingOrder(classes []TrafficClass) []int {
 	var order []int
 	for index := range classes {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -24,8 +24,8 @@
 	verified := filter(servers, func(server *server) bool { return !p.unverified(server) })
 	verifiedCapacity := sumBy(verified, func(server *server) float64 { return server.RelativeCapacity })
 	verifiedCapacity = math.Max(verifiedCapacity, minRelativeCapacity)
-	// Servers on a ramp are assigned a share of what the fleet succeeds in, not of the demand: in an overload, requests would
-	// concentrate on the least busy servers.
+	// Servers on a ramp are assigned a share of the succeeded rate of the fleet instead of its demand. Otherwise, in an
+	// overload, requests would concentrate on the least busy servers.
 	succeededShare := math.Min(1, math.Max(p.succeededRate, minDemand*demand)/math.Max(demand, minDemand))
 	for j, server := range servers {
 		speed := math.Max(p.relativeSpeed(server), minCapacity)
@@ -48,7 +48,7 @@
 }
 
 // relativeSpeed returns the speed of a server by its baseline latency, 1 for the median server. It is reduced at once while
-// the server is more overloaded than the fleet, and by its failures.
+// the server is more overloaded than the fleet, or some of its attempts fail.
 func (p *Policy) relativeSpeed(server *server) float64 {
 	if server.baselineMs <= 0 || p.baselineMs <= 0 {
 		return 1
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -14,13 +14,13 @@
 const (
 	startMs                = 1e6     // policy time in ms at which a scenario begins
 	stepMs                 = 250.0   // ms between two calls of SetTime
-	quietStepMs            = 2000.0  // the same from quietFromMs to quietUntilMs, while the scenario only waits
+	quietStepMs            = 2000.0  // step from quietFromMs to quietUntilMs, while the scenario only waits
 	scenarioMs             = 825e3   // ends more than forgetRemovedMs (600 s) after the removal that follows drainAtMs
 	digestMs               = 30e3    // ms that a line of the digest covers
 	reportEveryMs          = 1000.0  // ms between reports of a server, and of a proxy
-	lateReportMs           = 6000.0  // the same in a scenario with lateReports
+	lateReportMs           = 6000.0  // interval of the reports in a scenario with lateReports
 	randomChangeIntervalMs = 12e3    // mean time in ms between random changes
-	maxDecisions           = 100_000 // at one time; reaching it fails the test, as Next would not stop
+	maxDecisions           = 100_000 // decisions at one time; reaching it fails the test, as Next would not stop
 )
 
 // Times and durations of the phases of a scenario, in ms; times are from its start. All other events are random, by the seed of
@@ -55,7 +55,7 @@
 	coldRestartsAtMs       = 250e3 // all but four servers restart under their names
 	quietFromMs            = 262e3 // only random changes, until the policy has deleted the removed servers
 	quietUntilMs           = 740e3 //
-	returnAtMs             = 780e3 // a server that the policy has deleted comes back
+	returnAtMs             = 780e3 // a server that the policy has deleted is listed again
 	lateRestartMs          = 795e3 // the planner restarts, unless earlyRestart is set
 )
 
--- a/policy/measurements.go
+++ b/policy/measurements.go
@@ -112,7 +112,7 @@
 // admission step.
 type fleetLoad struct {
 	latencyRatio  float64 // latency of the median server over the latency objective
-	waitRatio     float64 // its latency above the baseline, over the wait that the objective allows
+	waitRatio     float64 // latency of the median server above the baseline, over the wait that the objective allows
 	failureShare  float64 // of the median server
 	succeededRate float64 // successful requests per second
 }
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -10,7 +10,7 @@
 }
 
 // restartServer records that a server restarted under its name, and drops its history. If it is cold, it is ejected until the
-// requests that proxies sent it by the weights of before have left its overload window.
+// requests that proxies sent it by their weights from before the restart have left its overload window.
 func (p *Policy) restartServer(server *server, startedMs float64) {
 	server.resetHistory(p.nowMs)
 	server.unhealthy = startedMs > p.nowMs-p.settings.SlowStartMs
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -26,7 +26,7 @@
 	t.Run("a server ejected while ready is ejected again when it is removed", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
 		f.run(10, healthy)
-		f.planner.byName["s2"].ejected = true // at some proxies only: tables of others hold it since
+		f.planner.byName["s2"].ejected = true // only some proxies were notified; tables of others have held it since
 		f.update(Endpoint{Server: "s2", Zone: 0, State: Removed, RelativeCapacity: 1})
 		f.decide()
 		if !f.ejected["s2"] {
--- a/policy/records.go
+++ b/policy/records.go
@@ -9,7 +9,7 @@
 	return len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == nowMs
 }
 
-// countOrder adds an order to the backlog and to what was ordered to each recipient. The recipients in
+// countOrder adds an order to the backlog and to the entries that were ordered to each recipient. The recipients in
 // withoutMessage are not sent a message at this time yet, so the order starts one.
 func (p *Policy) countOrder(entries, cost float64, recipients, withoutMessage []*proxy) {
 	p.backlog += cost
@@ -82,7 +82,7 @@
 	}
 }
 
-// expectRestorations records what the proxy is yet to be sent after an assignment.
+// expectRestorations records the restorations that the proxy is yet to be sent after an assignment.
 func (p *proxy) expectRestorations(inherited, omitted []*entry) {
 	var added []restoration // go before those of earlier tables: the first ones are sent with this table
 	for _, entry := range inherited {
--- a/policy/state.go
+++ b/policy/state.go
@@ -21,7 +21,7 @@
 	Endpoint
 	samples []sample // last load reports, oldest first
 	entries []*entry // in tables of this planner
-	ejected bool     // by the last order to proxies
+	ejected bool     // whether the last order to proxies ejected it
 
 	unhealthy        bool    // to be ejected, by evidence or as a cold server
 	unhealthyUntilMs float64 // end of that ejection
@@ -55,10 +55,10 @@
 	acknowledged     float64         // those of them that are known to have arrived
 	acknowledgements map[int]float64 // value of ordered at each acknowledgement request, by its number
 
-	ejected             map[*server]bool // by the last order to it
+	ejected             map[*server]bool // whether the last order to it ejected the server
 	inheritedEjections  bool             // it may hold tables and ejections of another planner
 	pendingRestorations []restoration    // of servers in its tables; in a takeover by weight, largest first
-	prepaidRestorations int              // first ones of these, whose budget was spent with the assignment
+	prepaidRestorations int              // number of the first ones, whose budget was spent with the assignment
 }
 
 // restoration is an order that a proxy is yet to be sent about a server: the end of an ejection that another planner may
@@ -130,7 +130,7 @@
 	classGroups      int         // number of class groups, which is also that of clients in a zone
 	tables           []*table    // by number
 	admission        []admission // by traffic class
-	sheddingOrder    []int       // traffic classes by value for the work that they cause, lowest first
+	sheddingOrder    []int       // traffic classes by priority weight per work, lowest first
 	pendingDecisions []decision  // queued by the last evaluation
 
 	solves           int     // number of solves
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// cohortCount returns the number of cohorts in each zone: two, or in a large fleet as many as place each server in two
-// tables, but with at least two proxies each.
+// cohortCount returns the number of cohorts in each zone. It is two, or, in a large fleet, the number that places each
+// server in two tables, limited so that each cohort has at least two proxies.
 func (p *Policy) cohortCount(servers []*server) int {
 	proxies := float64(p.settings.Proxies) / math.Max(float64(p.settings.Zones*p.settings.Planners), 1)
 	wanted := minCohorts * float64(len(servers)) / float64(p.maxTableSize(servers))
@@ -174,8 +174,8 @@
 }
 
 // balanceWeights sets the targets so that all tables together, by their demand, give each server its share, and the weights
-// of each table sum to 1. It scales the entries of servers and of tables in turn. The last time, only servers on a ramp are
-// scaled, and only down, as an overload would make them fail.
+// of each table sum to 1. It scales the entries of servers and of tables in turn. The last iteration scales only the
+// entries of servers on a ramp, and only down, as an overload would make these servers fail.
 func (p *Policy) balanceWeights(tables []*table, shares []*serverShare, total float64) {
 	demand := sumBy(tables, (*table).demand)
 	eachEntry(shares, func(share *serverShare, entry *entry) { entry.target = share.share })
