--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -10,7 +10,7 @@
 
 const acceptBackoffMs = 5.0 // pause in ms after a failed accept
 
-// accept serves incoming connections until the context ends. The listener must be closed then.
+// accept serves incoming connections until the context ends. The caller must close the listener when the context ends.
 func (s *serverRuntime) accept(ctx context.Context, listener net.Listener) {
 	for ctx.Err() == nil {
 		conn, err := listener.Accept()
--- a/internal/platform/acknowledgements.go
+++ b/internal/platform/acknowledgements.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	silenceTimeoutMs   = 6000.0 // ms without a message after which a proxy whose acknowledgement is pending may be deactivated
-	progressIntervalMs = 200.0  // minimum ms between two progress marks
-	maxChannelSlowdown = 8.0    // factor by which the channel may be slower than stated on some days, by the operators' page
-	maxUnacknowledged  = 64     // acknowledgement requests remembered per proxy; older ones are forgotten
+	silenceTimeoutMs   = 6000.0 // ms without a message after which a proxy with a pending acknowledgement may be deactivated
+	progressIntervalMs = 200.0  // least ms between two progress marks
+	maxChannelSlowdown = 8.0    // by the operators' page, the channel may be slower than stated by this factor on some days
+	maxUnacknowledged  = 64     // acknowledgement requests remembered for each proxy; older ones are forgotten
 )
 
 var errUnknownAcknowledgement = errors.New("acknowledgement of a number that was not requested or is forgotten")
@@ -18,10 +18,11 @@
 type acknowledgementRequest struct {
 	number   int
 	sentMs   float64
-	position uint64 // number of updates sent to all proxies before this one
+	position uint64 // number of updates sent to all proxies before the one with the request
 }
 
-// progressMark records that the update at a position had left the channel by a time, since it was acknowledged then.
+// progressMark records that the update at a position had left the channel at a time, because a proxy acknowledged the update
+// then.
 type progressMark struct {
 	atMs     float64
 	position uint64
@@ -30,11 +31,11 @@
 // channelProgress tracks how far the channel to the proxies has progressed through the updates. It belongs to the core and
 // is guarded by the core's lock.
 type channelProgress struct {
-	marks []progressMark // ascending; the last one that is at least silenceTimeoutMs old, and all later ones
+	marks []progressMark // ascending; the last mark that is at least silenceTimeoutMs old, and all later marks
 }
 
-// record notes that the update at a position has left the channel. It ignores positions that add nothing new, and those
-// that follow the last mark too soon.
+// record notes that the update at a position has left the channel. It ignores a position that is not beyond the last mark,
+// and any position less than progressIntervalMs after the last mark.
 func (l *channelProgress) record(position uint64, nowMs float64) {
 	if count := len(l.marks); count > 0 {
 		last := l.marks[count-1]
@@ -52,8 +53,8 @@
 	}
 }
 
-// passed reports whether an update sent after the one at a position had left the channel by a time. trim must have been
-// called with that time.
+// passed reports whether, by a time, the channel had sent an update that came after the one at a position. trim must have
+// been called with that time.
 func (l *channelProgress) passed(position uint64, byMs float64) bool {
 	return len(l.marks) > 0 && l.marks[0].atMs <= byMs && l.marks[0].position > position
 }
@@ -88,14 +89,14 @@
 	}
 }
 
-// deactivateSilent deactivates a proxy that neither acknowledges updates nor sends anything else, until it sends a message
-// again. It reports whether there was such a proxy.
+// deactivateSilent deactivates a proxy that neither acknowledges updates nor sends anything else, until the proxy sends a
+// message again. It reports whether there was such a proxy.
 //
 // Elapsed time alone does not show that a proxy is silent, because an update may wait in the channel for longer than the
 // timeout: with a slow channel and a fleet that joined at once, proxies were deactivated before their first table had left
-// the channel, and were sent it again at their next message. Therefore another proxy must also have acknowledged a later
-// update, which shows that the channel has passed the update of this one. If no proxy acknowledges anything, the time limit
-// is the time that the largest backlog takes in the slowest channel.
+// the channel, and were sent the table again at their next message. Therefore another proxy must also have acknowledged a
+// later update, which shows that the update to the silent proxy has left the channel. If no proxy acknowledges anything, the
+// time limit is the time that the largest backlog takes in the slowest channel.
 func (c *Core) deactivateSilent() bool {
 	silentSinceMs := c.nowMs - silenceTimeoutMs
 	c.progress.trim(silentSinceMs)
--- a/internal/platform/acknowledgements_test.go
+++ b/internal/platform/acknowledgements_test.go
@@ -9,8 +9,8 @@
 
 func TestSilentProxies(t *testing.T) {
 	// The timeout alone must not make a proxy count as silent: with a channel that is slower than the timeout, whole fleets
-	// were deactivated before their first tables had left it, and were sent them again (897 deactivations of 749 proxies,
-	// with 52,417 entries waiting).
+	// were deactivated before their first tables had left the channel, and were sent these tables again (897 deactivations
+	// of 749 proxies, with 52,417 entries waiting).
 	t.Run("with a delayed channel no proxy is deactivated and no table is sent again", testSilenceWithDelayedChannel)
 	t.Run("if no proxy acknowledges, the largest backlog limits the time", func(t *testing.T) {
 		h := startCore(t)
@@ -61,7 +61,7 @@
 			t.Fatalf("the proxy was deactivated after %d ms", 200*round)
 		}
 		h.acknowledge(other, 6)
-		if round%20 == 0 { // causes an update to acknowledge
+		if round%20 == 0 { // causes an update that requests an acknowledgement
 			state := policy.State(1 - round/20%2)
 			h.UpdateEndpoints(policy.DeltaUpdate, []policy.Endpoint{{Server: "s-0", RelativeCapacity: 1, State: state}})
 		}
--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -4,12 +4,12 @@
 
 const millisecondsPerSecond = 1000.0
 
-// channelEstimate estimates how many entries wait in the channel to the proxies, assuming that it runs at its stated rate.
-// It belongs to the core and is guarded by the core's lock.
+// channelEstimate estimates how many entries wait in the channel to the proxies, assuming that the channel runs at its
+// stated rate. It belongs to the core and is guarded by the core's lock.
 type channelEstimate struct {
 	entriesPerSecond float64
-	entries          float64 // backlog at countedMs
-	countedMs        float64 // time of the last add
+	entries          float64 // waiting entries at countedMs
+	countedMs        float64 // time of the last call of add
 }
 
 // add counts a sent update, by its entries and the overhead of its message (also in entries), and returns the new backlog
--- a/internal/platform/channel_test.go
+++ b/internal/platform/channel_test.go
@@ -9,8 +9,9 @@
 	"lichenpick/policy"
 )
 
-// TestMassJoinFitsChannel has all proxies join a planner that has just started, with tables and ejections of other
-// planners. Each assignment then names each server twice, as an entry and as readmitted, and the policy must count both.
+// TestMassJoinFitsChannel makes all proxies join a planner that has just started, with tables and ejections of other
+// planners. Each assignment then names each server twice, as an entry and as a server to readmit, and the policy must count
+// both.
 func TestMassJoinFitsChannel(t *testing.T) {
 	const proxies = 150
 	site := readTestSettings(t)
@@ -40,10 +41,10 @@
 	}
 }
 
-// TestStalledChannelIsNotOverfilled has a channel that sends nothing on and so holds every entry ever sent: their total
-// must stay within the maximum backlog throughout the test. The policy must also count ejections for proxies without
-// a table, readmissions for proxies whose tables no longer hold the server, and the end of inherited ejections when a
-// server is added to a table.
+// TestStalledChannelIsNotOverfilled simulates a channel that delivers nothing and so holds every entry ever sent. The total
+// of these entries must stay within the maximum backlog throughout the test. The policy must also count ejections for
+// proxies without a table, readmissions for proxies whose tables no longer hold the server, and the end of inherited
+// ejections when a server is added to a table.
 func TestStalledChannelIsNotOverfilled(t *testing.T) {
 	variants := map[string]func(*simulator.Settings){
 		"small backlog": func(site *simulator.Settings) { site.Policy.MaxBacklog = 2000 },
@@ -80,7 +81,7 @@
 		if round < 30 { // two proxies join every 200 ms
 			for id := 2 * round; id < 2*round+2; id++ {
 				h.connect(fmt.Sprintf("joined id=%d site=%s rps=10 new=%d", id, zoneNames[id%2], newFlag))
-				h.advance(1) // the runtime pauses between evaluations, so no two happen at the same time
+				h.advance(1) // the runtime pauses between evaluations, so no two evaluations happen at the same time
 			}
 		}
 		if round%5 == 2 {
@@ -104,7 +105,7 @@
 	})
 }
 
-// reportFailures sends a load report on each server. With failing, every eighth server fails all requests.
+// reportFailures sends a load report on each server. If failing is set, every eighth server fails all requests.
 func reportFailures(h *testHost, collector *Connection, failing bool) {
 	for index := range 40 {
 		failed := 0
--- a/internal/platform/closereason.go
+++ b/internal/platform/closereason.go
@@ -8,15 +8,15 @@
 // Reasons for closing a connection.
 const (
 	ClosePeerFinished        CloseReason = iota // the peer has closed its sending side
-	CloseUnreadable                             // bytes that are not a message
-	CloseMessageTooLong                         // a message longer than allowed
-	ClosePartialMemory                          // incomplete messages exceeded their memory limit; this was the longest
-	CloseInvalidFirstMessage                    // an invalid message before joining
-	CloseJoinTimeout                            // did not join in time
+	CloseUnreadable                             // the peer sent bytes that are not a message
+	CloseMessageTooLong                         // the peer sent a message longer than allowed
+	ClosePartialMemory                          // incomplete messages exceeded a memory limit; this connection had the longest
+	CloseInvalidFirstMessage                    // the peer sent an invalid message before joining
+	CloseJoinTimeout                            // the connection did not join in time
 	CloseReplacedStream                         // the proxy opened a newer stream
 	CloseReplacedCollector                      // the zone has too many collectors, and this one was silent the longest
-	CloseShed                                   // closed at the connection limit, in favor of a new connection
-	CloseUnreadByPeer                           // too many bytes waited to be written, because the peer did not read them
+	CloseShed                                   // closed in favor of a new connection, because the connection limit was reached
+	CloseUnreadByPeer                           // too many bytes waited to be written, because the peer did not read
 	CloseShutdown                               // the planner is shutting down
 	numCloseReasons
 )
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	maxConfigBytes = 16 << 20 // bytes of a configuration file
-	maxProxies     = 1 << 16  // proxies that one configuration may have
+	maxConfigBytes = 16 << 20 // limit of the bytes of a configuration file
+	maxProxies     = 1 << 16  // limit of the proxies in a configuration
 )
 
 // Config is the configuration that the platform gives a planner. It is read at the start; when it is reloaded, only a new
 // Discovery address takes effect.
 type Config struct {
 	Name           string
-	Listen         string // address with a port
-	Discovery      string // address of the discovery agent, with a port
+	Listen         string // address and port at which the planner accepts connections
+	Discovery      string // address and port of the discovery agent
 	Seed           int64
 	Cores          float64           // CPU limit of the process, in cores
 	MemoryMB       int               // memory limit of the process in MiB; 0 if not limited
--- a/internal/platform/conversation_test.go
+++ b/internal/platform/conversation_test.go
@@ -19,11 +19,11 @@
 type peer struct {
 	conn             *platform.Connection
 	number           int    // position in peerSimulation.peers
-	proxy            int    // id of the proxy that it joined as, or -1
-	zone             string // of a proxy or collector
-	unsent           []byte // bytes that it has yet to write
+	proxy            int    // id of the proxy that the peer joined as, or -1
+	zone             string // zone of a proxy or collector
+	unsent           []byte // bytes that the peer has yet to write
 	closed           bool
-	silent           bool // it sends nothing
+	silent           bool // the peer sends nothing
 	acknowledgements []delayedAcknowledgement
 }
 
@@ -36,11 +36,11 @@
 // peerSimulation simulates all peers of one core, and records what the core sends and which connections it closes.
 type peerSimulation struct {
 	core        *platform.Core
-	random      *rand.Rand // used by the peers only
+	random      *rand.Rand // used by the simulated peers only
 	atMs        float64    // ms since the start
-	peers       []*peer    // in the order of opening
+	peers       []*peer    // in the order of opening their connections
 	byConn      map[*platform.Connection]*peer
-	proxies     [digestProxies]*peer // the latest stream of each
+	proxies     [digestProxies]*peer // latest stream of each proxy
 	digest      *golden.Digest
 	closeEvents []string // events of Core.Close, whose order is not defined
 	closing     bool
@@ -97,8 +97,8 @@
 	}
 }
 
-// handleLine handles a line as a proxy does. It acknowledges updates that request it, some of them late, and leaves out a
-// few at random.
+// handleLine handles a line as a proxy does. It acknowledges updates that request an acknowledgement, some of them late, and
+// leaves out a few at random.
 func (c *peerSimulation) handleLine(p *peer, line string) {
 	c.ejections += strings.Count(line, " drop=")
 	c.readmissions += strings.Count(line, " undrop=")
@@ -128,7 +128,7 @@
 
 func (c *peerSimulation) SetTimer(atMs float64) { c.record("wake %g", atMs-digestOriginMs) }
 
-// open opens a connection that sends a first message, unless that is empty.
+// open opens a connection that sends a first message, unless the message is empty.
 func (c *peerSimulation) open(first string) *peer {
 	p := &peer{conn: &platform.Connection{}, number: len(c.peers), proxy: -1}
 	c.peers = append(c.peers, p)
@@ -146,7 +146,7 @@
 
 func zoneName(index int) string { return []string{"a", "b"}[index%2] }
 
-// join opens a stream of a proxy. It replaces an earlier one that is still open.
+// join opens a stream of a proxy, which replaces an earlier stream of the proxy that is still open.
 func (c *peerSimulation) join(id, newFlag int) {
 	p := c.open(fmt.Sprintf("joined id=%d site=%s rps=%d new=%d", id, zoneName(id), 20+id, newFlag))
 	p.proxy = id
@@ -169,7 +169,7 @@
 		c.core.HandleData(p.conn, p.unsent[:size])
 		p.unsent = p.unsent[size:]
 		if c.random.Intn(4) == 0 {
-			return // the rest follows in a later step
+			return // the rest is passed in a later step
 		}
 	}
 }
@@ -189,7 +189,7 @@
 		c.openCollector(1)
 	case reached(completeListMs):
 		c.core.UpdateEndpoints(policy.FullUpdate, digestEndpoints())
-	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // causes an update to acknowledge
+	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // causes an update that requests an acknowledgement
 		change(policy.Endpoint{Server: "s-4", RelativeCapacity: 1, State: policy.Draining})
 	case reached(silentFromMs + 3000), reached(silentFromMs + 9000):
 		change(policy.Endpoint{Server: "s-4", RelativeCapacity: 1, State: policy.Ready})
@@ -276,7 +276,7 @@
 	case 0, 1:
 		c.open(invalidFirstMessages[c.random.Intn(len(invalidFirstMessages))])
 	case 2:
-		c.open("") // sends nothing
+		c.open("") // this peer sends nothing
 	case 3:
 		c.open("ping")
 	case 4:
@@ -286,7 +286,7 @@
 	case 7:
 		p.queue("ping")
 	case 8:
-		c.join(id, 0) // replaces the stream if it is open
+		c.join(id, 0) // replaces the stream of the proxy if one is open
 	case 9:
 		p.queue("ping")
 		c.halfClose(p)
@@ -316,7 +316,7 @@
 	}
 }
 
-// halfClose has a peer send its unsent bytes and close its sending side.
+// halfClose makes a peer send its unsent bytes and close its sending side.
 func (c *peerSimulation) halfClose(p *peer) {
 	if p.closed || p.silent {
 		return
@@ -333,7 +333,7 @@
 	}
 }
 
-// sendUnreadable has a peer send unreadable bytes or a message over the length limit.
+// sendUnreadable makes a peer send unreadable bytes or a message over the length limit.
 func (c *peerSimulation) sendUnreadable(p *peer) {
 	switch c.random.Intn(3) {
 	case 0:
--- a/internal/platform/core.go
+++ b/internal/platform/core.go
@@ -16,12 +16,12 @@
 	"lichenpick/policy"
 )
 
-// Host carries out the decisions of the core, which calls it from Next, ShedConnection and Close. Of the core's methods, a
-// host may call HandleDisconnect and Abort meanwhile, and no others.
+// Host carries out the decisions of the core, which calls it from Next, ShedConnection and Close. During such a call, a host
+// may call HandleDisconnect and Abort of the core, and no other method of it.
 type Host interface {
 	// Send sends complete messages. It must not keep the slice, which the core reuses.
 	Send(connection *Connection, messages []byte)
-	// CloseConnection closes a connection after all that was sent to it has been written. The cause gives details of the
+	// CloseConnection closes a connection after all messages sent to it have been written. The cause gives details of the
 	// reason; it may be nil.
 	CloseConnection(connection *Connection, reason CloseReason, cause error)
 	// SetTimer requests a call of Next at a time in Unix ms. It replaces the previous request.
@@ -43,24 +43,24 @@
 	publisher publisher
 	progress  channelProgress
 
-	policyTimerMs float64 // when the policy is to evaluate next
+	policyTimerMs float64 // Unix ms of the next evaluation of the policy
 	hostTimerMs   float64 // last time passed to Host.SetTimer
 	buffer        []byte  // reused for the messages of one Host.Send
 
-	// MaxPartialBytes limits the bytes of incomplete messages of all connections together. It may only be set before the
-	// first connection.
+	// MaxPartialBytes limits the bytes of incomplete messages of all connections together. The limit may only be set before
+	// the first connection.
 	MaxPartialBytes int
 	// Counts counts events since NewCore.
 	Counts Counts
-	// OnReject, if not nil, is called with each rejected message of a joined connection. The line is valid until it
-	// returns. It may only be set before the first connection.
+	// OnReject, if not nil, is called with each rejected message of a joined connection. The line is valid until OnReject
+	// returns. OnReject may only be set before the first connection.
 	OnReject func(err error, line []byte)
 }
 
 // NewCore creates a planner at a time in Unix ms. All its randomness comes from the seed.
 func NewCore(settings simulator.Settings, seed int64, nowMs float64) *Core {
-	settings.Policy.ReadmitByWeight = true // policyHost.SetWeight does so
-	settings.Policy.OmitsEntries = true    // policyHost.AssignTable does so
+	settings.Policy.ReadmitByWeight = true // policyHost.SetWeight readmits a server with its first weight
+	settings.Policy.OmitsEntries = true    // policyHost.AssignTable can omit entries
 	core := &Core{
 		settings:        settings,
 		policy:          policy.New(settings.Policy, seed),
@@ -86,8 +86,8 @@
 	return indices
 }
 
-// SetTime sets the time, which never goes back. Each proxy is sent all decisions that are made before the next call in one
-// message.
+// SetTime sets the time, which never goes back. All decisions that are made for a proxy before the next call of SetTime are
+// sent in one message.
 func (c *Core) SetTime(nowMs float64) {
 	c.nowMs = math.Max(nowMs, c.nowMs)
 	c.policy.SetTime(c.nowMs)
@@ -105,7 +105,7 @@
 		return true
 	case c.policy.Next(policyHost{c}):
 		return true
-	case len(c.publisher.pending) > 0: // only when the policy has no more decisions
+	case len(c.publisher.pending) > 0: // updates are sent only when the policy has no more decisions
 		p := c.publisher.pending[0]
 		c.publisher.pending = c.publisher.pending[1:]
 		c.publish(host, p)
@@ -116,7 +116,7 @@
 	return c.setTimer(host)
 }
 
-// setTimer requests the next call from the host, and reports whether its time has changed.
+// setTimer requests from the host the next call of Next, and reports whether the time of that call has changed.
 func (c *Core) setTimer(host Host) bool {
 	dueMs := c.policyTimerMs
 	if len(c.sessions.unjoined) > 0 {
@@ -132,8 +132,8 @@
 }
 
 // WriteState writes the state of the policy for a trace, followed by the backlog of the channel and, for each server, its
-// state, whether it is ejected, and the requests, failures and mean latency that were reported since the last call. It
-// stops at the first write error.
+// state, whether it is ejected, and the requests, failures and mean latency that were reported since the last call of
+// WriteState. It stops at the first write error.
 func (c *Core) WriteState(w io.Writer) error {
 	c.policy.WriteState(w)
 	if _, err := fmt.Fprintf(w, "channel backlog=%.0f\n", c.publisher.channel.backlog(c.nowMs)); err != nil {
--- a/internal/platform/core_test.go
+++ b/internal/platform/core_test.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	testOriginMs = 1.8e12 // Unix ms; of the magnitude of real times
+	testOriginMs = 1.8e12 // Unix ms at the start of a test; as large as real times
 	testStepMs   = 50.0   // ms between evaluations
 	testServers  = 8
 )
@@ -79,7 +79,7 @@
 
 func (h *testHost) SetTimer(float64) {}
 
-// advance lets time pass. It evaluates the core every testStepMs, and at the end.
+// advance lets time pass. It evaluates the core every testStepMs, and at the end of that time.
 func (h *testHost) advance(ms float64) {
 	endMs := h.atMs + ms
 	for {
--- a/internal/platform/counts.go
+++ b/internal/platform/counts.go
@@ -6,16 +6,16 @@
 type Counts struct {
 	Joins            uint64 // proxy streams that joined
 	LostStreams      uint64 // proxy streams that ended without being replaced
-	SilentProxies    uint64 // times that a silent proxy was deactivated
-	Refusals         uint64 // connections that were refused before they joined
+	SilentProxies    uint64 // deactivations of silent proxies
+	Refusals         uint64 // connections that the planner refused before they joined
 	Unreadable       uint64 // connections closed for unreadable bytes, a too long message, or too much incomplete data
 	RejectedMessages uint64 // rejected messages of joined connections
 	LoadReports      uint64
 	DemandReports    uint64
 	Acknowledgements uint64
 	Updates          uint64 // messages sent to proxies, except pongs and refusals
-	Entries          uint64 // channel entries in these updates
-	Bytes            uint64 // bytes of these updates
+	Entries          uint64 // channel entries in the messages that Updates counts
+	Bytes            uint64 // bytes of the messages that Updates counts
 	EndpointUpdates  uint64 // endpoint lists from discovery and from the configuration
 	// MaxBacklog is the maximum number of entries that waited in the channel, assuming its stated rate. The policy has an
 	// estimate of its own, which the trace shows.
--- a/internal/platform/decide.go
+++ b/internal/platform/decide.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	countsIntervalMs = 10000.0 // ms between log lines with the counts
+	countsIntervalMs = 10000.0 // ms between two log lines with the counts
 	traceIntervalMs  = 1000.0  // ms between traces
 	panicBackoffMs   = 100.0   // pause in ms after a panic, so that a recurring panic does not use a CPU core
 	maxPanics        = 10      // consecutive evaluations with a panic after which the planner ends
@@ -20,8 +20,8 @@
 
 // decisionSchedule is the state that decide keeps between evaluations. Times are Unix ms.
 type decisionSchedule struct {
-	countsMs float64 // of the last log line with the counts
-	traceMs  float64 // of the last trace
+	countsMs float64 // time of the last log line with the counts
+	traceMs  float64 // time of the last trace
 	panics   int     // consecutive evaluations that panicked
 }
 
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -13,9 +13,9 @@
 
 // Limits of the contents of a message. A message that exceeds them is considered corrupted.
 const (
-	maxFields    = 32  // fields of a message
-	maxRequests  = 1e7 // requests in a report, and requests per second of a proxy
-	maxSpanMs    = 6e5 // ms; the period that a report may cover, or a latency in it
+	maxFields    = 32  // limit of the fields of a message
+	maxRequests  = 1e7 // limit of the requests in a report, and of the requests per second of a proxy
+	maxSpanMs    = 6e5 // limit in ms of the period that a report covers, and of a latency in the report
 	maxProxyID   = math.MaxInt32
 	maxAckNumber = math.MaxInt32
 )
@@ -28,10 +28,10 @@
 	kindCollector                              // a collector of load reports opens its connection
 	kindAcknowledgement                        // a proxy has applied an update
 	kindLoadReport                             // a collector's report on a server
-	kindDemandReport                           // a proxy's report on its own requests
-	kindPing                                   // asks for a pong
-	kindUpdate                                 // only planners send it, so it is rejected
-	kindIgnored                                // valid but not needed: sent by planners, or in other kinds of deployment
+	kindDemandReport                           // a proxy's report on the requests that it received
+	kindPing                                   // the peer asks for a pong
+	kindUpdate                                 // an update, which only planners send; it is rejected
+	kindIgnored                                // a valid message not needed here: sent by planners, or in other deployments
 )
 
 // kindName maps a name on the wire to its kind.
@@ -70,7 +70,7 @@
 // MessageError reports a message that could be read but lacks what its kind requires. On a joined connection, only that
 // message is discarded; a connection that has not joined is closed.
 type MessageError struct {
-	Field   string // name on the wire; empty if the error concerns no single field
+	Field   string // name of the field on the wire; empty if the error concerns no single field
 	Problem string
 }
 
@@ -87,7 +87,7 @@
 	ProxyID     int
 	Zone        string
 	RequestRate float64 // requests per second that the proxy expects
-	New         bool    // the proxy has no tables; otherwise it may hold tables and ejections of another planner
+	New         bool    // the proxy has no tables; if not set, it may hold tables and ejections of another planner
 }
 
 // CollectorMessage opens the connection of a collector of load reports.
@@ -98,8 +98,8 @@
 	Zone     string
 	Server   string
 	Requests int
-	Failed   int     // those of Requests that failed
-	MeanMs   float64 // mean latency of the requests that succeeded
+	Failed   int     // number of failed requests among Requests
+	MeanMs   float64 // mean latency in ms of the requests that succeeded
 	SpanMs   float64 // time that the report covers
 }
 
@@ -108,7 +108,7 @@
 	ProxyID  int
 	Class    string
 	Requests int
-	Failed   int     // may exceed Requests, as a request may fail in a later period than it was received in
+	Failed   int     // failed requests; may exceed Requests, as a request may fail after the period in which it was received
 	SpanMs   float64 // time that the report covers
 }
 
@@ -123,7 +123,7 @@
 type field struct{ name, value []byte }
 
 // message is a parsed line. Its decoding methods record the first error, so that callers decode all fields and then check
-// for an error once. It is valid as long as its line.
+// for an error once. A message is valid as long as its line.
 type message struct {
 	kind   messageKind
 	fields [maxFields]field
--- a/internal/platform/digest_test.go
+++ b/internal/platform/digest_test.go
@@ -12,11 +12,11 @@
 	digestOriginMs        = 1.8e12 // Unix ms at the start of a simulation
 	digestStepMs          = 100.0  // ms between two steps of a simulation
 	simulationMs          = 150e3
-	digestIntervalMs      = 10e3 // ms per entry of the digest
+	digestIntervalMs      = 10e3 // ms that an entry of the digest covers
 	lineEnd               = "\r\n"
 	digestServers         = 10
 	digestProxies         = 8
-	oversizedMessageBytes = 1<<20 + 100 // bytes; more than a message may have
+	oversizedMessageBytes = 1<<20 + 100 // bytes of a message; more than the limit
 	partialLimitBytes     = 3000        // bytes; Core.MaxPartialBytes for even seeds
 	partialMessageBytes   = 1200        // bytes of an incomplete message
 )
@@ -93,9 +93,9 @@
 	return fields.String()
 }
 
-// TestDigest compares a digest of everything that a core sends, of the connections that it closes, and of the times, with
-// the one in testdata. Update it with go test ./internal/platform -run Digest -update, and only in a commit that says which
-// behavior changed and why.
+// TestDigest compares a digest of everything that a core sends, of the connections that it closes, and of the times of both,
+// with the digest in testdata. Update it with go test ./internal/platform -run Digest -update, and only in a commit that
+// says which behavior changed and why.
 func TestDigest(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -22,26 +22,27 @@
 // Requests to the discovery agent.
 const (
 	endpointsPath = "/catalog/members"                   // the complete endpoint list
-	watchFormat   = endpointsPath + "?follow=1&since=%d" // changes after a version, one per line; empty lines keep it alive
+	watchFormat   = endpointsPath + "?follow=1&since=%d" // changes after a version, one per line; empty lines: keep-alive
 )
 
 // Limits of the agent's responses, and of the time that they may take.
 const (
-	discoveryIdleTimeoutMs     = 2600.0  // ms without a byte until the request is repeated; the agent sends something every 2 s
-	discoveryResponseTimeoutMs = 5000.0  // ms that a response, or a line of a watch, may take to its end
-	discoveryDialTimeoutMs     = 1000.0  // ms; the agent runs on the same machine
-	minDiscoveryRetryMs        = 50.0    // ms; the first backoff, doubled after each failure
-	maxDiscoveryRetryMs        = 500.0   // ms; short, as the platform regards the planner as notified of a change after 6 s
-	maxEndpointListBytes       = 4 << 20 // bytes of a complete list, or of a line of a watch
-	maxHeaderBytes             = 1 << 14 // bytes of a response's header
-	maxLoggedBytes             = 1000    // bytes of a list that the debug log shows
+	discoveryIdleTimeoutMs     = 2600.0  // ms without a byte after which the request is repeated; the agent sends some every 2 s
+	discoveryResponseTimeoutMs = 5000.0  // ms within which a response, or a line of a watch, must be complete
+	discoveryDialTimeoutMs     = 1000.0  // ms within which a connection must open; the agent runs on the same machine
+	minDiscoveryRetryMs        = 50.0    // ms of the first backoff; the backoff doubles after each failure
+	maxDiscoveryRetryMs        = 500.0   // ms of the longest backoff; short, as a change counts as delivered after 6 s
+	maxEndpointListBytes       = 4 << 20 // limit of the bytes of a complete list, or of a line of a watch
+	maxHeaderBytes             = 1 << 14 // limit of the bytes of a response's header
+	maxLoggedBytes             = 1000    // limit of the bytes of a list that the debug log shows
 	microsPerMs                = 1000.0
 )
 
 var errListTooLong = errors.New("endpoint list longer than allowed")
 
 // discoveryClient follows the endpoint list of the discovery agent: it reads the complete list, then watches for changes
-// from that version on. The goroutine that calls run owns all fields except progressMicros; there is one at a time.
+// after the version of that list. The goroutine that calls run owns all fields except progressMicros; only one goroutine
+// calls run at a time.
 type discoveryClient struct {
 	clock     clock.Clock
 	network   clock.Network
@@ -122,7 +123,7 @@
 	return d.handleList(text)
 }
 
-// readWatch handles the lines of a watch until it ends. The error is never nil.
+// readWatch handles the lines of a watch until the watch ends. The error is never nil.
 func (d *discoveryClient) readWatch(body *bufio.Reader) error {
 	for {
 		line, err := readListLine(body)
@@ -137,7 +138,7 @@
 	}
 }
 
-// handleList applies a complete list or a line of a watch, and delivers it if it changes anything.
+// handleList parses a complete list or a line of a watch, and delivers the list or the change unless nothing changes.
 func (d *discoveryClient) handleList(text []byte) error {
 	list, changed, err := d.tracker.accept(bytes.TrimSpace(text))
 	if changed || err != nil {
@@ -214,15 +215,15 @@
 	return c.Conn.Read(buffer)
 }
 
-// versionTracker parses complete lists and lines of a watch, and keeps track of the version that they lead to.
+// versionTracker parses complete lists and lines of a watch, and keeps track of the resulting version of the list.
 type versionTracker struct {
 	zones         []string
 	version       int64
-	needsFullList bool // the complete list must be requested next
+	needsFullList bool // the next request must be for the complete list
 }
 
-// accept parses a line of a watch or a complete list, and reports whether it changes anything. If it cannot be read, or
-// does not follow the known version, the complete list must be requested next, and the known version stays.
+// accept parses a line of a watch or a complete list, and reports whether it changes anything. If the text cannot be parsed,
+// or does not follow the known version, the complete list must be requested next, and the known version stays.
 func (t *versionTracker) accept(text []byte) (list endpointList, changed bool, err error) {
 	if len(text) == 0 { // keep-alive
 		return endpointList{}, false, nil
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -11,7 +11,7 @@
 
 const (
 	watchByteIntervalMs = 10  // ms between the bytes of a line that never ends
-	maxWatchBytes       = 150 // bytes of such a line after which the test fails
+	maxWatchBytes       = 150 // bytes of a line that never ends after which the test fails
 )
 
 // TestDiscoveryFailures checks on loopback sockets that endpoint updates are neither lost nor delayed when discovery fails
@@ -48,7 +48,7 @@
 	for index, server := range []string{"s-2", "s-3"} {
 		discovery.lines <- listText(10+index, false, server+":draining")
 		peer.await(server)
-		<-discovery.watched // a new watch, only because the last one went silent
+		<-discovery.watched // a new watch, which is requested only because the last watch went silent
 	}
 	for _, query := range discovery.queries()[1:] {
 		if query == "" {
--- a/internal/platform/dispatch.go
+++ b/internal/platform/dispatch.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	collectorsPerZone = 3  // a collector that has lost its connection may still appear open next to its successor
-	maxPendingPongs   = 16 // pongs waiting for one connection; further pings are not answered until those are sent
+	collectorsPerZone = 3  // limit of connections; a collector that lost its connection may seem open beside its successor
+	maxPendingPongs   = 16 // limit of pongs that wait for one connection; further pings are not answered until they are sent
 )
 
-// Errors of rejected messages, besides those of their fields, which are of type *MessageError.
+// Errors of rejected messages. Errors of single fields are of type *MessageError instead.
 var (
 	errNotJoined     = errors.New("the connection has not joined")
 	errAlreadyJoined = errors.New("the connection has joined already")
@@ -48,8 +48,8 @@
 	}
 }
 
-// dispatch passes a message to the handler of its kind. A kind that is valid but not meant for the role of the connection
-// is ignored.
+// dispatch passes a message to the handler of its kind. It ignores a valid message that is not meant for the role of the
+// connection.
 func (c *Core) dispatch(connection *Connection, m *message) error {
 	switch m.kind {
 	case kindPing:
@@ -98,7 +98,7 @@
 	if join.ProxyID >= len(c.proxies.byID) {
 		return errUnknownProxy
 	}
-	if old := c.proxies.byID[join.ProxyID]; old != nil { // its stream is broken, even if no error was seen here
+	if old := c.proxies.byID[join.ProxyID]; old != nil { // the old stream is broken, even if no error was seen here
 		c.removeProxy(old)
 		c.startClosing(old.connection, CloseReplacedStream, nil)
 	}
@@ -123,7 +123,7 @@
 	connection.role = roleCollector
 	connection.collectorZone = zone
 	others := c.sessions.collectors[zone]
-	if len(others) == collectorsPerZone { // the one that has been silent the longest has probably lost its connection
+	if len(others) == collectorsPerZone { // the collector that has been silent the longest has probably lost its connection
 		oldest := slices.MinFunc(others, func(a, b *Connection) int {
 			return cmp.Compare(a.lastMessageMs, b.lastMessageMs)
 		})
--- a/internal/platform/encode.go
+++ b/internal/platform/encode.go
@@ -14,16 +14,16 @@
 	wireUpdate  = "update"
 )
 
-const maxNameBytes = 128 // bytes of the name of a server, zone or traffic class
+const maxNameBytes = 128 // limit of the bytes of the name of a server, zone or traffic class
 
 // updatePart is one line of an update. A proxy applies all parts of a message together. Empty fields are not written, and
 // the admission rate is only written if it is Set.
 type updatePart struct {
-	classes         []string            // traffic classes that the part applies to; empty: all
+	classes         []string            // traffic classes that the part applies to; all if empty
 	replace         bool                // the entries are the complete table, and the proxy forgets its admission rates
-	entries         []weighttable.Entry // weight 0 removes the server
+	entries         []weighttable.Entry // entries to set; weight 0 removes the server
 	admission       weighttable.AdmissionRate
-	eject, readmit  []string // servers
+	eject, readmit  []string // names of servers
 	acknowledgement int      // number to be acknowledged, if acknowledge is set
 	acknowledge     bool
 }
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -15,8 +15,8 @@
 // endpointList is a complete list of endpoints, or the changes to one.
 type endpointList struct {
 	version int64
-	full    bool              // all servers; otherwise only those that changed
-	entries []policy.Endpoint // StartedMs is in Unix ms, like the times of the core
+	full    bool              // the list holds all servers; otherwise only those that changed
+	entries []policy.Endpoint // their StartedMs is in Unix ms, like the times of the core
 }
 
 var endpointStates = map[string]policy.State{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
@@ -37,7 +37,7 @@
 }
 
 // parseEndpointList decodes an endpoint list. A single invalid server makes it fail. A server of a zone that is not among
-// those given has zone -1.
+// the given zones has zone -1.
 func parseEndpointList(text []byte, zones []string) (endpointList, error) {
 	var document listDocument
 	if err := json.Unmarshal(text, &document); err != nil {
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -2,16 +2,16 @@
 
 import "lichenpick/policy"
 
-// removedRetentionMs is how long a removed endpoint is kept, in ms: longer than the policy keeps it.
+// removedRetentionMs is how long a removed endpoint is kept, in ms. It is longer than the policy keeps removed servers.
 const removedRetentionMs = 9e5
 
 // endpoint is a server that discovery has listed. It is guarded by the core's lock.
 type endpoint struct {
 	name    string
 	state   policy.State
-	sinceMs float64 // when it entered the state
-	// Proxies that this planner has notified of the server's ejection, and proxies that may have been notified of one by
-	// another planner or an earlier incarnation of this one.
+	sinceMs float64 // Unix ms at which the server entered the state
+	// Proxies that this planner has notified of the server's ejection, and proxies that another planner, or an earlier
+	// incarnation of this one, may have notified of an ejection of the server.
 	notified, possiblyNotified proxySet
 	// Proxies that were sent their tables without the entry of this server.
 	omitted proxySet
@@ -27,7 +27,7 @@
 // endpointTable holds the endpoints by server name. It belongs to the core and is guarded by the core's lock.
 type endpointTable struct {
 	byName  map[string]*endpoint
-	proxies int // maximum number of proxies
+	proxies int // maximum number of proxies; all proxy ids are lower
 }
 
 func newEndpointTable(proxies int) endpointTable {
@@ -66,7 +66,7 @@
 	}
 }
 
-// resetNotified resets the notifications of a proxy that has joined. With inherits, it may hold ejections of another
+// resetNotified resets the notifications of a proxy that has joined. With inherits, the proxy may hold ejections of another
 // planner.
 func (t *endpointTable) resetNotified(proxyID int, inherits bool) {
 	for _, e := range t.byName {
@@ -83,7 +83,7 @@
 	}
 }
 
-// UpdateEndpoints applies an endpoint list of discovery or, as policy.RestoredUpdate, the one in the configuration.
+// UpdateEndpoints applies an endpoint list of discovery or, as policy.RestoredUpdate, the list in the configuration.
 func (c *Core) UpdateEndpoints(kind policy.UpdateKind, list []policy.Endpoint) {
 	if kind != policy.FailedUpdate {
 		c.Counts.EndpointUpdates++
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -18,9 +18,9 @@
 // modelProxy models a proxy by the protocol: it has a weight table for each traffic class, and ejected servers.
 type modelProxy struct {
 	id            int
-	connection    *Connection // nil while it is disconnected
-	rejoinedMs    float64     // time of its last return
-	assigned      bool        // it has applied a table since it joined
+	connection    *Connection // nil while the proxy is disconnected
+	rejoinedMs    float64     // ms since the start; time at which the proxy last rejoined
+	assigned      bool        // the proxy has applied a table since it joined
 	weights       map[string]map[string]float64
 	ejected       map[string]bool
 	lastArrivalMs float64
@@ -51,7 +51,7 @@
 	}
 }
 
-// apply applies an update, and returns the numbers that are to be acknowledged.
+// apply applies an update, and returns the numbers of the acknowledgements that the update requests.
 func (p *modelProxy) apply(update string) []string {
 	var stamps []string
 	for line := range strings.Lines(update) {
@@ -136,14 +136,14 @@
 	random          *rand.Rand
 	atMs            float64 // ms since the start
 	servers         []policy.Endpoint
-	notReadySinceMs map[string]float64 // by server: when the planner was notified that it drains or is removed
+	notReadySinceMs map[string]float64 // by server: when the planner was notified that the server drains or is removed
 	proxies         []*modelProxy
 	streams         map[*Connection]*modelProxy
 	deliveries      []delivery
 	channelFreeMs   float64 // when all waiting updates will have left the channel
-	maxBacklog      float64 // maximum, in entries
-	maxMessages     int     // maximum to one proxy within MessageWindowMs
-	latestPickMs    float64 // longest time after the notification that a server which is not ready could be picked
+	maxBacklog      float64 // highest number of entries that waited in the channel
+	maxMessages     int     // highest number of messages to one proxy within MessageWindowMs
+	latestPickMs    float64 // longest time for which a server could be picked after the planner was notified that it is not ready
 	violations      map[string]bool
 }
 
@@ -203,7 +203,7 @@
 	p.connection = nil
 }
 
-// drain notifies the planner that servers drain, or, for every third of them, that they are removed.
+// drain notifies the planner that servers drain or, for every third server, that it is removed.
 func (f *modelFleet) drain(servers []policy.Endpoint) {
 	for index := range servers {
 		servers[index].State = policy.Draining
@@ -215,7 +215,7 @@
 	f.UpdateEndpoints(policy.DeltaUpdate, servers)
 }
 
-// deliver has proxies apply and acknowledge the updates that have arrived. Updates of earlier streams are lost.
+// deliver makes proxies apply and acknowledge the updates that have arrived. Updates of earlier streams are lost.
 func (f *modelFleet) deliver() {
 	slices.SortStableFunc(f.deliveries, func(a, b delivery) int { return cmp.Compare(a.appliedMs, b.appliedMs) })
 	for len(f.deliveries) > 0 && f.deliveries[0].appliedMs <= f.atMs {
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -10,9 +10,9 @@
 // Sizes of incoming messages. The protocol ends a message with CR LF, which is not counted.
 const (
 	lineEnd              = "\r\n"
-	maxMessageBytes      = 1 << 20 // bytes of a message; limit of the protocol
-	maxFirstMessageBytes = 512     // bytes of a message before joining: an unknown peer is not trusted with more memory
-	maxKindBytes         = 16      // bytes compared with the kinds of messages; more than the longest kind has
+	maxMessageBytes      = 1 << 20 // limit of the bytes of a message, set by the protocol
+	maxFirstMessageBytes = 512     // limit of the bytes of a message before joining; an unknown peer gets little memory
+	maxKindBytes         = 16      // first bytes of a message that are compared with the kinds; more than the longest kind has
 )
 
 // Errors of received bytes that cannot be split into messages. Each closes the connection.
@@ -22,13 +22,13 @@
 )
 
 // messageReader splits the bytes of one connection into messages, which may arrive in any number of pieces. The zero value
-// is ready to use. It only keeps the incomplete message at the end. It is guarded by the core's lock.
+// is ready to use. It only keeps the incomplete message at the end of the bytes. It is guarded by the core's lock.
 type messageReader struct{ partial []byte }
 
 // feed passes each complete message, without its line end, to handle until handle returns false; the rest of the data is
-// then discarded. The line is valid until handle returns. limit returns the limit in bytes and is called for each message,
-// because handling one may change it. The error is ErrMessageTooLong, or ErrUnreadable for control bytes, a line end other
-// than CR LF, or a first word that is not a kind of message.
+// then discarded. The line is valid until handle returns. limit returns the maximum size of a message in bytes. It is called
+// for each message, because handling a message may change the limit. The error is ErrMessageTooLong, or ErrUnreadable for
+// control bytes, a line end other than CR LF, or a first word that is not a kind of message.
 func (r *messageReader) feed(data []byte, limit func() int, handle func(line []byte) bool) error {
 	for len(data) > 0 {
 		chunk := data
@@ -68,8 +68,8 @@
 	return r.partial
 }
 
-// reset prepares for the next message. It releases a large buffer, so that a connection stays small after a long message.
-// The bytes returned last stay valid until the next feed.
+// reset prepares the reader for the next message. It releases a large buffer, so that a connection stays small after a long
+// message. The bytes returned last stay valid until the next feed.
 func (r *messageReader) reset() {
 	r.partial = r.partial[:0]
 	if cap(r.partial) > maxFirstMessageBytes {
@@ -89,7 +89,7 @@
 	})
 }
 
-// isPrintable reports whether there are no control bytes, except a CR at the end of an incomplete message.
+// isPrintable reports whether a text has no control bytes, except a CR at the end of an incomplete message.
 func isPrintable(text []byte, complete bool) bool {
 	position := bytes.IndexFunc(text, func(r rune) bool { return r < ' ' || r == 0x7f })
 	return position < 0 || !complete && position == len(text)-1 && text[position] == '\r'
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -28,11 +28,11 @@
 	joinText      = "joined id=1 site=a rps=10 new=1\r\n"
 )
 
-// fakeDiscovery is a discovery agent with a complete list, and a watch on which a test can send lines, invalid data or the
-// end.
+// fakeDiscovery is a discovery agent with a complete list, and with a watch on which a test can send lines or invalid data,
+// and which a test can end.
 type fakeDiscovery struct {
 	*httptest.Server
-	lines   chan string // sent on the open watch; "" ends it
+	lines   chan string // lines that are sent on the open watch; "" ends the watch
 	watched chan bool   // receives a value for each watch that is requested
 
 	mu              sync.Mutex // guards the fields below
@@ -91,7 +91,7 @@
 	return slices.Clone(d.receivedQueries)
 }
 
-// setFullList replaces the complete list, and returns the number of queries until then.
+// setFullList replaces the complete list, and returns the number of queries that arrived before.
 func (d *fakeDiscovery) setFullList(fullList string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,7 +144,7 @@
 type testPlanner struct {
 	t       *testing.T
 	address string
-	path    string // of its configuration
+	path    string // path of the configuration file of the planner
 	hangup  chan os.Signal
 	done    chan error
 	stop    context.CancelFunc
@@ -156,7 +156,7 @@
 	return startPlannerWith(t, configText(discovery.address(), 64), nil)
 }
 
-// startPlannerWith starts a planner whose options a test can change, and checks for leaks after it has ended.
+// startPlannerWith starts a planner whose options a test can change, and checks for leaks after the planner has ended.
 func startPlannerWith(t *testing.T, config string, hook func(*Options)) *testPlanner {
 	t.Helper()
 	leaks := startLeakCheck(t)
@@ -254,7 +254,7 @@
 	}
 }
 
-// readLine reads a line, including its end.
+// readLine reads a line, including its line end.
 func (p *testPeer) readLine() string {
 	p.t.Helper()
 	line, err := p.reader.ReadString('\n')
@@ -321,7 +321,7 @@
 	return c.Conn.SetWriteDeadline(at)
 }
 
-// hookedNetwork is a network that passes each accepted connection to a test first.
+// hookedNetwork is a network that passes each accepted connection to a test before the planner gets it.
 type hookedNetwork struct {
 	clock.TCP
 	accepted func(*hookedConn)
@@ -364,11 +364,11 @@
 func extendedDeadlines() clock.Clock { return scaledClock{clock.NewReal(), 1, 100} }
 
 // after returns a channel that fires after a time, for events that should not happen. The results of correct code do not
-// depend on its length.
+// depend on the length of that time.
 func after(ms float64) <-chan time.Time {
 	fired, _ := clock.NewReal().NewTimer(ms)
 	return fired
 }
 
-// pause waits for a moment between two looks at a condition.
+// pause waits for a moment between two checks of a condition.
 func pause() { <-after(1) }
--- a/internal/platform/leakcheck_test.go
+++ b/internal/platform/leakcheck_test.go
@@ -17,7 +17,7 @@
 // descriptors.
 type leakCheck struct {
 	t           *testing.T
-	nested      bool // another planner was running already; its check covers both
+	nested      bool // another planner was running already, and the check of that planner covers both
 	descriptors int
 }
 
@@ -30,8 +30,8 @@
 	return &leakCheck{t, runningChecks.Add(1) > 1, descriptors}
 }
 
-// finish checks that nothing is left. No goroutine of the runtime may exist once Run has returned; those of net/http may
-// take a moment longer to end.
+// finish checks that no resources of the planner are left. No goroutine of the runtime may exist once Run has returned;
+// those of net/http may take a moment longer to end.
 func (l *leakCheck) finish() {
 	runningChecks.Add(-1)
 	if l.nested {
--- a/internal/platform/policyhost.go
+++ b/internal/platform/policyhost.go
@@ -8,7 +8,7 @@
 )
 
 // policyHost implements policy.Host: it applies the decisions of the policy to the tables, and adds them to the pending
-// updates of the proxies. Only Core.Next causes calls of it.
+// updates of the proxies. Its methods are called only within Core.Next.
 type policyHost struct{ core *Core }
 
 var _ policy.Host = policyHost{}
@@ -34,9 +34,10 @@
 	}
 }
 
-// AssignTable assigns a table to a proxy for some traffic classes. The table is sent complete, which makes the proxy forget
-// its admission rates, so these are sent again. Entries of omitted servers are sent when the servers are restored or
-// readmitted. Ejections that the proxy may hold from another planner are left to RestoreServers.
+// AssignTable assigns a table to a proxy for some traffic classes. All entries of the table are sent, except omitted ones.
+// Such an update makes the proxy forget its admission rates, so these are sent again. Entries of omitted servers are sent
+// when the servers are restored or readmitted. Ejections that the proxy may hold from another planner are left to
+// RestoreServers.
 func (h policyHost) AssignTable(proxyID, tableNumber int, classes []int, omittedServers []string) {
 	publisher := &h.core.publisher
 	p := h.core.proxies.byID[proxyID]
@@ -69,8 +70,8 @@
 	}
 }
 
-// RestoreServers sends a proxy the omitted entries of servers, and has it readmit those that another planner may have
-// ejected. Servers that this planner has ejected stay omitted and ejected.
+// RestoreServers sends a proxy the omitted entries of servers, and makes the proxy readmit those servers that another
+// planner may have ejected. Servers that this planner has ejected stay omitted and ejected.
 func (h policyHost) RestoreServers(proxyID int, servers []string) {
 	p := h.core.proxies.byID[proxyID]
 	if p == nil { // the proxy left after the policy's last evaluation
@@ -96,7 +97,7 @@
 	publisher := &h.core.publisher
 	publisher.registry.SetEjected(server, ejected)
 	e := h.core.endpoints.byName[server]
-	if e == nil { // removed long ago and forgotten
+	if e == nil { // the server was removed long ago and is no longer kept
 		return
 	}
 	for _, p := range h.core.proxies.joined {
@@ -146,7 +147,7 @@
 	}
 }
 
-// RequestAcknowledgement has each pending update request an acknowledgement by its proxy.
+// RequestAcknowledgement adds a request for an acknowledgement to each pending update.
 func (h policyHost) RequestAcknowledgement(number int) {
 	for _, p := range h.core.publisher.pending {
 		p.pending.acknowledgement = number
@@ -157,5 +158,5 @@
 // WatchEndpoints does nothing: the discovery client watches the endpoint list without being asked.
 func (h policyHost) WatchEndpoints() {}
 
-// SetTimer requests an evaluation after some ms.
+// SetTimer requests an evaluation after inMs.
 func (h policyHost) SetTimer(inMs float64) { h.core.policyTimerMs = h.core.nowMs + inMs }
--- a/internal/platform/proxies.go
+++ b/internal/platform/proxies.go
@@ -2,23 +2,24 @@
 
 import "lichenpick/internal/weighttable"
 
-// proxy is a joined proxy and what it was sent. It belongs to the core and is guarded by the core's lock.
+// proxy is the state of a joined proxy, and of what the proxy was sent. It belongs to the core and is guarded by the core's
+// lock.
 type proxy struct {
 	id             int
 	zone           int
-	expectedRate   float64 // requests per second
+	expectedRate   float64 // requests per second that the proxy stated when it joined
 	connection     *Connection
-	tables         []*weighttable.Table[*proxy] // by traffic class; nil if none was assigned on this stream
-	pending        *pendingUpdate               // decided but not yet sent; may be nil
-	updateTimesMs  []float64                    // recent updates on this stream; the message limit counts from joining
-	unacknowledged []acknowledgementRequest     // requests, oldest first
+	tables         []*weighttable.Table[*proxy] // by traffic class; nil if no table was assigned on this stream
+	pending        *pendingUpdate               // update that is decided but not yet sent; may be nil
+	updateTimesMs  []float64                    // times of recent updates on this stream, for the limit of messages
+	unacknowledged []acknowledgementRequest     // unanswered requests for acknowledgements, oldest first
 	inactive       bool                         // removed from the policy because it was silent
 }
 
 // proxyTable holds the joined proxies. It belongs to the core and is guarded by the core's lock.
 type proxyTable struct {
-	byID   []*proxy // nil if not joined
-	joined []*proxy // in the order of joining
+	byID   []*proxy // by proxy id; nil if the proxy is not joined
+	joined []*proxy // joined proxies, in the order of joining
 }
 
 // proxySet is a bit set of proxy ids.
@@ -76,7 +77,7 @@
 	c.policy.RemoveProxy(p.id)
 }
 
-// reactivate adds a proxy that was deactivated to the policy again. It is unknown which updates have reached the proxy.
+// reactivate adds a deactivated proxy to the policy again. It is unknown which updates have reached the proxy.
 func (c *Core) reactivate(p *proxy) {
 	p.inactive = false
 	c.endpoints.markPossiblyNotified(p.id)
--- a/internal/platform/publisher.go
+++ b/internal/platform/publisher.go
@@ -7,11 +7,11 @@
 )
 
 // pendingUpdate is what an evaluation has decided for a proxy so far. Weights and admission rates are read when the update
-// is written, since they may change again before that.
+// is written, since they may change again until then.
 type pendingUpdate struct {
-	assigned               []*weighttable.Table[*proxy] // to be sent complete
+	assigned               []*weighttable.Table[*proxy] // tables to be sent complete
 	changed                []changedEntry
-	admission              []bool // by traffic class: whether its rate is to be sent
+	admission              []bool // by traffic class: whether its admission rate is to be sent
 	eject, readmit         []string
 	acknowledgement        int // number to be acknowledged, if requestAcknowledgement is set
 	requestAcknowledgement bool
@@ -27,7 +27,7 @@
 // the core's lock.
 type publisher struct {
 	classes   []string       // names of the traffic classes
-	endpoints *endpointTable // of the core; with the proxies that were notified of ejections or had entries omitted
+	endpoints *endpointTable // the core's endpoints, with the proxies that were notified of ejections or had entries omitted
 	registry  *weighttable.Registry[*proxy]
 	pending   []*proxy // proxies with a pending update
 	channel   channelEstimate
@@ -71,8 +71,8 @@
 	e.possiblyNotified.set(p.id, false)
 }
 
-// syncEjection notifies a proxy that is sent an entry of a server whether the server is ejected, if the proxy may hold the
-// opposite.
+// syncEjection notifies a proxy that is sent an entry of a server whether the server is ejected, if the proxy may have been
+// notified of the opposite.
 func (b *publisher) syncEjection(p *proxy, e *endpoint) {
 	if e == nil {
 		return
@@ -129,7 +129,7 @@
 	return parts
 }
 
-// entriesFor returns the entries of a table that a proxy is sent with its assignment: all but the omitted ones.
+// entriesFor returns the entries that a proxy is sent when a table is assigned to it: all but the omitted ones.
 func (b *publisher) entriesFor(p *proxy, table *weighttable.Table[*proxy]) []weighttable.Entry {
 	var entries []weighttable.Entry
 	for _, entry := range table.Entries {
@@ -141,7 +141,7 @@
 	return entries
 }
 
-// sendOmitted adds the entries of a server that were omitted to the pending update of a proxy.
+// sendOmitted adds the entries of a server, which were omitted at a proxy, to the pending update of the proxy.
 func (b *publisher) sendOmitted(p *proxy, e *endpoint) {
 	e.omitted.set(p.id, false)
 	for class, table := range p.tables {
@@ -154,7 +154,7 @@
 	}
 }
 
-// changedEntries returns the current entries of the servers of a table whose weights have changed, each once.
+// changedEntries returns the current entries of those servers of a table whose weights have changed, each once.
 func (u *pendingUpdate) changedEntries(table *weighttable.Table[*proxy]) []weighttable.Entry {
 	var entries []weighttable.Entry
 	for index, change := range u.changed {
@@ -215,7 +215,7 @@
 	host.Send(p.connection, c.buffer)
 }
 
-// recordSent records the time of an update, and drops times that are too old for the limit of messages.
+// recordSent records the time of an update, and drops times that no longer count for the limit of messages.
 func (p *proxy) recordSent(nowMs, windowMs float64) {
 	windowStartMs := nowMs - windowMs
 	if len(p.updateTimesMs) > 0 && p.updateTimesMs[0] < windowStartMs {
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	reloadRetryMs    = 200.0 // ms until a rejected configuration is read again: it may have been half written
-	maxReloadRetries = 5     // retries after a SIGHUP
+	reloadRetryMs    = 200.0 // ms until a rejected configuration is read again, as it may have been written only in part
+	maxReloadRetries = 5     // limit of the retries after a SIGHUP for which the configuration was rejected
 )
 
-// followDiscovery follows the discovery agent until the context ends, and moves to its new address when a reloaded
-// configuration has one.
+// followDiscovery follows the discovery agent until the context ends, and moves to another address when a reloaded
+// configuration has a new one.
 func (s *serverRuntime) followDiscovery(ctx context.Context) {
 	client := &discoveryClient{
 		clock:   s.Clock,
--- a/internal/platform/reports.go
+++ b/internal/platform/reports.go
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// recordDemand handles a proxy's report on its own requests, which may also arrive through a collector.
+// recordDemand handles a proxy's report on the requests that it received. The report may also arrive through a collector.
 func (c *Core) recordDemand(connection *Connection, m *message) error {
 	report, err := m.demandReport()
 	if err != nil {
--- a/internal/platform/runtime.go
+++ b/internal/platform/runtime.go
@@ -18,27 +18,27 @@
 
 // Limits of the resources that a planner uses.
 const (
-	maxUnsentBytes       = 256 << 10 // bytes that may wait for one connection; far more than a proxy is sent in a minute
+	maxUnsentBytes       = 256 << 10 // limit of bytes that wait for one connection; far more than a proxy is sent in a minute
 	unsentMemoryDivisor  = 8         // bytes that wait for all connections may take 1/8 of the memory
 	partialMemoryDivisor = 16        // incomplete messages may take 1/16 of the memory
-	defaultMemoryMB      = 1024      // MiB; if the configuration has no limit
+	defaultMemoryMB      = 1024      // memory limit in MiB if the configuration has none
 	reservedDescriptors  = 24        // descriptors for discovery, the log, the Go runtime and lingering connections
-	minConnections       = 8         // lower bound, however low the limit of descriptors is
-	defaultConnections   = 1 << 20   // if the configuration has no limit of descriptors
-	maxLingering         = 8         // connections beyond the limit that may stay open until their last messages are written
+	minConnections       = 8         // least connection limit, however low the limit of descriptors is
+	defaultConnections   = 1 << 20   // connection limit if the configuration has no limit of descriptors
+	maxLingering         = 8         // closed connections, not counted for the limit, that may stay open for their last messages
 	bytesPerMB           = 1 << 20
 )
 
-// Options configure Run. All but Ready and Trace must be set.
+// Options configure Run. All fields but Ready and Trace must be set.
 type Options struct {
 	Config  Config
-	Reload  func() (Config, error) // reads the configuration again
+	Reload  func() (Config, error) // reads the configuration file again
 	Hangup  <-chan os.Signal       // SIGHUP, which asks for a reload
 	Clock   clock.Clock
 	Network clock.Network
 	Log     *slog.Logger
 	Ready   func(net.Addr) // called with the listening address once the planner listens; may be nil
-	Trace   io.Writer      // receives the state of the core each second; may be nil
+	Trace   io.Writer      // the state of the core is written to it each second; may be nil
 }
 
 // serverRuntime connects the core to its connections, discovery and the clock.
@@ -50,8 +50,8 @@
 	Options
 	originMs            float64 // Unix ms at which Clock.Monotonic was 0
 	maxConnections      int
-	maxTotalUnsentBytes int           // limit of unsentBytes
-	workReady           chan struct{} // holds one element while there are inputs that were not evaluated
+	maxTotalUnsentBytes int           // upper limit of unsentBytes
+	workReady           chan struct{} // holds one element while there are inputs to evaluate
 	tasks               sync.WaitGroup
 	schedule            decisionSchedule // owned by the goroutine of decide
 
@@ -59,7 +59,7 @@
 	core        *Core                   // only called with the lock held
 	streams     map[*Connection]*stream // connections whose descriptors are open
 	lingering   []*stream               // streams closed by the core with bytes left to write; oldest first
-	unsentBytes int                     // bytes that wait to be written to all streams
+	unsentBytes int                     // bytes that wait to be written to all streams together
 	timerMs     float64                 // Unix ms of the next evaluation if there is no input
 }
 
@@ -68,7 +68,7 @@
 func Run(ctx context.Context, options Options) error {
 	s := newRuntime(options)
 	listener, err := options.Network.Listen(ctx, options.Config.Listen)
-	if ctx.Err() != nil { // canceled before the start, which is not a failure
+	if ctx.Err() != nil { // the context was canceled before the start, which is not a failure
 		if err == nil {
 			s.closeQuietly(listener)
 		}
@@ -140,10 +140,10 @@
 // withCore calls a function with the lock held and the core's time set, and reports whether it returned without a panic.
 //
 // A panic is logged, and only affects what was being processed: an input that causes one is lost together with its
-// connection, and a decision that causes one is not repeated, because the policy removes it from its list before it carries
-// it out. State that is left half changed concerns a single proxy or server, and the next solve rewrites all tables. If
-// every evaluation panics, the planner still answers its peers but decides nothing; decide then ends the program, so that
-// it is restarted with fresh state.
+// connection, and a decision that causes one is not repeated, because the policy removes each decision from its list before
+// it carries out the decision. State that is left half changed concerns a single proxy or server, and the next solve
+// rewrites all tables. If every evaluation panics, the planner still answers its peers but decides nothing; decide then ends
+// the program, so that it is restarted with fresh state.
 func (s *serverRuntime) withCore(call func()) (ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,10 +158,10 @@
 	return true
 }
 
-// notifyWork makes decide evaluate inputs.
+// notifyWork makes decide evaluate the inputs that have arrived.
 func (s *serverRuntime) notifyWork() {
 	select {
 	case s.workReady <- struct{}{}:
-	default: // already notified, and not evaluated yet
+	default: // decide is notified already, and has not evaluated yet
 	}
 }
--- a/internal/platform/runtime_test.go
+++ b/internal/platform/runtime_test.go
@@ -83,7 +83,7 @@
 	planner.reload()
 	proxy.write("ping\r\n")
 	proxy.await(wirePong)
-	planner.configure(configText(next.address(), 64)) // without another signal: a retry must read it
+	planner.configure(configText(next.address(), 64)) // no other signal is sent, so a retry must read this configuration
 	<-next.watched
 	next.lines <- listText(21, false, "s-4:draining")
 	proxy.await("s-4")
@@ -136,7 +136,7 @@
 	}
 }
 
-// checkTable reads the first update of a proxy, and checks for words that it must and must not contain.
+// checkTable reads the first update of a proxy, and checks which words it contains: all own ones, and no foreign ones.
 func checkTable(t *testing.T, peer *testPeer, own, foreign []string) {
 	t.Helper()
 	text := ""
@@ -165,7 +165,7 @@
 		other := planner.dial("joined id=2 site=a rps=10 new=1\r\n")
 		other.await("replace=1")
 		faulty.await("replace=1")
-		faulty.write("usage id=1\r\n") // it is rejected, which is logged, and the log handler panics
+		faulty.write("usage id=1\r\n") // the message is rejected, which is logged, and the log handler panics
 		faulty.readAll()
 		other.write("ping\r\n")
 		other.await(wirePong)
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -16,7 +16,7 @@
 
 const (
 	phaseOpen    connectionPhase = iota
-	phaseClosing                 // pending replies are sent before it is closed; received data is discarded
+	phaseClosing                 // the connection is closed after its pending replies; received data is discarded
 	phaseClosed
 )
 
@@ -24,7 +24,7 @@
 type connectionRole int
 
 const (
-	roleNone connectionRole = iota // not joined: may only send short messages
+	roleNone connectionRole = iota // the peer has not joined, and may only send short messages
 	roleProxy
 	roleCollector
 )
@@ -35,18 +35,18 @@
 	phase         connectionPhase
 	closeReason   CloseReason // set from phaseClosing on
 	closeCause    error       // details of closeReason; may be nil
-	peerFinished  bool        // the peer has closed its sending side; it is sent no refusal
+	peerFinished  bool        // the peer has closed its sending side; no refusal is sent to it
 	openedMs      float64
-	lastMessageMs float64 // time of the last message that could be read
+	lastMessageMs float64 // Unix ms of the last message of a known kind, or of the opening of the connection
 
 	role          connectionRole
-	proxy         *proxy // of a proxy's stream; otherwise nil
-	collectorZone int    // of a collector
+	proxy         *proxy // proxy whose stream this is; otherwise nil
+	collectorZone int    // index of the zone of a collector
 
 	reader       messageReader
 	partialBytes int  // size of the reader's incomplete message, as included in sessionTable.partialBytes
 	pendingPongs int  // pongs to be sent
-	replyQueued  bool // is in sessionTable.replies
+	replyQueued  bool // the connection is in sessionTable.replies
 }
 
 // Unjoined reports whether the connection has not yet joined, as a proxy's stream or as a collector.
@@ -63,9 +63,9 @@
 // sessionTable holds the connections that are not closed. It belongs to the core and is guarded by the core's lock.
 type sessionTable struct {
 	open         map[*Connection]bool
-	unjoined     []*Connection   // oldest first
-	collectors   [][]*Connection // by zone
-	replies      []*Connection   // connections that wait for pongs, a refusal or their close, in the order of waiting
+	unjoined     []*Connection   // connections that have not joined, oldest first
+	collectors   [][]*Connection // connections of collectors, by zone
+	replies      []*Connection   // connections that wait for pongs, a refusal or their close; longest wait first
 	partialBytes int             // total size of all incomplete messages
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// queueReply has the core send the pending replies of a connection, or close it.
+// queueReply makes the next evaluation send the pending replies of a connection, and close it if that was decided.
 func (t *sessionTable) queueReply(connection *Connection) {
 	if !connection.replyQueued {
 		connection.replyQueued = true
@@ -97,7 +97,7 @@
 	}
 }
 
-// countPartial updates the total size of incomplete messages after that of a connection has changed.
+// countPartial updates the total size of incomplete messages after the incomplete message of a connection has changed.
 func (t *sessionTable) countPartial(connection *Connection) {
 	held := len(connection.reader.partial)
 	t.partialBytes += held - connection.partialBytes
@@ -125,7 +125,8 @@
 // OpenConnections returns the number of connections that are not closed.
 func (c *Core) OpenConnections() int { return len(c.sessions.open) }
 
-// HandleDisconnect handles the end of a connection, by either side. It does nothing if the core has closed it already.
+// HandleDisconnect handles the end of a connection, by either side. It does nothing if the core has closed the connection
+// already.
 func (c *Core) HandleDisconnect(connection *Connection) {
 	if connection.phase == phaseClosed {
 		return
@@ -154,7 +155,7 @@
 	c.removeProxy(p)
 }
 
-// HandleHalfClose handles a peer that has closed its sending side. As it may still read, it is sent its pending pongs
+// HandleHalfClose handles a peer that has closed its sending side. As the peer may still read, its pending pongs are sent
 // before the connection is closed.
 func (c *Core) HandleHalfClose(connection *Connection) {
 	if connection.phase != phaseOpen {
@@ -190,7 +191,7 @@
 }
 
 // shedPartial closes the joined connection with the longest incomplete message. This bounds the memory use: a single
-// connection may hold a message of maximum length, but not all of them at once. Connections that have not joined are not
+// connection may hold a message of maximum length, but not all connections at once. Connections that have not joined are not
 // considered, as their messages are short.
 func (c *Core) shedPartial() {
 	var longest *Connection
@@ -212,8 +213,8 @@
 	c.startClosing(longest, ClosePartialMemory, errPartialMemory)
 }
 
-// startClosing has a connection closed after its pending replies are sent. A connection that has not joined is sent a
-// refusal as well.
+// startClosing makes the next evaluation close a connection after its pending replies. A connection that has not joined is
+// sent a refusal as well.
 func (c *Core) startClosing(connection *Connection, reason CloseReason, cause error) {
 	if connection.Unjoined() && !connection.peerFinished {
 		c.Counts.Refusals++
@@ -247,15 +248,15 @@
 		c.buffer = appendRefusal(c.buffer[:0])
 		host.Send(connection, c.buffer)
 	}
-	if connection.phase == phaseClosed { // ended by the host in Send
+	if connection.phase == phaseClosed { // the host has ended the connection in Send
 		return
 	}
 	c.Abort(connection, connection.closeReason)
 	host.CloseConnection(connection, connection.closeReason, connection.closeCause)
 }
 
-// closeOverdue starts to close the oldest connection that has not joined, if its time is up, and reports whether it did.
-// Pings do not extend the time.
+// closeOverdue starts to close the oldest connection that has not joined if its joinTimeoutMs has passed, and reports
+// whether it did. Pings do not extend the time.
 func (c *Core) closeOverdue() bool {
 	if len(c.sessions.unjoined) == 0 {
 		return false
@@ -270,7 +271,7 @@
 }
 
 // ShedConnection closes the least valuable connection in favor of a new one: the oldest that has not joined, otherwise the
-// stream of the inactive proxy that joined first. It reports whether there was one.
+// stream of the inactive proxy that joined first. It reports whether there was such a connection.
 func (c *Core) ShedConnection(host Host) bool {
 	connection := c.leastValuable()
 	if connection == nil {
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -45,7 +45,7 @@
 		h := startCore(t)
 		older := h.join(3)
 		newer := h.connect()
-		h.HandleData(newer, []byte("joined id=3 site=a rps=10 new=0\r\n")) // closed in the same evaluation as the next
+		h.HandleData(newer, []byte("joined id=3 site=a rps=10 new=0\r\n")) // closed in the same evaluation as the connection below
 		unreadable := h.connect()
 		h.HandleData(unreadable, []byte("GET / HTTP/1.1\r\n"))
 		h.advance(0)
@@ -147,7 +147,7 @@
 	})
 }
 
-// FuzzHandleData checks that no received bytes make the core panic, or use more memory than a message.
+// FuzzHandleData checks that no received bytes make the core panic, or use more memory than one message takes.
 func FuzzHandleData(f *testing.F) {
 	f.Add("joined id=3 site=a rps=10 new=1\r\nusage id=3 lane=lookup count=1 fail=0 over=1000\r\napplied id=3 seq=1 ms=2\r\n", 7)
 	f.Add("collector site=a\r\nheard site=a target=s-0 count=2 fail=1 mean=1 over=1 util=a:1,b:2\r\nping\r\n", 3)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// flushTimeoutMs is how long, in ms, writing the last messages to a connection may take. SIGKILL comes 700 ms after
-// SIGTERM.
+// flushTimeoutMs is how long, in ms, writing the last messages to a connection may take. The platform sends SIGKILL 700 ms
+// after SIGTERM.
 const flushTimeoutMs = 300.0
 
 // shutdown closes each connection after its last messages are written, and waits for all readers and writers.
@@ -15,7 +15,7 @@
 	s.withCore(func() { s.core.Close(s) })
 	s.mu.Lock()
 	for _, t := range s.streams {
-		t.closing = true // a panic may have kept Core.Close from setting it
+		t.closing = true // if Core.Close panicked, closing may not be set yet
 		if t.writing {
 			s.setFlushDeadline(t)
 		} else {
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -15,7 +15,7 @@
 	unsent     []byte
 	inFlight   int  // bytes that are being written
 	writing    bool // a writer goroutine is running
-	closing    bool // to be closed when everything is written
+	closing    bool // the connection is to be closed when everything is written
 }
 
 func (t *stream) unsentBytes() int { return len(t.unsent) + t.inFlight }
@@ -95,7 +95,8 @@
 }
 
 // Send implements Host: it queues messages to be written to a connection. A connection with too many unwritten bytes is
-// closed; if all connections together have too many, the one with the most is closed. The caller holds the lock.
+// closed; if all connections together have too many, the connection with the most unwritten bytes is closed. The caller
+// holds the lock.
 func (s *serverRuntime) Send(connection *Connection, messages []byte) {
 	t := s.streams[connection]
 	if t == nil || t.closing {
@@ -138,7 +139,7 @@
 func (s *serverRuntime) CloseConnection(connection *Connection, reason CloseReason, cause error) {
 	s.logClose(connection, reason, cause)
 	t := s.streams[connection]
-	if t == nil { // dropped already; if it were added to lingering, isFull would never end, as drop ignores it
+	if t == nil { // already dropped; isFull would never end if it were in lingering, as drop ignores it
 		return
 	}
 	t.closing = true
@@ -158,7 +159,7 @@
 	s.Log.Debug("connection closed", attributes...)
 }
 
-// SetTimer implements Host: it sets when to evaluate next if there is no input. The caller holds the lock.
+// SetTimer implements Host: it sets the time of the next evaluation if there is no input. The caller holds the lock.
 func (s *serverRuntime) SetTimer(atMs float64) { s.timerMs = atMs }
 
 // drop closes a connection at once and discards the bytes that wait for it. The caller holds the lock.
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -137,7 +137,7 @@
 			reads := 0
 			c.read = func(b []byte) (int, error) {
 				reads++
-				if reads == 3 { // the core has handled the second read, after it closed the connection
+				if reads == 3 { // the second read, after the core closed the connection, has been handled
 					close(discarded)
 				}
 				return c.Conn.Read(b)
@@ -191,14 +191,14 @@
 	}
 	stop := make(chan bool)
 	var talking sync.WaitGroup
-	for index, peer := range others { // these do not acknowledge either, but send reports
+	for index, peer := range others { // these peers do not acknowledge updates either, but they send reports
 		talking.Go(func() { keepTalking(peer, index+1, stop) })
 	}
 	defer talking.Wait()
 	defer close(stop)
 	gone := make(chan bool)
 	go func() {
-		_, _ = io.Copy(io.Discard, silent.reader) // ends with the connection, by a close or a reset
+		_, _ = io.Copy(io.Discard, silent.reader) // returns when the connection ends, by a close or a reset
 		close(gone)
 	}()
 	connectUntil(t, planner.address, gone)
@@ -208,7 +208,7 @@
 	back.await(wirePong)
 }
 
-// keepTalking has a proxy send demand reports until it is stopped or its stream ends.
+// keepTalking makes a proxy send demand reports until stop is closed or the stream of the proxy ends.
 func keepTalking(peer *testPeer, id int, stop <-chan bool) {
 	for {
 		select {
@@ -347,7 +347,8 @@
 	})
 }
 
-// checkTotalUnsentLimit sends to all streams, and most to the eighth, until some are closed. The caller holds the lock.
+// checkTotalUnsentLimit sends bytes to all streams, and most to the eighth, until some streams are closed. The caller holds
+// the lock.
 func checkTotalUnsentLimit(t *testing.T, r *blockedRuntime) {
 	message := make([]byte, 1000)
 	for range maxUnsentBytes / len(message) / 4 {
@@ -377,7 +378,8 @@
 	}
 }
 
-// checkLingering has the core refuse most connections, and counts those that are still open. The caller holds the lock.
+// checkLingering makes the core refuse most connections, and counts the connections that are still open. The caller holds
+// the lock.
 func checkLingering(t *testing.T, r *blockedRuntime) {
 	for _, stream := range r.streams[:30] {
 		r.core.HandleData(&stream.connection, []byte("GET / HTTP/1.1\r\n"))
--- a/internal/platform/takeover_test.go
+++ b/internal/platform/takeover_test.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	graceSlackMs    = 300.0 // ms of tolerance for the intervals between evaluations of planner and test
+	graceSlackMs    = 300.0 // ms by which the drain grace may be exceeded, because planner and test evaluate at intervals
 	drainBatch      = 30    // servers that start to drain at the same time
 	massJoinServers = 200
 	settledMs       = 10000.0 // ms from the first joins to the joins with inherited tables
 	completionMs    = 20000.0 // ms from the last event until every proxy must hold its complete table
-	rejoinAfterMs   = 800.0   // ms that a proxy is away
-	firstLeaveMs    = 400.0   // ms from the first join with inherited tables
+	rejoinAfterMs   = 800.0   // ms from the leave of a proxy until it rejoins
+	firstLeaveMs    = 400.0   // ms from the first join with inherited tables until the first proxy leaves
 	leaveEveryMs    = 40.0    // ms between two proxies that leave
 	joinIntervalMs  = 500.0   // ms within which the proxies of other planners join in most scenarios
 )
 
-// massJoinScenario describes a planner that is joined by proxies of other planners while servers drain. Times are ms from
-// the first of these joins.
+// massJoinScenario describes a planner that proxies of other planners join while servers drain. Times are ms from the first
+// of these joins.
 type massJoinScenario struct {
 	name             string
 	ownProxies       int     // proxies that join first, without tables
 	inheritedProxies int     // proxies with inherited tables
-	ownJoinMs        float64 // time of their join, and start of the planner
+	ownJoinMs        float64 // ms; time at which ownProxies join, and start of the planner
 	joinPeriodMs     float64 // time within which the proxies with inherited tables join
 	drainsMs         []float64
 	rejoining        int // proxies with inherited tables that leave and rejoin
@@ -132,8 +132,8 @@
 	return events
 }
 
-// TestServerOfTwoTablesIsNotOmitted checks that a server which is in one table of a proxy is not omitted from another: the
-// proxy would not be notified of its ejection.
+// TestServerOfTwoTablesIsNotOmitted checks that a server which is in one table of a proxy is not omitted from another table.
+// Otherwise the proxy would not be notified of an ejection of the server.
 func TestServerOfTwoTablesIsNotOmitted(t *testing.T) {
 	const proxyID, first, second = 1, 90, 91
 	h := startCore(t)
--- a/internal/platform/takeoverloopback_test.go
+++ b/internal/platform/takeoverloopback_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	loopbackRate             = 1200.0 // entries per second; so low that a mass join takes a while
+	loopbackRate             = 1200.0 // entries per second of the simulated channel; so low that a mass join takes a while
 	loopbackOverhead         = 4.0    // entries per message, as in testSettings
-	loopbackBacklog          = 2400.0 // entries
-	loopbackGraceMs          = 3000.0 // ms, as in testSettings
+	loopbackBacklog          = 2400.0 // highest number of entries that may wait in the channel
+	loopbackGraceMs          = 3000.0 // ms of the drain grace, as in testSettings
 	loopbackServers          = 30     // so few that the first table, made for one proxy, is not much larger than later ones
 	loopbackOwnProxies       = 20     // proxies that join first
 	loopbackInheritedProxies = 60     // proxies with tables of other planners, which join together
-	loopbackDrainingServers  = 9      // servers that start to drain as these join
+	loopbackDrainingServers  = 9      // servers that start to drain when loopbackInheritedProxies join
 	arrivalQueueLength       = 1 << 16
 )
 
@@ -46,7 +46,7 @@
 	peer *testPeer
 }
 
-// loopbackFleet is the proxies of a planner that runs on sockets. As sockets do not limit the rate like the channel,
+// loopbackFleet is the proxies of a planner that runs on sockets. As sockets, unlike the channel, do not limit the rate,
 // updates are applied one after another at loopbackRate.
 type loopbackFleet struct {
 	planner       *testPlanner
@@ -165,7 +165,7 @@
 	return f.clock.Monotonic()
 }
 
-// TestDrainsDuringMassJoinOnLoopback has proxies of other planners join over sockets while servers drain. It checks that
+// TestDrainsDuringMassJoinOnLoopback makes proxies of other planners join over sockets while servers drain. It checks that
 // none of them picks a draining server after the drain grace, and that each holds its complete table in the end.
 func TestDrainsDuringMassJoinOnLoopback(t *testing.T) {
 	servers := testEndpoints(loopbackServers, policy.Ready)
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// newAdmission admits all requests of a class, with the default retry mode unless that may run a request twice that must not.
-// Proxies must then be notified of the mode, which a sent rate of -1 causes.
+// newAdmission admits all requests of a class. It uses the default retry mode, unless that mode may repeat a request that
+// must not run twice. Proxies must then be notified of RetryUnprocessed, which a sent rate of -1 causes.
 func newAdmission(class TrafficClass, defaultRetry int) admission {
 	if class.Idempotency != Idempotent && defaultRetry > RetryUnprocessed {
 		return admission{target: 1, sent: -1, retry: RetryUnprocessed}
@@ -29,14 +29,14 @@
 	return order
 }
 
-// overloaded reports whether the fleet is overloaded, so that requests wait. Failures without a wait come from servers that
-// reject requests for other reasons.
+// overloaded reports whether the fleet is overloaded, which makes requests wait. Failures without high latencies come from
+// servers that reject requests for other reasons.
 func (l fleetLoad) overloaded() bool {
 	late := l.latencyRatio > recoveryThreshold
 	return l.latencyRatio > overloadThreshold || late && l.failureShare > overloadFailureShare
 }
 
-// updateAdmissionIfDue adjusts the share of all requests that is admitted, down in an overload and up after it.
+// updateAdmissionIfDue adjusts the admitted share of all requests, down in an overload and up after it.
 func (p *Policy) updateAdmissionIfDue() {
 	if !p.settings.PartialAdmission || p.nowMs-p.admissionMs < admissionIntervalMs {
 		return
@@ -50,8 +50,8 @@
 	share := p.admittedRate / demand
 	switch {
 	case load.overloaded():
-		// The succeeded rate is the capacity of the fleet; admitting less drains the overload. The next step is delayed, as a
-		// second cut before the effect of this one shows would be too deep.
+		// The succeeded rate is the capacity of the fleet; admitting less drains the overload. The next step is delayed, as
+		// a second cut before the effect of this cut shows would be too deep.
 		p.capacityRate = math.Max(load.succeededRate, capacityRetention*p.capacityRate)
 		p.admissionMs = p.nowMs + admissionCutPauseMs
 		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*admittedCapacityShare/demand))
@@ -64,8 +64,8 @@
 	p.shed(math.Max(1-share, 0) * demand)
 }
 
-// shed sets admission rates that reject excess requests per second in total, first those of the classes with the lowest
-// value for their work.
+// shed sets admission rates that reject excess requests per second in total, first requests of the classes with the lowest
+// priority weight per work.
 func (p *Policy) shed(excess float64) {
 	for _, index := range p.sheddingOrder {
 		class := &p.admission[index]
@@ -76,8 +76,8 @@
 	}
 }
 
-// planAdmission queues the rates that changed. A first order, which forbids retries that may run a request twice, needs no
-// budget.
+// planAdmission queues orders for the admission rates that changed. The first order for a class, which forbids retries that
+// may run a request twice, needs no budget.
 func (p *Policy) planAdmission() {
 	for index := range p.admission {
 		p.enqueue(func(host Host) bool {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// ramp returns the share of its capacity that a server may be assigned. For a cold or readmitted server it starts low and
-// doubles; for an unverified server it stays low.
+// ramp returns the share of its capacity that a server may be assigned. For a cold or readmitted server, this share starts
+// low and doubles over time; for an unverified server, it stays low.
 func (p *Policy) ramp(server *server) float64 {
 	share := math.Min(1, recoveryShare*math.Exp2((p.nowMs-server.readmittedMs)/recoveryDoublingMs))
 	if p.cold(server) {
@@ -47,8 +47,8 @@
 	return C
 }
 
-// relativeSpeed returns the speed of a server by its baseline latency, 1 for the median server. It is reduced at once while
-// the server is more overloaded than the fleet, or some of its attempts fail.
+// relativeSpeed returns the speed of a server by its baseline latency, 1 for the median server. The speed is reduced at once
+// while the server is more overloaded than the fleet, or some of its attempts fail.
 func (p *Policy) relativeSpeed(server *server) float64 {
 	if server.baselineMs <= 0 || p.baselineMs <= 0 {
 		return 1
--- a/policy/collections.go
+++ b/policy/collections.go
@@ -9,7 +9,7 @@
 	return slices.DeleteFunc(slices.Clone(list), func(x T) bool { return !keep(x) })
 }
 
-// sumBy returns the sum of a value of all elements, added in their order.
+// sumBy returns the sum of value over all elements, added in their order.
 func sumBy[T any](list []T, value func(T) float64) float64 {
 	total := 0.0
 	for _, x := range list {
@@ -18,7 +18,7 @@
 	return total
 }
 
-// appendBounded appends an element, after dropping the oldest ones in place that would exceed the limit.
+// appendBounded appends an element. Before that, it removes as many of the oldest elements, in place, as the limit requires.
 func appendBounded[T any](list []T, last T, limit int) []T {
 	if drop := len(list) - limit + 1; drop > 0 {
 		list = slices.Delete(list, 0, drop)
@@ -26,7 +26,7 @@
 	return append(list, last)
 }
 
-// median returns the median of a value of all elements: the upper one of the two in the middle, and 0 for no elements.
+// median returns the median of value over all elements: the upper one of two values in the middle, and 0 for no elements.
 func median[T any](list []T, value func(T) float64) float64 {
 	if len(list) == 0 {
 		return 0
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -5,9 +5,9 @@
 // The tuning constants of the policy. Shares, ratios and factors have no unit. docs/design.md explains the choices.
 const (
 	// The solver and its inputs.
-	solveIntervalMs         = 2500.0 // an update for each proxy every 5 s, as the two cohorts of a client take turns
-	minSolveIntervalMs      = 400.0  // also while servers are added or removed; one solve then covers several changes
-	admmIterations          = 20     // as in the ADMM-20 of the paper
+	solveIntervalMs         = 2500.0 // ms between solves; two cohorts take turns, so that each proxy is sent an update every 5 s
+	minSolveIntervalMs      = 400.0  // least ms between solves, also while servers change; one solve then covers several changes
+	admmIterations          = 20     // iterations of the solver, as in the ADMM-20 of the paper
 	capacityHeadroom        = 1.01   // total capacity over demand; costs are linear, so more would idle the costliest servers
 	lowLatencyHeadroom      = 0.4    // added to capacityHeadroom at the lowest latencies, to keep requests in their zone
 	costScale               = 0.3    // cost of the median latency, in average shares; ADMM converges with rho 1 at this scale
@@ -15,94 +15,98 @@
 	minDemand               = 0.02   // least demand of a client (mean: 1) or table (requests/s); idle ones need weights, too
 	maxDemandShiftShare     = 0.3    // share of all demand that moved between clients; beyond it, prices and shares are reset
 	minWarmCapacity         = 0.5    // share of demand that the warm servers are given, however much capacity is on a ramp
-	minSpeedAttempts        = 4      // attempts within the window before its latency and failures reduce a capacity
-	minCapacity             = 0.08   // share of the nominal capacity; with less, a server gets too few requests to report on
+	minSpeedAttempts        = 4      // attempts of a server in the window before its latency and failures reduce its capacity
+	minCapacity             = 0.08   // least share of its capacity for a server; with less, it gets too few requests to report
 	minRelativeCapacity     = 1e-6   // least relative capacity of a server, and of the fleet; guards divisions by the sum
-	overloadSlack           = 1.5    // tolerated multiple of the latency expected of a server; load reports are noisy
-	minBaselineSamples      = 3      // load reports after which a baseline counts half
-	minBaselineRequests     = 2      // successes in a load report whose latency may set a baseline
-	baselineQuantileDivisor = 4      // a baseline is the lower quartile of reported latencies, as these are noisy
+	overloadSlack           = 1.5    // multiple of a server's expected latency that is tolerated, as load reports are noisy
+	minBaselineSamples      = 3      // load reports after which a baseline latency counts half
+	minBaselineRequests     = 2      // successes that a load report needs for its latency to count for the baseline latency
+	baselineQuantileDivisor = 4      // a baseline latency is the lower quartile of reported latencies, as these are noisy
 
 	// Table sizes and table changes.
-	minCohorts               = 2      // for each client, so that a new split reaches half of the proxies first
-	tableRefreshMs           = 1000.0 // channel time of all entries of all proxies together; leaves room for many joins
-	connectionQuota          = 0.4    // share of the smallest server's connections; servers slow down when these run out
-	minRequestsPerConnection = 5.0    // to an entry within the idle timeout; with fewer, connections close and are reopened
-	minTableEntries          = 8      // a table keeps most of its servers when a fifth of them fails
-	minEntries               = 3      // servers of a client: two may be lost at once before its tables are empty
-	essentialWeight          = 0.8    // share of a table's weight that a proxy is sent with its assignment in a takeover
-	maxTableWaitMs           = 1000.0 // from a join; a takeover ends if a proxy waits longer for a table with entries
-	minWeightChange          = 0.25   // of a weight, or of the average share of a server; smaller changes are noise, not sent
-	warmingShareDivisor      = 4      // the lowest share of a server on a ramp is smaller by this factor
-	balanceIterations        = 20     // rounds of scaling weights to shares; as many as iterations of ADMM
-	weightSteps              = 1e4    // weights are multiples of 1/weightSteps
-	urgentIntervalMs         = 1500.0 // between urgent entries of a table, as messages may be scarce
-	maxMissingShare          = 0.4    // unsent share of a table's weight above which additions to it are urgent
-	weightTolerance          = 0.005  // weight by which an entry may exceed its target, for rounding
-	overTargetFactor         = 1.5    // multiple of its target above which reducing an entry is urgent
+	minCohorts               = 2      // least cohorts of a client; with two, a new split reaches half of the proxies first
+	tableRefreshMs           = 1000.0 // channel time of the table entries of all proxies together; leaves room for many joins
+	connectionQuota          = 0.4    // usable share of the smallest server's connections; servers slow down when these run out
+	minRequestsPerConnection = 5.0    // requests to a server in the idle timeout; with fewer, connections close and are reopened
+	minTableEntries          = 8      // least limit of entries; a table keeps most of its servers when a fifth of them fails
+	minEntries               = 3      // least number of servers of a client; two may be lost at once before its tables are empty
+	essentialWeight          = 0.8    // share of a table's weight that a proxy is sent with the table's assignment in a takeover
+	maxTableWaitMs           = 1000.0 // ms from the join of a proxy; a longer wait for a table with entries ends a takeover
+	// minWeightChange is the least change of a weight that is sent, as a share of the weight; smaller changes are noise. It
+	// is also the least share of a server, as a part of the average share.
+	minWeightChange     = 0.25
+	warmingShareDivisor = 4      // the least share of a server on a ramp is smaller than that of other servers by this factor
+	balanceIterations   = 20     // rounds of scaling weights to shares; as many as there are iterations of ADMM
+	weightSteps         = 1e4    // weights are multiples of 1/weightSteps
+	urgentIntervalMs    = 1500.0 // least ms between urgent entries of a table, as the number of messages may be limited
+	maxMissingShare     = 0.4    // unsent share of a table's weight above which additions to it are urgent
+	weightTolerance     = 0.005  // weight by which an entry may exceed its target without an urgent reduction, for rounding
+	overTargetFactor    = 1.5    // multiple of its target above which an entry is reduced urgently
 
 	// Load reports and slow start.
-	maxSamples          = 24     // load reports kept of a server from one zone, demand reports of a proxy and class
-	maxSampleZones      = 2      // maxSamples is multiplied by the number of zones, but at most by this
-	mergeGapShare       = 0.5    // of the report interval; reports of several zones closer than this cover the same period
-	minWindowMs         = 3500.0 // holds three load reports; a longer window shows a fault too late
-	windowRounds        = 1.5    // rounds of load reports within a window, so that each server has reported in it
+	maxSamples          = 24     // load reports kept for each server and zone, and demand reports for each proxy and class
+	maxSampleZones      = 2      // for one server, maxSamples is multiplied by the number of zones, but at most by this
+	mergeGapShare       = 0.5    // share of the report interval; reports on a server that are closer cover the same period
+	minWindowMs         = 3500.0 // least ms of the window; holds three load reports; a longer window shows a fault too late
+	windowRounds        = 1.5    // rounds of load reports within the window, so that each server has reported in it
 	slowStartDoublingMs = 5000.0 // time in which the capacity of a new server doubles
-	slowStartMargin     = 0.8    // of the cold capacity; proxies pick the better of two servers, which may double its share
-	idleClassRate       = 0.01   // requests per second; weight of an idle class in the mean latency objective
+	slowStartMargin     = 0.8    // usable share of the cold capacity; proxies pick the better of two, which may double a share
+	idleClassRate       = 0.01   // requests per second added to each class as its least weight in the mean latency objective
 
 	// Ejection and readmission of outliers.
-	ejectionThreshold        = 6.0     // nats; reached by a dozen failures without a success, and by chance in 1 of 400 cases
-	maxReportEvidence        = 4.0     // nats that one load report may add, so that no single report ejects a server
-	unverifiedEvidenceFactor = 2.0     // applied to the evidence on unverified servers, which may not belong to the fleet
-	deadFailureShare         = 0.99    // failure share of a dead server; one that succeeds more often is overloaded or slow
-	minOverloadFailureShare  = 0.6     // lowest failure share explained by an overload, which reduces capacity instead
-	maxOverloadFailureShare  = 0.95    // highest failure share explained so; reached if the median server fails half or more
-	overloadFailureFactor    = 2       // multiple of the median server's failure share that an overload explains
-	maxEjectedShare          = 0.3     // of the fleet, or of failed requests; with more, a fault of the reports is likelier
-	ejectionMs               = 5000.0  // first ejection, doubled by each further one; time for which a server or proxy is new
-	maxEjectionMs            = 20000.0 // longest ejection; as long as the longest hangs of servers
-	maxColdEjectedShare      = 0.8     // share of the fleet above which no more cold servers are ejected; the rest are warm
-	newProxyDivisor          = 3       // demand is uncertain when more than one in this many proxies is new
-	recoveryShare            = 0.2     // of its capacity that a readmitted server starts with, at little risk
-	recoveryDoublingMs       = 1500.0  // time in which that share doubles; it is full after some three report intervals
-	forgetRemovedMs          = 600e3   // time for which a removed server in no table is kept, as its name may be used again
+	ejectionThreshold        = 6.0  // nats of evidence; reached by a dozen failures and no success, by chance in 1 of 400 cases
+	maxReportEvidence        = 4.0  // nats that one load report may add, so that no single report ejects a server
+	unverifiedEvidenceFactor = 2.0  // applied to the evidence on unverified servers, which may not belong to the fleet
+	deadFailureShare         = 0.99 // failure share of a dead server; a server that succeeds more often is overloaded or slow
+	minOverloadFailureShare  = 0.6  // least limit of the failure share explained by an overload, which reduces capacity instead
+	maxOverloadFailureShare  = 0.95 // highest limit of the failure share that an overload explains; reached at a median near half
+	overloadFailureFactor    = 2    // multiple of the median server's failure share that an overload explains
+	// maxEjectedShare is the largest share of the fleet that may be ejected by evidence; with more outliers, a fault of the
+	// reports is likelier. It is also the failure share of the median server above which demand is uncertain.
+	maxEjectedShare     = 0.3
+	ejectionMs          = 5000.0  // ms of the first ejection, doubled by each further one; a server or proxy is new for as long
+	maxEjectionMs       = 20000.0 // ms of the longest ejection, which is as long as the longest hangs of servers
+	maxColdEjectedShare = 0.8     // share of the fleet above which no more cold servers are ejected; the rest are warm
+	newProxyDivisor     = 3       // demand is uncertain when more than 1/newProxyDivisor of the proxies are new
+	recoveryShare       = 0.2     // share of its capacity with which a readmitted server starts, at little risk
+	recoveryDoublingMs  = 1500.0  // ms in which the share of a readmitted server doubles; full after some three report intervals
+	forgetRemovedMs     = 600e3   // time for which a removed server in no table is kept, as its name may be used again
 
 	// Admission.
-	admissionIntervalMs   = 2000.0 // between steps; about the time until a new rate shows in the load reports
-	admissionCutPauseMs   = 1000.0 // added to admissionIntervalMs after a cut
-	overloadThreshold     = 0.5    // latency over its objective; above it, about a tenth of the requests is late
-	recoveryThreshold     = 0.35   // the same if many requests fail; rates rise again below this wait ratio
-	overloadFailureShare  = 0.12   // of requests; more is overload rather than chance
+	admissionIntervalMs   = 2000.0 // ms between admission steps; about the time until a new rate shows in the load reports
+	admissionCutPauseMs   = 1000.0 // ms added to admissionIntervalMs after a cut of the admission rates
+	overloadThreshold     = 0.5    // ratio of latency to its objective; above it, about a tenth of the requests is late
+	recoveryThreshold     = 0.35   // latency ratio of an overload if many requests fail; wait ratio below which rates rise again
+	overloadFailureShare  = 0.12   // failure share above which an overload is likelier than chance
 	admissionDecrease     = 0.6    // lowest factor for the admitted share in one step, as load reports may be late
 	admissionWindowRounds = 1.2    // rounds of load reports that a step uses; older reports precede the last step
 	capacityRetention     = 0.8    // lowest factor for the known capacity in one step of an overload; servers may have left
 	admittedCapacityShare = 0.85   // of the known capacity that is admitted in an overload, so that it drains
-	admissionIncrease     = 0.3    // largest relative increase of a step, while nothing waits; less near recoveryThreshold
+	admissionIncrease     = 0.3    // largest relative increase of a step, while no request waits; less near recoveryThreshold
 	minClassDemand        = 1e-9   // requests per second; guards a division
-	minAdmission          = 0.1    // of a traffic class; what is admitted shows whether the overload is over
-	admissionSteps        = 20     // rates are multiples of 1/admissionSteps; finer ones would cost messages
+	minAdmission          = 0.1    // least admission rate of a class; its admitted requests show whether the overload is over
+	admissionSteps        = 20     // admission rates are multiples of 1/admissionSteps; finer steps would cost messages
 
 	// The control channel and timers.
-	lateAcknowledgementFactor = 2      // times the longest propagation; later acknowledgements show a slow channel
-	lowBacklogShare           = 0.5    // of the share for an urgency in backlogShare; below it, little waits in the channel
-	maxDrainWaitShare         = 0.5    // of the drain grace that an ejection may wait to share a message
+	lateAcknowledgementFactor = 2      // acknowledgements that take this many times the longest propagation show a slow channel
+	lowBacklogShare           = 0.5    // part of a share in backlogShare; with a smaller backlog, little waits in the channel
+	maxDrainWaitShare         = 0.5    // share of the drain grace that an ejection may wait to share a message with other orders
 	slowChannelFactor         = 6.0    // factor by which the channel drains more slowly while acknowledgements are late
-	pollsUntilNotified        = 3      // fewest polls within the time in which an unrequested update would arrive
-	pollBackoffMs             = 1200.0 // wait after the first failed poll of the endpoint list; doubled by each further one
+	pollsUntilNotified        = 3      // least number of polls within Settings.AssumeNotifiedMs
+	pollBackoffMs             = 1200.0 // first wait in ms after a failed poll of the endpoint list; doubled by each further one
 	pollSpread                = 0.5    // random wait from 0.5 to 1.5 times the backoff, so that planners do not poll together
-	maxPollBackoffShare       = 0.5    // of the time in which an unrequested update would arrive
+	maxPollBackoffShare       = 0.5    // limit of the backoff of polls, as a share of Settings.AssumeNotifiedMs
 	acknowledgementNumbers    = 65536  // numbers of acknowledgement requests start again at 0 after this many
-	evaluationIntervalMs      = 200.0  // between evaluations without input; well below every grace period
+	evaluationIntervalMs      = 200.0  // ms between evaluations without input; well below every grace period
 )
 
 // Urgencies of orders. A higher one may fill more of the channel, so that less urgent orders leave room for it.
 const (
-	prepaid = iota - 1 // the budget was spent together with an earlier order
+	prepaid = iota - 1 // for an order whose budget was spent together with an earlier order
 	deferrable
 	urgent
 	required
-	drainEjection // ejections of draining and removed servers, whose messages no other order may use up
+	drainEjection // for ejections of draining and removed servers, for which a part of the budget is reserved
 )
 
 var (
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -17,10 +17,10 @@
 	quietStepMs            = 2000.0  // step from quietFromMs to quietUntilMs, while the scenario only waits
 	scenarioMs             = 825e3   // ends more than forgetRemovedMs (600 s) after the removal that follows drainAtMs
 	digestMs               = 30e3    // ms that a line of the digest covers
-	reportEveryMs          = 1000.0  // ms between reports of a server, and of a proxy
-	lateReportMs           = 6000.0  // interval of the reports in a scenario with lateReports
+	reportEveryMs          = 1000.0  // ms between two reports on a server, and between two reports of a proxy
+	lateReportMs           = 6000.0  // ms between two reports in a scenario with lateReports
 	randomChangeIntervalMs = 12e3    // mean time in ms between random changes
-	maxDecisions           = 100_000 // decisions at one time; reaching it fails the test, as Next would not stop
+	maxDecisions           = 100_000 // limit of decisions at one time; reaching it fails the test, as Next would not stop
 )
 
 // Times and durations of the phases of a scenario, in ms; times are from its start. All other events are random, by the seed of
@@ -28,33 +28,33 @@
 const (
 	listAtMs               = 2e3   // the first full update from discovery
 	failAtMs               = 30e3  // a warm server fails all requests for failForMs
-	failForMs              = 20e3  //
+	failForMs              = 20e3  // ms for which a warm server fails all requests
 	slowAtMs               = 55e3  // a server is slowdownFactor times slower for slowForMs
-	slowForMs              = 15e3  //
-	slowdownFactor         = 6.0   //
+	slowForMs              = 15e3  // ms for which a server is slow
+	slowdownFactor         = 6.0   // factor by which the slow server is slower
 	earlyRestartMs         = 72e3  // the planner restarts, if earlyRestart is set
 	coldAtMs               = 80e3  // a cold server joins
 	unknownAtMs            = 85e3  // a server without a start time joins, and fails all requests
 	surgeAtMs              = 100e3 // demand is surgeFactor times as high for surgeForMs
-	surgeForMs             = 30e3  //
-	surgeFactor            = 2.6   //
+	surgeForMs             = 30e3  // ms for which demand is higher in the surge
+	surgeFactor            = 2.6   // factor by which demand is higher in the surge
 	drainAtMs              = 140e3 // a server drains, and is removed goneAfterMs later
-	goneAfterMs            = 5e3   //
+	goneAfterMs            = 5e3   // ms from the drain of a server to its removal
 	unlistAtMs             = 150e3 // a full update omits a server
 	takeOverAtMs           = 160e3 // half of the proxies are taken over from another planner
 	zoneShiftAtMs          = 170e3 // demand moves to zone 0 for zoneShiftForMs
-	zoneShiftForMs         = 20e3  //
+	zoneShiftForMs         = 20e3  // ms for which demand is moved to zone 0
 	slowChannelAtMs        = 195e3 // acknowledgements take 4 s longer for slowChannelForMs
-	slowChannelForMs       = 25e3  //
+	slowChannelForMs       = 25e3  // ms for which acknowledgements take longer
 	lagAtMs                = 225e3 // load reports are late for lagForMs
-	lagForMs               = 10e3  //
+	lagForMs               = 10e3  // ms for which load reports are late
 	rollingDrainAtMs       = 200e3 // a third of the servers drains, one each rollingDrainIntervalMs, for rollingDrainForMs
-	rollingDrainIntervalMs = 750.0 //
-	rollingDrainForMs      = 12e3  //
+	rollingDrainIntervalMs = 750.0 // ms between the drains of two servers in the rolling drain
+	rollingDrainForMs      = 12e3  // ms of the rolling drain, after which all of its servers are ready again
 	failedListsAtMs        = 240e3 // polls of the endpoint list fail
 	coldRestartsAtMs       = 250e3 // all but four servers restart under their names
 	quietFromMs            = 262e3 // only random changes, until the policy has deleted the removed servers
-	quietUntilMs           = 740e3 //
+	quietUntilMs           = 740e3 // end of the time with only random changes
 	returnAtMs             = 780e3 // a server that the policy has deleted is listed again
 	lateRestartMs          = 795e3 // the planner restarts, unless earlyRestart is set
 )
@@ -67,7 +67,7 @@
 	proxyCount   int
 	requestRate  float64 // requests per second and proxy, without a surge
 	earlyRestart bool
-	lateReports  bool // reports are sent, and cover, lateReportMs each
+	lateReports  bool // a report is sent every lateReportMs, and covers that time
 	settings     policy.Settings
 }
 
@@ -135,18 +135,18 @@
 	policy.Endpoint
 	baseMs      float64
 	capacity    float64 // requests per second
-	phase       int     // step within a report period at which it reports
+	phase       int     // step within a report period at which the server reports
 	failUntilMs float64
 	slowUntilMs float64
-	firstWeight float64 // first weight that was sent since its last start
-	unlisted    bool    // omitted from full updates
+	firstWeight float64 // first weight that was sent since the last start of the server
+	unlisted    bool    // the server is omitted from full updates
 }
 
 // simProxy is a simulated proxy.
 type simProxy struct {
 	id, zone     int
 	tables       []map[string]float64 // weights by server name, by traffic class; nil without a table
-	messageTimes []float64            // policy times of the messages with its assignments
+	messageTimes []float64            // policy times of the messages that assigned the proxy's tables
 	joined       bool
 }
 
@@ -155,7 +155,7 @@
 	proxy, number int
 }
 
-// observed counts events. Most kinds must occur in each scenario, so that its digest covers them.
+// observed counts events. Most kinds of events must occur in each scenario, so that the digest of the scenario covers them.
 type observed struct {
 	ejections, readmissions              int // of ready servers; ejections are those of warm ones only
 	slowStarts                           int // weights of a cold server of at least twice its first weight
@@ -164,15 +164,15 @@
 	drains, forgotten                    int
 	assignments, acknowledgementRequests int
 	polls                                int
-	maxDecisionsAtOnce                   int // decisions at one time
+	maxDecisionsAtOnce                   int // highest number of decisions at one time
 }
 
-// simulation runs a planner in a closed loop: its decisions change the simulated load, which is reported to it. It records each
-// decision.
+// simulation runs a planner in a closed loop: its decisions change the simulated load, which is reported to the planner. It
+// records each decision.
 type simulation struct {
 	scenario
 	planner       *policy.Policy
-	random        *rand.Rand // of the simulation only
+	random        *rand.Rand // random numbers for the simulation only
 	nowMs         float64    // policy time
 	servers       []*simServer
 	proxies       []*simProxy
@@ -204,7 +204,8 @@
 	return simulated
 }
 
-// newServer returns a server of random size. Without a surge, the fleet has about 1.6 times the capacity that its demand needs.
+// newServer returns a server of random size. Without a surge, the fleet has about 1.6 times the capacity that the demand
+// needs.
 func (s *simulation) newServer(name string, zone int) *simServer {
 	size := 0.6 + 0.8*s.random.Float64()
 	demand := s.requestRate * float64(s.proxyCount) / float64(s.serverCount)
@@ -227,7 +228,7 @@
 	s.planner.UpdateEndpoints(policy.RestoredUpdate, s.list())
 }
 
-// list returns the endpoint list of discovery: all servers except unlisted and removed ones.
+// list returns the endpoint list of discovery: all servers except unlisted and removed servers.
 func (s *simulation) list() []policy.Endpoint {
 	var entries []policy.Endpoint
 	for _, server := range s.servers {
@@ -253,7 +254,7 @@
 	return reportEveryMs
 }
 
-// reportPhases returns the number of steps between two reports. Servers and proxies report at different ones of them.
+// reportPhases returns the number of steps between two reports. Servers and proxies report at different steps.
 func (s *simulation) reportPhases() int { return int(s.reportEveryMs() / stepMs) }
 
 // periodMs returns the time in ms that a report covers.
@@ -329,8 +330,8 @@
 	s.admission[class] = share
 }
 
-// RequestAcknowledgement has every joined proxy acknowledge, as the simulation does not record which ones were sent a message.
-// A random part of the answers is lost.
+// RequestAcknowledgement makes every joined proxy answer the request, as the simulation does not record which proxies were
+// sent a message. A random part of the answers is lost.
 func (s *simulation) RequestAcknowledgement(number int) {
 	s.record("acknowledge %d", number)
 	s.observed.acknowledgementRequests++
@@ -573,7 +574,8 @@
 	}
 }
 
-// takeOver has half of the proxies rejoin as taken over from another planner, with the times of messages that it sent them.
+// takeOver makes half of the proxies rejoin as taken over from another planner, with the times of the messages that the
+// other planner sent them.
 func (s *simulation) takeOver() {
 	for _, proxy := range s.proxies[:len(s.proxies)/2] {
 		s.leave(proxy)
@@ -629,7 +631,7 @@
 	s.answers = later
 }
 
-// step moves the time forward, sends all inputs of this time, and has the planner decide.
+// step moves the time forward, sends all inputs of this time, and makes the planner decide.
 func (s *simulation) step(number int) {
 	s.nowMs += s.stepMs()
 	s.planner.SetTime(s.nowMs)
@@ -650,7 +652,8 @@
 	s.decide()
 }
 
-// reports sends the reports of servers and proxies: of all where a step is as long as a report period, else of one phase.
+// reports sends the reports of servers and proxies: of all of them if a step is as long as a report period, otherwise of
+// those with the given phase.
 func (s *simulation) reports(phase int) {
 	all := s.stepMs() >= s.reportEveryMs()
 	load := s.load()
--- a/policy/host.go
+++ b/policy/host.go
@@ -5,9 +5,9 @@
 
 // Idempotency of the requests of a class.
 const (
-	NonIdempotent Idempotency = iota // must never run twice
+	NonIdempotent Idempotency = iota // a request must never run twice
 	Deduplicated                     // servers of one scope ignore repeats with the same idempotency key for some time
-	Idempotent                       // may run again
+	Idempotent                       // a request may run any number of times
 )
 
 // Retry modes of Host.SetAdmission.
@@ -34,23 +34,23 @@
 type Settings struct {
 	Zones                int // number of zones; they are numbered from 0
 	Classes              []TrafficClass
-	DefaultRetry         int     // retry mode of proxies until an order sets it
+	DefaultRetry         int     // retry mode that proxies use until an order sets another
 	PartialAdmission     bool    // proxies support admission rates between 0 and 1
 	WatchRequired        bool    // the endpoint list is sent only on request
 	AssumeNotifiedMs     float64 // time within which an unrequested update of the endpoint list would arrive
 	Sharded              bool    // tables are key ranges that a store assigns; the policy makes none
 	EntriesPerSecond     float64 // rate of the control channel without faults
-	MessageOverhead      float64 // cost of a message in entries, in addition to those that it holds
+	MessageOverhead      float64 // cost of a message in entries, in addition to the entries that the message holds
 	MaxBacklog           float64 // highest number of entries that may wait in the channel
 	MaxMessages          int     // highest number of messages to one proxy within MessageWindowMs; 0: no limit
 	MessageWindowMs      float64
-	MaxPropagationMs     float64 // longest time from the channel to a proxy
+	MaxPropagationMs     float64 // longest time that an order takes from the channel to a proxy
 	ReportIntervalMs     float64 // time between two load reports of a server
 	ColdCapacity         float64 // share of its capacity that a server has when it starts
-	SlowStartMs          float64 // time after its start at which a server has its full capacity
+	SlowStartMs          float64 // time after its start at which a server reaches its full capacity
 	DrainGraceMs         float64 // time after which no request may be sent to a draining server
 	ColdOverloadWindowMs float64 // period over which the load of a cold server counts; too many requests in it make it fail
-	CrossZoneCost        float64 // of a request that leaves its zone, as a factor of the latency objective
+	CrossZoneCost        float64 // cost of a request that leaves its zone, as a factor of the latency objective
 	Proxies              int     // number of proxies of all planners
 	Planners             int     // number of planners that share the proxies, including this one
 	MinServerConnections float64 // number of connections that the smallest server accepts
@@ -71,22 +71,22 @@
 
 // Endpoint is a server in the endpoint list.
 type Endpoint struct {
-	Server           string // its name
+	Server           string // name of the server
 	Zone             int
 	State            State
 	RelativeCapacity float64 // comparable across servers, in any unit
-	StartedMs        float64 // time of its last start in ms; 0: unknown, long ago
+	StartedMs        float64 // ms; time of the last start of the server; 0: unknown, long ago
 }
 
 // UpdateKind states what an update of the endpoint list contains.
 type UpdateKind int
 
-// Kinds of updates.
+// Kinds of updates of the endpoint list.
 const (
 	DeltaUpdate    UpdateKind = iota // only changed servers
 	FullUpdate                       // all servers
 	RestoredUpdate                   // all servers as last known before a restart; may be outdated
-	FailedUpdate                     // nothing: a poll failed
+	FailedUpdate                     // no servers: a poll of the list failed
 )
 
 // Host carries out decisions. Each call of a method is one decision, and is made from within Policy.Next only. A host must not
@@ -95,22 +95,23 @@
 	// SetWeight sets the weight of a server in a table, up to 1, at all proxies that follow the table; a weight of 0 removes
 	// the server from it. The first weight of a table creates it.
 	SetWeight(table int, server string, weight float64)
-	// AssignTable has a proxy follow a table for some traffic classes. The entries of omitted servers are not sent until
+	// AssignTable makes a proxy follow a table for some traffic classes. The entries of omitted servers are not sent until
 	// RestoreServers, a readmission or SetWeight sends them.
 	AssignTable(proxy, table int, classes []int, omitted []string)
 	// SetEjected ejects or readmits a server at the proxies whose tables hold it and, with includeUnassigned, at those that
 	// may follow tables of another planner.
 	SetEjected(server string, ejected, includeUnassigned bool)
-	// RestoreServers sends a proxy the omitted entries of servers, and ends ejections of them that another planner may have
-	// ordered at it. Servers that this planner has ejected stay ejected.
+	// RestoreServers sends a proxy the omitted entries of servers, and ends the ejections of these servers that another
+	// planner may have ordered at this proxy. Servers that this planner has ejected stay ejected.
 	RestoreServers(proxy int, servers []string)
-	// SetAdmission sets the share of a traffic class, from 0 to 1, that the proxies of a table admit, and its retry mode.
+	// SetAdmission sets the share of the requests of a traffic class, from 0 to 1, that the proxies of a table admit, and
+	// the retry mode of the class.
 	SetAdmission(table, class int, rate float64, retry int)
 	// RequestAcknowledgement asks each proxy that is sent a message at this time to acknowledge it with the number. The host
 	// passes each answer to Policy.Acknowledge.
 	RequestAcknowledgement(number int)
 	// WatchEndpoints requests the endpoint list. The host passes the answer to Policy.UpdateEndpoints.
 	WatchEndpoints()
-	// SetTimer asks that Policy.SetTime and Policy.Next are called after a time in ms, even if there is no input before.
+	// SetTimer asks that Policy.SetTime and Policy.Next are called after a time in ms, even if there is no input until then.
 	SetTimer(inMs float64)
 }
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -25,7 +25,7 @@
 	retries                 map[int]int     // retry mode by traffic class
 	polls                   []float64       // times of WatchEndpoints, in ms
 	orders                  []string
-	pendingAcknowledgements []int // numbers of unanswered requests
+	pendingAcknowledgements []int // numbers of the unanswered requests for acknowledgements
 }
 
 // serverReports returns the load report of a server for one second; no report is sent for a count of 0.
@@ -102,7 +102,7 @@
 	f.planner.SetTime(f.nowMs)
 }
 
-// decide has the planner make all of its decisions at this time.
+// decide makes the planner make all of its decisions for the current time.
 func (f *fakeHost) decide() {
 	const limit = 100_000
 	for decisions := 0; f.planner.Next(f); decisions++ {
@@ -178,7 +178,7 @@
 	return f.weights[table][name] / total
 }
 
-// shares returns the share of a proxy's requests of the first class that go to some servers.
+// shares returns the share of a proxy's requests of the first class that go to the named servers together.
 func (f *fakeHost) shares(proxy int, names ...string) float64 {
 	total := 0.0
 	for _, name := range names {
@@ -227,7 +227,7 @@
 	f.pendingAcknowledgements = append(f.pendingAcknowledgements, number)
 }
 
-// acknowledgeAll has all proxies answer the pending requests for acknowledgements.
+// acknowledgeAll makes all proxies answer the pending requests for acknowledgements.
 func (f *fakeHost) acknowledgeAll() {
 	for _, number := range f.pendingAcknowledgements {
 		for _, proxy := range f.planner.proxies {
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -103,8 +103,9 @@
 	return known
 }
 
-// setState records a change of a server's state in the list. If the server was ejected while ready, tables that it was
-// added to since may not be notified of that. So it counts as not ejected, and its drain ejects it at all of its proxies.
+// setState records a change of a server's state in the list. If the server was ejected while ready, proxies whose tables it
+// was added to since then may not be notified of the ejection. So it counts as not ejected, and its drain ejects it at all
+// proxies that hold it.
 func (p *Policy) setState(server *server, state State) {
 	if state == server.State {
 		return
@@ -128,9 +129,9 @@
 	})
 }
 
-// AddProxy records that a proxy joined or rejoined: its id, its zone, the requests per second that it usually gets by its
-// own statement, and the times in ms of the messages that another planner sent it, oldest first. These count towards
-// Settings.MaxMessages. A proxy of a zone that the settings do not have is ignored.
+// AddProxy records that a proxy joined or rejoined: its id, its zone, the requests per second that it expects, and the times
+// in ms of the messages that another planner sent it, oldest first. These messages count towards Settings.MaxMessages. A
+// proxy of a zone that the settings do not have is ignored.
 func (p *Policy) AddProxy(id, zone int, usualRate float64, messageTimes ...float64) {
 	p.RemoveProxy(id)
 	if zone < 0 || zone >= p.settings.Zones {
@@ -148,7 +149,8 @@
 		demand:           make([][]sample, len(p.admission)),
 		tables:           make([]*table, p.classGroups),
 	}
-	// A proxy taken over from another planner is not new: its demand was reported there, and load reports are known here.
+	// A proxy taken over from another planner is not new: its demand was reported there, and load reports are known to this
+	// planner.
 	if p.anySuccess && len(messageTimes) > 0 {
 		joined.joinedMs = math.Min(joined.joinedMs, messageTimes[0])
 	}
@@ -158,7 +160,7 @@
 }
 
 // ExpectInheritedEjections records that a joined proxy may hold tables and ejections of another planner. Assigned tables
-// replace the former, and Host.RestoreServers ends the latter.
+// replace these tables, and Host.RestoreServers ends these ejections.
 func (p *Policy) ExpectInheritedEjections(id int) {
 	if proxy := p.byID[id]; proxy != nil {
 		proxy.inheritedEjections = true
@@ -217,8 +219,8 @@
 	proxy.demand[class] = appendBounded(proxy.demand[class], report, maxSamples)
 }
 
-// Acknowledge records that a proxy answered Host.RequestAcknowledgement, tookMs after the request. All that was ordered to
-// the proxy before that request has arrived, including what earlier requests asked for whose answers were lost.
+// Acknowledge records that a proxy answered Host.RequestAcknowledgement, tookMs after the request. All orders to the proxy
+// before that request have arrived, also those before earlier requests whose answers were lost.
 func (p *Policy) Acknowledge(id, number int, tookMs float64) {
 	p.observeChannel(tookMs)
 	proxy := p.byID[id]
@@ -231,6 +233,6 @@
 	})
 }
 
-// SetLagging records whether load reports reach the planner late. While they do, no deferrable entries are sent, and only
-// necessary acknowledgements are requested.
+// SetLagging records whether load reports reach the planner late. While they are late, no deferrable entries are sent, and
+// only necessary acknowledgements are requested.
 func (p *Policy) SetLagging(on bool) { p.lagging = on }
--- a/policy/inputs_test.go
+++ b/policy/inputs_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Each release adds servers with new names. When removed servers were kept for ever, the planner took ten times the CPU time
+// Each release adds servers with new names. When removed servers were never deleted, the planner took ten times the CPU time
 // after twenty releases.
 func TestRemovedServerIsDeletedWithItsEjection(t *testing.T) {
 	f := startFleet(testSettings(), 8)
--- a/policy/measurements.go
+++ b/policy/measurements.go
@@ -34,7 +34,7 @@
 	p.windowMs = math.Max(minWindowMs, windowRounds*p.roundMs)
 }
 
-// evaluateServers updates the statistics of each server, and of the fleet by its median server.
+// evaluateServers updates the statistics of each server, and those of the fleet, most of which are medians over its servers.
 func (p *Policy) evaluateServers() {
 	p.succeededRate = 0
 	for _, server := range p.servers {
@@ -83,7 +83,7 @@
 // equal part of the rate that it expected when it joined.
 func (p *Policy) demandOf(proxy *proxy, class int) float64 {
 	coversMs, requests := 0.0, 0.0
-	for index := range proxy.demand[class] { // by index, as copies of samples are slow with many proxies
+	for index := range proxy.demand[class] { // by index, as copying each sample is slow with many proxies
 		report := &proxy.demand[class][index]
 		if report.atMs > p.nowMs-p.windowMs {
 			coversMs += report.coversMs
@@ -108,12 +108,12 @@
 	p.latencyObjectiveMs /= p.admittedRate + idleClassRate*float64(len(p.admission))
 }
 
-// fleetLoad is the load of the fleet by the last round of load reports. Older reports would show the time before the last
-// admission step.
+// fleetLoad is the load of the fleet, computed from the last round of load reports. Older reports would show the load before
+// the last admission step.
 type fleetLoad struct {
-	latencyRatio  float64 // latency of the median server over the latency objective
-	waitRatio     float64 // latency of the median server above the baseline, over the wait that the objective allows
-	failureShare  float64 // of the median server
+	latencyRatio  float64 // latency of the median server, divided by the latency objective
+	waitRatio     float64 // median latency above the baseline, divided by the wait that the latency objective allows
+	failureShare  float64 // failure share of the median server
 	succeededRate float64 // successful requests per second
 }
 
@@ -146,8 +146,8 @@
 	server.lastRound = server.recent(p.nowMs - admissionWindowRounds*p.roundMs)
 }
 
-// updateDemand sets the demand of each client to that of its tables. It returns the total, and how much of it moved from
-// one client to another.
+// updateDemand sets the demand of each client to that of its tables. It returns the total demand, and the part of it that
+// moved from one client to another.
 func (p *Policy) updateDemand() (total, moved float64) {
 	for _, client := range p.clients {
 		demand := sumBy(client.tables, func(table *table) float64 { return table.rate })
@@ -158,8 +158,8 @@
 	return total, moved
 }
 
-// mergeReports merges the load reports since evidenceFromMs that are of the same period, from all zones, as a single one is
-// noisy. Reports more than gapMs apart belong to different periods.
+// mergeReports merges the load reports since evidenceFromMs that cover the same period, from all zones, as a single report
+// is noisy. Reports more than gapMs apart belong to different periods.
 func (s *server) mergeReports(gapMs float64) {
 	s.reports = s.reports[:0]
 	for _, report := range s.samples {
@@ -205,7 +205,7 @@
 	return lowest
 }
 
-// typicalLatency returns the latency in ms that costs are relative to; above 0 even before there are reports.
+// typicalLatency returns the latency in ms that costs are relative to. It is above 0 even before there are load reports.
 func (p *Policy) typicalLatency() float64 { return math.Max(p.baselineMs, 1) }
 
 // baselineOf returns the lower quartile of reported latencies in ms, or 0 where no report has enough successes.
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -2,33 +2,35 @@
 
 import "math"
 
-// unverified reports whether a server is new in the list and never succeeded, although it has no start time and so should
-// have been running for long: a wrong list may name servers of another fleet. A server with a start time is really new, and
-// goes through slow start. So a wrong list with start times is trusted until there is evidence against its servers.
+// unverified reports whether a server is new in the list, has no start time, and never succeeded. Without a start time, the
+// server should have been running for long; but a wrong list may name servers of another fleet. A server with a start time
+// is really new, and goes through slow start. So a wrong list with start times is trusted until there is evidence against
+// its servers.
 func (p *Policy) unverified(server *server) bool {
 	return p.anySuccess && !server.hasSucceeded && server.discoveredLate && server.StartedMs == 0
 }
 
-// restartServer records that a server restarted under its name, and drops its history. If it is cold, it is ejected until the
-// requests that proxies sent it by their weights from before the restart have left its overload window.
+// restartServer records that a server restarted under the same name, and drops its history. If the server is cold, it is
+// ejected until the requests that proxies sent it by their weights from before the restart have left its overload window.
 func (p *Policy) restartServer(server *server, startedMs float64) {
 	server.resetHistory(p.nowMs)
 	server.unhealthy = startedMs > p.nowMs-p.settings.SlowStartMs
 	server.unhealthyUntilMs = p.nowMs + p.settings.ColdOverloadWindowMs + p.settings.MaxPropagationMs
 }
 
-// expired reports whether a server was removed long ago and no table holds it. Its ejection ends, and then it is deleted.
+// expired reports whether a server was removed long ago and no table holds it. The ejection of such a server ends, and then
+// the server is deleted.
 func (p *Policy) expired(server *server) bool {
 	return server.State == Removed && p.nowMs-server.stateChangedMs > forgetRemovedMs && !server.inAnyTable()
 }
 
-// updateEjections applies the sequential test to each ready server, and readmits those whose ejection has ended. Many
+// updateEjections applies the sequential test to each ready server, and readmits servers whose ejection has ended. Many
 // outliers at once are more likely a fault of the reports, so only a share of the fleet may be ejected.
 func (p *Policy) updateEjections() {
 	verified := func(server *server) bool { return server.State == Ready && !p.unverified(server) }
 	fleet := filter(p.servers, verified)
 	size := float64(len(fleet))
-	ejected := float64(1 + len(fleet) - len(filter(fleet, (*server).usable))) // with one more than now
+	ejected := float64(1 + len(fleet) - len(filter(fleet, (*server).usable))) // number after one more ejection
 	uncertain := p.demandUncertain()
 	for _, server := range p.servers {
 		switch {
@@ -36,7 +38,7 @@
 		case server.unhealthy:
 			p.readmit(server)
 		case p.cold(server) && uncertain && ejected <= maxColdEjectedShare*size:
-			// Proxies avoid servers that fail and try others, so that a cold one would be flooded.
+			// Proxies avoid servers that fail and try others, so that a cold server would get too many requests.
 			server.unhealthy = true
 			server.unhealthyUntilMs = p.nowMs + p.settings.ColdOverloadWindowMs
 			p.serversChanged = true
@@ -49,7 +51,7 @@
 }
 
 // demandUncertain reports whether many attempts fail, or many proxies are new, so that many attempts may fail before load
-// reports show it.
+// reports show the failures.
 func (p *Policy) demandUncertain() bool {
 	added := filter(p.proxies, func(proxy *proxy) bool { return p.nowMs-proxy.joinedMs < ejectionMs })
 	return p.failureShare > maxEjectedShare || len(added) > len(p.proxies)/newProxyDivisor
@@ -76,9 +78,9 @@
 	return score
 }
 
-// failureEvidence sums the evidence of load reports on requests that were sent after evidenceFromMs. It also returns the time
-// in ms since when load reports of the server are missing. A healthy server may be overloaded, which explains a higher share
-// of failures the more the median server fails.
+// failureEvidence sums the evidence of load reports on requests that were sent after evidenceFromMs. It also returns the
+// time in ms since when load reports of the server are missing. A healthy server may be overloaded, which explains a failure
+// share that is higher, the more attempts fail at the median server.
 func (p *Policy) failureEvidence(server *server) (score, silentFromMs float64) {
 	healthyFailureShare := math.Max(minOverloadFailureShare, overloadFailureFactor*p.failureShare)
 	healthyFailureShare = math.Min(healthyFailureShare, maxOverloadFailureShare)
@@ -99,7 +101,7 @@
 }
 
 // silenceEvidence returns the evidence of load reports that are missing since silentFromMs. As rounds of load reports may be
-// long, only the time beyond windowRounds of them counts.
+// long, only the time beyond windowRounds rounds counts.
 func (p *Policy) silenceEvidence(server *server, silentFromMs float64) float64 {
 	silentMs := p.reportedMs - silentFromMs - windowRounds*p.roundMs
 	if silentMs <= 0 || server.ejected {
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -26,7 +26,7 @@
 	t.Run("a server ejected while ready is ejected again when it is removed", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
 		f.run(10, healthy)
-		f.planner.byName["s2"].ejected = true // only some proxies were notified; tables of others have held it since
+		f.planner.byName["s2"].ejected = true // only some proxies were notified; tables of other proxies hold the server since then
 		f.update(Endpoint{Server: "s2", Zone: 0, State: Removed, RelativeCapacity: 1})
 		f.decide()
 		if !f.ejected["s2"] {
@@ -125,8 +125,9 @@
 			}
 		}
 	})
-	// A release under load replaced half of a fleet by servers with new names. When these were limited to the share of
-	// unverified servers until their first load reports, they were idle for seconds while the others were overloaded.
+	// A release under load replaced half of a fleet by servers with new names. When the new servers were limited to the
+	// share of unverified servers until their first load reports, they were idle for seconds while the others were
+	// overloaded.
 	t.Run("a new server with a start time is not unverified", func(t *testing.T) {
 		settings := testSettings()
 		f := startFleet(settings, 8)
--- a/policy/pacing.go
+++ b/policy/pacing.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// observeChannel regards the channel as slow if an acknowledgement took more than twice the longest propagation.
+// observeChannel records that the channel is slow if an acknowledgement took more than twice the longest propagation.
 func (p *Policy) observeChannel(tookMs float64) {
 	p.channelSlow = tookMs > lateAcknowledgementFactor*p.settings.MaxPropagationMs
 }
 
-// updateBacklog updates and returns the backlog: the number of entries that wait in the channel, with message overhead. It
-// drains at the rate of the channel, and never exceeds the number of unacknowledged entries.
+// updateBacklog updates and returns the backlog: the number of entries that wait in the channel, with message overhead. The
+// backlog drains at the rate of the channel, and never exceeds the number of unacknowledged entries.
 func (p *Policy) updateBacklog() float64 {
 	drained := (p.nowMs - p.backlogUpdatedMs) * p.settings.EntriesPerSecond / 1000
 	if p.channelSlow {
@@ -20,8 +20,8 @@
 	return p.backlog
 }
 
-// spendBudget spends the budget for an order with the given number of entries to each recipient, and reports whether there
-// was room for its urgency.
+// spendBudget spends the budget for an order with the given number of entries to each recipient, and reports whether the
+// channel had room for an order of its urgency.
 func (p *Policy) spendBudget(entries float64, recipients []*proxy, urgency int) bool {
 	withoutMessage := filter(recipients, func(proxy *proxy) bool { return !proxy.hasMessageAt(p.nowMs) })
 	if !p.withinMessageLimit(withoutMessage, urgency) {
@@ -30,7 +30,7 @@
 	cost := entries*float64(len(recipients)) + p.settings.MessageOverhead*float64(len(withoutMessage))
 	full := p.updateBacklog()+cost > p.settings.MaxBacklog*backlogShare[urgency] ||
 		p.unacknowledged()+cost > p.settings.MaxBacklog*max(backlogShare[required], backlogShare[urgency])
-	// An empty channel accepts any required order. Otherwise, one that is larger than the limit could never be sent.
+	// An empty channel accepts any required order. Otherwise, an order larger than the limit could never be sent.
 	if full && (p.unacknowledged() > 0 || urgency < required) {
 		return false
 	}
--- a/policy/pacing_test.go
+++ b/policy/pacing_test.go
@@ -83,14 +83,14 @@
 	})
 }
 
-// The channel's limit on waiting entries includes those for streams that have ended. When streams broke while the channel was
-// full, their proxies rejoined at once, and assignments to them were sent in addition to what still waited.
+// The channel's limit on waiting entries includes those for streams that have ended. When streams broke while the channel
+// was full, their proxies rejoined at once, and assignments to them were sent in addition to the entries that still waited.
 func TestBacklogCountsEntriesToRemovedProxies(t *testing.T) {
 	for _, rejoin := range []bool{false, true} {
 		t.Run(fmt.Sprint("rejoin ", rejoin), func(t *testing.T) {
 			f := startFleet(testSettings(), 6)
 			f.run(10, healthy)
-			f.planner.updateBacklog() // up to now
+			f.planner.updateBacklog() // counts what the channel has drained up to now
 			f.planner.backlog = 3400
 			for _, proxy := range f.planner.proxies {
 				proxy.ordered = proxy.acknowledged + 850
@@ -120,7 +120,7 @@
 		proxy.ordered++
 		proxy.acknowledgements[number] = proxy.ordered
 	}
-	f.planner.Acknowledge(proxy.id, 98, 300) // orders arrive in sequence, so earlier ones have, too
+	f.planner.Acknowledge(proxy.id, 98, 300) // orders arrive in sequence, so earlier orders have arrived, too
 	if len(proxy.acknowledgements) != 1 || proxy.ordered-proxy.acknowledged != 1 {
 		t.Errorf("%d requests and %g entries are unacknowledged, want 1 and 1", len(proxy.acknowledgements), proxy.ordered-proxy.acknowledged)
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Next makes at most one decision, as one call of a Host method, and reports whether it did. The caller repeats it until
-// it returns false. The fleet is evaluated once every evaluationIntervalMs, and when endpoints or proxies changed.
+// Next makes at most one decision, as one call of a Host method, and reports whether it did. The caller calls Next until it
+// returns false. The fleet is evaluated once every evaluationIntervalMs, and when endpoints or proxies changed.
 func (p *Policy) Next(host Host) bool {
 	if p.nowMs-p.evaluatedMs >= evaluationIntervalMs || p.dirty {
 		p.evaluatedMs = p.nowMs
@@ -29,7 +29,7 @@
 	return true
 }
 
-// pollEndpoints requests the endpoint list, where it is sent on request only, until an update arrives.
+// pollEndpoints requests the endpoint list until an update arrives, if the list is sent only on request.
 func (p *Policy) pollEndpoints(host Host) bool {
 	if !p.settings.WatchRequired || p.watching || p.nowMs < p.pollMs {
 		return false
--- a/policy/problem.go
+++ b/policy/problem.go
@@ -8,7 +8,7 @@
 // splitProblem is the input and state of one solve, with the letters of the paper: i is a client, j a server.
 type splitProblem struct {
 	servers  []*server
-	clients  []*client   // of this planner, then one of unobserved proxies for each zone
+	clients  []*client   // those of this planner, then one client of unobserved proxies for each zone
 	D        []float64   // demand of each client, 1 on average
 	C        []float64   // capacity of each server in the unit of D
 	capacity float64     // sum of C
@@ -42,8 +42,8 @@
 	return problem
 }
 
-// initCells starts from the cells of the last solve, or, for a new pair or with reset, from shares proportional to capacity
-// and no prices.
+// initCells initializes the cells with those of the last solve. A new pair of client and server, and with reset every pair,
+// starts with a share proportional to the capacity of the server, and without a price.
 func (s *splitProblem) initCells(reset bool) {
 	for i, client := range s.clients {
 		s.cells[i] = make([]cell, len(s.servers))
@@ -60,7 +60,7 @@
 	}
 }
 
-// load returns what the split sends to each server, in the unit of C.
+// load returns the load that the split sends to each server, in the unit of C.
 func (s *splitProblem) load() []float64 {
 	load := make([]float64, len(s.servers))
 	for i := range s.cells {
@@ -76,7 +76,7 @@
 	server  *server
 	share   float64
 	entries []*entry
-	rank    int // order in which a table selects servers, lowest first
+	rank    int // a table selects the servers with the lowest ranks
 }
 
 // createTables creates the cohorts of each client, with one table each.
@@ -90,7 +90,7 @@
 	}
 }
 
-// entryOf returns the entry of a server in the table, which it creates if there is none.
+// entryOf returns the entry of a server in the table, and creates the entry if there is none.
 func (t *table) entryOf(server *server) *entry {
 	known := slices.IndexFunc(server.entries, func(entry *entry) bool { return entry.table == t })
 	if known >= 0 {
@@ -107,7 +107,7 @@
 	return slices.ContainsFunc(server.entries, func(entry *entry) bool { return entry.table == t && entry.inUse() })
 }
 
-// live reports whether the entry has a target, or is still to be removed from the proxies.
+// live reports whether the entry has a target, or proxies still hold it.
 func (e *entry) live() bool { return e.target > 0 || e.sent > 0 }
 
 // demand returns the requests per second that the target of the entry sends to the server.
@@ -123,7 +123,7 @@
 	}
 }
 
-// recordSolve records that all tables were just solved for.
+// recordSolve records that a solve has just set the targets of the tables.
 func (p *Policy) recordSolve() {
 	p.solvedMs = p.nowMs
 	p.serversChanged = false
@@ -131,7 +131,7 @@
 	p.solves++
 }
 
-// eachEntry calls visit for the entries of all shares, in their order.
+// eachEntry calls visit for the entries of all shares, in the order of the shares.
 func eachEntry(shares []*serverShare, visit func(share *serverShare, entry *entry)) {
 	for _, share := range shares {
 		for _, entry := range share.entries {
--- a/policy/records.go
+++ b/policy/records.go
@@ -4,7 +4,7 @@
 
 // This file records what was decided and ordered, and answers queries on these records.
 
-// hasMessageAt reports whether the proxy is already sent a message at this time, which further orders then share.
+// hasMessageAt reports whether a message to the proxy has been started at this time, which further orders share.
 func (p *proxy) hasMessageAt(nowMs float64) bool {
 	return len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == nowMs
 }
@@ -22,8 +22,8 @@
 	}
 }
 
-// countRequests adds requests for acknowledgements to the backlog, and records for each recipient which entries have arrived
-// once it acknowledges.
+// countRequests adds requests for acknowledgements to the backlog, and records for each recipient which entries will have
+// arrived when it answers.
 func (p *Policy) countRequests(recipients []*proxy) {
 	p.acknowledgedSolve = p.solves
 	for _, proxy := range recipients {
@@ -40,14 +40,14 @@
 // inUse reports whether the proxies of the table hold the entry.
 func (e *entry) inUse() bool { return e.sent > 0 }
 
-// mayFollowOtherPlanner reports whether the proxy may still follow a table of another planner, as it was not assigned all of
-// its tables here.
+// mayFollowOtherPlanner reports whether the proxy may still follow a table of another planner, because this planner has not
+// assigned it all of its tables yet.
 func (p *proxy) mayFollowOtherPlanner() bool {
 	return p.inheritedEjections && slices.Contains(p.tables, nil)
 }
 
-// mayUse reports whether a table of the proxy holds the server. For a table of another planner, whose entries are unknown
-// here, it reports unknownTables.
+// mayUse reports whether a table of the proxy holds the server. For a table of another planner, whose entries are unknown to
+// this planner, it returns unknownTables.
 func (p *proxy) mayUse(server *server, unknownTables bool) bool {
 	return slices.ContainsFunc(p.tables, func(table *table) bool {
 		if table == nil {
@@ -66,14 +66,14 @@
 	return slices.ContainsFunc(p.pendingRestorations, func(pending restoration) bool { return pending.server == server })
 }
 
-// takePrepaidRestorations returns the number of restorations whose budget was spent already, and resets it.
+// takePrepaidRestorations returns the number of restorations whose budget was spent already, and sets that number to 0.
 func (p *proxy) takePrepaidRestorations() int {
 	count := p.prepaidRestorations
 	p.prepaidRestorations = 0
 	return count
 }
 
-// recordAssignment records that the proxy was assigned a table, and with it the current ejections of its servers.
+// recordAssignment records that the proxy was assigned a table, and was notified of the ejections of the servers in it.
 func (p *proxy) recordAssignment(group int, table *table) {
 	p.tables[group] = table
 	table.proxies = append(table.proxies, p)
@@ -84,7 +84,7 @@
 
 // expectRestorations records the restorations that the proxy is yet to be sent after an assignment.
 func (p *proxy) expectRestorations(inherited, omitted []*entry) {
-	var added []restoration // go before those of earlier tables: the first ones are sent with this table
+	var added []restoration // placed before those of earlier tables, as the first ones are sent with this table
 	for _, entry := range inherited {
 		pending := restoration{server: entry.server, entries: 1}
 		if slices.Contains(omitted, entry) {
@@ -105,7 +105,7 @@
 	return true
 }
 
-// recordWeight records that an entry was sent to the proxies of its table, and with it the ejection of its server.
+// recordWeight records that an entry was sent to the proxies of its table, together with whether its server is ejected.
 func (p *Policy) recordWeight(entry *entry, urgent bool) {
 	if entry.sent == 0 {
 		entry.server.addedMs = p.nowMs
@@ -136,15 +136,15 @@
 	return slices.ContainsFunc(p.proxies, (*proxy).mayFollowOtherPlanner)
 }
 
-// unacknowledged returns the number of entries that no acknowledgement shows to have arrived. The backlog is never larger,
-// however slow the channel is. Entries to proxies that left count until the channel has had time to send them.
+// unacknowledged returns the number of entries that no acknowledgement shows to have arrived. The backlog never exceeds this
+// number, however slow the channel is. Entries to proxies that left count until the channel has had time to send them.
 func (p *Policy) unacknowledged() float64 {
 	return p.departedBacklog + sumBy(p.proxies, func(proxy *proxy) float64 {
 		return proxy.ordered - proxy.acknowledged
 	})
 }
 
-// readmit ends the ejection of a server: it starts its recovery ramp, and only new load reports count.
+// readmit ends the ejection of a server: the recovery ramp starts, and only new load reports count.
 func (p *Policy) readmit(server *server) {
 	server.unhealthy = false
 	server.evidenceFromMs = p.nowMs
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// plan queues the decisions of this evaluation, the most urgent ones first. Each is made only if the channel has room for it
-// when its turn comes.
+// plan queues the decisions of this evaluation, the most urgent ones first. Each decision is made only if the channel has
+// room for it when its turn comes.
 func (p *Policy) plan() {
 	p.pendingDecisions = nil
 	p.enqueue(p.pollEndpoints)
@@ -25,7 +25,7 @@
 		}
 		p.planAssignments(takeover)
 	}
-	p.planEjections(takeover) // after assignments: when planners restart, many cold servers are ejected at once
+	p.planEjections(takeover) // after assignments, as many cold servers are ejected at once when planners restart
 	p.enqueue(changes[urgent]...)
 	p.planAdmission()
 	for _, proxy := range p.proxies {
@@ -41,8 +41,8 @@
 	p.enqueue(p.requestAcknowledgements)
 }
 
-// planWeights adds the weights of a table that are to be sent to planned, by urgency. Additions come first, so that the table
-// is never empty in between.
+// planWeights adds to planned, by urgency, the weights of a table that are to be sent. Additions come before reductions, so
+// that the table is never empty between two orders.
 func (p *Policy) planWeights(table *table, planned *[required + 1][]decision) {
 	missing, total := 0.0, 0.0
 	usable := 0
@@ -110,8 +110,8 @@
 	return true
 }
 
-// weightCost returns the mean cost for each proxy in entries: one, and one more where the host also has to send the end of an
-// ejection, of this or another planner.
+// weightCost returns the mean cost of a weight for each proxy in entries: one, and one more where the host must also send
+// the end of an ejection that this or another planner ordered.
 func (p *Policy) weightCost(entry *entry) float64 {
 	readmitting := filter(entry.table.proxies, func(proxy *proxy) bool {
 		endsEjection := proxy.inheritedEjections || proxy.ejected[entry.server] && p.settings.ReadmitByWeight
@@ -132,12 +132,12 @@
 	}
 }
 
-// setEjected ejects a server at the proxies that may use it, or readmits it once no table holds much more than its target,
-// which is low at first. The host notifies other proxies when they are sent a weight of the server.
+// setEjected ejects a server at the proxies that may use it, or readmits it once no table has a weight much above its
+// target, which is low at first. The host notifies other proxies when they are sent a weight of the server.
 func (p *Policy) setEjected(host Host, server *server, eject, takeover bool) bool {
 	unused := eject && !server.inAnyTable()
 	if unused && p.solves > 0 && (takeover || !p.anyMayFollowOtherPlanner()) {
-		return false // checked before the recipients, as there may be many such servers
+		return false // checked before the recipients are listed, as there may be many unused servers
 	}
 	recipients := p.ejectionRecipients(server, eject, takeover)
 	if unused && server.State == Ready || eject && len(recipients) == 0 {
@@ -155,12 +155,12 @@
 }
 
 // spendForEjection spends the budget for an ejection or a readmission, and reports whether there was room. Ejections of cold
-// servers and of drains may use a reserve. Outside of a takeover, a drain does so only once drainIsDue, so that it can share
-// a message with other orders until then.
+// servers and of drains may use a reserve. Outside of a takeover, a drain uses the reserve only once drainIsDue, so that the
+// drain can share a message with other orders until then.
 func (p *Policy) spendForEjection(server *server, recipients []*proxy, eject, takeover bool) bool {
 	entries := 1.0
 	if !eject && p.settings.OmitsEntries {
-		entries++ // an omitted entry, beside the end of the ejection
+		entries++ // the omitted entry, in addition to the end of the ejection
 	}
 	if p.spendBudget(entries, recipients, urgent) {
 		return true
@@ -186,7 +186,7 @@
 	})
 }
 
-// inTakeover reports whether proxies with tables of another planner await their assignment here while servers drain.
+// inTakeover reports whether proxies with tables of another planner await an assignment by this planner while servers drain.
 // Ejecting each draining server at each such proxy would fill the channel, so that assignments wait and the next drains cost
 // as much again. A proxy that has waited too long for a table with entries ends the takeover.
 func (p *Policy) inTakeover() bool {
@@ -199,8 +199,8 @@
 }
 
 // urgentDrains returns the servers whose ejections precede assignments in a takeover: those that began to drain first, and
-// later ones once drainIsDue. They are sent together, as each concerns few proxies and would cost messages of its own. fit
-// reports whether all of them have room, or so little waits in the channel that they need not wait for it; otherwise
+// later ones once drainIsDue. These ejections are sent together, as each concerns few proxies and would cost messages of its
+// own. fit reports whether the channel has room for all of them, or so little waits in it that they need not wait; otherwise
 // assignments wait, too.
 func (p *Policy) urgentDrains() (drains []*server, fit bool) {
 	oldest := p.nowMs
@@ -238,23 +238,23 @@
 	}
 }
 
-// planAssignment queues the assignment of a table, and the restorations whose budget is spent with it.
+// planAssignment queues the assignment of a table, and the restorations whose budget is spent with the assignment.
 func (p *Policy) planAssignment(proxy *proxy, group int, takeover bool) {
 	assign := func(host Host) bool { return p.assignTable(host, proxy, group, takeover) }
 	restore := func(host Host) bool { return p.restore(host, proxy, proxy.takePrepaidRestorations(), prepaid) }
 	p.enqueue(assign, restore)
 }
 
-// assignTable assigns a proxy its first table. The assignment replaces tables of another planner and the draining servers in
-// them. After many joins, that costs less than ejecting each draining server, and so must not wait for such ejections. In a
-// takeover, entries with small weights are omitted and follow later.
+// assignTable assigns a proxy its first table. The assignment replaces tables of another planner, together with the draining
+// servers in them. After many joins, assignments cost less than ejecting each draining server, so they must not wait for
+// such ejections. In a takeover, entries with small weights are omitted and sent later.
 func (p *Policy) assignTable(host Host, proxy *proxy, group int, takeover bool) bool {
 	client := p.clients[proxy.zone*p.classGroups+group]
 	table := client.tables[proxy.cohort]
 	ejected := filter(table.entries, (*entry).ejected)
 	readmitted := filter(table.entries, proxy.awaitsReadmission)
 	inherited := filter(table.entries, proxy.mayInheritEjection)
-	restored := len(inherited) // together with the table
+	restored := len(inherited) // number of servers restored together with the assignment
 	var omitted []*entry
 	if takeover && p.settings.OmitsEntries {
 		slices.SortStableFunc(inherited, func(a, b *entry) int { return cmp.Compare(b.sent, a.sent) })
@@ -296,8 +296,8 @@
 }
 
 // restore ends ejections that another planner may have ordered, and sends omitted entries, for servers in the tables of a
-// proxy. It does so for a few servers with the assignment, so that the proxy has servers to pick, and for the others when
-// there is room. It returns false where there is nothing to restore or no room.
+// proxy. This is done with the assignment for a few servers, so that the proxy has servers to pick, and for the others when
+// the channel has room. It returns false where there is nothing to restore or no room.
 func (p *Policy) restore(host Host, proxy *proxy, count, urgency int) bool {
 	if count == 0 {
 		return false
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// addColdServer adds a server that starts now, and runs until it gets its first share.
+// addColdServer adds a server that starts now, and advances time until the server gets its first share.
 func (f *fakeHost) addColdServer(reports serverReports) {
 	f.update(Endpoint{Server: "new", Zone: 0, RelativeCapacity: 1, StartedMs: f.nowMs})
 	f.run(6, reports)
--- a/policy/solver.go
+++ b/policy/solver.go
@@ -58,8 +58,8 @@
 }
 
 // waterLevel returns the nu for which the terms d*max(v-d*nu, 0) sum to C, the water-filling step of both lemmas. It starts
-// with all terms and drops those that are not positive, which only raises nu. It ends when the set of terms does not shrink:
-// otherwise, rounding could drop and take back a term at the water level for ever.
+// with all terms and drops those that are not positive, which only raises nu. The search ends when the set of terms does not
+// shrink: otherwise, rounding could drop and take back a term at the water level for ever.
 func waterLevel(v, d []float64, C float64) float64 {
 	nu := -math.MaxFloat64
 	previous := math.MaxInt
--- a/policy/solver_test.go
+++ b/policy/solver_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// solveRepeatedly runs the solver several times, each time from the cells of the last, and returns the cells.
+// solveRepeatedly runs the solver several times, each time from the cells of the last run, and returns the cells.
 func solveRepeatedly(D, C []float64, cost [][]float64, solves int) [][]cell {
 	cells := make([][]cell, len(D))
 	for i := range cells {
@@ -36,7 +36,7 @@
 }
 
 // Shares that tie at the water level, with a capacity of 0, made the search alternate between two sets of terms for ever, by
-// rounding. In exact arithmetic the sets only shrink, so ending the search when one does not is safe.
+// rounding. In exact arithmetic the sets only shrink, so it is safe to end the search when a set does not shrink.
 func TestWaterLevelTerminates(t *testing.T) {
 	v := []float64{0.24655817925974133, 0.17259072548181892, 0.004931163585194826, 0.24655817925974133}
 	ended := make(chan float64, 1)
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,11 +6,11 @@
 
 // sample is a load report of a server, a demand report of a proxy, or the sum of several reports.
 type sample struct {
-	zone      int     // of the proxies that sent or received the requests
-	atMs      float64 // when it was recorded
-	succeeded float64 // attempts; requests in a demand report
+	zone      int     // zone of the proxies that sent or received the requests
+	atMs      float64 // ms; time at which the report was recorded
+	succeeded float64 // successful attempts, or requests in a demand report
 	failed    float64
-	latencyMs float64 // mean of the successful attempts; 0 in a demand report
+	latencyMs float64 // mean latency of the successful attempts; 0 in a demand report
 	coversMs  float64 // length of the reported period
 }
 
@@ -20,18 +20,18 @@
 type server struct {
 	Endpoint
 	samples []sample // last load reports, oldest first
-	entries []*entry // in tables of this planner
-	ejected bool     // whether the last order to proxies ejected it
-
-	unhealthy        bool    // to be ejected, by evidence or as a cold server
-	unhealthyUntilMs float64 // end of that ejection
-	ejections        int     // by evidence, since its last start
-	evidenceFromMs   float64 // last ejection, readmission or start; earlier reports are ignored
-	readmittedMs     float64 // end of the last ejection, where the recovery ramp starts
-	hasSucceeded     bool    // some attempt at it succeeded
-	discoveredLate   bool    // it was first listed after the first solve
-	stateChangedMs   float64 // last change of its state in the list
-	addedMs          float64 // last time that it was added to a table
+	entries []*entry // entries of the server in tables of this planner
+	ejected bool     // whether the last order about the server ejected it
+
+	unhealthy        bool    // the server is to be ejected, by evidence or because it is cold
+	unhealthyUntilMs float64 // end of the time for which the server is unhealthy
+	ejections        int     // number of ejections by evidence since the last start of the server
+	evidenceFromMs   float64 // time of the last ejection, readmission or start; earlier reports are ignored
+	readmittedMs     float64 // end of the last ejection, when the recovery ramp starts
+	hasSucceeded     bool    // some attempt at the server succeeded
+	discoveredLate   bool    // the server was first listed after the first solve
+	stateChangedMs   float64 // last change of the server's state in the list
+	addedMs          float64 // last time that the server was added to a table
 
 	// Statistics, updated by each evaluation:
 	reports    []sample // load reports since evidenceFromMs, merged by period
@@ -44,21 +44,21 @@
 type proxy struct {
 	id           int
 	zone         int
-	cohort       int        // index of its cohort in its zone; -1 before there are tables
-	expectedRate float64    // requests per second, as stated when it joined
-	joinedMs     float64    // when it joined, or was sent its first known message by another planner
+	cohort       int        // index of the proxy's cohort in its zone; -1 before there are tables
+	expectedRate float64    // requests per second that the proxy stated when it joined
+	joinedMs     float64    // when the proxy joined, or was sent its first known message by another planner
 	demand       [][]sample // last demand reports, by traffic class
-	tables       []*table   // that it follows, by class group; nil until assigned
+	tables       []*table   // tables that the proxy follows, by class group; nil until assigned
 
-	messageTimes     []float64       // when its last messages were sent
-	ordered          float64         // entries ordered to it, with message overhead
-	acknowledged     float64         // those of them that are known to have arrived
-	acknowledgements map[int]float64 // value of ordered at each acknowledgement request, by its number
+	messageTimes     []float64       // when the last messages to the proxy were sent
+	ordered          float64         // entries ordered to the proxy, with message overhead
+	acknowledged     float64         // part of ordered that is known to have arrived
+	acknowledgements map[int]float64 // value of ordered at each acknowledgement request, by the number of the request
 
-	ejected             map[*server]bool // whether the last order to it ejected the server
-	inheritedEjections  bool             // it may hold tables and ejections of another planner
-	pendingRestorations []restoration    // of servers in its tables; in a takeover by weight, largest first
-	prepaidRestorations int              // number of the first ones, whose budget was spent with the assignment
+	ejected             map[*server]bool // whether the last order to the proxy ejected the server
+	inheritedEjections  bool             // the proxy may hold tables and ejections of another planner
+	pendingRestorations []restoration    // of servers in the proxy's tables; in a takeover by weight, largest first
+	prepaidRestorations int              // number of the first pendingRestorations, whose budget was spent with the assignment
 }
 
 // restoration is an order that a proxy is yet to be sent about a server: the end of an ejection that another planner may
@@ -82,17 +82,17 @@
 type cell struct {
 	alpha  float64 // share that the client sends to the server (Lemma 3)
 	beta   float64 // share that the server accepts, the copy of alpha in ADMM (Lemma 1)
-	lambda float64 // price that drives the two together (dual step of ADMM-20)
+	lambda float64 // price that drives alpha and beta together (dual step of ADMM-20)
 }
 
 // table is the weight table of one cohort of a client. Where a table cannot hold the whole fleet, the tables of cohorts hold
 // different servers.
 type table struct {
-	number   int // identifies it to the host
+	number   int // number by which the host knows the table
 	entries  []*entry
-	proxies  []*proxy // that follow it
-	rate     float64  // admitted requests per second of the proxies that follow it or will
-	urgentMs float64  // when an urgent entry was last sent
+	proxies  []*proxy // proxies that follow the table
+	rate     float64  // admitted requests per second of the proxies that follow the table or will follow it
+	urgentMs float64  // when an urgent entry of the table was last sent
 	due      bool     // a solve gave this table its turn to be sent deferrable entries
 }
 
@@ -100,14 +100,14 @@
 type entry struct {
 	server *server
 	table  *table
-	target float64 // as decided
-	sent   float64 // as last sent; 0 while the table of the proxies does not hold the server
+	target float64 // weight as decided
+	sent   float64 // weight as last sent; 0 while the proxies of the table do not hold the server
 }
 
 // admission is the admission rate and the retry mode of a traffic class.
 type admission struct {
 	target float64 // admitted share, as decided
-	sent   float64 // as last sent; -1 where a first order must be sent
+	sent   float64 // admitted share, as last sent; -1 if a first order must be sent
 	demand float64 // requests per second, before admission; updated by each evaluation
 	retry  int     // retry mode: RetryNever or one of the constants after it
 }
@@ -127,7 +127,7 @@
 	byID     map[int]*proxy
 
 	clients          []*client   // by zone, then class group
-	classGroups      int         // number of class groups, which is also that of clients in a zone
+	classGroups      int         // number of class groups, which is also the number of clients in a zone
 	tables           []*table    // by number
 	admission        []admission // by traffic class
 	sheddingOrder    []int       // traffic classes by priority weight per work, lowest first
@@ -157,17 +157,17 @@
 	windowMs           float64   // age up to which load reports count
 	latencyMs          float64
 	baselineMs         float64
-	overloadRatio      float64 // latency over baseline latency
+	overloadRatio      float64 // ratio of latency to baseline latency
 	failureShare       float64 // failed part of the attempts
-	latencyObjectiveMs float64 // mean of the classes, weighted by admitted requests
-	admittedRate       float64 // requests per second
+	latencyObjectiveMs float64 // mean latency objective of the classes, weighted by admitted requests
+	admittedRate       float64 // admitted requests per second
 	succeededRate      float64 // successful attempts per second
 
 	// Control channel; the backlog is in entries.
-	backlog               float64 // waiting in the channel
-	departedBacklog       float64 // waiting for proxies that left
+	backlog               float64 // entries that wait in the channel
+	departedBacklog       float64 // entries that wait for proxies that left
 	backlogUpdatedMs      float64 // when the backlog was last updated
 	channelSlow           bool    // the last acknowledgement was late
 	acknowledgedSolve     int     // value of solves when acknowledgements were last requested
-	acknowledgementNumber int     // number of the last request
+	acknowledgementNumber int     // number of the last request for acknowledgements
 }
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// solveIfDue solves once every solveIntervalMs, and sooner after servers changed or a proxy joined a table without demand.
+// solveIfDue solves once every solveIntervalMs, and sooner after servers changed or a proxy was assigned to the cohort of a
+// table without demand.
 func (p *Policy) solveIfDue() {
 	servers := filter(p.servers, (*server).usable)
 	sinceMs := p.nowMs - p.solvedMs
@@ -17,7 +18,7 @@
 	if p.solves == 0 {
 		p.createTables(p.cohortCount(servers))
 	}
-	p.evaluate() // again, as this evaluation may have reset load reports and changed admission rates
+	p.evaluate() // evaluated again, as ejections may have reset load reports, and admission rates may have changed
 	p.split(servers, p.serversChanged)
 	p.recordSolve()
 	for _, table := range p.tables {
@@ -25,16 +26,16 @@
 	}
 }
 
-// cohortCount returns the number of cohorts in each zone. It is two, or, in a large fleet, the number that places each
-// server in two tables, limited so that each cohort has at least two proxies.
+// cohortCount returns the number of cohorts in each zone. In a small fleet it is two. In a large fleet, it is the number
+// with which each server is in two tables, limited so that each cohort has at least two proxies.
 func (p *Policy) cohortCount(servers []*server) int {
 	proxies := float64(p.settings.Proxies) / math.Max(float64(p.settings.Zones*p.settings.Planners), 1)
 	wanted := minCohorts * float64(len(servers)) / float64(p.maxTableSize(servers))
 	return max(minCohorts, int(math.Min(wanted, proxies/minCohorts)))
 }
 
-// maxTableSize returns the number of entries that a table may hold. It is limited so that the channel can send all tables
-// within tableRefreshMs, servers accept the connections, and connections are reused before their idle timeout.
+// maxTableSize returns the number of entries that a table may hold. With this limit, the channel can send all tables within
+// tableRefreshMs, servers accept the connections of proxies, and connections are reused before their idle timeout.
 func (p *Policy) maxTableSize(servers []*server) int {
 	proxies := math.Max(float64(p.settings.Proxies), 1)
 	joined := float64(len(p.proxies))
@@ -60,9 +61,9 @@
 }
 
 // addUnobservedClients adds a client in each zone for the proxies that do not report to this planner, because they joined
-// another one or are disconnected. These are assumed to be spread evenly over zones, with the mean demand of the joined
-// proxies. Without them, a planner with the proxies of one zone only would spread their requests over all servers, as if
-// nobody used the other zones.
+// another planner or are disconnected. These proxies are assumed to be spread evenly over zones, with the mean demand of the
+// joined proxies. Without them, a planner with the proxies of one zone only would spread their requests over all servers, as
+// if nobody used the other zones.
 func (p *Policy) addUnobservedClients(clients []*client, demand float64) []*client {
 	for zone := range p.settings.Zones {
 		joined := filter(p.proxies, func(proxy *proxy) bool { return proxy.zone == zone })
@@ -74,7 +75,7 @@
 }
 
 // resetsCells reports whether the prices and shares of the last solve are dropped: after a shift of demand or servers, and
-// while a server is on a ramp or was at the last solve. It updates rampedAtSolve.
+// while a server is on a ramp or was on one at the last solve. It updates rampedAtSolve.
 func (p *Policy) resetsCells(servers []*server, shifted bool) bool {
 	rampedAtSolve := slices.ContainsFunc(servers, func(server *server) bool { return p.ramp(server) < 1 })
 	reset := shifted || rampedAtSolve || p.rampedAtSolve
@@ -113,7 +114,7 @@
 			client.cells[server] = problem.cells[i][j]
 			alpha := problem.cells[i][j].alpha
 			share := alpha + staleness*(problem.C[j]/problem.capacity-alpha)
-			// ADMM stops after 20 iterations, and may then exceed capacities. Servers on a ramp would fail.
+			// ADMM stops after 20 iterations, and its result may exceed capacities. That would make servers on a ramp fail.
 			if p.ramp(server) < 1 && load[j] > problem.C[j] {
 				share *= problem.C[j] / load[j]
 			}
@@ -134,7 +135,7 @@
 		table.selectServers(shares, len(tables), min(len(shares), maxSize))
 	}
 	for index, share := range shares {
-		if len(share.entries) == 0 { // each server is in some table
+		if len(share.entries) == 0 { // puts each server in some table
 			share.entries = append(share.entries, tables[index%len(tables)].entryOf(share.server))
 		}
 	}
@@ -142,7 +143,8 @@
 }
 
 // dropSmallShares drops shares below minShare, which are not worth their connections. It keeps a minimum number of servers,
-// and smaller shares of servers on a ramp, as these will grow. It returns the rest, largest first, and their sum.
+// and smaller shares of servers on a ramp, as these shares will grow. It returns the kept shares, largest first, and their
+// sum.
 func (p *Policy) dropSmallShares(wanted []*serverShare, minShare float64) (kept []*serverShare, total float64) {
 	slices.SortStableFunc(wanted, func(a, b *serverShare) int { return cmp.Compare(b.share, a.share) })
 	kept = wanted[:0]
@@ -157,8 +159,8 @@
 	return kept, total
 }
 
-// selectServers selects the servers of a table from those of its client: first those that the table holds already, as changes
-// cost entries, then those that the fewest tables hold.
+// selectServers selects the servers of a table from those of its client: first servers that the table holds already, as
+// changes cost entries, then servers that the fewest tables hold.
 func (t *table) selectServers(shares []*serverShare, tables, count int) {
 	for _, share := range shares {
 		share.rank = len(share.entries)
@@ -198,7 +200,7 @@
 	})
 }
 
-// demand returns the demand of the table, with a minimum, as a table without proxies needs usable weights too.
+// demand returns the demand of the table, but at least minDemand, as a table without proxies needs usable weights, too.
 func (t *table) demand() float64 { return math.Max(t.rate, minDemand) }
 
 // assignCohort assigns a proxy without a table to the cohort of its zone that has the least demand.
--- a/policy/takeover_test.go
+++ b/policy/takeover_test.go
@@ -13,7 +13,7 @@
 	takeoverDrainBatchSize   = 20    // servers that begin to drain together
 	evaluationStepMs         = 200   // ms between two calls of SetTime
 	acknowledgeEvery         = 5     // evaluations between answers to requests for acknowledgements
-	assignedWithinMs         = 3500  // ms until all have tables; the channel needs 2.5 s for these, and 0.5 s for the drains
+	assignedWithinMs         = 3500  // ms until all proxies have tables; the channel takes 2.5 s for these, and 0.5 s for drains
 	restoredWithinMs         = 15000 // ms until all omitted entries are restored
 )
 
@@ -28,13 +28,13 @@
 // takeoverDecision is a decision of a kind that matters in a takeover.
 type takeoverDecision struct {
 	kind              decisionKind
-	atMs              float64 // since the inherited proxies joined
+	atMs              float64 // ms since the inherited proxies joined
 	proxy, table      int
-	servers           []string // ejected, omitted or restored
+	servers           []string // servers that were ejected, omitted or restored
 	includeUnassigned bool
 }
 
-// takeoverHost is a fakeHost that also records these decisions in order.
+// takeoverHost is a fakeHost that also records the decisions of type takeoverDecision, in order.
 type takeoverHost struct {
 	*fakeHost
 	joinedMs    float64
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestTakeover checks the order of decisions when servers drain while proxies join that may hold them in tables of another
-// planner.
+// TestTakeover checks the order of decisions when servers drain while proxies join whose tables of another planner may hold
+// these servers.
 func TestTakeover(t *testing.T) {
 	h := startTakeover(t, drainBatch(0)...)
 	h.advance(400)
