--- a/internal/platform/proxies.go
+++ b/internal/platform/proxies.go
@@ -11,7 +11,7 @@
 	connection     *Connection
 	tables         []*weighttable.Table[*proxy] // by traffic class; nil if no table was assigned on this stream
 	pending        *pendingUpdate               // update that is decided but not yet sent; may be nil
-	updateTimesMs  []float64                    // times of recent updates on this stream, for the limit of messages
+	updateTimesMs  []float64                    // times of recent updates on this stream; the limit of messages counts from joining
 	unacknowledged []acknowledgementRequest     // unanswered requests for acknowledgements, oldest first
 	inactive       bool                         // removed from the policy because it was silent
 }
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -16,7 +16,7 @@
 	maxDemandShiftShare     = 0.3    // share of all demand that moved between clients; beyond it, prices and shares are reset
 	minWarmCapacity         = 0.5    // share of demand that the warm servers are given, however much capacity is on a ramp
 	minSpeedAttempts        = 4      // attempts of a server in the window before its latency and failures reduce its capacity
-	minCapacity             = 0.08   // least share of its capacity for a server; with less, it gets too few requests to report
+	minCapacity             = 0.08   // least share of its capacity for a server; with less, its load reports hold too few requests
 	minRelativeCapacity     = 1e-6   // least relative capacity of a server, and of the fleet; guards divisions by the sum
 	overloadSlack           = 1.5    // multiple of a server's expected latency that is tolerated, as load reports are noisy
 	minBaselineSamples      = 3      // load reports after which a baseline latency counts half
@@ -50,7 +50,7 @@
 	minWindowMs         = 3500.0 // least ms of the window; holds three load reports; a longer window shows a fault too late
 	windowRounds        = 1.5    // rounds of load reports within the window, so that each server has reported in it
 	slowStartDoublingMs = 5000.0 // time in which the capacity of a new server doubles
-	slowStartMargin     = 0.8    // usable share of the cold capacity; proxies pick the better of two, which may double a share
+	slowStartMargin     = 0.8    // usable share of the cold capacity; picking the better of two servers may double its share
 	idleClassRate       = 0.01   // requests per second added to each class as its least weight in the mean latency objective
 
 	// Ejection and readmission of outliers.
