--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -24,7 +24,7 @@
 		err = os.Rename(file.Name(), path)
 	}
 	if err != nil {
-		_ = os.Remove(file.Name()) // the error that is returned tells why the list is not saved
+		_ = os.Remove(file.Name()) // the returned error already says why the list is not saved
 		return fmt.Errorf("save the endpoint list: %w", err)
 	}
 	return nil
@@ -39,7 +39,8 @@
 }
 
 // Restore reads the list that Save wrote; found is false if there is no file. wallMs is the current Unix time. The ages of
-// servers increase by the time since the list was saved; if the machine's clock was set back meanwhile, they stay the same.
+// servers increase by the time since the list was saved. If the machine's clock was set back meanwhile, the ages stay the
+// same.
 func Restore(path string, wallMs uint64) (update Update, found bool, err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return Update{}, false, nil
--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -12,7 +12,7 @@
 func TestSaveFailure(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "list")
-	occupied := filepath.Join(path, "file") // a directory that is not empty cannot be replaced
+	occupied := filepath.Join(path, "file") // a directory that is not empty cannot be replaced by a file
 	if err := os.MkdirAll(occupied, 0o700); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/filesource.go
+++ b/internal/discovery/filesource.go
@@ -40,7 +40,7 @@
 	deliver      func(Update)
 	faults       faultReporter
 	lastChecksum [sha256.Size]byte
-	version      uint64 // of the last list delivered
+	version      uint64 // version of the last list delivered
 }
 
 func (p *filePoller) poll() {
@@ -50,7 +50,7 @@
 		return
 	}
 	checksum := sha256.Sum256(content)
-	// After a fault the list is delivered even if it has not changed, as that shows that the source works again.
+	// After a fault the list is delivered even if its content has not changed, to show that the source works again.
 	if checksum == p.lastChecksum && p.faults.lastFault == "" {
 		return
 	}
--- a/internal/discovery/filesource_test.go
+++ b/internal/discovery/filesource_test.go
@@ -32,7 +32,7 @@
 	source := &FileSource{Path: path, PollIntervalMs: 5, Clock: clock.NewReal()}
 	ended := make(chan error, 1)
 	go func() { ended <- source.Run(t.Context(), func(update Update) { updates <- update }) }()
-	t.Cleanup(func() { // the context has ended by now
+	t.Cleanup(func() { // the context of the test has ended by now
 		if err := <-ended; err != nil {
 			t.Errorf("the source ended with error %v", err)
 		}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -18,13 +18,14 @@
 	recordedList = "testdata/cached-list.txtpb"
 	writtenMs    = 1_790_000_100_000 // Unix time when the list was cached
 	sourceMs     = 1_790_000_000_000 // Unix time when the list was valid at its source
-	restartMs    = 7_500             // time from caching the list to reading it
+	restartMs    = 7_500             // time from writing the cached list to reading it, in ms
 	serverLimit  = 100
 )
 
 var zones = []string{"east", "west"}
 
-// recordingHost records the updates of a tracker as text. The golden files contain its wording, so it must not change.
+// recordingHost records the updates of a tracker as text. The golden files contain the wording of this text, so it must not
+// change.
 type recordingHost struct{ text strings.Builder }
 
 func (h *recordingHost) UpdateEndpoints(form policy.UpdateKind, entries []policy.Endpoint) {
@@ -35,10 +36,10 @@
 	}
 }
 
-// recordedTracker returns a tracker with servers of each state, with and without a known start time, some time after they
-// were listed.
+// recordedTracker returns a tracker some time after its servers were listed. The servers are in each state, with and
+// without a known start time.
 func recordedTracker() *discovery.Tracker {
-	const firstMs, cachedMs = 60_000, 160_000 // by the planner's clock
+	const firstMs, cachedMs = 60_000, 160_000 // when servers were listed and cached, by the planner's clock
 	tracker := discovery.NewTracker(zones, serverLimit)
 	tracker.SetTime(firstMs)
 	tracker.RecordUpdate(discovery.Update{Kind: policy.FullUpdate, AsOfMs: sourceMs, Version: 4, Endpoints: []discovery.Endpoint{
@@ -82,7 +83,7 @@
 		fmt.Fprintf(&host.text, "  %s zone %s state %d size %g born %d ms\n",
 			entry.Server, entry.Zone, int(entry.State), entry.RelativeCapacity, entry.StartedUnixMs)
 	}
-	const startMs = 300_000 // by the planner's clock
+	const startMs = 300_000 // time of the planner's start, by the planner's clock
 	tracker := discovery.NewTracker(zones, serverLimit)
 	tracker.SetTime(startMs)
 	tracker.RecordUpdate(update)
--- a/internal/discovery/streamsource.go
+++ b/internal/discovery/streamsource.go
@@ -16,7 +16,8 @@
 
 // Faults of an endpoint stream.
 var (
-	// errVersionGap means that a change was lost. As it may have been a drain, the source reconnects to get a full list.
+	// errVersionGap means that a change was lost. The lost change may have been a drain, so the source reconnects to get a
+	// full list.
 	errVersionGap = errors.New("a change of the endpoint list was lost; reconnecting for a full list")
 	// errSourceFailed means that the source reported that it could not get its list.
 	errSourceFailed = errors.New("the endpoint source reported that it could not get its list")
@@ -28,8 +29,8 @@
 // All fields must be set.
 type StreamSource struct {
 	Address            string  // host:port
-	ReconnectDelayMs   float64 // from the end of a stream or a failed dial to the next dial
-	HeartbeatTimeoutMs float64 // limit on each dial, on the handshake, and on the time without a frame
+	ReconnectDelayMs   float64 // delay from the end of a stream, or from a failed dial, to the next dial
+	HeartbeatTimeoutMs float64 // limit on each dial, on the handshake, and on the time between received frames
 	MaxFrameBytes      int
 	Clock              clock.Clock
 	Network            clock.Network
@@ -101,8 +102,8 @@
 // updateDecoder converts the frames of one stream to updates. It implements controlstream.EndpointHost.
 type updateDecoder struct {
 	deliver    func(Update)
-	version    uint64 // of the last list or change; 0 if there was none
-	versionGap bool   // whether a change was lost; nothing is delivered from then on
+	version    uint64 // version of the last list or change; 0 if none was received
+	versionGap bool   // whether a change was lost; after that nothing more is delivered
 }
 
 // OnEndpoints delivers a full list, a change, or a failure of the source.
@@ -121,7 +122,7 @@
 		d.deliverEndpoints(policy.DeltaUpdate, listing)
 	case order.Listing_WHOLE:
 		d.deliverEndpoints(policy.FullUpdate, listing)
-	default: // an unknown form, of a later release, is delivered without its entries
+	default: // a form that only later releases know is delivered without its entries
 		d.deliver(Update{Kind: policy.UpdateKind(listing.Form), AsOfMs: listing.AsOfUnixMs, Version: listing.Version})
 	}
 }
--- a/internal/discovery/streamsource_test.go
+++ b/internal/discovery/streamsource_test.go
@@ -13,21 +13,21 @@
 	"lichenpick/proto/order"
 )
 
-// TestUpdateDecoderStopsAtVersionGap checks that nothing is delivered once a change was lost, as that may have been a
-// drain.
+// TestUpdateDecoderStopsAtVersionGap checks that nothing is delivered once a change was lost, as the lost change may have
+// been a drain.
 func TestUpdateDecoderStopsAtVersionGap(t *testing.T) {
 	var updates []Update
 	decoder := &updateDecoder{deliver: func(update Update) { updates = append(updates, update) }}
 	decoder.OnEndpoints(&order.Listing{Form: order.Listing_WHOLE, Version: 4})
 	decoder.OnEndpoints(&order.Listing{Form: order.Listing_CHANGE, Version: 5})
-	decoder.OnEndpoints(&order.Listing{Form: order.Listing_CHANGE, Version: 7}) // 6 was lost
+	decoder.OnEndpoints(&order.Listing{Form: order.Listing_CHANGE, Version: 7}) // version 6 was lost
 	decoder.OnEndpoints(&order.Listing{Form: order.Listing_CHANGE, Version: 8})
 	if len(updates) != 2 || !decoder.versionGap {
 		t.Errorf("delivered %v, version gap %t; want the first two updates and a version gap", updates, decoder.versionGap)
 	}
 }
 
-// failingNetwork fails each dial with the next error. With the last error it ends the source.
+// failingNetwork fails each dial with the next of its errors. When it returns the last error, it also ends the source.
 type failingNetwork struct {
 	errs []error
 	stop context.CancelFunc
@@ -47,7 +47,8 @@
 	return nil, errors.ErrUnsupported
 }
 
-// TestStreamSourceReportsFaultOnce checks that a fault is delivered once, even if several dials in a row fail with it.
+// TestStreamSourceReportsFaultOnce checks that a fault is delivered once, even if several dials in a row fail with that
+// fault.
 func TestStreamSourceReportsFaultOnce(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	refused := errors.New("refused")
--- a/internal/discovery/tracker.go
+++ b/internal/discovery/tracker.go
@@ -12,37 +12,38 @@
 
 // Handling of missing and removed servers.
 const (
-	// maxMissingShare is the share of the servers up to which servers missing from a full list are removed at once. If
-	// more are missing, a fault of the source is more likely.
+	// maxMissingShare is the largest share of the servers that may be missing from a full list and still be removed at
+	// once. If more are missing, a fault of the source is more likely than the removal of so many servers.
 	maxMissingShare = 0.3
-	// minMissingToDelay is the number of missing servers from which their removal may be delayed. In a small fleet one or
-	// two servers may well be taken out together.
+	// minMissingToDelay is the smallest count of missing servers whose removal may be delayed. In a small fleet one or two
+	// servers may well be taken out together.
 	minMissingToDelay = 3
-	// removalDelayMs is how long the removal of missing servers is delayed, in ms. It outlasts a source that polls and
-	// lacks them for a poll or two.
+	// removalDelayMs is how long the removal of missing servers is delayed, in ms. A polled source whose list lacks the
+	// servers for one or two polls lists them again within this delay.
 	removalDelayMs = 10_000.0
-	// RemovedRetentionMs is how long a removed server is retained, in ms. The policy drops a removed server earlier, so
-	// that none of its late decisions is about a server that is unknown here.
+	// RemovedRetentionMs is how long the tracker retains a removed server, in ms. The policy drops a removed server
+	// earlier, so that it never decides about a server that the tracker no longer knows.
 	RemovedRetentionMs = 900_000.0
 )
 
-// earliestStartMs replaces start times before the origin of the planner's clock, in ms. 0 would mean that the start is
-// unknown. A server that started that early has long completed its slow start, so the difference does not matter.
+// earliestStartMs replaces start times before the origin of the planner's clock, in ms. A start time of 0 would mean that
+// the start is unknown. A server that started before the origin has long completed its slow start, so the replacement has
+// no effect on it.
 const earliestStartMs = 1.0
 
-// Host receives a tracker's updates. Tracker.Next calls it in the goroutine of its own caller.
+// Host receives a tracker's updates. Tracker.Next calls the host in the goroutine that called Next.
 type Host interface {
-	// UpdateEndpoints reports the endpoints that changed, or all of them in the first call other than a failed update.
-	// Start times are in ms of the planner's clock. A failed update has no endpoints.
+	// UpdateEndpoints reports the endpoints that changed; the first call other than for a failed update reports all
+	// endpoints. Start times are in ms of the planner's clock. A failed update has no endpoints.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint)
 }
 
 // trackedEndpoint is the tracker's state of one server.
 type trackedEndpoint struct {
-	Endpoint           // as last listed, except that State is Removed once the server is missing for too long
-	startedMs  float64 // start by the planner's clock, computed when StartedUnixMs last changed; 0 if unknown
-	listed     bool    // whether the server was in the last update that covers it
-	removalMs  float64 // when the server is removed unless it is listed by then; infinite while it is listed
+	Endpoint           // endpoint as last listed, except that State is Removed once the server was missing for too long
+	startedMs  float64 // start of the server by the planner's clock, computed when StartedUnixMs last changed; 0 if unknown
+	listed     bool    // whether the server was listed in the last full list, or in a later change
+	removalMs  float64 // when the server is removed unless a list contains it by then; infinite while it is listed
 	changed    bool    // whether the server has changed since it was reported to the host
 	reportedMs float64 // when the server was last reported to the host
 }
@@ -50,8 +51,8 @@
 // Tracker converts the updates of sources to those for the policy. A server that a source lists as draining or removed
 // takes that state at once. Servers that are only missing from a full list are removed at once while they are few, and
 // after removalDelayMs when they are many. This tolerates a source that returns a part of its list or an empty one, and a
-// file that is read while it is written. The drawback: if a whole zone really is taken out of the list in one step,
-// requests still go there until its servers are ejected or the delay has passed.
+// file that is read while it is written. The drawback: if a whole zone really is taken out of the list in one step, proxies
+// still send requests to the zone's servers until these are ejected or the delay has passed.
 //
 // Input methods only update the tracker's state; Next reports the resulting changes. A tracker is not safe for concurrent
 // use. Times are in ms of the planner's monotonic clock, unless stated otherwise.
@@ -59,17 +60,17 @@
 	zones        map[string]int // zone index by name
 	maxEndpoints int
 	nowMs        float64
-	endpoints    map[string]*trackedEndpoint // by server
-	order        []string                    // servers in the order of their first listing, in which they are reported
+	endpoints    map[string]*trackedEndpoint // tracked servers by name
+	order        []string                    // servers in the order of their first listing; they are reported in this order
 
 	sourceFailed bool    // whether a failed update has yet to be reported
 	received     bool    // whether a list has been received
-	restored     bool    // whether the first list is one that was cached before a restart
+	restored     bool    // whether the first received list was cached before a restart
 	reported     bool    // whether a list has been reported to the host
 	dirty        bool    // whether an update was received since the last evaluation
 	deadlineMs   float64 // when the next unverified endpoint is removed; infinite if there is none
 
-	Rejected   int // endpoints rejected as over the limit or of an unknown zone, since the start
+	Rejected   int // endpoints rejected since the start: over the limit or of an unknown zone
 	Unverified int // endpoints that are missing from the last list and whose removal is delayed
 }
 
@@ -127,7 +128,7 @@
 		t.order = append(t.order, listed.Server)
 	}
 	// The start is computed only when the listed start time changes, and from the source's clock alone. Otherwise a step of
-	// this machine's clock or of the source's would look like a restart of all servers.
+	// this machine's clock, or of the source's clock, would look like a restart of all servers.
 	if listed.StartedUnixMs != endpoint.StartedUnixMs {
 		endpoint.startedMs = t.startedMs(listed, asOfUnixMs)
 		endpoint.changed = true
@@ -186,7 +187,7 @@
 	}
 }
 
-// tooManyMissing reports whether so many servers are missing from the last full list that a fault of the source is likely.
+// tooManyMissing reports whether the last full list lacks so many servers that a fault of the source is likely.
 func (t *Tracker) tooManyMissing() bool {
 	missing := 0
 	present := 0
@@ -202,7 +203,8 @@
 	return missing >= minMissingToDelay && float64(missing) > maxMissingShare*float64(present)
 }
 
-// Next passes at most one update to the host, and returns whether it did. Callers repeat the call until it returns false.
+// Next passes at most one update to the host, and reports whether it passed one. Callers repeat the call until it returns
+// false.
 func (t *Tracker) Next(host Host) bool {
 	if t.sourceFailed {
 		t.sourceFailed = false
--- a/internal/discovery/tracker_test.go
+++ b/internal/discovery/tracker_test.go
@@ -13,7 +13,7 @@
 	testMaxEndpoints = 100
 )
 
-// trackerTest is a tracker and, as its host, records the state that the policy would have.
+// trackerTest is a tracker and its host, which records the state that the policy would have.
 type trackerTest struct {
 	tracker *Tracker
 	states  map[string]policy.State
@@ -37,7 +37,7 @@
 	}
 }
 
-// at sets the time, passes updates to the tracker, and has it report all changes.
+// at sets the time, passes updates to the tracker, and makes the tracker report all changes.
 func (h *trackerTest) at(nowMs float64, updates ...Update) {
 	h.tracker.SetTime(nowMs)
 	for _, update := range updates {
@@ -179,7 +179,7 @@
 	update.Endpoints[0].StartedUnixMs = testAsOfMs - 4000
 	test.at(beginMs, update)
 	test.at(beginMs+500, update)
-	update.AsOfMs += 3600e3 // the same start time, from a source clock that was set forward by an hour
+	update.AsOfMs += 3600e3 // the server started at the same time, but the source's clock was set forward by an hour
 	test.at(beginMs+1000, update)
 	test.expectStarted(t, "s0", beginMs-4000)
 	if len(test.kinds) != 1 {
--- a/internal/lease/constants.go
+++ b/internal/lease/constants.go
@@ -2,16 +2,16 @@
 
 // Protocol times that hosts use as well.
 const (
-	// DurationMs is how long a lease lasts from its grant, in ms. It bounds how long a proxy stays without a controller
-	// after its holder crashed, not counting the round trip of the next request.
+	// DurationMs is how long a lease lasts from its grant, in ms. After a lease holder crashes, its proxies have no
+	// controller for at most this time, plus the round trip of the next lease request.
 	DurationMs = 2000.0
-	// UnreachableAfterMs is how long a proxy receives nothing from a controller before it no longer reports it
-	// as reachable, in ms: three heartbeat intervals.
+	// UnreachableAfterMs is the time in ms, three heartbeat intervals, after which a proxy that has received nothing from a
+	// controller no longer reports the controller as reachable.
 	UnreachableAfterMs = 1200.0
 	// HeartbeatIntervalMs is the longest time between two frames that a controller sends to a proxy, in ms.
 	HeartbeatIntervalMs = 400.0
-	// DrainRetentionMs is how long a new lease holder keeps a server draining, in ms, because the previous holder drained
-	// it, while the new holder's own endpoint list does not show the drain yet.
+	// DrainRetentionMs is how long, in ms, a new lease holder keeps a server draining that the previous holder drained,
+	// while the new holder's own endpoint list does not show the drain yet.
 	DrainRetentionMs = 30000.0
 )
 
@@ -20,26 +20,26 @@
 	// clockRateBound is the largest relative difference between the rates of two clocks that leases tolerate. Quartz clocks
 	// stay within 0.0001; a clock that stops while its machine is suspended exceeds the bound.
 	clockRateBound = 0.1
-	// safetyMarginMs is the last part of a lease, in ms, that its holder does not use. It leaves time to send orders that
-	// were decided just before.
+	// safetyMarginMs is the last part of a lease, in ms, that its holder does not use. The margin leaves time to send
+	// orders that were decided just before the holder stops using the lease.
 	safetyMarginMs = 20.0
 )
 
 // Timing of lease requests.
 const (
 	// renewIntervalMs is the time from one request to the next renewal, in ms. A lease expires at its holder once four
-	// renewals in a row were lost.
+	// renewals in a row are lost.
 	renewIntervalMs = 400.0
 	// answerTimeoutMs is the time after which an unanswered request is repeated, in ms.
 	answerTimeoutMs = 600.0
-	// rankDelayMs is how much longer each controller waits than the one ranked before it, in ms: ten times what a request
-	// and its answer take.
+	// rankDelayMs is how much longer each controller waits with its lease request than the controller ranked before it, in
+	// ms. The delay is ten times what a request and its answer take.
 	rankDelayMs = 150.0
-	// connectGraceMs is how long a proxy whose stream has just come up may take to reach the other controllers, in ms. A
-	// redial takes about as long.
+	// connectGraceMs is how long a proxy whose stream has just come up may take to reach the other controllers, in ms:
+	// about the time of a redial.
 	connectGraceMs = 500.0
-	// maxPendingRequests bounds the unanswered requests for one proxy. By the time that the oldest is dropped, a lease
-	// that it was granted would have expired.
+	// maxPendingRequests bounds the unanswered requests for one proxy. By the time the oldest request is dropped, any lease
+	// granted for it has expired.
 	maxPendingRequests = 8
 )
 
@@ -49,19 +49,19 @@
 	// it, in ms.
 	transferDelayMs = 3000.0
 	// maxTransferDelayDoublings bounds how often transferDelayMs is doubled for a proxy that came back after a transfer.
-	// The delay then is about a minute and a half.
+	// The longest delay is about a minute and a half.
 	maxTransferDelayDoublings = 5
-	// transfersPerSecond limits the rate of transfers, as after each one the next holder sends the proxy a full weight
-	// table.
+	// transfersPerSecond limits the rate of transfers, because the next holder sends the proxy a full weight table after
+	// each transfer.
 	transfersPerSecond = 20.0
 	transferIntervalMs = 1000 / transfersPerSecond
 )
 
 // Reservation of epochs.
 const (
-	// epochsPerReservation is how many epochs one write to the store reserves, so that a takeover of a thousand proxies
-	// needs one write.
+	// epochsPerReservation is how many epochs one write to the store reserves: enough that a takeover of a thousand proxies
+	// needs only one write.
 	epochsPerReservation = 1000
-	// reservationPollMs is the time after which a proxy is evaluated again while a reservation is being written, in ms.
+	// reservationPollMs is the interval at which a proxy is evaluated again while a reservation is being written, in ms.
 	reservationPollMs = rankDelayMs / 4
 )
--- a/internal/lease/decisions.go
+++ b/internal/lease/decisions.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Host carries out a controller's decisions; each method carries out one kind of decision. Manager.Next calls it in the
-// goroutine of its own caller. Methods may call the manager's input methods, but not Next.
+// Host carries out a controller's decisions; each method carries out one kind of decision. Manager.Next calls the host in
+// the goroutine that called Next. Methods may call the manager's input methods, but not Next.
 type Host interface {
 	// RequestLease sends a proxy a request for a lease that lasts leaseMs. The host passes the answer to
 	// Manager.HandleAnswer with the same nonce.
@@ -17,18 +17,18 @@
 	StartCommand(proxy string, epoch uint64)
 	// StopCommand reports that the controller no longer holds a proxy's lease.
 	StopCommand(proxy string)
-	// ReserveEpochs records in stable storage that epochs up to upTo may be used. It reports the outcome by a call of
-	// Manager.EpochsReserved or Manager.ReservationFailed, either before it returns or later.
+	// ReserveEpochs records in stable storage that epochs up to upTo may be used. The host reports the outcome by a call of
+	// Manager.EpochsReserved or Manager.ReservationFailed, either before ReserveEpochs returns or later.
 	ReserveEpochs(upTo uint64)
 	// SetAcceptsLeases tells all proxies whether this controller accepts new leases.
 	SetAcceptsLeases(accepts bool)
-	// SetTimer schedules a call of Manager.SetTime and Next at a time, in ms of the controller's clock. It replaces the
-	// previous timer.
+	// SetTimer schedules a call of Manager.SetTime and Manager.Next at atMs, in ms of the controller's clock. The new timer
+	// replaces the previous one.
 	SetTimer(atMs float64)
 }
 
-// Next carries out at most one decision, the one that has been due longest, and reports whether it did. Callers repeat the
-// call until it returns false.
+// Next carries out at most one decision, the one that has been due longest, and reports whether there was one. Callers
+// repeat the call until it returns false.
 func (m *Manager) Next(host Host) bool {
 	if !m.acceptsLeasesAnnounced {
 		m.acceptsLeasesAnnounced = true
@@ -55,8 +55,8 @@
 		if decided {
 			return true
 		}
-		// A proxy that stays due although there is nothing to decide for it would keep this loop running forever. It is
-		// evaluated again in a millisecond.
+		// A proxy that stays due although there is nothing to decide for it would keep this loop running forever. The proxy
+		// is therefore evaluated again only after a millisecond.
 		if proxy.nextEvaluationMs <= m.nowMs {
 			m.queue.setDue(proxy, m.nowMs+1)
 		}
@@ -64,8 +64,8 @@
 	return false
 }
 
-// setTimer sets the host's timer to the next time that something is due, and reports whether it did. It does not if the
-// timer is already set to that time or nothing is due.
+// setTimer sets the host's timer to the next time that something is due, and reports whether it set the timer. It leaves
+// the timer alone if that is already set to this time or nothing is due.
 func (m *Manager) setTimer(host Host) bool {
 	dueMs := math.Inf(1)
 	if len(m.queue) > 0 {
@@ -82,7 +82,7 @@
 	return true
 }
 
-// decide carries out at most one decision for a proxy, and reports whether it did.
+// decide carries out at most one decision for a proxy, and reports whether there was one.
 func (m *Manager) decide(proxy *proxyState, host Host) bool {
 	if proxy.heldAt(m.nowMs) {
 		return m.decideHeld(proxy, host)
@@ -98,7 +98,8 @@
 	return m.requestNew(proxy, host)
 }
 
-// decideHeld carries out at most one decision for a proxy whose lease this controller holds, and reports whether it did.
+// decideHeld carries out at most one decision for a proxy whose lease this controller holds, and reports whether there was
+// one.
 func (m *Manager) decideHeld(proxy *proxyState, host Host) bool {
 	switch {
 	case !proxy.commanded:
@@ -122,8 +123,8 @@
 	m.Expired++
 }
 
-// requestNew requests a proxy's lease under a new epoch once that is due, or reserves epochs first. It reports whether it
-// did either.
+// requestNew requests a proxy's lease under a new epoch if the request is due, or first reserves epochs if the new epoch
+// is not reserved yet. It reports whether it requested the lease or reserved epochs.
 func (m *Manager) requestNew(proxy *proxyState, host Host) bool {
 	if m.draining || m.nowMs < m.requestDueMs(proxy) {
 		return false
@@ -137,8 +138,8 @@
 	return true
 }
 
-// reserveEpochs has the host reserve an epoch and the epochsPerReservation that follow it, and reports whether it did. It
-// does not while a reservation is pending or the retry delay of a failed one has not passed.
+// reserveEpochs makes the host reserve an epoch and the epochsPerReservation epochs that follow, and reports whether it
+// did. It makes no reservation while one is pending, or before a failed one may be retried.
 func (m *Manager) reserveEpochs(epoch uint64, host Host) bool {
 	if m.reservationPending || m.nowMs < m.reservationRetryMs {
 		return false
@@ -167,7 +168,7 @@
 	proxy.pending = nil
 	proxy.commanded = false
 	proxy.transferredMs = m.nowMs
-	proxy.freeSinceMs = m.nowMs + answerTimeoutMs // the other controller gets to request it first
+	proxy.freeSinceMs = m.nowMs + answerTimeoutMs // leaves time for the other controller to request the lease first
 	proxy.view.Controller = ""
 	proxy.view.RemainingMs = 0
 	proxy.viewMs = m.nowMs
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -30,10 +30,10 @@
 //
 // # Guarantees
 //
-// At most one controller believes that it holds a proxy's lease. The proxy measures a lease from the moment it grants it.
-// The holder measures it from the moment it sent the request, and subtracts clockRateBound for clocks that run at
-// different rates and safetyMarginMs for orders in transit. Hence the holder considers the lease expired before the proxy
-// can grant the next one, as long as the rates of their clocks differ by at most clockRateBound.
+// At most one controller considers itself the holder of a proxy's lease. The proxy measures a lease from the moment it
+// grants the lease. The holder measures the lease from the moment it sent the request, and subtracts clockRateBound for
+// clocks that run at different rates and safetyMarginMs for orders in transit. Hence the holder considers the lease expired
+// before the proxy can grant the next one, as long as the rates of their clocks differ by at most clockRateBound.
 //
 // Independently of clocks, a proxy never obeys an order that was decided under an epoch other than the one it granted last:
 // orders that a paused controller sends after its lease expired are rejected.
--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -7,13 +7,13 @@
 
 const (
 	faultsMs     = 20_000 // duration of the random faults
-	recoveryMs   = 4000   // time without faults after that
-	requestLoss  = 0.02   // share of requests that are lost with their stream
+	recoveryMs   = 4000   // time without faults after the random faults
+	requestLoss  = 0.02   // share of lease requests that are lost, together with the stream that carries them
 	redialChance = 0.004  // probability per step that a missing stream is dialed again
 	meanPauseMs  = 2500   // mean duration of a controller's pause
 )
 
-// Faults are chosen by one random number in [0, 1) per step: the first fault occurs whose bound is above the number and
+// The fault of a step is chosen by one random number in [0, 1). It is the first fault whose bound is above the number and
 // that is possible for the chosen controller.
 const (
 	pauseBound         = 0.0007
@@ -26,8 +26,8 @@
 
 var seeds = flag.Int64("seeds", 15, "number of seeds to run TestRandomFaults with")
 
-// runWithFaults runs three controllers and six proxies with random pauses, crashes, partitions and full disks, and then
-// for a while without faults. If unfenced, proxies obey orders without checking their epoch.
+// runWithFaults runs three controllers and six proxies with random pauses, crashes, partitions and full disks, and then for
+// a while without faults. If unfenced is set, proxies obey orders without checking the epoch of the order.
 func runWithFaults(t *testing.T, seed int64, unfenced bool) *world {
 	t.Helper()
 	w := newWorld(t, seed, 3, 6)
@@ -62,7 +62,7 @@
 	controller := w.controllers[w.names[w.random.Intn(len(w.names))]]
 	switch draw := w.random.Float64(); {
 	case draw < pauseBound && !controller.dead:
-		controller.pausedUntilMs = w.nowMs + w.random.ExpFloat64()*meanPauseMs // as after SIGSTOP
+		controller.pausedUntilMs = w.nowMs + w.random.ExpFloat64()*meanPauseMs // paused as by SIGSTOP
 	case draw < killBound && !controller.dead:
 		w.kill(controller)
 	case draw < restartBound && controller.dead:
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestRandomFaults runs hundreds of random pauses, crashes and partitions per seed. After each step at most one
-// controller may believe that it holds a proxy's lease, and no proxy may obey an order of a past epoch. After the faults,
-// each proxy must have a lease holder again.
+// TestRandomFaults runs hundreds of random pauses, crashes and partitions per seed. After each step at most one controller
+// may consider itself the holder of a proxy's lease, and no proxy may obey an order of a past epoch. After the faults, each
+// proxy must have a lease holder again.
 func TestRandomFaults(t *testing.T) {
 	takeovers := 0
 	for seed := range *seeds {
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -23,7 +23,7 @@
 )
 
 // simulation runs three planners that share fifteen proxies, in simulated time, with random faults from a fixed seed.
-// Messages of a planner reach their proxy at once; messages of a proxy reach a planner when it next decides.
+// Messages of a planner reach their proxy at once; a planner handles the messages of a proxy when it next decides.
 type simulation struct {
 	digest   *golden.Digest
 	random   *rand.Rand
@@ -40,14 +40,14 @@
 	reserved    uint64 // reserved epoch in the planner's store
 	diskFull    bool
 	open        bool
-	resumeMs    float64  // the planner is paused until then
-	inbox       []func() // messages that it has not handled yet
+	resumeMs    float64  // time until which the planner is paused
+	inbox       []func() // messages that the planner has not handled yet
 }
 
 type simulatedProxy struct {
 	name      string
 	grantor   lease.Grantor
-	connected map[string]bool // by planner
+	connected map[string]bool // whether the proxy has a stream to a planner, by planner
 }
 
 func newSimulation() *simulation {
@@ -63,14 +63,14 @@
 	return s
 }
 
-// start begins a new incarnation, which keeps only the content of the store.
+// start begins a new incarnation of the planner, which keeps only the content of its store.
 func (p *simulatedPlanner) start() {
 	p.incarnation++
 	p.inbox, p.open, p.resumeMs = nil, true, 0
 	p.manager = lease.NewManager(p.name, p.incarnation, p.reserved, p.simulation.nowMs)
 }
 
-// log adds an event to the digest. The golden file depends on the wording of the events, so it must not change.
+// log adds an event to the digest. The golden file depends on the wording of the events, so the wording must not change.
 func (p *simulatedPlanner) log(format string, args ...any) {
 	p.simulation.digest.Add(p.simulation.nowMs, p.name+" "+format, args...)
 }
@@ -150,7 +150,7 @@
 	return view
 }
 
-// broadcast sends a proxy's view to all planners that it is connected to.
+// broadcast sends a proxy's view to all planners that the proxy is connected to.
 func (s *simulation) broadcast(proxy *simulatedProxy) {
 	view := s.viewOf(proxy)
 	for _, planner := range s.planners {
@@ -204,7 +204,7 @@
 	case 28000:
 		s.planners[1].resumeMs = s.nowMs + 3*pauseMs
 	case 29000:
-		s.proxies[3].grantor.Epoch += 5_000_000 // above any epoch that a planner has reserved
+		s.proxies[3].grantor.Epoch += 5_000_000 // an epoch above any that a planner has reserved
 	}
 }
 
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -2,15 +2,15 @@
 
 // Lease is the state of a proxy's lease as the proxy itself holds it.
 type Lease struct {
-	Epoch       uint64  // the highest granted; it never decreases
+	Epoch       uint64  // highest epoch that the proxy has granted; it never decreases
 	Controller  string  // name of the holder; empty while the proxy is free
 	Incarnation uint64  // identifies the holder's process; 0 while the proxy is free
 	ExpiresMs   float64 // expiry time by the proxy's clock; meaningless while the proxy is free
 }
 
-// Grantor is the proxy's side of the protocol: it grants leases and checks orders. The zero value is a free proxy that has
-// granted nothing. A copy is an independent snapshot. Callers must call SetTime before the other methods whenever time has
-// passed.
+// Grantor is the proxy's side of the lease protocol: it grants leases and checks orders. The zero value is a free proxy
+// that has granted nothing. A copy is an independent snapshot. Callers must call SetTime before the other methods whenever
+// time has passed.
 type Grantor struct {
 	Lease
 	nowMs float64
@@ -26,8 +26,8 @@
 	return true
 }
 
-// Grant decides on a request for a lease of leaseMs, and reports whether it is granted. The holder may renew its lease; a
-// lease under a new epoch is granted while no other process holds one. The duration is limited to DurationMs.
+// Grant decides on a request for a lease of leaseMs, and reports whether the lease is granted. The holder may renew its
+// lease; a lease under a new epoch is granted while no other process holds one. The duration is limited to DurationMs.
 func (g *Grantor) Grant(controller string, incarnation, epoch uint64, leaseMs float64) (granted bool) {
 	isHolder := g.heldBy(controller, incarnation)
 	free := g.Controller == ""
@@ -50,7 +50,7 @@
 	return true
 }
 
-// Release frees the proxy if the given process holds its lease under the epoch, and reports whether it did.
+// Release frees the proxy if the given process holds its lease under the epoch, and reports whether it freed the proxy.
 func (g *Grantor) Release(controller string, incarnation, epoch uint64) (released bool) {
 	if controller == "" || !g.heldBy(controller, incarnation) || g.Epoch != epoch {
 		return false
@@ -75,7 +75,7 @@
 	return max(g.ExpiresMs-g.nowMs, 0)
 }
 
-// heldBy reports whether a process holds the lease. A process with the holder's name but another incarnation does not.
+// heldBy reports whether a process holds the lease: both its name and its incarnation must be those of the holder.
 func (g *Grantor) heldBy(controller string, incarnation uint64) bool {
 	return g.Controller == controller && g.Incarnation == incarnation
 }
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// Manager is the controller's side of the protocol. Its input methods only update its state; Next carries out the decisions
-// that follow. It is not safe for concurrent use.
+// Manager is the controller's side of the lease protocol. Its input methods only update its state; Next carries out the
+// decisions that follow from them. It is not safe for concurrent use.
 type Manager struct {
 	name        string
 	incarnation uint64
 	nowMs       float64
-	proxies     map[string]*proxyState // connected ones, by name
-	queue       evaluationQueue        // the same proxies, by when they are due
+	proxies     map[string]*proxyState // connected proxies by name
+	queue       evaluationQueue        // connected proxies, ordered by when they are due for a decision
 	lastNonce   uint64
-	lastEpoch   uint64 // the highest one requested
+	lastEpoch   uint64 // highest epoch requested so far
 
-	reservedEpoch      uint64  // the highest one that the store has reserved
+	reservedEpoch      uint64  // highest epoch that the store has reserved
 	reservationPending bool    // the host has been asked to reserve epochs and has not reported the outcome
 	reservationFailed  bool    // the last write to the store failed: no new lease can be requested
 	reservationRetryMs float64 // earliest time of the next write to the store
 
 	draining               bool
 	acceptsLeasesAnnounced bool    // whether proxies were notified of the current value of AcceptsLeases
-	lastTransferMs         float64 // minus infinity if there was none
-	timerMs                float64 // time of the last Host.SetTimer
+	lastTransferMs         float64 // time of the last transfer; minus infinity if there was none
+	timerMs                float64 // time for which Host.SetTimer was last called
 
 	// Counters since NewManager.
 	Takeovers   int // leases gained by grants under a new epoch
 	Transferred int // leases released for another controller to take over
-	Expired     int // leases lost because they were not renewed in time, or because the proxy granted another one
+	Expired     int // leases lost: not renewed in time, or the proxy granted another lease
 	Rejections  int // requests and orders that proxies rejected
 }
 
@@ -63,8 +63,8 @@
 	m.recordView(proxy, view)
 }
 
-// RemoveProxy records that a proxy's stream ended. The proxy's lease counts as no longer held, as no order can reach the
-// proxy. Host.StopCommand is not called.
+// RemoveProxy records that a proxy's stream ended. The controller no longer counts as holder of the proxy's lease, as no
+// order can reach the proxy. Host.StopCommand is not called.
 func (m *Manager) RemoveProxy(proxyName string) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil {
@@ -84,7 +84,7 @@
 }
 
 // HandleAnswer records the view that a proxy sent with an answer, and the answer to the lease request with the given nonce.
-// Proxies that are not connected are ignored; of answers to requests that are not pending only the view is recorded.
+// Answers of proxies that are not connected are ignored; if the request is no longer pending, only the view is recorded.
 func (m *Manager) HandleAnswer(proxyName string, nonce uint64, granted bool, view ProxyView) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil {
@@ -95,7 +95,7 @@
 	m.reschedule(proxy)
 }
 
-// OrdersRejected records that a proxy rejected an order because it has granted another epoch.
+// OrdersRejected records that a proxy rejected an order because it has granted a lease under another epoch.
 func (m *Manager) OrdersRejected(proxyName string) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil || proxy.epoch == 0 {
@@ -118,8 +118,8 @@
 }
 
 // ReservationFailed records that epochs could not be reserved; the write is retried after answerTimeoutMs. Until a write
-// succeeds, no new lease is requested and held leases are renewed. Proxies are notified that this controller does not
-// accept leases, so that other controllers do not transfer proxies to it.
+// succeeds, the controller requests no new lease but renews the leases that it holds. Proxies are notified that this
+// controller does not accept leases, so that other controllers do not transfer proxies to it.
 func (m *Manager) ReservationFailed() {
 	if !m.reservationFailed {
 		m.acceptsLeasesAnnounced = false
@@ -139,8 +139,8 @@
 	m.rescheduleAll()
 }
 
-// HoldsLease reports whether orders may be sent to a proxy now, and under which epoch. Call it right before each order,
-// after SetTime.
+// HoldsLease reports whether orders may be sent to a proxy now, and under which epoch. Call it right before sending each
+// order, after SetTime.
 func (m *Manager) HoldsLease(proxyName string) (epoch uint64, held bool) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil || !proxy.commanded || !proxy.heldAt(m.nowMs) {
@@ -162,8 +162,7 @@
 	return held, len(m.queue)
 }
 
-// recordView stores a proxy's view and what follows from it: since when the proxy is free, and how this controller ranks
-// for it.
+// recordView stores a proxy's view, since when the proxy has been free, and how this controller ranks for the proxy.
 func (m *Manager) recordView(proxy *proxyState, view ProxyView) {
 	if !slices.Equal(view.Reachable, proxy.view.Reachable) {
 		proxy.reachableSinceMs = m.nowMs
@@ -211,9 +210,9 @@
 	proxy.heldUntilMs = max(proxy.heldUntilMs, heldUntilMs(request.sentMs, DurationMs))
 }
 
-// restartTransferDelay restarts the transfer delay for a proxy that a better ranked controller left free, and doubles
-// the delay if the proxy came back soon after a transfer. Otherwise proxies would be transferred repeatedly to a
-// controller that is paused while its streams stay up.
+// restartTransferDelay restarts the transfer delay for a proxy that a better ranked controller left free, and doubles the
+// delay if the proxy came back soon after a transfer. Without the doubling, proxies would be transferred again and again to
+// a controller that is paused while its streams stay up.
 func (m *Manager) restartTransferDelay(proxy *proxyState) {
 	if math.IsInf(proxy.outrankedSinceMs, 1) {
 		proxy.transferDelayDoublings = 0
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 const (
-	foreverMs = 1e9 // ms
+	foreverMs = 1e9 // longer than any simulated run, in ms
 	// unknownEpoch is above any epoch that a controller of a new world has reserved.
 	unknownEpoch = 5_000_000
 )
@@ -65,7 +65,8 @@
 	return w
 }
 
-// Guards against a start at which proxies go to the controller that they reach first, and most are transferred 3 s later.
+// Guards against a start at which proxies go to the controller that they reach first, so that most are transferred 3 s
+// later.
 func testLateStreamsCauseNoTransfers(t *testing.T) {
 	w := newWorldConnectedToA(t)
 	w.run(100)
@@ -82,7 +83,7 @@
 	}
 }
 
-// Guards against proxies that stay free because a controller waits for others that are down.
+// Guards against proxies that stay free because the only running controller waits for others that are down.
 func testLoneControllerTakesAll(t *testing.T) {
 	w := newWorldConnectedToA(t)
 	w.run(int(connectGraceMs + 3*rankDelayMs))
@@ -127,8 +128,8 @@
 	w.checkRules(t)
 }
 
-// The streams of a paused controller stay up, and the proxies here report it as reachable throughout, so the other
-// controllers rank it before themselves for its share of the proxies.
+// The streams of a paused controller stay up, and the proxies here report the paused controller as reachable throughout.
+// The other controllers therefore rank it before themselves for its share of the proxies.
 func testPausedControllerGetsNoTransfers(t *testing.T) {
 	w := newWorld(t, 7, 3, 30)
 	w.run(3000)
--- a/internal/lease/model/explorer.go
+++ b/internal/lease/model/explorer.go
@@ -9,18 +9,18 @@
 type explorer struct {
 	bounds       Bounds
 	mutation     Mutation
-	predecessors map[state]state // of each state reached; the initial state is its own predecessor
+	predecessors map[state]state // predecessor of each state reached; the initial state is its own predecessor
 	discovered   []state         // states first reached at the current depth
 
-	violation string // empty if no rule was broken
+	violation string // description of the broken rule; empty if no rule was broken
 	lastState state  // state before the step that broke a rule
-	lastStep  string // description of that step
+	lastStep  string // description of the step that broke a rule
 
 	// describe, if set, is called for each step instead of continuing the search. It is used to build the trace.
 	describe func(next state, step string)
 }
 
-// add records a step from one state to the next, and checks that no two controllers hold one proxy's lease in the new
+// add records a step from one state to the next, and checks that no two controllers hold the same proxy's lease in the next
 // state.
 func (e *explorer) add(next, from state, format string, args ...any) {
 	if e.describe != nil {
@@ -51,8 +51,8 @@
 	e.lastStep = step
 }
 
-// trace returns the steps that lead to the violation. Steps are not stored during the search, so each state on the path is
-// expanded once more to find the step to the next one.
+// trace returns the steps that lead to the violation. The search does not store steps, so trace expands each state on the
+// path once more to find the step to the next state.
 func (e *explorer) trace() []string {
 	steps := []string{e.lastStep}
 	current := e.lastState
--- a/internal/lease/model/model.go
+++ b/internal/lease/model/model.go
@@ -13,24 +13,25 @@
 	Epochs    uint8 // highest epoch that controllers request
 	Restarts  uint8 // how often each controller may restart
 	Losses    bool  // whether requests may be lost
-	MaxStates int   // number of states above which the search is abandoned as incomplete
+	MaxStates int   // the search is abandoned as incomplete once it has reached more states than this
 }
 
 // Mutation disables a safeguard of the protocol, to test that the search finds the violation that the safeguard prevents.
 type Mutation int
 
-// Mutations, named after the safeguard that they disable or the fault that they introduce.
+// Mutations are named after the safeguard that they disable or the fault that they introduce.
 const (
 	// NoMutation checks the protocol as it is.
 	NoMutation Mutation = iota
-	// WithoutFencing has proxies obey every order that arrives, whatever its epoch.
+	// WithoutFencing makes proxies obey every order that arrives, whatever the order's epoch.
 	WithoutFencing
-	// LeaseFromAnswer has holders measure their lease from the answer instead of the request.
+	// LeaseFromAnswer makes holders measure their lease from the arrival of the answer instead of the sending of the
+	// request.
 	LeaseFromAnswer
-	// WithoutIncarnation makes a restarted controller indistinguishable from its previous process, and has it forget which
-	// epochs it used.
+	// WithoutIncarnation makes a restarted controller indistinguishable from its previous process, and makes the controller
+	// forget which epochs it used.
 	WithoutIncarnation
-	// WithoutClockRateBound has holders use a lease for its full duration, although their clocks may be slow.
+	// WithoutClockRateBound makes holders use a lease for its full duration, although their clocks may be slow.
 	WithoutClockRateBound
 )
 
@@ -43,8 +44,8 @@
 	Trace     []string // the steps of a shortest path to the violation
 }
 
-// Explore searches all states within the bounds, breadth first, until a rule is broken. It keeps every state that it has
-// reached in memory, together with its predecessor.
+// Explore searches all states within the bounds, breadth first, until a rule is broken. It keeps every reached state and
+// its predecessor in memory.
 func Explore(bounds Bounds, mutation Mutation) Result {
 	start := state{}
 	explorer := &explorer{
--- a/internal/lease/model/state.go
+++ b/internal/lease/model/state.go
@@ -5,7 +5,7 @@
 // Durations in ticks. A controller's clock may stop for one tick during the time of a lease.
 const (
 	leaseTicks  = 3
-	holderTicks = leaseTicks - 1 // how long a holder uses its lease, by its own clock
+	holderTicks = leaseTicks - 1 // how long a holder uses its lease, in ticks of its own clock
 )
 
 const (
@@ -23,7 +23,7 @@
 
 // proxy is the lease that a proxy has granted.
 type proxy struct {
-	epoch     uint8 // the highest granted
+	epoch     uint8 // highest epoch that the proxy has granted
 	remaining uint8 // ticks until the lease expires
 	holder    int8  // number of the holding controller, counted from 1; 0 if the proxy is free
 	process   uint8 // process number of the holder
@@ -31,23 +31,23 @@
 
 type controller struct {
 	process           uint8 // process number: how often the controller has restarted
-	lastEpoch         uint8 // the highest epoch requested
-	stopCooldownTicks uint8 // ticks until its clock may stop again
+	lastEpoch         uint8 // highest epoch that the controller has requested
+	stopCooldownTicks uint8 // ticks until the controller's clock may stop again
 }
 
 // link holds the messages in transit between a controller and a proxy, and the proxy's lease as the controller sees it.
 type link struct {
 	request       message
-	answer        message // sent for granted requests only
-	order         message // its age is irrelevant and stays 0
-	heldEpoch     uint8   // of the lease that the controller considers itself to hold
-	heldRemaining uint8   // ticks for which the controller continues to do so
+	answer        message // answer to a granted request; rejections are not sent
+	order         message // order in transit; its age is unused and stays 0
+	heldEpoch     uint8   // epoch of the lease that the controller considers itself to hold; 0 if none
+	heldRemaining uint8   // ticks for which the controller continues to consider itself the holder
 }
 
-// message is a message in transit; there is none if its epoch is 0.
+// message is a message in transit; an epoch of 0 means that there is none.
 type message struct {
 	epoch   uint8
-	process uint8 // process number of the controller that sent it, or that it answers
+	process uint8 // process number of the controller that sent the request or order, or that an answer is for
 	age     uint8 // ticks of the controller's clock since the request, at most leaseTicks
 }
 
--- a/internal/lease/model/transitions.go
+++ b/internal/lease/model/transitions.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// tick advances the time by one tick, but not the clocks of the controllers in stop. It is not possible if one of these
-// clocks has stopped too recently.
+// tick advances the time by one tick, but not the clocks of the controllers in stop. The step is not possible if one of
+// these clocks has stopped too recently.
 func (e *explorer) tick(current state, stop clockStop) (next state, possible bool) {
 	next = current
 	for number := range e.bounds.Proxies {
@@ -94,7 +94,7 @@
 	e.add(next, current, "%s restarts", controllerName(number))
 }
 
-// request has a controller renew a lease that it considers itself to hold, or request one under a new epoch.
+// request makes a controller renew a lease that it considers itself to hold, or request a lease under a new epoch.
 func (e *explorer) request(current state, number, proxyNumber int) {
 	link := current.links[number][proxyNumber]
 	if link.request.epoch > 0 || link.answer.epoch > 0 {
@@ -125,7 +125,7 @@
 	return max(requested, granted) + 1
 }
 
-// decideOrder has a controller send an order to a proxy whose lease it considers itself to hold. The order may arrive at
+// decideOrder makes a controller send an order to a proxy whose lease it considers itself to hold. The order may arrive at
 // any later time.
 func (e *explorer) decideOrder(current state, number, proxyNumber int) {
 	link := current.links[number][proxyNumber]
@@ -140,7 +140,7 @@
 	e.add(next, current, "%s decides an order for proxy %d under epoch %d", controllerName(number), proxyNumber, link.heldEpoch)
 }
 
-// deliverRequest has a request arrive at its proxy, or be lost.
+// deliverRequest delivers a request to its proxy, or loses the request.
 func (e *explorer) deliverRequest(current state, number, proxyNumber int) {
 	request := current.links[number][proxyNumber].request
 	if request.epoch == 0 {
@@ -168,8 +168,8 @@
 	e.add(next, current, "a request of %s to proxy %d is lost", name, proxyNumber)
 }
 
-// deliverAnswer has a controller receive a grant. A restarted controller ignores answers to requests of its earlier
-// processes.
+// deliverAnswer delivers a granted answer to its controller. A restarted controller ignores answers to requests of its
+// earlier processes.
 func (e *explorer) deliverAnswer(current state, number, proxyNumber int) {
 	answer := current.links[number][proxyNumber].answer
 	if answer.epoch == 0 {
@@ -185,7 +185,7 @@
 		controllerName(number), proxyNumber, answer.epoch, answer.age)
 }
 
-// recordGrant has a controller consider itself the holder for the time that the answer leaves of the lease.
+// recordGrant makes a controller consider itself the holder for the part of the lease that remains when the answer arrives.
 func (e *explorer) recordGrant(link *link, answer message) {
 	remaining := uint8(holderTicks)
 	if e.mutation == WithoutClockRateBound {
@@ -232,8 +232,8 @@
 	return grantor.Accepts(controllerName(number), e.incarnation(order), uint64(order.epoch))
 }
 
-// isStale reports whether an order in transit was decided under another epoch than the proxy granted last, by a controller
-// other than the holder, or by an earlier process while the current one holds the same epoch.
+// isStale reports whether an order in transit is stale: decided under another epoch than the proxy granted last, by a
+// controller other than the holder, or by an earlier process while the current process holds the same epoch.
 func isStale(current *state, number, proxyNumber int) bool {
 	proxy := current.proxies[proxyNumber]
 	link := current.links[number][proxyNumber]
--- a/internal/lease/proxystate.go
+++ b/internal/lease/proxystate.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// ProxyView is the state of a proxy's lease as the proxy reports it. Times are durations, as the clocks of both ends
-// differ.
+// ProxyView is the state of a proxy's lease as the proxy reports it. It contains durations instead of points in time,
+// because the clocks of the proxy and the controller differ.
 type ProxyView struct {
-	Epoch             uint64   // the highest granted
+	Epoch             uint64   // highest epoch that the proxy has granted
 	Controller        string   // name of the holder; empty while the proxy is free
 	Incarnation       uint64   // identifies the holder's process
-	RemainingMs       float64  // until the lease expires, in ms
-	Reachable         []string // controllers that send it heartbeats and accept leases; must not be modified afterwards
+	RemainingMs       float64  // time until the lease expires, in ms
+	Reachable         []string // controllers that send the proxy heartbeats and accept leases; must not be modified afterwards
 	DialedControllers int      // how many controllers the proxy is configured to dial
 }
 
@@ -20,20 +20,20 @@
 	view             ProxyView
 	viewMs           float64 // when the view arrived
 	connectedMs      float64 // when the proxy's stream came up
-	reachableSinceMs float64 // since when the proxy has reported the same reachable controllers
-	freeSinceMs      float64 // since when the proxy has been free by its own view; infinite while it is not
+	reachableSinceMs float64 // since when the proxy has reported its current set of reachable controllers
+	freeSinceMs      float64 // since when the proxy has been free by its own view; infinite while the proxy is held
 
-	pending     []leaseRequest // unanswered, oldest first
-	epoch       uint64         // of the lease that this controller holds; 0 if it holds none
-	heldUntilMs float64        // until when this controller considers itself the holder
+	pending     []leaseRequest // unanswered lease requests, oldest first
+	epoch       uint64         // epoch of the lease that this controller holds; 0 if it holds none
+	heldUntilMs float64        // until when this controller considers itself the holder of the lease
 	commanded   bool           // whether Host.StartCommand was called for the lease
 
-	rank                   int     // of this controller among those that the proxy can reach; 0 is the best
-	outrankedSinceMs       float64 // since when a better ranked controller has been reachable; infinite while none is
+	rank                   int     // rank of this controller among those that the proxy can reach; 0 is the best
+	outrankedSinceMs       float64 // since when a better ranked controller has been reachable; infinite if none is
 	transferredMs          float64 // when the proxy was last transferred; minus infinity if never
-	transferDelayDoublings int     // transfers in a row after which the proxy soon came back; bounded
+	transferDelayDoublings int     // consecutive transfers after which the proxy soon came back, up to a limit
 	nextEvaluationMs       float64 // when the proxy is due for a decision
-	queueIndex             int     // in Manager.queue
+	queueIndex             int     // index of the proxy in Manager.queue
 }
 
 // leaseRequest is a lease request that has not been answered yet.
--- a/internal/lease/queue.go
+++ b/internal/lease/queue.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// evaluationQueue is a heap of proxies, ordered by when they are due for a decision. Proxies that are due at the same
-// time are ordered by name, so that the same inputs always lead to the same decisions. It must only be modified by add,
+// evaluationQueue is a heap of proxies, ordered by when they are due for a decision. Proxies that are due at the same time
+// are ordered by name, so that the same inputs always lead to the same decisions. The queue must only be modified by add,
 // remove and setDue.
 type evaluationQueue []*proxyState
 
--- a/internal/lease/ranking.go
+++ b/internal/lease/ranking.go
@@ -21,8 +21,8 @@
 	return ownRank, first
 }
 
-// rendezvousScore returns a controller's score for a proxy. It must be the same in all releases: controllers that rank
-// differently would transfer proxies back and forth.
+// rendezvousScore returns a controller's score for a proxy. The score must be the same in all releases: controllers that
+// rank differently would transfer proxies back and forth.
 func rendezvousScore(controller, proxy string) uint64 {
 	return xxhash.Sum64String(controller + "\x00" + proxy)
 }
--- a/internal/lease/schedule.go
+++ b/internal/lease/schedule.go
@@ -44,20 +44,21 @@
 func (m *Manager) requestDueMs(proxy *proxyState) float64 {
 	dueMs := proxy.lastRequestMs() + answerTimeoutMs
 	if proxy.view.Controller == m.name && proxy.view.Incarnation == m.incarnation {
-		return dueMs // the proxy granted this process the lease over an earlier stream
+		return dueMs // this process already holds the lease: the proxy granted it over an earlier stream
 	}
 	expiresMs := proxy.viewMs + proxy.view.RemainingMs*(1+clockRateBound) + safetyMarginMs
 	freeMs := math.Min(proxy.freeSinceMs, expiresMs)
-	// A proxy that has not reached all controllers yet has more time to do so. Otherwise, after a common start, each proxy
-	// would go to the controller that it reached first, and most would be transferred soon after.
+	// A proxy that has not reached all controllers yet gets more time to reach them. Otherwise, when all processes start
+	// together, each proxy would go to the controller that it reached first, and most proxies would be transferred soon
+	// after.
 	if len(proxy.view.Reachable) < proxy.view.DialedControllers {
 		dueMs = max(dueMs, proxy.connectedMs+connectGraceMs)
 	}
 	return max(dueMs, max(freeMs, proxy.reachableSinceMs)+rankDelayMs*float64(proxy.rank))
 }
 
-// transferDueMs returns when a held proxy is due for a transfer: to a better ranked controller, or to any other while
-// this one drains. It returns infinity if no transfer is due.
+// transferDueMs returns when a held proxy is due for a transfer: to a better ranked controller, or, while this controller
+// drains, to any other. It returns infinity if no transfer is due.
 func (m *Manager) transferDueMs(proxy *proxyState) float64 {
 	dueMs := math.Inf(1)
 	if !math.IsInf(proxy.outrankedSinceMs, 1) {
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -10,11 +10,11 @@
 
 const (
 	orderChance   = 0.3     // probability per step that a holder sends a proxy an order
-	delayedChance = 0.01    // probability that it sends a delayed order otherwise
+	delayedChance = 0.01    // probability per step that a holder sends a delayed order, if it sends no other
 	arrivalChance = 0.002   // probability per step that a proxy's oldest delayed order arrives
 	maxDecisions  = 10_000  // limit on the decisions of one controller in a step
-	maxSkewMs     = 1e6     // largest offset of a controller's clock
-	testRateBound = 1.0 / 2 // part of clockRateBound by which the rates of clocks differ at most
+	maxSkewMs     = 1e6     // largest offset of a controller's clock, in ms
+	testRateBound = 1.0 / 2 // largest difference between the rates of clocks, as a fraction of clockRateBound
 )
 
 // world simulates controllers and proxies in steps of 1 ms: lost requests, delayed orders, clocks with different rates, and
@@ -27,10 +27,10 @@
 	controllers   map[string]*testController
 	proxies       []*testProxy
 	obeyedOrders  int
-	takeoverGapMs []float64 // for each takeover, how long the proxy had been free
+	takeoverGapMs []float64 // time for which the proxy had been free, for each takeover
 	longestFreeMs float64   // longest time that any proxy has been free
-	loss          float64   // share of requests that are lost with their stream
-	unfenced      bool      // whether proxies obey orders without checking their epoch
+	loss          float64   // share of lease requests that are lost, together with the stream that carries them
+	unfenced      bool      // whether proxies obey orders without checking the epoch of the order
 	violation     string    // the first violation of a rule; empty if there was none
 }
 
@@ -47,7 +47,7 @@
 	dead          bool
 	diskFull      bool
 	open          bool
-	inbox         []func() // messages that it has not handled yet
+	inbox         []func() // messages that the controller has not handled yet
 }
 
 // testProxy is one proxy with its clock and its streams to controllers.
@@ -58,7 +58,7 @@
 	clockRate     float64
 	connected     map[string]bool // whether there is a stream, by controller
 	highestEpoch  uint64
-	freeSinceMs   float64  // infinite while a lease is held
+	freeSinceMs   float64  // when the proxy became free; infinite while a lease is held
 	delayedOrders []func() // orders in transit, oldest first
 }
 
@@ -88,7 +88,7 @@
 	return 1 + (w.random.Float64()-0.5)*clockRateBound*testRateBound
 }
 
-// start begins a new process, which keeps only the content of the store.
+// start begins a new process of the controller, which keeps only the content of the store.
 func (c *testController) start() {
 	c.incarnation = c.world.random.Uint64()
 	c.manager = NewManager(c.name, c.incarnation, c.reservedEpoch, c.clockMs())
@@ -99,8 +99,8 @@
 
 func (c *testController) running() bool { return !c.dead && c.world.nowMs >= c.pausedUntilMs }
 
-// deliver queues a message for the controller's current process, which handles it the next time that it runs. A later
-// process ignores it.
+// deliver queues a message for the controller's current process, which handles the message the next time that the process
+// runs. A later process ignores the message.
 func (c *testController) deliver(message func()) {
 	recipient := c.manager
 	c.inbox = append(c.inbox, func() {
@@ -114,7 +114,7 @@
 	w := c.world
 	proxy := w.proxy(proxyName)
 	if !proxy.connected[c.name] || w.random.Float64() < w.loss {
-		w.disconnect(proxy, c) // the request is lost with its stream
+		w.disconnect(proxy, c) // the request is lost together with the stream
 		return
 	}
 	proxy.grantor.SetTime(w.nowMs * proxy.clockRate)
@@ -184,7 +184,7 @@
 // broadcast sends a proxy's view to all controllers.
 func (p *testProxy) broadcast() { p.broadcastExcept("") }
 
-// broadcastExcept sends a proxy's view to all controllers but one.
+// broadcastExcept sends a proxy's view to all controllers except the excluded one.
 func (p *testProxy) broadcastExcept(excluded string) {
 	view := p.view()
 	for _, name := range p.world.names {
@@ -267,7 +267,7 @@
 	}
 }
 
-// decide has a controller handle its messages and carry out all due decisions, unless it is paused or dead.
+// decide makes a controller handle its messages and carry out all due decisions, unless the controller is paused or dead.
 func (c *testController) decide() {
 	if !c.running() {
 		return
@@ -285,8 +285,8 @@
 	}
 }
 
-// sendOrders has the controller that holds a proxy's lease send it an order now and then. It records a violation if more
-// than one controller considers itself the holder.
+// sendOrders makes the controller that holds a proxy's lease send the proxy an order now and then. It records a violation
+// if more than one controller considers itself the holder.
 func (w *world) sendOrders(proxy *testProxy) {
 	var holders []string
 	for _, name := range w.names {
@@ -294,7 +294,7 @@
 		if controller.dead {
 			continue
 		}
-		controller.manager.SetTime(controller.clockMs()) // a paused controller's clock runs on: resuming extends no lease
+		controller.manager.SetTime(controller.clockMs()) // a paused controller's clock runs on, so resuming extends no lease
 		epoch, held := controller.manager.HoldsLease(proxy.name)
 		if !held {
 			continue
--- a/internal/planner/acceptor.go
+++ b/internal/planner/acceptor.go
@@ -20,25 +20,27 @@
 
 // Pacing of new connections.
 const (
-	acceptRetryMs       = 100.0 // delay after a failed accept, which may be due to a lack of file descriptors
-	acceptBurstDivisor  = 10    // the accept rate per second divided by this is the burst
-	laggingJoinFraction = 0.1   // fraction of the accept rate while the core lags, because each join costs sending whole tables
+	acceptRetryMs       = 100.0 // delay after a failed accept; file descriptors may have run out
+	acceptBurstDivisor  = 10    // the burst of accepts is the accept rate per second divided by this
+	laggingJoinFraction = 0.1   // fraction of the accept rate while the core lags, as each join costs sending whole tables
 	laggingJoinPollMs   = 20.0  // interval of attempts to admit a connection while the core lags
 )
 
-// acceptor accepts connections from proxies, limits them by address, number and rate, and serves each on goroutines of
-// its own. Its methods must be called by the goroutine in run; any goroutine may read open and rejected.
+// acceptor accepts connections from proxies and serves each on goroutines of its own. It limits connections by their
+// address, their count and the rate at which they arrive. Its methods must be called by the goroutine in run; any goroutine
+// may read open and rejected.
 type acceptor struct {
 	clock       clock.Clock
 	log         *slog.Logger
 	status      *statusPublisher
-	serve       func(context.Context, net.Conn, netip.Addr) // serves one connection and returns when it has ended
-	allowed     *bart.Table[struct{}]                       // allowed prefixes; nil: all addresses
-	maxOpen     int64                                       // most connections open at once
-	pace        *rate.Limiter                               // rate of accepts
-	laggingPace *rate.Limiter                               // further limit while the core lags
-	open        atomic.Int64                                // connections open now
-	rejected    atomic.Uint64                               // connections rejected by address or number since the start
+	serve       func(context.Context, net.Conn, netip.Addr) // serves one connection and returns when the connection has ended
+	allowed     *bart.Table[struct{}]                       // prefixes that proxies may connect from; nil: any address
+	maxOpen     int64                                       // limit on connections that are open at once
+	pace        *rate.Limiter                               // limits the rate of accepted connections
+	laggingPace *rate.Limiter                               // limits the rate further while the core lags
+	open        atomic.Int64                                // count of connections open now
+	// rejected counts the connections rejected since the start: their address was not allowed, or maxOpen was reached.
+	rejected atomic.Uint64
 }
 
 // newAcceptor returns an acceptor with the limits of checked settings. It calls serve for each connection that it admits.
@@ -68,7 +70,8 @@
 	return allowed
 }
 
-// run accepts connections until the context ends or the listener is closed. It returns when all connections have ended.
+// run accepts connections until the context ends or the listener is closed. It returns when all accepted connections have
+// ended.
 func (a *acceptor) run(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { closeQuietly(listener) })
 	defer stop()
@@ -105,7 +108,7 @@
 	}
 }
 
-// admit reports whether a connection may be served. It waits until the rate of accepts allows it.
+// admit reports whether a connection may be served. It waits until the limit on the rate of accepts allows the connection.
 func (a *acceptor) admit(ctx context.Context, from netip.Addr) bool {
 	open := a.open.Load()
 	forbidden := a.allowed != nil && !a.allowed.Contains(from)
@@ -114,7 +117,7 @@
 		a.log.Debug("connection rejected", slog.Any(logKeyFrom, from), slog.Int64(logKeyStreams, open))
 		return false
 	}
-	for a.status.load().Lagging && !a.laggingPace.Allow() { // ejections and joined proxies have priority over new ones
+	for a.status.load().Lagging && !a.laggingPace.Allow() { // ejections and joined proxies have priority over new connections
 		if clock.Sleep(ctx, a.clock, laggingJoinPollMs) != nil {
 			return false
 		}
--- a/internal/planner/acknowledgements.go
+++ b/internal/planner/acknowledgements.go
@@ -16,10 +16,10 @@
 
 // sentUpdate is a message that the proxy has not acknowledged yet.
 type sentUpdate struct {
-	number    uint64          // of the message; 0: the welcome
-	decidedMs float64         // time of the decision
-	urgent    bool            // contains the ejection of a server that drains or is removed
-	requested map[uint32]bool // numbers of the acknowledgements that the policy requested; nil: none
+	number    uint64          // number of the message; 0: the welcome
+	decidedMs float64         // time at which the message's content was decided
+	urgent    bool            // whether the message ejects a server that drains or is removed
+	requested map[uint32]bool // numbers of the acknowledgements that the policy requested with the message; nil: none
 }
 
 // requestedAcknowledgements returns the numbers of the acknowledgements that a message requests; nil if there are none.
@@ -40,10 +40,10 @@
 
 // ackTracker finds proxies that do not acknowledge their messages in time.
 type ackTracker struct {
-	timeoutMs      float64 // for every message
-	drainTimeoutMs float64 // for urgent messages: those that eject a server which drains or is removed
-	// earliestDeadlineMs is a lower bound of all proxies' deadlines. It saves scanning all proxies at each decision, and stays
-	// valid when acknowledgements arrive, as these only move deadlines later.
+	timeoutMs      float64 // limit on the time to acknowledge any message
+	drainTimeoutMs float64 // limit for urgent messages: those that eject a server that drains or is removed
+	// earliestDeadlineMs is a lower bound of all proxies' deadlines, so that not every decision has to scan all proxies.
+	// The bound stays valid when acknowledgements arrive, as these only move deadlines later.
 	earliestDeadlineMs float64
 }
 
@@ -62,8 +62,8 @@
 }
 
 // deadline returns when a proxy with unacknowledged messages must have acknowledged the first of them, in ms. An urgent
-// message moves it forward, as a draining server must not get requests after its drain grace. The stream of a proxy that
-// may not know of the drain is therefore closed in time, so that the proxy dials again.
+// message moves the deadline forward, as proxies must not send requests to a draining server after its drain grace. A proxy
+// that may not know of the drain therefore has its stream closed within the grace, so that it dials again.
 func (t *ackTracker) deadline(p *joinedProxy) float64 {
 	deadline := p.unacknowledged[0].decidedMs + t.timeoutMs
 	for _, u := range p.unacknowledged {
@@ -86,7 +86,7 @@
 		}
 		deadline := t.deadline(p)
 		if nowMs >= deadline {
-			t.earliestDeadlineMs = nowMs // other proxies may be late too
+			t.earliestDeadlineMs = nowMs // further proxies may also be late
 			return p
 		}
 		t.earliestDeadlineMs = min(t.earliestDeadlineMs, deadline)
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// HandleAck handles an acknowledgement: the proxy applied a message and all before it, or rejected one that was decided
-// under another epoch.
+// HandleAck handles an acknowledgement: the proxy applied a message and all messages before it, or rejected a message that
+// was decided under another epoch.
 func (c *Core) HandleAck(s *Stream, ack *order.Applied) {
 	c.logInput(inputAck, s, ack)
 	p := s.proxy
@@ -118,7 +118,8 @@
 func (c *Core) acknowledge(p *joinedProxy, update sentUpdate, acknowledged []uint32) {
 	tookMs := c.nowMs - update.decidedMs
 	if update.number > 0 {
-		// RecordValue fails for latencies above the histogram's upper bound. A stream is closed long before it gets that late.
+		// RecordValue fails for latencies above the histogram's upper bound. A stream is closed long before an
+		// acknowledgement is so late.
 		_ = c.OrderLatency.RecordValue(max(int64(tookMs*microsPerMilli), minOrderLatencyUs))
 	}
 	for _, number := range acknowledged {
@@ -128,7 +129,7 @@
 	}
 }
 
-// nextLateAck closes one stream whose proxy did not acknowledge in time, and reports whether there was one.
+// nextLateAck closes one stream whose proxy did not acknowledge a message in time, and reports whether there was one.
 func (c *Core) nextLateAck() bool {
 	p := c.acks.findLate(c.nowMs, &c.proxies)
 	if p == nil {
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	evaluationsPerSecond = 200 // a core under this load is evaluated almost continuously
+	evaluationsPerSecond = 200 // at this rate the core is evaluated almost continuously
 	serversPerReport     = 5
 	settlingSeconds      = 4 // simulated time before a measurement begins
 )
@@ -30,12 +30,12 @@
 	*Core
 	nowMs            float64
 	streams          []*Stream
-	reports          []*order.Sums // by stream
+	reports          []*order.Sums // load reports, by the index of the stream
 	acknowledgements []pendingAck
-	orders           int // orders sent
+	orders           int // count of orders sent
 }
 
-// pendingAck is an acknowledgement for the next evaluation.
+// pendingAck is an acknowledgement that the core receives at the next evaluation.
 type pendingAck struct {
 	stream *Stream
 	ack    *order.Applied
@@ -144,8 +144,8 @@
 	}
 }
 
-// BenchmarkAfterReleases measures one second of the core after 20 releases, about 12 minutes apart, which each replaced
-// 80 % of the servers. Removed servers must not cost time or memory any more.
+// BenchmarkAfterReleases measures one second of the core after 20 releases, about 12 minutes apart, each of which replaced
+// 80 % of the servers. Servers that these releases removed must no longer cost time or memory.
 func BenchmarkAfterReleases(b *testing.B) {
 	const servers, replaced = 500, 400
 	for _, releases := range []int{0, 20} {
@@ -201,7 +201,7 @@
 }
 
 // BenchmarkPlannerReports measures the throughput of load reports with ten servers each, from the bytes of a stream to the
-// samples that the policy records. Decoding and merging run on all CPU cores, everything else on the goroutine of the core.
+// samples that the policy records. Decoding and merging run on all CPU cores; the rest runs on the goroutine of the core.
 func BenchmarkPlannerReports(b *testing.B) {
 	l := newLoadedCore(b, 500, 200)
 	reports := newCoalescedReports()
@@ -239,7 +239,8 @@
 	}
 }
 
-// sendReports encodes and decodes the reports of one stream, and adds them to the coalesced reports as its reader would.
+// sendReports encodes and decodes the reports of one stream, and adds them to the coalesced reports as the stream's reader
+// would.
 func (l *loadedCore) sendReports(b *testing.B, pb *testing.PB, number int, reports *coalescedReports) {
 	const samples = 10
 	from := &connection{stream: l.streams[number]}
@@ -273,7 +274,7 @@
 	}
 }
 
-// reportReceiver passes load reports on and ignores all other frames.
+// reportReceiver passes load reports to add and ignores all other frames.
 type reportReceiver struct{ add func(*order.Sums) }
 
 func (r reportReceiver) OnJoin(*order.Join)              {}
--- a/internal/planner/coalesce.go
+++ b/internal/planner/coalesce.go
@@ -6,19 +6,21 @@
 	"lichenpick/proto/order"
 )
 
-// maxCoalescedSamples bounds the servers, and the traffic classes, of a coalesced report. Tables have far fewer entries.
+// maxCoalescedSamples bounds the server samples, and the traffic class samples, of a coalesced report. Tables have far
+// fewer entries.
 const maxCoalescedSamples = 4096
 
-// coalescedReports holds the load reports that the core has not taken yet, at most one per connection. The connection's
-// reader merges later reports into the one that waits. So a lagging core takes the same samples in fewer reports, readers
-// never wait for it, and memory is bounded by one report per connection. If readers stopped reading instead, the writes
-// of all proxies would time out, and all of them would dial again at once. It is safe for concurrent use.
+// coalescedReports holds the load reports that the core has not taken yet, at most one per connection. A connection's
+// reader merges later reports into the one that waits. A lagging core thus takes the same samples in fewer reports, readers
+// never wait for the core, and memory is bounded by one report per connection. If readers stopped reading instead, the
+// writes of all proxies would time out, and all proxies would dial again at once. coalescedReports is safe for concurrent
+// use.
 type coalescedReports struct {
-	available chan struct{} // of capacity 1; holds a token after each add
+	available chan struct{} // signals that reports wait; of capacity 1; holds a token after each add
 
 	mu     sync.Mutex
-	queue  []*connection // connections with a waiting report, oldest first; mu guards them and their reports
-	merged uint64        // reports merged into a waiting one; guarded by mu
+	queue  []*connection // connections with a waiting report, oldest report first; mu guards the queue and the reports
+	merged uint64        // reports merged into a waiting report; guarded by mu
 	lost   uint64        // server samples dropped because the waiting report was full; guarded by mu
 }
 
@@ -29,7 +31,7 @@
 
 // coalescedReport is the waiting load report of one connection. The zero value is empty.
 type coalescedReport struct {
-	report      *order.Sums    // nil: none waits
+	report      *order.Sums    // the waiting report; nil if none waits
 	receivedMs  float64        // when the first of the merged reports was received
 	serverIndex map[string]int // index in report.Servers by server; nil until a second report is merged
 }
@@ -52,7 +54,7 @@
 func (r *coalescedReports) signal() {
 	select {
 	case r.available <- struct{}{}:
-	default: // a signal is pending already
+	default: // a signal is already pending
 	}
 }
 
@@ -97,7 +99,7 @@
 	return lost
 }
 
-// indexServers builds serverIndex. It is called at the first merge only, because most reports are taken before that.
+// indexServers builds serverIndex. It is called at the first merge only, because most reports are taken before any merge.
 func (c *coalescedReport) indexServers() {
 	c.serverIndex = map[string]int{}
 	for index, sample := range c.report.Servers {
@@ -133,8 +135,8 @@
 	return float64(sample.Tries - min(sample.Dropped, sample.Tries))
 }
 
-// mergeClass adds a traffic class's sample to the waiting report. Samples above maxCoalescedSamples are dropped without
-// being counted, as no correct proxy has so many classes.
+// mergeClass adds a traffic class's sample to the waiting report. Once the report has maxCoalescedSamples classes, samples
+// of further classes are dropped without being counted, as no correct proxy has so many classes.
 func (c *coalescedReport) mergeClass(sample *order.GroupSum) {
 	found := false
 	for _, sum := range c.report.Groups {
--- a/internal/planner/connection.go
+++ b/internal/planner/connection.go
@@ -15,8 +15,8 @@
 
 // Limits of one connection.
 const (
-	closeTimeoutMs = 200.0 // longest time for the core to close a stream at shutdown, and for writing the close frame
-	outboxFrames   = 256   // frames that may wait for the writer; the message window allows far fewer messages
+	closeTimeoutMs = 200.0 // limit on the core's time to close a stream at shutdown, and on the time to write the close frame
+	outboxFrames   = 256   // frames that may wait for the writer; the message window allows far fewer order messages
 )
 
 // outgoingFrame is a frame that the writer has yet to encode and send.
@@ -30,15 +30,15 @@
 type connection struct {
 	stream  *Stream // owned by the core's goroutine
 	conn    net.Conn
-	outbox  chan outgoingFrame // from the core to the writer
+	outbox  chan outgoingFrame // frames from the core to the writer
 	session *controlstream.PlannerSession
 
 	closeOnce  sync.Once
 	closed     chan struct{}             // closed by the first call of close
-	closeCause *controlstream.CloseError // valid after closed is closed
+	closeCause *controlstream.CloseError // why the connection is closed; valid after closed is closed
 
-	proxyName string          // empty until the proxy joins; owned by the reader, and readable by others after it has ended
-	coalesced coalescedReport // guarded by coalescedReports.mu
+	proxyName string          // empty until the proxy joins; owned by the reader; others may read it after the reader has ended
+	coalesced coalescedReport // load report that waits for the core; guarded by coalescedReports.mu
 }
 
 // newConnection returns a connection with a new Stream for the core.
@@ -57,8 +57,8 @@
 // connectionOf returns the connection of a stream that newConnection created.
 func connectionOf(s *Stream) *connection { return s.Transport.(*connection) }
 
-// close starts closing the connection for a cause. Only the first call has an effect. Any goroutine may call it; it does not
-// wait for the connection to end.
+// close starts closing the connection for a cause. Only the first call has an effect. Any goroutine may call close, which
+// does not wait for the connection to end.
 func (c *connection) close(cause *controlstream.CloseError) {
 	c.closeOnce.Do(func() {
 		c.closeCause = cause
@@ -76,7 +76,7 @@
 	}
 }
 
-// serveConnection serves one connection until it has ended, and then notifies the core.
+// serveConnection serves one connection until the connection has ended, and then notifies the core.
 func (s *server) serveConnection(ctx context.Context, conn net.Conn, from netip.Addr) {
 	session := controlstream.NewPlannerSession(s.limits, s.Clock.Monotonic())
 	c := newConnection(conn, from, session)
@@ -96,8 +96,9 @@
 		slog.String(logKeyDetail, c.closeCause.Detail))
 }
 
-// watch waits until the connection is being closed, and then interrupts its reader. When the planner stops, it waits for the
-// core to close the connection, and closes it itself after closeTimeoutMs, because the core may have panicked.
+// watch waits until the connection is being closed, and then interrupts the connection's reader. When the planner stops,
+// watch waits for the core to close the connection, and after closeTimeoutMs closes it itself, because the core may have
+// panicked.
 func (s *server) watch(ctx context.Context, c *connection) {
 	select {
 	case <-c.closed:
--- a/internal/planner/connection_test.go
+++ b/internal/planner/connection_test.go
@@ -20,12 +20,12 @@
 	limits := controlstream.Limits{MaxFrameBytes: 1 << 16, HandshakeTimeoutMs: 60000, HeartbeatTimeoutMs: 60000}
 	c := newConnection(conn, netip.MustParseAddr("127.1.0.9"), controlstream.NewPlannerSession(limits, 0))
 	c.close(&controlstream.CloseError{Reason: reason})
-	c.close(&controlstream.CloseError{Reason: controlstream.ReasonInternalError}) // without effect after the first call
+	c.close(&controlstream.CloseError{Reason: controlstream.ReasonInternalError}) // no effect: close has been called before
 	for number := range releases {
 		c.outbox <- outgoingFrame{controlstream.FrameLeaseRelease, &order.Release{Epoch: uint64(number)}}
 	}
 	writer := &streamWriter{connection: c, clock: clock.NewReal(), timeoutMs: 5000, heartbeatMs: 60000}
-	go writer.run() // closes its end of the pipe when it returns, which ends ReadAll
+	go writer.run() // the writer closes its end of the pipe when it returns, which ends ReadAll
 	written, err := io.ReadAll(peer)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -18,8 +18,8 @@
 
 // Time origin and units.
 const (
-	// policyOriginMs is added to the planner's clock to get the policy's time. It keeps the start times of servers that
-	// started days before the planner above 0, because the policy reads a start time of 0 as "long ago".
+	// policyOriginMs is added to the planner's clock to get the policy's time. The offset keeps the start times of servers
+	// that started days before the planner above 0, because the policy reads a start time of 0 as "long ago".
 	policyOriginMs = 1e9
 
 	// Bounds, in microseconds, and significant digits of the order latency histogram.
@@ -29,42 +29,44 @@
 	microsPerMilli     = 1000
 )
 
-// Host carries out the core's decisions, one per call. The core calls it from within Next only.
+// Host carries out the core's decisions, one per call. The core calls the host only from within Next.
 type Host interface {
 	// Send sends a frame on a stream. It must not block.
 	Send(s *Stream, kind controlstream.FrameKind, m proto.Message)
-	// Close closes a stream. The core has already dropped its state of the stream when it calls this.
+	// Close closes a stream. The core has already dropped its own state of the stream when it calls Close.
 	Close(s *Stream, why *controlstream.CloseError)
-	// SetTimer asks the host to call SetTime and Next at atMs, in ms of the clock that SetTime uses. It replaces the
-	// previous timer.
+	// SetTimer asks the host to call Core.SetTime and Core.Next at atMs, in ms of the clock that Core.SetTime uses. The new
+	// timer replaces the previous one.
 	SetTimer(atMs float64)
-	// ReserveEpochs has the epoch store record that epochs up to and including upTo may be used. The host reports the
-	// outcome by EpochsReserved. It is called only if planners share a fleet, and not again before that outcome.
+	// ReserveEpochs makes the epoch store record that epochs up to and including upTo may be used. The host reports the
+	// outcome by Core.EpochsReserved. The core calls ReserveEpochs only if planners share a fleet, and only once the
+	// previous outcome was reported.
 	ReserveEpochs(upTo uint64)
 }
 
 // Decider makes the decisions about tables, ejections and admission rates: the policy, or a baseline that is compared with
 // it. Its methods are those of policy.Policy.
 type Decider interface {
-	// SetTime sets the time, in ms. It starts at policyOriginMs when the planner's clock shows 0.
+	// SetTime sets the time, in ms. The time is policyOriginMs when the planner's clock shows 0.
 	SetTime(nowMs float64)
 	// UpdateEndpoints records an endpoint list, or changes to the current one.
 	UpdateEndpoints(kind policy.UpdateKind, list []policy.Endpoint)
-	// AddProxy adds a proxy to command. It expects expectedRate requests per second, and planners sent it messages at the
-	// times sentMs.
+	// AddProxy adds a proxy to command. The proxy expects expectedRate requests per second, and planners sent it messages
+	// at the times sentMs.
 	AddProxy(id, zone int, expectedRate float64, sentMs ...float64)
-	// RemoveProxy removes a proxy, which is commanded no longer.
+	// RemoveProxy removes a proxy, which this planner no longer commands.
 	RemoveProxy(id int)
 	// RecordLoadReport records the attempts that a zone's proxies sent to a server within coversMs, with the mean latency of the
 	// successful ones.
 	RecordLoadReport(server string, zone, count, failed int, latencyMs, coversMs float64)
 	// RecordDemandReport records the requests of a traffic class that a proxy received within coversMs.
 	RecordDemandReport(id, class, count, failed int, coversMs float64)
-	// Acknowledge records a proxy's acknowledgement, tookMs after the policy decided to request it.
+	// Acknowledge records that a proxy acknowledged a number, tookMs after the policy decided to request the
+	// acknowledgement.
 	Acknowledge(id, number int, tookMs float64)
-	// SetLagging sets whether the planner lags. Deferrable decisions are held back while it does.
+	// SetLagging sets whether the planner lags. The policy holds back deferrable decisions while the planner lags.
 	SetLagging(on bool)
-	// Next carries out at most one decision and reports whether it did.
+	// Next carries out at most one decision, and reports whether there was one.
 	Next(h policy.Host) bool
 }
 
@@ -72,9 +74,9 @@
 type Counts struct {
 	Joins             uint64                               // streams that joined
 	Messages          uint64                               // order messages sent
-	Entries           uint64                               // entries sent in them, message overhead included
+	Entries           uint64                               // entries sent in order messages, message overhead included
 	LoadReports       uint64                               // server samples accepted from load reports
-	Ignored           uint64                               // server samples without attempts, or of servers never listed
+	Ignored           uint64                               // server samples ignored: without attempts, or of servers never listed
 	Shed              uint64                               // loads dropped because too many waited for the policy
 	EpochReservations uint64                               // successful writes to the epoch store
 	Closes            map[controlstream.CloseReason]uint64 // ended streams, by reason
@@ -86,7 +88,7 @@
 	configuration *pb.Planner
 	policy        Decider
 	nowMs         float64
-	wallTime      time.Time // at nowMs; for the status and the decision times in messages, never for decisions
+	wallTime      time.Time // wall-clock time at nowMs; used in the status and in messages, never for decisions
 	incarnation   uint64
 
 	zones         zoneTable
@@ -99,7 +101,7 @@
 	leases        leaseState
 	timers        timers
 	recentInputs  inputLog
-	actions       []func(Host) // scheduled by input methods; carried out before any new decision
+	actions       []func(Host) // scheduled by input methods; Next carries them out before any new decision
 	reportLagMs   float64      // longest time that a load report of the last batch waited for the core
 	lagging       bool
 	warmUpMs      float64 // how long a server warms up after its start
@@ -137,7 +139,7 @@
 }
 
 // SetTime sets the time, in ms of a monotonic clock, and the wall-clock time. Orders that are decided before the next call
-// are sent in one message per proxy.
+// of SetTime are sent in one message per proxy.
 func (c *Core) SetTime(nowMs float64, wallTime time.Time) {
 	c.nowMs = nowMs
 	c.wallTime = wallTime
@@ -162,7 +164,7 @@
 	c.recentInputs.add(loggedInput{atMs: c.nowMs, kind: kind, stream: s, content: content})
 }
 
-// Next carries out at most one decision and reports whether it did. The host calls it until it returns false.
+// Next carries out at most one decision, and reports whether there was one. The host calls Next until it returns false.
 //
 // Scheduled actions and lease decisions go first. Next come the inputs of the policy, so that it decides on all of them,
 // then the policy's decisions, and last the messages that result from them: an update is queued only when the policy has no
--- a/internal/planner/core_test.go
+++ b/internal/planner/core_test.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// Decisions must not depend on the number of CPU cores: all are made by one goroutine.
+// Decisions must not depend on the number of CPU cores: one goroutine makes all of them.
 func TestSameInputsGiveSameOrdersOnAnyNumberOfCores(t *testing.T) {
 	expected := digestOfScriptedRun(t, 1)
 	for _, cores := range []int{1, 2, 4} {
--- a/internal/planner/ejections.go
+++ b/internal/planner/ejections.go
@@ -7,8 +7,8 @@
 	"lichenpick/proto/order"
 )
 
-// entriesPerOrder is how many entries an order counts as, except the assignment of a table. The rate at which messages are
-// sent is limited in entries.
+// entriesPerOrder is how many entries each order counts as, except the assignment of a table, which counts by its size. The
+// rate at which messages are sent is limited in entries.
 const entriesPerOrder = 1
 
 // setEjected adds an order that tells a proxy that a server is ejected, or readmitted.
@@ -38,8 +38,8 @@
 	return c.endpoints.isLeaving(server) || p.inheritsDrain(server)
 }
 
-// inheritsDrain reports whether the proxy's previous planner knew that a server drains, which this planner's endpoint
-// list does not show yet.
+// inheritsDrain reports whether the proxy's previous planner knew of a server's drain that this planner's endpoint list
+// does not show yet.
 func (p *joinedProxy) inheritsDrain(server string) bool { return p.inheritedDrainUntilMs[server] > 0 }
 
 // usesServer reports whether a proxy uses a table that contains a server. For traffic classes that this stream has
@@ -58,8 +58,8 @@
 	})
 }
 
-// endInheritedDrain ends at most one inherited drain that this planner's endpoint list has not shown in time, or removes one
-// proxy that has none left. It reports whether it did either.
+// endInheritedDrain ends at most one inherited drain that this planner's endpoint list has not shown in time, or removes
+// one proxy without inherited drains from the list of those that have some. It reports whether it did either.
 func (c *Core) endInheritedDrain() bool {
 	for index, p := range c.leases.drainInheritors {
 		if len(p.inheritedDrainUntilMs) == 0 || !c.proxies.isJoined(p) {
--- a/internal/planner/ejections_test.go
+++ b/internal/planner/ejections_test.go
@@ -26,9 +26,9 @@
 	})
 }
 
-// An ejection must end with the server's last table entry, at the planner and at the proxy. Ejections that stay would
-// accumulate with each replaced server. One that ends at the planner only would keep the proxy from using the server when
-// it is ready again.
+// An ejection must end with the server's last table entry, both at the planner and at the proxy. Ejections that stay would
+// accumulate with each replaced server. An ejection that ends only at the planner would keep the proxy from using the
+// server once the server is ready again.
 func TestEjectionEndsWithLastEntry(t *testing.T) {
 	host := newRecordingHost(t, "", 8)
 	stream := host.join("x", 1, 1)
@@ -49,7 +49,7 @@
 	}
 }
 
-// replayAtProxy applies all messages of a stream to a new proxy core and returns that.
+// replayAtProxy applies all messages of a stream to a new proxy core and returns the proxy core.
 func replayAtProxy(t *testing.T, host *recordingHost, stream *Stream) *proxy.Core {
 	t.Helper()
 	set := &pb.Proxy{}
@@ -71,7 +71,8 @@
 }
 
 // When 2000 proxies join while a server drains, their first tables fill the send queue, and the drain's ejections are due
-// within half the drain grace. They must not wait behind the tables. The tables may wait, but no stream may be closed.
+// within half the drain grace. The ejections must not wait behind the tables. The tables may wait, but no stream may be
+// closed.
 func TestDrainPrecedesManyJoins(t *testing.T) {
 	host := newRecordingHost(t, `proxies: 2100 channel { lines: "20000/s" most_waiting: 30000 } servers { drain_grace: "5s" }`, 20)
 	var established []*Stream
@@ -84,7 +85,7 @@
 	for number := range 2000 {
 		joining = append(joining, host.join(fmt.Sprint("new", number), 1, 1))
 	}
-	host.run(8050, 10500) // half of the grace
+	host.run(8050, 10500) // half of the drain grace
 	for _, stream := range established {
 		if host.received(stream, assignsServer("s2")) && !host.received(stream, endsUseOfServer("s2")) {
 			t.Fatalf("proxy %s was not notified of the drain within half the grace", stream.Name())
--- a/internal/planner/endpoints.go
+++ b/internal/planner/endpoints.go
@@ -12,14 +12,14 @@
 type endpointState struct {
 	state        policy.State
 	lastUpdateMs float64        // when the tracker last reported the server
-	loads        []*pendingLoad // by zone of the reporting proxies; nil until the first report
+	loads        []*pendingLoad // pending load from each zone's proxies, by zone; nil until the first report
 }
 
 // endpointRegistry holds the servers of the endpoint list.
 type endpointRegistry struct {
 	tracker  *discovery.Tracker
 	byServer map[string]*endpointState
-	changed  bool // since the list was last saved
+	changed  bool // whether the list has changed since it was last saved
 }
 
 // newEndpointRegistry returns a registry without servers, for checked settings.
@@ -67,7 +67,7 @@
 	}
 }
 
-// takeSnapshot returns the list to save, if it changed since the last call; nil if not.
+// takeSnapshot returns the endpoint list to save; nil if the list has not changed since the last call.
 func (r *endpointRegistry) takeSnapshot(wallTime time.Time) *pb.List {
 	if !r.changed {
 		return nil
@@ -87,7 +87,7 @@
 		c.endpoints.record(endpoint.Server, endpoint.State, c.nowMs)
 		startedRecently := endpoint.StartedMs > c.nowMs+policyOriginMs-c.warmUpMs
 		if endpoint.State != policy.Ready || startedRecently {
-			// An inherited drain of this server ends: the list shows the drain by now, or the server has restarted since.
+			// An inherited drain of this server ends: the list now shows the drain, or the server has restarted since.
 			for p := range c.proxies.all() {
 				delete(p.inheritedDrainUntilMs, endpoint.Server)
 			}
--- a/internal/planner/epochwriter.go
+++ b/internal/planner/epochwriter.go
@@ -8,13 +8,13 @@
 )
 
 // epochWriter reserves epochs in the store. It does so outside the core's goroutine, because syncing to disk takes
-// milliseconds, or seconds on a busy disk. It is owned by the goroutine in run.
+// milliseconds, or seconds on a busy disk. The goroutine in run owns the epochWriter.
 type epochWriter struct {
 	store     *store.Store
-	requests  chan uint64 // highest epoch to reserve; of capacity 1, as the core has at most one request pending
+	requests  chan uint64 // highest epoch to reserve; of capacity 1, as the core waits for the outcome of each reservation
 	loop      *eventLoop
 	log       *slog.Logger
-	lastError string // of the last write, so that a repeated failure is logged once; empty: the write succeeded
+	lastError string // error of the last write, so that a repeated failure is logged once; empty: the write succeeded
 }
 
 // newEpochWriter returns a writer to an open store, which the caller must close after run has returned.
--- a/internal/planner/eventloop.go
+++ b/internal/planner/eventloop.go
@@ -17,9 +17,9 @@
 
 // Bounds of the event loop.
 const (
-	inputQueueCapacity = 1024   // inputs that wait for the core; while it is full, streams are not read and peers' writes wait
+	inputQueueCapacity = 1024   // inputs that may wait for the core; a full queue stops reads, so peers' writes wait
 	maxInputBatch      = 512    // inputs handled before the core decides; a full batch takes a few ms
-	maxReportBatch     = 256    // load reports handled before the core decides, after the other inputs
+	maxReportBatch     = 256    // load reports handled, after the other inputs, before the core decides
 	saveIntervalMs     = 1000.0 // shortest time between writes of the endpoint list
 )
 
@@ -35,10 +35,10 @@
 	reports  *coalescedReports
 	acceptor *acceptor
 	status   *statusPublisher
-	epochs   chan<- uint64 // to the epoch writer; nil: planners do not share the fleet
+	epochs   chan<- uint64 // passes epochs to reserve to the epoch writer; nil: planners do not share the fleet
 
-	timerAtMs float64 // when the core asked to be called again
-	savedAtMs float64 // when the endpoint list was last saved
+	timerAtMs float64 // time at which the core asked to be evaluated again
+	savedAtMs float64 // time at which the endpoint list was last saved
 }
 
 var _ Host = (*eventLoop)(nil)
@@ -76,8 +76,8 @@
 	}
 }
 
-// awaitWork waits for an input, load reports, the timer, or the end of the context, for which running is false. The returned
-// input is nil except in the first case.
+// awaitWork waits for an input, for load reports, for the timer, or for the end of the context. It returns the input if
+// there was one, else nil; running is false once the context has ended.
 func (l *eventLoop) awaitWork(ctx context.Context) (in input, running bool) {
 	fired, stop := l.Clock.NewTimer(l.timerAtMs - l.Clock.Monotonic())
 	defer stop()
@@ -117,8 +117,8 @@
 	}
 }
 
-// handleQueuedReports passes at most maxReportBatch queued load reports to the core. If it reaches that number it signals
-// another evaluation for the rest.
+// handleQueuedReports passes at most maxReportBatch queued load reports to the core. After a full batch it signals that
+// reports wait, so that another evaluation handles the rest.
 func (l *eventLoop) handleQueuedReports() {
 	lagMs := 0.0
 	for range maxReportBatch {
@@ -161,7 +161,8 @@
 	return l.core.DumpInputs(file)
 }
 
-// saveEndpoints saves the endpoint list if it changed, at most once per saveIntervalMs. A restarted planner starts from it.
+// saveEndpoints saves the endpoint list if it changed, at most once per saveIntervalMs. A restarted planner starts from the
+// saved list.
 func (l *eventLoop) saveEndpoints() {
 	path := l.Settings.List.Keep
 	now := l.Clock.Monotonic()
@@ -179,8 +180,8 @@
 	}
 }
 
-// releaseProxies closes the streams of all proxies because the planner stops. They continue with their tables and dial
-// another planner. Their leases are released first, so that another planner can take them over at once.
+// releaseProxies closes the streams of all proxies because the planner stops. The proxies keep using their tables and dial
+// another planner. Their leases are released first, so that another planner can take the proxies over at once.
 func (l *eventLoop) releaseProxies() {
 	for p := range l.core.proxies.all() {
 		if p.commanded && l.core.leases.enabled() {
@@ -210,11 +211,12 @@
 // SetTimer schedules the next evaluation of the core, in ms of the clock.
 func (l *eventLoop) SetTimer(atMs float64) { l.timerAtMs = atMs }
 
-// ReserveEpochs passes a reservation to the epoch writer. It does not block, because the core has at most one pending.
+// ReserveEpochs passes a reservation to the epoch writer. It does not block, because the core has at most one reservation
+// pending.
 func (l *eventLoop) ReserveEpochs(upTo uint64) { l.epochs <- upTo }
 
-// Send queues a frame for a connection. It must not wait, because one slow proxy would delay all others, so it closes a
-// connection whose outbox is full.
+// Send queues a frame for a connection. Waiting for one slow proxy would delay all others, so Send closes a connection
+// whose outbox is full.
 func (l *eventLoop) Send(s *Stream, kind controlstream.FrameKind, m proto.Message) {
 	c := connectionOf(s)
 	select {
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -25,19 +25,19 @@
 	stepMs                  = 25.0
 	simulatedMs             = 30_000.0
 	digestIntervalMs        = 1000.0 // time covered by one line of a golden file
-	reportIntervalMs        = 1000.0 // of each proxy's load reports
+	reportIntervalMs        = 1000.0 // interval of each proxy's load reports
 	unixOriginMs            = 1_790_000_000_000
 	randomSeed              = 20261202
 	proxyCount              = 12
 	serverCount             = 14
 	classCount              = 3
-	redialSteps             = 20 // from the end of a stream to the next dial
-	idleSteps               = 40 // until the first proxy joins
-	joinSteps               = 8  // between the joins of successive proxies
+	redialSteps             = 20 // steps from the end of a stream to the next dial
+	idleSteps               = 40 // steps until the first proxy joins
+	joinSteps               = 8  // steps between the joins of successive proxies
 	otherPlannerName        = "planner-2"
 	plannerName             = "planner-1"
 	otherPlannerIncarnation = 99
-	initialIncarnation      = 5 // of all proxies
+	initialIncarnation      = 5 // initial incarnation of all proxies
 )
 
 const goldenSettings = `name: "planner-1" listen: "127.0.0.1:0"
@@ -66,12 +66,12 @@
 	zone         int
 	incarnation  uint64
 	lease        lease.Grantor
-	stream       *planner.Stream // nil: not connected
+	stream       *planner.Stream // current stream; nil: not connected
 	streamCount  uint64          // streams opened so far
-	redialStep   int             // step of the next dial while it is not connected
-	inbox        []proto.Message // messages on the current stream that it answers in the next step
-	unresponsive bool            // it answers no messages
-	silent       bool            // it sends no frames at all
+	redialStep   int             // step of the next dial while the proxy is not connected
+	inbox        []proto.Message // messages on the current stream that the proxy answers in the next step
+	unresponsive bool            // whether the proxy answers no messages
+	silent       bool            // whether the proxy sends no frames at all
 }
 
 // simulation runs a planner core with simulated proxies and endpoint updates in simulated time. The digest covers all
@@ -85,9 +85,9 @@
 	step     int
 	proxies  []*fakeProxy
 	servers  []discovery.Endpoint
-	slow     map[string]float64 // factor on the latency, by server
+	slow     map[string]float64 // factor by which the latency is multiplied, by server
 	failing  map[string]bool    // servers at which all attempts fail
-	diskFull bool               // writes to the epoch store fail
+	diskFull bool               // whether writes to the epoch store fail
 }
 
 func newSimulation(t *testing.T, name, more string, shared bool) *simulation {
@@ -291,7 +291,7 @@
 	},
 	10: func(c *simulation) {
 		c.changeState(0, policy.Removed)
-		c.changeState(5, policy.Draining) // not acknowledged by the unresponsive proxy
+		c.changeState(5, policy.Draining) // the unresponsive proxy does not acknowledge this drain
 	},
 	12: func(c *simulation) {
 		c.core.UpdateEndpoints(discovery.Update{Kind: policy.FailedUpdate, Fault: "no answer"})
@@ -308,7 +308,7 @@
 		c.sendFullList(3)
 	},
 	16: func(c *simulation) { c.diskFull = true },
-	18: func(c *simulation) { c.connect(c.proxies[6]) }, // a newer stream while the older one is open
+	18: func(c *simulation) { c.connect(c.proxies[6]) }, // opens a newer stream while the older one is open
 	20: func(c *simulation) { c.core.SetDraining(true) },
 	21: func(c *simulation) { c.diskFull = false },
 	23: func(c *simulation) {
@@ -332,8 +332,8 @@
 	proxy.disconnect(c.step)
 }
 
-// grantToOtherPlanner has a proxy grant a lease to another planner at random while it is free, and report when that lease
-// begins or expires.
+// grantToOtherPlanner makes a free proxy grant a lease to another planner at random, and makes the proxy report when that
+// lease begins or expires.
 func (c *simulation) grantToOtherPlanner(proxy *fakeProxy) {
 	const chance, leaseMs = 0.01, 1500
 	expired := proxy.lease.SetTime(c.now())
--- a/internal/planner/host_test.go
+++ b/internal/planner/host_test.go
@@ -29,7 +29,7 @@
 	testClassCount   = 2 // traffic classes in testSettings
 	testStepMs       = 50.0
 	testUnixOriginMs = 1e12 // wall-clock time when the planner's clock shows 0
-	maxDecisions     = 1e6  // in one evaluation; above it the core is considered to loop endlessly
+	maxDecisions     = 1e6  // limit on the decisions in one evaluation; a core that exceeds it is considered to loop endlessly
 )
 
 func parseTestSettings(t testing.TB, more string) *pb.Planner {
@@ -42,7 +42,7 @@
 	return set
 }
 
-// recordingHost is a core with its host, which records the messages to each stream and why it was closed.
+// recordingHost is a core with its host, which records the messages to each stream and why the stream was closed.
 type recordingHost struct {
 	*Core
 	t            testing.TB
@@ -95,8 +95,8 @@
 	}
 }
 
-// run evaluates the core every testStepMs within a time span, in ms. Before each evaluation, responsive proxies
-// acknowledge all messages that they were sent.
+// run evaluates the core every testStepMs within a time span, in ms. Before each evaluation, responsive proxies acknowledge
+// all messages that the core has sent them.
 func (h *recordingHost) run(fromMs, toMs float64) {
 	h.t.Helper()
 	for nowMs := fromMs; nowMs <= toMs; nowMs += testStepMs {
@@ -166,7 +166,7 @@
 	})
 }
 
-// received reports whether a stream was sent a matching order.
+// received reports whether the core has sent a matching order to a stream.
 func (h *recordingHost) received(s *Stream, matches func(*order.Order) bool) bool {
 	return h.firstMessageWith(s, matches) >= 0
 }
@@ -190,7 +190,7 @@
 	}
 }
 
-// endpointList returns a full update with some servers, named s0, s1 and so on, which alternate between both zones.
+// endpointList returns a full update with some servers, named s0, s1 and so on, which alternate between the two zones.
 func endpointList(count int) discovery.Update {
 	update := discovery.Update{Kind: policy.FullUpdate, AsOfMs: testUnixOriginMs}
 	for number := range count {
--- a/internal/planner/inputlog.go
+++ b/internal/planner/inputlog.go
@@ -9,10 +9,10 @@
 	"lichenpick/internal/discovery"
 )
 
-// recentInputCount is how many inputs are kept for a dump: those of a few seconds in a large fleet.
+// recentInputCount is how many inputs are kept for a dump: those of the last few seconds in a large fleet.
 const recentInputCount = 4096
 
-// inputKind identifies the input method that was called.
+// inputKind identifies an input method of the core.
 type inputKind uint8
 
 // Kinds of inputs. Only the input methods that call Core.logInput have one.
@@ -33,8 +33,8 @@
 // loggedInput is a recorded input. It is formatted only when a dump is written, because most inputs are never dumped.
 type loggedInput struct {
 	atMs    float64
-	stream  *Stream      // nil: the input belongs to no joined stream
-	content fmt.Stringer // nil: none
+	stream  *Stream      // stream that the input belongs to; nil: no joined stream
+	content fmt.Stringer // content of the input; nil: none
 	kind    inputKind
 }
 
@@ -50,10 +50,11 @@
 	return text
 }
 
-// updateSummary is the content of a logged endpoint update. It replaces the endpoints, which may be many, by their number.
+// updateSummary is the content of a logged endpoint update. It has the count of the endpoints instead of the endpoints
+// themselves, which may be many.
 type updateSummary struct {
-	update  discovery.Update // without its endpoints
-	entries int              // number of endpoints
+	update  discovery.Update // logged update, without its endpoints
+	entries int              // count of endpoints in the update
 }
 
 // newUpdateSummary returns the summary of an update.
@@ -81,7 +82,7 @@
 	count   int // inputs added since the start, including overwritten ones
 }
 
-// add records an input; once the buffer is full it overwrites the oldest one.
+// add records an input. Once the buffer is full, the new input overwrites the oldest one.
 func (l *inputLog) add(in loggedInput) {
 	l.entries[l.count%recentInputCount] = in
 	l.count++
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -9,7 +9,7 @@
 
 // Burst size and unit of the intake's rate.
 const (
-	intakeBurstsPerSecond = 5 // the rate per second divided by this is the burst: the most loads that may pass at once
+	intakeBurstsPerSecond = 5 // the rate per second divided by this is the burst: the limit on loads that pass at once
 	millisPerSecond       = 1000
 )
 
@@ -17,7 +17,7 @@
 type intakeLimits struct {
 	periodMs  float64 // length of the periods over which reports are aggregated
 	perSecond float64 // loads passed to the policy per second
-	maxQueued int     // most loads that wait; above it the oldest is shed
+	maxQueued int     // limit on the loads that wait; above the limit the oldest load is shed
 }
 
 // intakeLimitsOf returns the limits of checked settings.
@@ -29,42 +29,42 @@
 	}
 }
 
-// reportIntake aggregates load reports into loads, one per server and reporting zone and one per proxy and traffic class. It
-// passes a limited number of loads per second to the policy, oldest first. Samples of a load that already waits are added to
-// it, so each load is in the queue at most once.
+// reportIntake aggregates load reports into loads: one per server and reporting zone, and one per proxy and traffic class.
+// It passes a limited rate of loads to the policy, oldest first. Samples of a load that already waits are added to that
+// load, so each load is in the queue at most once.
 type reportIntake struct {
 	intakeLimits
 	periodStartMs float64
-	current       []*pendingLoad // loads with samples in the current period, by when the first came
+	current       []*pendingLoad // loads with samples in the current period, in the order of their first samples
 	queue         []*pendingLoad // loads with samples from closed periods, oldest first
 	removed       int            // loads in the queue whose owner has left
-	tokens        float64        // loads that may pass now
+	tokens        float64        // count of loads that may pass to the policy now
 	nowMs         float64
 	shed          int // loads dropped from the queue since the start
 }
 
 // pendingLoad is the load of a server from a zone, or the demand of a proxy in a traffic class, that was not passed to the
-// policy yet. Its owner, an endpointState or a joinedProxy, keeps a pointer to it, so that adding a report needs neither a
-// lookup nor an allocation.
+// policy yet. The owner of the load, an endpointState or a joinedProxy, keeps a pointer to it, so that adding a report
+// needs neither a lookup nor an allocation.
 type pendingLoad struct {
-	server string       // empty for the demand of a proxy
-	zone   int          // of the reporting proxies; for a server only
-	proxy  *joinedProxy // nil for a server
-	class  int          // for a proxy only
+	server string       // name of the server; empty for the demand of a proxy
+	zone   int          // zone of the reporting proxies; unused for the demand of a proxy
+	proxy  *joinedProxy // proxy with the demand; nil for the load of a server
+	class  int          // traffic class of the demand; unused for the load of a server
 
-	current   loadSample // of the current period
-	queued    loadSample // of earlier periods
-	coversMs  float64    // total length of these periods
-	isCurrent bool       // in reportIntake.current
-	isQueued  bool       // in reportIntake.queue
-	removed   bool       // the owner has left
+	current   loadSample // samples of the current period
+	queued    loadSample // samples of earlier periods
+	coversMs  float64    // total length of the periods that queued covers
+	isCurrent bool       // whether the load is in reportIntake.current
+	isQueued  bool       // whether the load is in reportIntake.queue
+	removed   bool       // whether the owner has left
 }
 
 // loadSample counts attempts at a server, or requests of a traffic class.
 type loadSample struct {
 	count     int
-	failed    int     // those of count that failed
-	latencyMs float64 // sum over the successful ones
+	failed    int     // failed attempts or requests among count
+	latencyMs float64 // sum of the latencies of the successful attempts
 }
 
 // add adds another sample to this one.
@@ -74,7 +74,7 @@
 	s.latencyMs += other.latencyMs
 }
 
-// meanLatencyMs returns the mean latency of the successful ones, and 0 if there are none.
+// meanLatencyMs returns the mean latency of the successful attempts, and 0 if there are none.
 func (s *loadSample) meanLatencyMs() float64 {
 	succeeded := s.count - s.failed
 	if succeeded <= 0 {
@@ -97,7 +97,7 @@
 	load.current.add(loadSample{count: count, failed: failed, latencyMs: meanLatencyMs * float64(count-failed)})
 }
 
-// setTime sets the time, in ms. It refills the tokens and closes the current period if that is over.
+// setTime sets the time, in ms. It refills the tokens, and closes the current period if the period is over.
 func (in *reportIntake) setTime(nowMs float64) {
 	burst := math.Max(in.perSecond/intakeBurstsPerSecond, 1)
 	in.tokens = math.Min(in.tokens+(nowMs-in.nowMs)/millisPerSecond*in.perSecond, burst)
@@ -112,7 +112,7 @@
 	coversMs := in.nowMs - in.periodStartMs
 	in.periodStartMs = in.nowMs
 	in.compact()
-	for _, load := range in.queue { // a queued load covers this period too, even without samples in it
+	for _, load := range in.queue { // a queued load covers the current period too, even without samples in it
 		load.coversMs += coversMs
 	}
 	for _, load := range in.current {
@@ -129,8 +129,8 @@
 	in.current = in.current[:0]
 }
 
-// enqueue queues a load. If the queue is full it sheds the oldest load, whose samples are the most outdated. These are lost
-// together with the time that they cover, so rates computed from the same owner's later loads stay correct.
+// enqueue queues a load. If the queue is full it sheds the oldest load, whose samples are the most outdated. The samples
+// are lost together with the time that they cover, so rates computed from the same owner's later loads stay correct.
 func (in *reportIntake) enqueue(load *pendingLoad, coversMs float64) {
 	if len(in.queue) >= in.maxQueued {
 		oldest := in.queue[0]
--- a/internal/planner/leases.go
+++ b/internal/planner/leases.go
@@ -8,18 +8,18 @@
 	"lichenpick/proto/order"
 )
 
-// leaseState is the state of a planner that shares its fleet with others. Package lease decides which planner commands which
-// proxy. The core carries that out, and keeps the drains that a proxy's previous planner knew of.
+// leaseState is the state of a planner that shares its fleet with others. Package lease decides which planner commands
+// which proxy. The core carries out these decisions, and keeps the drains that a proxy's previous planner knew of.
 type leaseState struct {
-	manager         *lease.Manager // nil: planners do not share the fleet
-	settled         bool           // no lease decision is left before the next SetTime
-	drainInheritors []*joinedProxy // proxies with inherited drains: those that only their previous planner knew of
+	manager         *lease.Manager // manages the leases of the proxies; nil: planners do not share the fleet
+	settled         bool           // whether no lease decision is left until the next SetTime
+	drainInheritors []*joinedProxy // proxies with drains that only the proxy's previous planner knew of
 }
 
 // enabled reports whether planners share the fleet.
 func (l *leaseState) enabled() bool { return l.manager != nil }
 
-// setTime sets the time, in ms. Lease decisions may become due by it.
+// setTime sets the time, in ms. Lease decisions may become due as the time advances.
 func (l *leaseState) setTime(nowMs float64) {
 	if l.enabled() {
 		l.manager.SetTime(nowMs)
@@ -36,8 +36,8 @@
 	return held
 }
 
-// EnableLeases makes the planner one of several that share a fleet. It must be called before any other method. The epoch
-// store states that earlier processes may have used epochs up to reserved.
+// EnableLeases makes the planner one of several that share a fleet. EnableLeases must be called before any other method.
+// According to the epoch store, earlier processes may have used epochs up to reserved.
 func (c *Core) EnableLeases(reserved uint64) {
 	c.leases.manager = lease.NewManager(c.configuration.Name, c.incarnation, reserved, c.nowMs)
 }
@@ -61,8 +61,8 @@
 	}
 }
 
-// HandleLease handles a proxy's lease state: sent unasked, with nonce 0, or in answer to a lease request. A proxy that
-// grants a new lease also reports its tables, the drains that it knows of, and when it was last sent messages.
+// HandleLease handles the lease state that a proxy sent unasked, with nonce 0, or in answer to a lease request. A proxy
+// that grants a new lease also reports its tables, the drains that it knows of, and when planners last sent it messages.
 func (c *Core) HandleLease(s *Stream, state *order.Lease) {
 	c.logInput(inputLease, s, state)
 	p := s.proxy
@@ -80,7 +80,8 @@
 	c.leases.manager.HandleAnswer(p.name, state.Nonce, state.Granted, proxyViewOf(state))
 }
 
-// inheritState records what a proxy reports about its previous planner: the tables, the drains, and the times of messages.
+// inheritState records what a proxy reports about its time under the previous planner: tables, drains, and times of
+// messages.
 func (c *Core) inheritState(p *joinedProxy, state *order.Lease) {
 	p.reportedTables = state.Holds
 	p.inheritedDrains = state.Going
@@ -151,8 +152,8 @@
 	}
 }
 
-// StartCommand has the policy command a proxy. Messages that other planners sent to it count towards its message window, and
-// drains that only its previous planner knew of stay in force for lease.DrainRetentionMs.
+// StartCommand makes the policy command a proxy. Messages that other planners sent to the proxy count towards its message
+// window. Drains that only its previous planner knew of stay in force for lease.DrainRetentionMs.
 func (h leaseHost) StartCommand(proxy string, epoch uint64) {
 	c := h.core
 	p := c.proxies.byName[proxy]
@@ -196,7 +197,7 @@
 	}
 }
 
-// ReserveEpochs has the epoch store record that epochs up to upTo may be used.
+// ReserveEpochs makes the epoch store record that epochs up to upTo may be used.
 func (h leaseHost) ReserveEpochs(upTo uint64) { h.host.ReserveEpochs(upTo) }
 
 // SetAcceptsLeases tells all joined proxies whether this planner accepts leases.
--- a/internal/planner/leases_test.go
+++ b/internal/planner/leases_test.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	testPlannerName = "p" // in testSettings
+	testPlannerName = "p" // name of the planner in testSettings
 	testLeaseMs     = 2000
 )
 
@@ -40,8 +40,8 @@
 // newFreeLease returns the lease state of a proxy that reaches this planner and has granted no lease.
 func newFreeLease() *order.Lease { return &order.Lease{Reachable: []string{testPlannerName}} }
 
-// grantRequests grants all lease requests among the messages to a stream from an index on. The answers are statement,
-// completed with the lease. It returns the number of messages to the stream so far.
+// grantRequests grants all lease requests among the messages to a stream from the index fromMessage on. Each answer is a
+// copy of statement, completed with the lease. It returns the number of messages to the stream so far.
 func (h *recordingHost) grantRequests(s *Stream, fromMessage int, statement *order.Lease) int {
 	for _, message := range h.sent[s][fromMessage:] {
 		request, ok := message.(*order.Claim)
@@ -61,7 +61,7 @@
 }
 
 // runRenewing evaluates the core every testStepMs within a time span, in ms, and grants all lease requests among the
-// messages from an index on. It returns the number of messages to the stream so far.
+// messages to a stream from the index fromMessage on. It returns the number of messages to the stream so far.
 func (h *recordingHost) runRenewing(s *Stream, fromMs, toMs float64, fromMessage int) int {
 	h.t.Helper()
 	for nowMs := fromMs; nowMs <= toMs; nowMs += testStepMs {
@@ -112,8 +112,8 @@
 	}
 }
 
-// testInheritedDrain takes over a proxy whose previous planner knew that s0 drains. The endpoint list shows the drain
-// later if shown is set, and never otherwise.
+// testInheritedDrain takes over a proxy whose previous planner knew that s0 drains. If shown is set, the endpoint list
+// shows the drain later; otherwise the list never shows it.
 func testInheritedDrain(t *testing.T, shown bool) {
 	t.Helper()
 	host, stream := newLeasingHost(t)
@@ -147,7 +147,7 @@
 		statement.MessagesAgoMs = append(statement.MessagesAgoMs, float64(100*number))
 	}
 	messages := host.grantRequests(stream, 0, statement)
-	for round := range 12 { // each change of the list causes orders
+	for round := range 12 { // each change of the endpoint list causes orders
 		beginMs := 500 * float64(round)
 		messages = host.runRenewing(stream, beginMs+50, beginMs+500, messages)
 		host.UpdateEndpoints(stateChange("s0", policy.State(round%2)))
--- a/internal/planner/loadreports.go
+++ b/internal/planner/loadreports.go
@@ -2,11 +2,11 @@
 
 import "lichenpick/proto/order"
 
-// Thresholds of lagging, with hysteresis so that the state does not flip with each report. Times are how long a load report
-// waits for the core.
+// Thresholds at which the planner starts and stops lagging, as times for which a load report waits for the core. They
+// differ so that the state does not flip with each report.
 const (
-	laggingMs  = 1000.0 // above it decisions would use outdated reports, and the planner lags
-	caughtUpMs = 100.0  // below it the planner lags no longer
+	laggingMs  = 1000.0 // above this wait, decisions would use outdated reports, so the planner lags
+	caughtUpMs = 100.0  // below this wait, the planner no longer lags
 )
 
 // HandleLoadReport handles a proxy's load report. Samples of servers that were never listed are ignored.
@@ -27,7 +27,7 @@
 		p.demand = c.newDemand(p)
 	}
 	for _, sample := range report.Groups {
-		if int(sample.Group) < len(p.demand) { // the class comes from the proxy and is not checked before
+		if int(sample.Group) < len(p.demand) { // the class comes from the proxy and has not been checked yet
 			c.intake.add(p.demand[sample.Group], int(sample.Came), int(sample.Dropped), 0)
 		}
 	}
--- a/internal/planner/logkeys.go
+++ b/internal/planner/logkeys.go
@@ -2,17 +2,17 @@
 
 // Keys of the attributes in log records.
 const (
-	logKeyAddress = "address" // on which the planner listens
-	logKeyCause   = "cause"   // of a panic or a failed endpoint update
-	logKeyDetail  = "detail"  // explains the reason of a closed stream
+	logKeyAddress = "address" // address on which the planner listens
+	logKeyCause   = "cause"   // cause of a panic or of a failed endpoint update
+	logKeyDetail  = "detail"  // detail of the reason for which a stream was closed
 	logKeyError   = "error"
 	logKeyFrom    = "from"    // address of a peer
-	logKeyPath    = "path"    // of a file
+	logKeyPath    = "path"    // path of a file
 	logKeyPlanner = "planner" // name of the planner
-	logKeyProxies = "proxies" // number of proxies
+	logKeyProxies = "proxies" // count of proxies
 	logKeyProxy   = "proxy"   // name of a proxy
 	logKeyReason  = "reason"  // controlstream.CloseReason of a closed stream
-	logKeyServers = "servers" // number of servers
+	logKeyServers = "servers" // count of servers
 	logKeyStack   = "stack"   // stack trace of a panic
-	logKeyStreams = "streams" // number of open streams
+	logKeyStreams = "streams" // count of open streams
 )
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -7,12 +7,13 @@
 
 // metric is one exported value of the status. Dashboards and alerts use the names, so they must not change.
 type metric struct {
-	name  string // without metricPrefix
-	help  string // names the unit
+	name  string // metric name without metricPrefix
+	help  string // help text, which names the unit
 	value func(*Status) float64
 }
 
-// metrics lists all exported metrics. Totals stay gauges like the others, because the type is part of a metric's interface.
+// metrics lists all exported metrics. Totals stay gauges like the other metrics, because the type is part of a metric's
+// interface.
 var metrics = []metric{
 	{"proxies", "Number of proxies joined.", func(s *Status) float64 { return float64(s.Proxies) }},
 	{"commanded", "Number of proxies commanded by this planner.", func(s *Status) float64 { return float64(s.LeasesHeld) }},
--- a/internal/planner/policyhost.go
+++ b/internal/planner/policyhost.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// AssignTable has a proxy use a table for some traffic classes. It does nothing if the proxy has left since the policy
-// decided.
+// AssignTable makes a proxy use a table for some traffic classes. It does nothing if the proxy has left since the policy
+// decided on the assignment.
 func (h policyHost) AssignTable(proxyID, tableNumber int, classes []int, _ []string) {
 	c := h.core
 	p := c.proxies.byID[proxyID]
@@ -81,9 +81,9 @@
 	return &order.Level{Group: uint32(class), Share: rate.Fraction, Retry: uint32(rate.Retry)}
 }
 
-// SetEjected ejects a server for the whole fleet, or readmits it. Of an ejection it notifies the proxies that use the
-// server. Of a readmission it notifies those that were notified of the ejection, except where an inherited drain keeps
-// the server ejected.
+// SetEjected ejects a server for the whole fleet, or readmits the server. Proxies that use the server are notified of an
+// ejection. Proxies that were notified of the ejection are notified of the readmission, except where an inherited drain
+// keeps the server ejected.
 func (h policyHost) SetEjected(server string, ejected, _ bool) {
 	c := h.core
 	c.registry.SetEjected(server, ejected)
@@ -102,8 +102,8 @@
 func (h policyHost) RestoreServers(int, []string) {}
 
 // SetAdmission sets the fraction of a traffic class's requests that all proxies admit, and their retry mode. It panics if
-// the rate is for a single table, because the control stream cannot express that. This would be a bug of the policy; the
-// server then stops and dumps the inputs that led to it.
+// the rate is for a single table, because the control stream cannot express such a rate. A rate for a single table would be
+// a bug of the policy; the server then stops and dumps the inputs that led to the panic.
 func (h policyHost) SetAdmission(tableNumber, class int, fraction float64, retry int) {
 	if tableNumber != policy.AllTables {
 		panic("the policy set the admission rate of a single table, which the control stream cannot express")
@@ -116,7 +116,8 @@
 	}
 }
 
-// RequestAcknowledgement asks each proxy that gets orders in this evaluation to acknowledge them with a number.
+// RequestAcknowledgement asks each proxy that gets orders in this evaluation to acknowledge these orders with the given
+// number.
 func (h policyHost) RequestAcknowledgement(number int) {
 	for _, p := range h.core.publisher.dirty {
 		h.core.addOrder(p, entriesPerOrder, &order.Order{What: &order.Order_Receipt{Receipt: uint32(number)}})
@@ -126,5 +127,5 @@
 // WatchEndpoints does nothing: endpoint sources push or poll without being asked.
 func (policyHost) WatchEndpoints() {}
 
-// SetTimer schedules the next call of the policy, in ms from now.
+// SetTimer schedules the next call of the policy, inMs from now.
 func (h policyHost) SetTimer(inMs float64) { h.core.timers.policyAtMs = h.core.nowMs + inMs }
--- a/internal/planner/proxies.go
+++ b/internal/planner/proxies.go
@@ -12,10 +12,10 @@
 // Stream is the core's view of one connection of a proxy. The host creates one for each connection; the core owns it from
 // HandleJoin on.
 type Stream struct {
-	Address   netip.Addr // of the proxy; determines its zone if the join names none
-	Transport any        // for use by the host; the core never reads it
+	Address   netip.Addr // address of the proxy; determines its zone if the join names none
+	Transport any        // connection of the host, for use by the host; the core never reads it
 
-	proxy *joinedProxy // nil until it has joined
+	proxy *joinedProxy // the proxy of this stream; nil until it has joined
 	ended bool
 }
 
@@ -30,41 +30,42 @@
 // joinedProxy is a proxy with a stream. It exists as long as the stream: a proxy that dials again gets a new joinedProxy.
 type joinedProxy struct {
 	name            string
-	id              int // identifies it to the policy
-	zone            int // index in the settings' zones
+	id              int // identifies the proxy to the policy
+	zone            int // index of the zone in the settings
 	stream          *Stream
-	incarnation     uint64  // of its process
-	streamNumber    uint64  // counter of streams that its process sent in the join
-	expectedRate    float64 // requests per second that it stated in the join
-	lastFrameMs     float64 // when the last frame from it was received
+	incarnation     uint64  // incarnation of the proxy's process
+	streamNumber    uint64  // stream counter of the proxy's process, as sent in the join
+	expectedRate    float64 // requests per second that the proxy expects, as sent in the join
+	lastFrameMs     float64 // when the last frame from the proxy was received
 	window          *controlstream.MessageWindow
-	tables          []*weighttable.Table[*joinedProxy] // by traffic class; nil if this stream assigned none for the class
-	reportedTables  []*order.Holding                   // tables from earlier streams, as it reported them
-	ejections       map[string]bool                    // ejected servers that it was notified of
-	unacknowledged  []sentUpdate                       // oldest first
-	messageCount    uint64                             // messages created for this stream, which is the number of the last one
+	tables          []*weighttable.Table[*joinedProxy] // assigned tables by traffic class; nil where this stream assigned none
+	reportedTables  []*order.Holding                   // tables from earlier streams, as the proxy reported them
+	ejections       map[string]bool                    // ejected servers whose ejection the proxy was notified of
+	unacknowledged  []sentUpdate                       // messages not acknowledged yet, oldest first
+	messageCount    uint64                             // messages created for this stream; also the number of the last message
 	update          pendingUpdate
-	demand          []*pendingLoad // by traffic class; nil until its first report
-	commanded       bool           // whether it was added to the policy; always true if planners do not share the fleet
-	epoch           uint64         // under which it is commanded; 0 if planners do not share the fleet
-	inheritedDrains []string       // servers that drain or are removed, as its previous planner knew
-	// inheritedDrainUntilMs holds those of inheritedDrains that are ready in this planner's endpoint list, which may be
-	// late, and until when they stay ejected.
+	demand          []*pendingLoad // pending demand by traffic class; nil until the proxy's first report
+	commanded       bool           // whether the policy commands the proxy; always true if planners do not share the fleet
+	epoch           uint64         // epoch under which the proxy is commanded; 0 if planners do not share the fleet
+	inheritedDrains []string       // servers that drain or are removed, as the proxy's previous planner knew
+	// inheritedDrainUntilMs maps the servers among inheritedDrains that are ready in this planner's endpoint list, which
+	// may be late, to the time until which they stay ejected.
 	inheritedDrainUntilMs map[string]float64
-	sentByOthersMs        []float64 // when other planners sent it messages, oldest first
+	sentByOthersMs        []float64 // times at which other planners sent the proxy messages, oldest first
 }
 
-// proxyTable holds the joined proxies by name and by id. The ids of proxies that left are reused, the last freed one first.
+// proxyTable holds the joined proxies by name and by id. The ids of proxies that left are reused; the id freed last is
+// reused first.
 type proxyTable struct {
 	byName  map[string]*joinedProxy
-	byID    []*joinedProxy // nil for free ids
+	byID    []*joinedProxy // proxies by id; nil for free ids
 	freeIDs []int
 }
 
 // newProxyTable returns an empty table.
 func newProxyTable() proxyTable { return proxyTable{byName: map[string]*joinedProxy{}} }
 
-// add assigns a proxy its id and makes it the current one of its name.
+// add assigns a proxy its id and makes the proxy the current one of its name.
 func (t *proxyTable) add(p *joinedProxy) {
 	if last := len(t.freeIDs) - 1; last >= 0 {
 		p.id = t.freeIDs[last]
--- a/internal/planner/publisher.go
+++ b/internal/planner/publisher.go
@@ -18,14 +18,14 @@
 	incarnation     uint64
 	messageOverhead float64                                  // entries that a message counts as, in addition to its orders
 	queue           *controlstream.SendQueue[*queuedMessage] // messages that wait to be sent
-	dirty           []*joinedProxy                           // proxies with a pending update, by when the update was begun
+	dirty           []*joinedProxy                           // proxies with a pending update, oldest update first
 }
 
 // pendingUpdate holds the orders for one proxy that the current evaluation has decided so far.
 type pendingUpdate struct {
-	orders  *order.Orders // nil: none
-	entries float64       // of all orders, without the message overhead
-	urgent  bool          // contains the ejection of a server that drains or is removed
+	orders  *order.Orders // orders decided so far; nil: none
+	entries float64       // entries that the orders count as, without the message overhead
+	urgent  bool          // whether the orders eject a server that drains or is removed
 }
 
 // queuedMessage is a message that waits to be sent.
@@ -52,7 +52,7 @@
 	}
 }
 
-// add adds an order, which counts as some entries, to a proxy's update. wallTime is that of the evaluation.
+// add adds an order, which counts as some entries, to a proxy's update. wallTime is the wall-clock time of the evaluation.
 func (pub *publisher) add(p *joinedProxy, wallTime time.Time, entries float64, o *order.Order) {
 	update := &p.update
 	if update.orders == nil {
@@ -67,9 +67,9 @@
 	update.entries += entries
 }
 
-// enqueue queues the oldest pending update as one message. The caller then waits for its acknowledgement. If a limit
-// rejects the message, the caller must close the proxy's stream: a proxy that misses a message would use tables that
-// differ from those that the planner has recorded.
+// enqueue queues the oldest pending update as one message. The caller must then wait for the message's acknowledgement. If
+// a limit rejects the message, the caller must close the proxy's stream: a proxy that misses a message would use tables
+// that differ from those that the planner has recorded.
 func (pub *publisher) enqueue(nowMs float64) (*joinedProxy, sentUpdate, *controlstream.CloseError) {
 	p := pub.dirty[0]
 	pub.dirty = pub.dirty[1:]
--- a/internal/planner/publisher_test.go
+++ b/internal/planner/publisher_test.go
@@ -26,8 +26,8 @@
 	return host, stream
 }
 
-// The lease manager decides only at the beginning of an evaluation. Until then, the check when a message leaves the queue
-// is all that prevents sending orders whose lease has ended.
+// The lease manager decides only at the beginning of an evaluation. Until the next evaluation, only the check when a
+// message leaves the queue prevents sending orders whose lease has ended.
 func TestDepartureNeedsLease(t *testing.T) {
 	for name, variant := range map[string]struct {
 		end  func(*recordingHost, *Stream)
@@ -60,14 +60,14 @@
 	}
 }
 
-// ejectByPolicy ejects a server and has a proxy notified, as policyHost does.
+// ejectByPolicy ejects a server and notifies a proxy of the ejection, as policyHost does.
 func (h *recordingHost) ejectByPolicy(server string, p *joinedProxy) {
 	h.registry.SetEjected(server, true)
 	h.setEjected(p, server, true)
 }
 
 func TestInheritedWindowLimitsMessages(t *testing.T) {
-	const maxMessages = 20 // the default
+	const maxMessages = 20 // default message window
 	for name, variant := range map[string]struct {
 		before  int
 		refused bool
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -20,20 +20,20 @@
 	pb "lichenpick/proto/settings"
 )
 
-// ErrCoreFailed is wrapped by the error that Run returns if the core panicked. That is a bug in the planner, not a
+// ErrCoreFailed is wrapped by the error that Run returns if the core panicked. A panic is a bug in the planner, not a
 // failure of its environment.
 var ErrCoreFailed = errors.New("planner core failed")
 
-// Options configure Run. Fields are required unless they say otherwise.
+// Options configure Run. Fields are required unless their comments say otherwise.
 type Options struct {
 	Settings *pb.Planner // checked by package settings
 	Clock    clock.Clock
 	Network  clock.Network
-	Source   discovery.Source // of the endpoint list
+	Source   discovery.Source // source of the endpoint list
 	Log      *slog.Logger
-	Ready    func(addr net.Addr) // called once, when the planner accepts proxies; nil: not called
-	Decider  Decider             // nil: the policy that NewPolicy returns
-	Status   func(*Status)       // called with the last status before Run returns, unless Run failed to start; nil: not called
+	Ready    func(addr net.Addr) // called once, when the planner accepts proxies; optional
+	Decider  Decider             // makes the decisions; nil: the policy that NewPolicy returns
+	Status   func(*Status)       // called with the last status before Run returns, unless Run failed to start; optional
 }
 
 // server is a running planner. It has one goroutine each for the listener, the core, the endpoint source, the epoch store
@@ -45,7 +45,7 @@
 	acceptor *acceptor
 	status   *statusPublisher
 	reports  *coalescedReports
-	epochs   *epochWriter // nil: planners do not share the fleet
+	epochs   *epochWriter // reserves epochs in the store; nil: planners do not share the fleet
 }
 
 // Run runs a planner until the context ends, and then closes the streams of its proxies, which keep their tables. It returns
@@ -58,7 +58,7 @@
 	}
 	defer closeQuietly(listener)
 	s := newServer(o)
-	if o.Settings.Sharing != nil { // without its epoch store a planner must not command proxies of a shared fleet
+	if o.Settings.Sharing != nil { // a planner of a shared fleet must not command proxies without its epoch store
 		epochStore, err := store.Open(o.Settings.Sharing.Store, o.Settings.Name)
 		if err != nil {
 			return fmt.Errorf("opening the epoch store: %w", err)
@@ -118,7 +118,7 @@
 	s.loop.core.EnableLeases(epochStore.ReservedEpoch())
 }
 
-// restoreEndpoints passes the endpoint list that an earlier process saved to the core, if there is one.
+// restoreEndpoints reads the endpoint list that an earlier process saved, if there is one, and passes the list to the core.
 func (s *server) restoreEndpoints() {
 	path := s.Settings.List.Keep
 	if path == "" {
@@ -134,8 +134,8 @@
 	}
 }
 
-// run starts the server's goroutines and waits for them. The acceptor waits for those of the connections: a connection that
-// fails must not stop the planner.
+// run starts the server's goroutines and waits for them. The acceptor waits for the goroutines of the connections, so that
+// a connection that fails does not stop the planner.
 func (s *server) run(ctx context.Context, listener, statusListener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.acceptor.run(ctx, listener) })
@@ -174,5 +174,5 @@
 	return binary.BigEndian.Uint64(number[:]) | 1
 }
 
-// closeQuietly closes something that is no longer used. It ignores the error, because there is nothing left to do about it.
+// closeQuietly closes something that is no longer used. It ignores the error, because nothing can be done about it.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/planner/server_fixture_test.go
+++ b/internal/planner/server_fixture_test.go
@@ -23,7 +23,7 @@
 
 const (
 	stopTimeout       = 10 * time.Second
-	eventuallyTimeout = 20 * time.Second // far longer than any condition takes
+	eventuallyTimeout = 20 * time.Second // far longer than any awaited condition takes
 	eventuallyPoll    = 2 * time.Millisecond
 	pausePoll         = 5 * time.Millisecond
 )
@@ -46,7 +46,7 @@
 // steppedClock is the real clock with a wall-clock time that a test can step.
 type steppedClock struct {
 	*clock.Real
-	offset atomic.Int64 // added to the wall-clock time; a time.Duration
+	offset atomic.Int64 // offset added to the wall-clock time; a time.Duration
 }
 
 func (s *steppedClock) WallTime() time.Time {
@@ -161,11 +161,11 @@
 	done    chan struct{} // closed when the stream has ended
 
 	mu     sync.Mutex
-	orders []*order.Orders           // all received; guarded by mu
-	cause  *controlstream.CloseError // nil until the stream has ended; guarded by mu
+	orders []*order.Orders           // all received orders; guarded by mu
+	cause  *controlstream.CloseError // why the stream ended; nil until it has ended; guarded by mu
 }
 
-// connect opens a stream and does not join.
+// connect opens a stream without joining.
 func (s *testServer) connect() *testProxy {
 	s.t.Helper()
 	conn, err := clock.TCP{}.Dial(s.t.Context(), netip.MustParseAddr("127.1.0.9"), s.address)
--- a/internal/planner/server_test.go
+++ b/internal/planner/server_test.go
@@ -92,7 +92,7 @@
 
 func testStoppedReader(t *testing.T) {
 	t.Parallel()
-	const drainGrace = 3 * time.Second // the default
+	const drainGrace = 3 * time.Second // default drain grace
 	server := startServer(t, parseTestSettings(t, "proxies: 4"), nil, 4)
 	stopped := server.joinAndAwaitTable("stopped", 1, 1)
 	healthy := server.joinAndAwaitTable("healthy", 1, 1)
@@ -201,12 +201,13 @@
 		return err == nil
 	})
 	first.stop()
-	second := startServer(t, set, nil, 0) // its source sends no list
+	second := startServer(t, set, nil, 0) // the source of this planner sends no list
 	second.joinAndAwaitTable("x", 1, 2)
 }
 
-// When the core stalls for 2 s under load reports, readers must not wait for it, because all proxies would then close their
-// streams and dial again at once. The waiting reports must not grow beyond one per stream, and no attempt may be lost.
+// When the core stalls for 2 s under load reports, readers must not wait for the core, because all proxies would then close
+// their streams and dial again at once. There must never be more than one waiting report per stream, and no attempt may be
+// lost.
 func TestStalledCore(t *testing.T) {
 	t.Parallel()
 	const proxies, reports, attempts, stallMs = 8, 1500, 2, 2000
@@ -226,7 +227,7 @@
 			}
 		})
 	}
-	sending.Wait() // returns although the core takes no reports
+	sending.Wait() // Wait returns although the core takes no reports
 	err := clock.Sleep(t.Context(), server.clock, stallMs)
 	stalling.gate.Unlock()
 	if err != nil {
--- a/internal/planner/sessions.go
+++ b/internal/planner/sessions.go
@@ -8,8 +8,8 @@
 	"lichenpick/proto/order"
 )
 
-// nameReservedMs is how long a proxy's name stays reserved for its process after the last frame from it. Without that, two
-// proxies configured with the same name would replace each other's streams endlessly.
+// nameReservedMs is how long a proxy's name stays reserved for its process after the last frame from that process. Without
+// the reservation, two proxies configured with the same name would replace each other's streams endlessly.
 const nameReservedMs = 2500.0
 
 // HandleJoin handles the first frame of a stream. Subsequent calls of Next welcome the proxy or close the stream.
@@ -49,7 +49,7 @@
 	}
 }
 
-// checkJoin returns the zone of a joining proxy, or why it cannot join.
+// checkJoin returns the zone of a joining proxy, or why the proxy cannot join.
 func (c *Core) checkJoin(s *Stream, join *order.Join) (zone int, refusal *controlstream.CloseError) {
 	zone, known := c.zones.find(join.Zone, s.Address)
 	classes := len(c.configuration.Groups)
@@ -68,8 +68,8 @@
 }
 
 // supersede closes the current stream under a joining proxy's name, if there is one, or returns why the new stream cannot
-// use the name. A newer stream of the same process always replaces the old one, which is broken even if this side has not
-// noticed yet. Another process gets the name only after the first has been silent for nameReservedMs.
+// use the name. A newer stream of the same process always replaces the old one, which is broken even if this planner has
+// not noticed yet. Another process gets the name only after the current one has been silent for nameReservedMs.
 func (c *Core) supersede(s *Stream, join *order.Join) *controlstream.CloseError {
 	old := c.proxies.byName[join.Proxy]
 	if old == nil {
@@ -95,8 +95,8 @@
 	}
 }
 
-// welcome answers a join and has the policy command the proxy. The answer lists the ejected servers in the tables that the
-// proxy still uses from earlier streams, so that ejections apply before it is assigned a new table.
+// welcome answers a join and makes the policy command the proxy. The answer lists the ejected servers in the tables that
+// the proxy still uses from earlier streams, so that ejections apply before the proxy is assigned a new table.
 func (c *Core) welcome(p *joinedProxy) {
 	welcome := c.newWelcome()
 	for _, table := range p.reportedTables {
@@ -130,7 +130,8 @@
 	}
 }
 
-// HandleDisconnect records that a stream ended, whichever side closed it. The host calls it once for each stream.
+// HandleDisconnect records that a stream ended, whichever side closed it. The host calls HandleDisconnect once for each
+// stream.
 func (c *Core) HandleDisconnect(s *Stream, why *controlstream.CloseError) {
 	c.logInput(inputDisconnect, s, disconnectCause{why})
 	if !s.ended {
--- a/internal/planner/sessions_test.go
+++ b/internal/planner/sessions_test.go
@@ -52,17 +52,17 @@
 		host := newRecordingHost(t, "proxies: 4", 4)
 		first := host.join("x", 1, 1)
 		host.run(0, 1000)
-		otherProcess := host.join("x", 2, 1) // while the stream of the first process is alive
+		otherProcess := host.join("x", 2, 1) // joins while the stream of the first process is alive
 		host.run(1050, 1100)
 		if host.closed[otherProcess] != controlstream.ReasonNameInUse || host.closed[first] != "" {
 			t.Errorf("close reasons: other process %q, first stream %q", host.closed[otherProcess], host.closed[first])
 		}
-		redialed := host.join("x", 1, 2) // a newer stream of the first process
+		redialed := host.join("x", 1, 2) // opens a newer stream of the first process
 		host.run(1150, 2000)
 		if host.closed[first] != controlstream.ReasonSuperseded || host.closed[redialed] != "" || !host.received(redialed, isAssignment) {
 			t.Errorf("close reasons: first stream %q, second stream %q", host.closed[first], host.closed[redialed])
 		}
-		delayed := host.join("x", 1, 1) // the join of an older stream that arrives late
+		delayed := host.join("x", 1, 1) // joins late: an older stream of the first process
 		host.run(2050, 2100)
 		if host.closed[delayed] != controlstream.ReasonNameInUse || host.closed[redialed] != "" {
 			t.Errorf("close reasons: delayed stream %q, second stream %q", host.closed[delayed], host.closed[redialed])
--- a/internal/planner/status.go
+++ b/internal/planner/status.go
@@ -27,36 +27,37 @@
 	Ready      int `json:"Ready"`    // servers listed as ready
 	Draining   int `json:"Draining"` // servers listed as draining
 	Removed    int `json:"Gone"`     // servers listed as removed
-	Unverified int `json:"Doubted"`  // servers that are missing from the list and not considered removed yet
-	Rejected   int `json:"Refused"`  // list entries rejected since the start: over the limit, or of unknown zones
+	Unverified int `json:"Doubted"`  // servers that are missing from the list and not yet considered removed
+	Rejected   int `json:"Refused"`  // list entries rejected since the start: over the limit on servers, or of unknown zones
 
-	Backlog     float64 `json:"LinesWaiting"` // entries that wait to be sent, message overhead included
+	Backlog     float64 `json:"LinesWaiting"` // entries that wait to be sent to proxies, message overhead included
 	PeakBacklog float64 `json:"LinesPeak"`    // highest backlog since the last status
 	MaxBacklog  float64 `json:"LinesMost"`    // highest backlog since the start
 
-	Joins       uint64 `json:"Joins"`    // as in Counts
-	Messages    uint64 `json:"Messages"` // as in Counts
-	Entries     uint64 `json:"Lines"`    // as in Counts
-	LoadReports uint64 `json:"Sums"`     // as in Counts
-	Ignored     uint64 `json:"Unheard"`  // as in Counts
-	Shed        uint64 `json:"Shed"`     // as in Counts
+	Joins       uint64 `json:"Joins"`    // streams that joined since the start
+	Messages    uint64 `json:"Messages"` // order messages sent since the start
+	Entries     uint64 `json:"Lines"`    // entries sent in order messages since the start, message overhead included
+	LoadReports uint64 `json:"Sums"`     // server samples accepted from load reports since the start
+	Ignored     uint64 `json:"Unheard"`  // server samples ignored since the start: without attempts, or of servers never listed
+	Shed        uint64 `json:"Shed"`     // loads dropped since the start because too many waited for the policy
 
-	Lagging bool    `json:"Behind"` // load reports wait too long, so deferrable decisions are held back
+	Lagging bool    `json:"Behind"` // whether load reports wait too long for the core, so that deferrable decisions are held back
 	LagMs   float64 // longest time that a load report of the last batch waited for the core
-	Merged  uint64  // load reports merged into a waiting one since the start
-	Lost    uint64  // server samples dropped in these merges since the start
+	Merged  uint64  // load reports merged into a waiting report since the start
+	Lost    uint64  // server samples dropped since the start because the report to merge them into was full
 
-	LeasesHeld        int    `json:"Commanded"` // proxies commanded; all joined ones if planners do not share the fleet
+	LeasesHeld        int    `json:"Commanded"` // proxies that this planner commands; all if the fleet is not shared
 	Takeovers         int    `json:"Takeovers"` // leases gained since the start
 	Transferred       int    `json:"Handed"`    // proxies transferred to other planners since the start
 	Expired           int    `json:"Expired"`   // leases that expired or were granted to another planner since the start
-	EpochReservations uint64 `json:"Marks"`     // as in Counts
-	ClosedToLeases    bool   `json:"Claimless"` // the planner accepts no new leases: it drains, or its store cannot be written
-
-	Closes        map[controlstream.CloseReason]uint64 `json:"Endings"` // as in Counts
-	OrderMsP50    float64                              // median time from a decision to its acknowledgement
-	OrderMsP99    float64                              // 99th percentile of that time
-	RejectedDials uint64                               `json:"RefusedDials"` // connections rejected by address or number since the start
+	EpochReservations uint64 `json:"Marks"`     // successful writes to the epoch store since the start
+	ClosedToLeases    bool   `json:"Claimless"` // whether the planner accepts no new leases: draining, or store not writable
+
+	Closes     map[controlstream.CloseReason]uint64 `json:"Endings"` // ended streams since the start, by close reason
+	OrderMsP50 float64                              // median of the times from decisions to acknowledgements, in ms
+	OrderMsP99 float64                              // 99th percentile of the times from decisions to acknowledgements, in ms
+	// RejectedDials counts the connections rejected since the start: address not allowed, or too many connections open.
+	RejectedDials uint64 `json:"RefusedDials"`
 }
 
 // statusPublisher holds the last published status. Only the core's goroutine may publish; any goroutine may load.
@@ -67,7 +68,8 @@
 // load returns the last status, which the caller must not modify; nil before the first one.
 func (p *statusPublisher) load() *Status { return p.current.Load() }
 
-// due reports whether the last status is at least statusInterval old, or in the future because the wall clock was set back.
+// due reports whether the last status is at least statusInterval old, or has a future time because the wall clock was set
+// back.
 func (p *statusPublisher) due(wallTime time.Time) bool {
 	last := p.load()
 	if last == nil {
--- a/internal/planner/statusserver.go
+++ b/internal/planner/statusserver.go
@@ -21,7 +21,7 @@
 type statusServer struct {
 	status *statusPublisher
 	loop   *eventLoop
-	shared bool // planners share the fleet, so this one can be drained
+	shared bool // whether planners share the fleet, so that this planner can be drained
 	log    *slog.Logger
 }
 
--- a/internal/planner/streamreader.go
+++ b/internal/planner/streamreader.go
@@ -13,18 +13,19 @@
 // readBufferBytes is the size of each connection's read buffer. Most frames are far smaller.
 const readBufferBytes = 4 << 10
 
-// streamReader decodes the frames that a proxy sends and submits them to the core. It is owned by the goroutine in run.
+// streamReader decodes the frames that a proxy sends and submits them to the core. The goroutine in run owns the
+// streamReader.
 type streamReader struct {
 	*connection
 	loop    *eventLoop
 	reports *coalescedReports
 	clock   clock.Clock
-	pending input // from the last frame, not submitted yet; nil: none
+	pending input // input from the last frame that is not submitted to the core yet; nil: none
 }
 
 var _ controlstream.PlannerHost = (*streamReader)(nil)
 
-// run reads until the connection is closed, by this or another goroutine.
+// run reads frames until the connection is closed, by this or another goroutine.
 func (r *streamReader) run(ctx context.Context) {
 	buffer := make([]byte, readBufferBytes)
 	for r.armDeadline() {
@@ -38,8 +39,9 @@
 	}
 }
 
-// armDeadline sets the deadline of the next read to the session's, and reports whether the connection is still open. It
-// checks that after setting the deadline: otherwise it could overwrite the deadline by which watch interrupts the reader.
+// armDeadline sets the deadline of the next read to the session's deadline, and reports whether the connection is still
+// open. It checks whether the connection is open only after setting the deadline, because the new deadline may overwrite
+// the one by which watch interrupts the reader.
 func (r *streamReader) armDeadline() bool {
 	inMs := max(r.session.Deadline()-r.clock.Monotonic(), 1)
 	// SetReadDeadline fails only for a broken connection; the read then fails too.
@@ -90,8 +92,8 @@
 	r.pending = func(core *Core) { core.HandleJoin(r.stream, m) }
 }
 
-// OnLoadReport coalesces a report with those that wait. It bypasses the input queue, which the reports of one proxy could
-// fill.
+// OnLoadReport coalesces a report with those that wait. Reports bypass the input queue, because the reports of one proxy
+// could fill the queue.
 func (r *streamReader) OnLoadReport(m *order.Sums) {
 	r.reports.add(r.connection, m, r.clock.Monotonic())
 }
--- a/internal/planner/streamwriter.go
+++ b/internal/planner/streamwriter.go
@@ -16,20 +16,22 @@
 // heartbeatsPerTimeout is how many heartbeats are sent within the time after which a silent stream is closed.
 const heartbeatsPerTimeout = 4
 
-// streamWriter encodes and sends the core's frames to a proxy. While there are none it sends heartbeats, so that the
-// proxy does not close the stream as silent. It is owned by the goroutine in run.
+// streamWriter encodes and sends the core's frames to a proxy. While the core sends none, the writer sends heartbeats, so
+// that the proxy does not close the stream as silent. The goroutine in run owns the streamWriter.
 type streamWriter struct {
 	*connection
 	clock       clock.Clock
-	timeoutMs   float64 // for each write
+	timeoutMs   float64 // limit on the time of each write
 	heartbeatMs float64
-	buffer      []byte // encoded last frame, reused for the next one
+	buffer      []byte // encoded last frame; its memory is reused for the next frame
 }
 
 // newStreamWriter returns the writer of a connection, with the timeouts of the server's settings.
 func newStreamWriter(c *connection, s *server) *streamWriter {
 	heartbeatMs := s.limits.HeartbeatTimeoutMs / heartbeatsPerTimeout
-	if s.epochs != nil { // planners share the fleet: proxies report a planner as reachable only with heartbeats this frequent
+	// Planners that share the fleet must send a heartbeat at least every lease.HeartbeatIntervalMs: proxies report a
+	// planner as reachable only while they receive frames from that planner.
+	if s.epochs != nil {
 		heartbeatMs = min(heartbeatMs, lease.HeartbeatIntervalMs)
 	}
 	return &streamWriter{
@@ -65,7 +67,7 @@
 	}
 }
 
-// write sends one frame and reports whether that succeeded; if not, it closes the connection.
+// write sends one frame and reports whether the write succeeded. After a failed write it closes the connection.
 func (w *streamWriter) write(kind controlstream.FrameKind, message proto.Message) bool {
 	frame, err := w.session.Append(w.buffer[:0], kind, message)
 	if err != nil {
@@ -93,8 +95,8 @@
 	return controlstream.ReasonConnectionLost
 }
 
-// writeLastFrames sends the close frame with the reason, unless the proxy cannot receive it. When the planner stops it first
-// sends all queued frames, because the release of the lease is among them.
+// writeLastFrames sends the close frame with the close reason, unless the proxy cannot receive it. When the planner stops,
+// writeLastFrames first sends all queued frames, because the releases of leases are among them.
 func (w *streamWriter) writeLastFrames() {
 	reason := w.closeCause.Reason
 	if reason == controlstream.ReasonShutdown {
--- a/internal/planner/zones.go
+++ b/internal/planner/zones.go
@@ -10,13 +10,13 @@
 
 // zoneTable maps names and addresses to zones. A zone is a number: its index in the settings. The table is immutable.
 type zoneTable struct {
-	names     []string // by zone
+	names     []string // names of the zones, by zone number
 	byName    map[string]int
 	byAddress *bart.Table[int]
 }
 
-// newZoneTable returns a table of the zones of checked settings. It panics if a prefix cannot be parsed, which the check has
-// ruled out.
+// newZoneTable returns a table of the zones of checked settings. It panics if a prefix cannot be parsed, which the check of
+// the settings has ruled out.
 func newZoneTable(zones []*pb.Zone) zoneTable {
 	table := zoneTable{byName: map[string]int{}, byAddress: &bart.Table[int]{}}
 	for number, zone := range zones {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -32,7 +32,7 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Errors that Init and Open wrap; test for them with errors.Is.
+// Errors that Init and Open wrap; callers test for them with errors.Is.
 var (
 	// ErrNotFound means that the file does not exist.
 	ErrNotFound = errors.New("there is no store; create one for a new controller with 'lichenpick store init'")
@@ -40,7 +40,7 @@
 	ErrExists = errors.New("a store already exists")
 	// ErrCorrupt means that the file is not a store, or that a part of it is damaged.
 	ErrCorrupt = errors.New("the store is damaged; give this controller a new name and create a new store; never copy another or an older one")
-	// ErrWrongController means that the store contains another controller name than the one passed to Open.
+	// ErrWrongController means that the controller name in the store differs from the one passed to Open.
 	ErrWrongController = errors.New("the store belongs to another controller")
 	// ErrLocked means that the store is already open, in another process or in this one.
 	ErrLocked = errors.New("the store is in use by another process")
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Open opens the store of a controller and locks it until Close. It returns ErrNotFound, ErrLocked, ErrCorrupt or
-// ErrWrongController if it cannot. From then on the process ignores SIGXFSZ, so that a write beyond a limit on file sizes
+// Open opens the store of a controller and locks it until Close. If it cannot, it returns ErrNotFound, ErrLocked,
+// ErrCorrupt or ErrWrongController. After Open the process ignores SIGXFSZ, so that a write beyond a limit on file sizes
 // fails instead of ending the process.
 func Open(path, controller string) (*Store, error) {
 	signal.Ignore(syscall.SIGXFSZ)
@@ -146,7 +146,8 @@
 	return nil
 }
 
-// writeReservation writes the reserved epoch once for each meta page, so that both states that bbolt may open contain it.
+// writeReservation writes the reserved epoch once for each of the two meta pages, so that both states that bbolt may open
+// contain it.
 func (s *Store) writeReservation(upTo uint64) error {
 	const metaPages = 2
 	for range metaPages {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// damageTrial opens damaged copies of a store, and counts how many open and how many are rejected.
+// damageTrial opens damaged copies of a store, and counts how many of them open and how many are rejected.
 type damageTrial struct {
-	reservedEpoch    uint64 // the only reserved epoch that a copy may open with
+	reservedEpoch    uint64 // a copy may only open with this reserved epoch
 	opened, rejected int
 }
 
@@ -117,8 +117,8 @@
 
 func testDamage(t *testing.T) {
 	const (
-		truncateStep  = 127 // bytes between the offsets that are tried, as the steps below
-		metaPageStep  = 16  // small, as either of the two meta pages alone decides which state is the latest
+		truncateStep  = 127 // step between the offsets at which the file is truncated, in bytes
+		metaPageStep  = 16  // bytes between overwritten offsets; small, as one meta page alone decides the latest state
 		dataPageStep  = 251
 		overwriteSize = 64
 		reservations  = 5
@@ -178,7 +178,7 @@
 	return operationErr
 }
 
-// TestFullDisk has the kernel refuse writes, as on a full disk. A reservation must then fail without a change to the
+// TestFullDisk makes the kernel refuse writes, as on a full disk. A reservation must then fail without a change to the
 // reserved epoch, and the store must work again once writes succeed.
 func TestFullDisk(t *testing.T) {
 	path := newStoreFile(t)
