--- a/internal/controlstream/bench_test.go
+++ b/internal/controlstream/bench_test.go
@@ -47,7 +47,7 @@
 }
 
 func benchmarkDecoder(b *testing.B, message proto.Message) {
-	const frames = 256 // encoded in advance; a new decoder starts again from the first one
+	const frames = 256 // number of frames encoded in advance; after the last, a new decoder starts with the first
 	var raw []byte
 	ends := []int{0}
 	for index := range frames {
--- a/internal/controlstream/closereason.go
+++ b/internal/controlstream/closereason.go
@@ -10,19 +10,19 @@
 // Reasons that a Decoder reports.
 const (
 	ReasonBadMagic    CloseReason = "magic"    // the bytes do not start a frame: the peer speaks another protocol
-	ReasonBadVersion  CloseReason = "version"  // the frame has another protocol version
+	ReasonBadVersion  CloseReason = "version"  // the frame has another protocol version than this process
 	ReasonBadSize     CloseReason = "size"     // the body is larger than Limits.MaxFrameBytes
 	ReasonBadChecksum CloseReason = "checksum" // the frame was corrupted
-	ReasonBadSequence CloseReason = "sequence" // a frame was lost, repeated or reordered
-	ReasonBadKind     CloseReason = "kind"     // this version does not know the frame's kind
+	ReasonBadSequence CloseReason = "sequence" // the sequence number is not the next one: a frame was lost, repeated or reordered
+	ReasonBadKind     CloseReason = "kind"     // this protocol version does not define the frame's kind
 )
 
 // Reasons that a session reports.
 const (
 	ReasonBadBody          CloseReason = "body"    // the body does not decode or holds a value out of range
-	ReasonUnexpectedFrame  CloseReason = "state"   // the peer may not send this kind of frame, or not in this state
-	ReasonHandshakeTimeout CloseReason = "no join" // no Join or Welcome came within Limits.HandshakeTimeoutMs
-	ReasonHeartbeatTimeout CloseReason = "silent"  // no frame came for Limits.HeartbeatTimeoutMs
+	ReasonUnexpectedFrame  CloseReason = "state"   // the peer may not send this kind of frame, or not in the stream's state
+	ReasonHandshakeTimeout CloseReason = "no join" // no Join or Welcome was received within Limits.HandshakeTimeoutMs
+	ReasonHeartbeatTimeout CloseReason = "silent"  // no frame was received for Limits.HeartbeatTimeoutMs
 	ReasonPeerClosed       CloseReason = "left"    // the peer sent FrameClose
 )
 
@@ -33,10 +33,10 @@
 	ReasonNameInUse      CloseReason = "taken"    // another process with the proxy's name is connected
 	ReasonSuperseded     CloseReason = "replaced" // the same proxy process opened a newer stream
 	ReasonUnknownPeer    CloseReason = "strange"  // the proxy's zone, address or traffic classes do not match the settings
-	ReasonLimitExceeded  CloseReason = "full"     // more streams, entries or messages than the settings allow
+	ReasonLimitExceeded  CloseReason = "full"     // a message to the proxy would exceed a limit on queued entries or on messages
 	ReasonConnectionLost CloseReason = "lost"     // the connection broke
 	ReasonShutdown       CloseReason = "stopping" // this process shuts down
-	ReasonInternalError  CloseReason = "fault"    // this process failed
+	ReasonInternalError  CloseReason = "fault"    // an internal error occurred in this process
 )
 
 // CloseError is the error with which a stream ended. Callers find it with errors.As and distinguish causes by Reason.
--- a/internal/controlstream/decoder.go
+++ b/internal/controlstream/decoder.go
@@ -3,7 +3,8 @@
 import "encoding/binary"
 
 // A Decoder replaces its buffer by a smaller one when the capacity exceeds largeBufferBytes and is more than bufferSlack
-// times the size needed. Otherwise one large frame would occupy its memory for the life of the stream.
+// times the size needed. If the Decoder kept its buffer, one large frame would occupy memory until the
+// stream ends.
 const (
 	largeBufferBytes = 1 << 16
 	bufferSlack      = 4
@@ -16,16 +17,17 @@
 type Decoder struct {
 	maxBodyBytes int
 	buffer       []byte
-	consumed     int         // bytes at the start of buffer that belong to frames already returned
-	lastSequence uint64      // sequence number of the last frame; 0 before the first
+	consumed     int         // number of bytes at the start of buffer that belong to frames already returned
+	lastSequence uint64      // sequence number of the last frame returned; 0 before the first frame
 	closeErr     *CloseError // the error that ended decoding, or nil
 }
 
 // NewDecoder returns a Decoder that rejects frames with a body of more than maxBodyBytes.
 func NewDecoder(maxBodyBytes int) *Decoder { return &Decoder{maxBodyBytes: maxBodyBytes} }
 
-// Feed adds received bytes, which it copies. It overwrites the bodies of the frames returned so far. Call Next until it
-// returns no frame before the next Feed, so that no complete frames pile up in the buffer. After an error, Feed does nothing.
+// Feed copies received bytes into the buffer. This overwrites the bodies of the frames returned so far. Before the next
+// Feed, call Next until it returns no frame, so that no complete frames pile up in the buffer. After an error, Feed does
+// nothing.
 func (d *Decoder) Feed(data []byte) {
 	if d.closeErr != nil {
 		return
@@ -74,8 +76,8 @@
 	return frame, true, nil
 }
 
-// checkPrefix checks the part of a header that has arrived. Without it, a Decoder would wait for the rest of a frame from a
-// peer that speaks another protocol or version, or that announces a body above the limit.
+// checkPrefix checks the part of a header that has arrived. Without this check, a Decoder would wait for the rest of a frame
+// from a peer that speaks another protocol or version, or that announces a body above the limit.
 func (d *Decoder) checkPrefix(unread []byte) *CloseError {
 	if !startsWithMagic(unread) {
 		return newCloseError(ReasonBadMagic, "frame starts with bytes % x", unread[:min(len(unread), 2)])
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// startsWithMagic reports whether the bytes, which may be fewer than the magic has, can be the start of a frame.
+// startsWithMagic reports whether the unread bytes, of which there may be fewer than two, can be the start of a frame.
 func startsWithMagic(unread []byte) bool {
 	switch len(unread) {
 	case 0:
--- a/internal/controlstream/endpointsession.go
+++ b/internal/controlstream/endpointsession.go
@@ -2,8 +2,8 @@
 
 import "lichenpick/proto/order"
 
-// EndpointHost handles the messages of an endpoint source. EndpointSession.Next calls it once for each message. It may keep
-// the messages.
+// EndpointHost handles the messages of an endpoint source. EndpointSession.Next calls it once for each message. The host may
+// keep the messages.
 type EndpointHost interface {
 	// OnEndpoints is called for each endpoint list and each change to one.
 	OnEndpoints(*order.Listing)
@@ -19,7 +19,7 @@
 }
 
 // Next processes at most one frame and passes its message to the host. It returns false if there is no complete frame or the
-// stream has ended; in the latter case CloseCause returns the error.
+// stream has ended. After the end of the stream, CloseCause returns the error.
 func (e *EndpointSession) Next(host EndpointHost) bool {
 	if e.closeErr != nil {
 		return false
@@ -45,8 +45,9 @@
 	}
 }
 
-// checkHeartbeatTimeout returns an error if no complete frame has been received for too long, else nil. Unlike checkTimeout,
-// it applies the heartbeat time-out also before the first frame, because there is no handshake.
+// checkHeartbeatTimeout returns an error if no complete frame has been received for Limits.HeartbeatTimeoutMs, else nil.
+// Unlike checkTimeout, it applies the heartbeat time-out also before the first frame, because an endpoint source's stream
+// has no handshake.
 func (e *EndpointSession) checkHeartbeatTimeout() *CloseError {
 	if e.nowMs < e.lastFrameMs+e.limits.HeartbeatTimeoutMs {
 		return nil
--- a/internal/controlstream/frame.go
+++ b/internal/controlstream/frame.go
@@ -17,7 +17,7 @@
 	checksumOffset = 16
 )
 
-// FrameHeaderBytes is the length of a frame's header in bytes. The body follows it.
+// FrameHeaderBytes is the length of a frame's header in bytes. The body follows the header.
 const FrameHeaderBytes = 20
 
 // The first three bytes of each frame: two bytes of magic and the protocol version.
@@ -41,10 +41,10 @@
 	FrameClose                                 // both, order.Bye: ends the stream with a reason
 	FrameEndpoints                             // endpoint source, order.Listing: the full endpoint list or changes to it
 	FrameLeaseRequest                          // planner, order.Claim: requests or renews the proxy's lease
-	FrameLeaseRelease                          // planner, order.Release: gives the lease back
-	FrameLease                                 // proxy, order.Lease: the state of its lease
-	FrameControllerStatus                      // planner, order.Standing: whether it accepts leases
-	frameKindEnd                               // number after the last kind
+	FrameLeaseRelease                          // planner, order.Release: ends the planner's lease of the proxy
+	FrameLease                                 // proxy, order.Lease: the state of the proxy's lease
+	FrameControllerStatus                      // planner, order.Standing: whether the planner accepts leases
+	frameKindEnd                               // the largest kind plus one; not a kind itself
 )
 
 // frameKindNames are the names of the kinds in logs and error texts, indexed by FrameKind.
@@ -78,7 +78,7 @@
 // Frame is a frame returned by a Decoder. Body points into the Decoder's buffer and is valid until the next call of Feed.
 type Frame struct {
 	Kind     FrameKind
-	Sequence uint64 // 1, 2, 3 and so on, counted separately in each direction of a stream
+	Sequence uint64 // sequence number: 1, 2, 3 and so on, counted separately in each direction of a stream
 	Body     []byte // an encoded protobuf message; empty for FrameHeartbeat
 }
 
--- a/internal/controlstream/fuzz_test.go
+++ b/internal/controlstream/fuzz_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// FuzzSessions feeds a handshake and a valid frame with an arbitrary kind and body to both ends of a stream. They must not
+// FuzzSessions feeds a handshake and a valid frame with an arbitrary kind and body to both ends of a stream. Neither end may
 // panic or loop forever.
 func FuzzSessions(f *testing.F) {
 	f.Add(uint8(FrameLoadReport), []byte{0x0a, 0x00})
--- a/internal/controlstream/golden_test.go
+++ b/internal/controlstream/golden_test.go
@@ -239,8 +239,8 @@
 	}
 }
 
-// TestConversationIsComplete checks that TestGoldenConversation covers every frame kind and every field of the protocol, so
-// that additions to the protocol are added there too.
+// TestConversationIsComplete checks that TestGoldenConversation covers every frame kind and every field of the protocol. It
+// fails if the protocol is extended and the conversation is not.
 func TestConversationIsComplete(t *testing.T) {
 	const kinds = 12
 	seenKinds := map[controlstream.FrameKind]bool{}
--- a/internal/controlstream/helpers_test.go
+++ b/internal/controlstream/helpers_test.go
@@ -28,7 +28,7 @@
 	r.record("orders ", message.Number, " ", len(message.Orders))
 }
 
-// testFrame is a frame for encode.
+// testFrame is a frame that encode turns into bytes.
 type testFrame struct {
 	kind FrameKind
 	body proto.Message // nil for an empty body
--- a/internal/controlstream/plannersession.go
+++ b/internal/controlstream/plannersession.go
@@ -9,7 +9,7 @@
 	OnJoin(*order.Join)
 	// OnLoadReport is called for each load report.
 	OnLoadReport(*order.Sums)
-	// OnAck is called for the acknowledgement of the Welcome, which has number 0, and of each Orders message.
+	// OnAck is called for each acknowledgement: that of the Welcome, with number 0, and that of each Orders message.
 	OnAck(*order.Applied)
 	// OnLease is called for the response to a lease request, and when the state of the proxy's lease changes.
 	OnLease(*order.Lease)
@@ -25,7 +25,7 @@
 }
 
 // Next processes at most one frame and passes its message to the host. It returns false if there is no complete frame or the
-// stream has ended; in the latter case CloseCause returns the error.
+// stream has ended. After the end of the stream, CloseCause returns the error.
 func (p *PlannerSession) Next(host PlannerHost) bool {
 	frame, ok := p.next(FrameJoin)
 	if !ok {
--- a/internal/controlstream/proxysession.go
+++ b/internal/controlstream/proxysession.go
@@ -11,14 +11,14 @@
 	OnOrders(*order.Orders)
 	// OnLeaseRequest is called when the planner requests or renews the proxy's lease.
 	OnLeaseRequest(*order.Claim)
-	// OnLeaseRelease is called when the planner gives the lease back.
+	// OnLeaseRelease is called when the planner ends its lease of the proxy.
 	OnLeaseRelease(*order.Release)
 	// OnControllerStatus is called when the planner states whether it accepts leases.
 	OnControllerStatus(*order.Standing)
 }
 
-// NoopLeaseHandler implements the lease methods of a ProxyHost, which are needed only where several controllers share a
-// fleet, as no-ops. Embed it in a host that talks to a single planner.
+// NoopLeaseHandler implements the lease methods of ProxyHost as no-ops. These methods are needed only where several
+// controllers share a fleet. Embed NoopLeaseHandler in a host that talks to a single planner.
 type NoopLeaseHandler struct{}
 
 // OnLeaseRequest does nothing.
@@ -40,7 +40,7 @@
 }
 
 // Next processes at most one frame and passes its message to the host. It returns false if there is no complete frame or the
-// stream has ended; in the latter case CloseCause returns the error.
+// stream has ended. After the end of the stream, CloseCause returns the error.
 func (p *ProxySession) Next(host ProxyHost) bool {
 	frame, ok := p.next(FrameWelcome)
 	if !ok {
--- a/internal/controlstream/sendqueue.go
+++ b/internal/controlstream/sendqueue.go
@@ -8,21 +8,21 @@
 // weight entries; orders of other kinds count as a number of entries too.
 type SendQueueLimits struct {
 	EntriesPerSecond float64 // rate at which entries are sent; positive
-	MessageOverhead  float64 // entries that each message counts for in addition to its own
-	MaxBacklog       float64 // largest number of entries queued, overhead included
-	MaxMessages      int     // most messages to one proxy within WindowMs; 0 means no limit
-	WindowMs         float64 // length of the window in ms; unused if MaxMessages is 0
+	MessageOverhead  float64 // entries that each message counts as, in addition to those it contains
+	MaxBacklog       float64 // largest number of entries in the queue, including MessageOverhead for each message
+	MaxMessages      int     // largest number of messages to one proxy within WindowMs; 0: no limit
+	WindowMs         float64 // length in ms of the window for MaxMessages; unused if MaxMessages is 0
 }
 
 // MessageWindow holds the times of the latest messages to a proxy, as needed for SendQueueLimits.MaxMessages. The caller
-// creates one for each stream of a proxy when the proxy joins. Its address also identifies the proxy in the queue. The zero
-// value is a window without messages.
+// creates one for each stream of a proxy when the proxy joins. The address of the window also identifies the proxy in the
+// queue. The zero value is a window without messages.
 type MessageWindow struct {
-	sentMs []float64 // in ascending order
+	sentMs []float64 // times of the messages in ms, in ascending order
 }
 
 // NewMessageWindow returns a window that starts with the times, in ms and ascending, of messages that other planners sent to
-// the proxy, because the limit counts those too. The slice is copied.
+// the proxy, because MaxMessages counts those messages too. The slice is copied.
 func NewMessageWindow(sentMs []float64) *MessageWindow {
 	return &MessageWindow{sentMs: slices.Clone(sentMs)}
 }
@@ -35,21 +35,21 @@
 // Message is a queued message to one proxy.
 type Message[T any] struct {
 	To       *MessageWindow
-	Entries  float64 // size in entries, overhead included
-	QueuedMs float64 // time of the call of Push
+	Entries  float64 // size in entries, including SendQueueLimits.MessageOverhead
+	QueuedMs float64 // time at which Push queued the message, in ms
 	Payload  T
 }
 
-// SendQueue is a first-in, first-out queue that releases each message when its entries have been sent at the configured
-// rate, and rejects messages that exceed its limits. The policy plans within the same limits by estimates; the queue
+// SendQueue is a first-in, first-out queue that releases each message after the time that its entries take at the configured
+// rate, and rejects messages that exceed its limits. The policy estimates whether it stays within these limits; the queue
 // enforces them. A SendQueue must not be used by several goroutines at the same time, and the times passed to it must not
 // decrease.
 type SendQueue[T any] struct {
 	limits      SendQueueLimits
 	queue       []Message[T]
-	backlog     float64 // sum of Entries in the queue
-	headStartMs float64 // time at which sending the first message starts: the departure of the message before it
-	peak        float64 // highest backlog since the last call of PeakBacklog
+	backlog     float64 // sum of the Entries of the queued messages
+	headStartMs float64 // time in ms at which sending the first message starts: the previous departure or a later Push
+	peak        float64 // highest backlog, in entries, since the last call of PeakBacklog
 }
 
 // NewSendQueue returns an empty queue.
@@ -111,7 +111,8 @@
 	return q.headStartMs + q.queue[0].Entries/q.limits.EntriesPerSecond*msPerSecond
 }
 
-// Remove discards the messages to a proxy whose stream has ended. They do not delay the messages behind them.
+// Remove discards the messages to a proxy whose stream has ended. The discarded messages no longer delay the messages behind
+// them.
 func (q *SendQueue[T]) Remove(to *MessageWindow) {
 	q.queue = slices.DeleteFunc(q.queue, func(message Message[T]) bool { return message.To == to })
 	q.backlog = 0
@@ -120,13 +121,13 @@
 	}
 }
 
-// Backlog returns the number of entries queued, overhead included.
+// Backlog returns the number of entries in the queue, including MessageOverhead for each message.
 func (q *SendQueue[T]) Backlog() float64 { return q.backlog }
 
 // Len returns the number of messages queued.
 func (q *SendQueue[T]) Len() int { return len(q.queue) }
 
-// PeakBacklog returns the highest backlog since its previous call, in entries.
+// PeakBacklog returns the highest backlog, in entries, since the previous call of PeakBacklog.
 func (q *SendQueue[T]) PeakBacklog() float64 {
 	peak := q.peak
 	q.peak = q.backlog
--- a/internal/controlstream/session.go
+++ b/internal/controlstream/session.go
@@ -38,14 +38,14 @@
 	}
 }
 
-// Feed sets the time in ms and adds the bytes received by then; data may be empty. Call Next until it returns false before
-// the next Feed, so that no complete frames pile up in the buffer.
+// Feed sets the current time in ms and adds received bytes to the buffer; data may be empty. Before the next Feed, call Next
+// until it returns false, so that no complete frames pile up in the buffer.
 func (s *session) Feed(nowMs float64, data []byte) {
 	s.nowMs = nowMs
 	s.decoder.Feed(data)
 }
 
-// SetTime sets the time in ms, by which the next call of Next checks the time-outs.
+// SetTime sets the current time in ms, against which the next call of Next checks the time-outs.
 func (s *session) SetTime(nowMs float64) { s.nowMs = nowMs }
 
 // Deadline returns the time in ms at which the stream times out unless a frame is received before.
@@ -95,8 +95,8 @@
 	return frame, true
 }
 
-// checkTimeout returns an error if no complete frame has been received for too long, else nil. It guards against peers that
-// connect and send nothing, that die without closing the connection, or that send a frame byte by byte.
+// checkTimeout returns an error if the deadline for receiving a complete frame has passed, else nil. This guards against
+// peers that connect and send nothing, that die without closing the connection, or that send a frame byte by byte.
 func (s *session) checkTimeout() *CloseError {
 	switch {
 	case s.nowMs < s.Deadline():
@@ -128,8 +128,8 @@
 }
 
 // receive decodes a frame's body into message, validates it with check, which may be nil, and passes it to deliver. A
-// message with any invalid part is not delivered at all: a proxy that applied the valid part of one would hold a table that
-// its planner does not know.
+// message with any invalid part is not delivered at all, because a proxy that applied only its valid part would hold a table
+// that its planner does not know.
 func receive[M proto.Message](s *session, frame Frame, message M, check func(M) error, deliver func(M)) bool {
 	if err := proto.Unmarshal(frame.Body, message); err != nil {
 		s.closeErr = badBodyError(frame, err)
@@ -145,7 +145,8 @@
 	return true
 }
 
-// reject ends the stream because of a frame that the peer may not send. It returns false, as the result of Next.
+// reject ends the stream because of a frame that the peer may not send. It returns false, so that Next can return this
+// result.
 func (s *session) reject(frame Frame) bool {
 	s.closeErr = unexpectedFrameError(frame)
 	return false
--- a/internal/controlstream/validate.go
+++ b/internal/controlstream/validate.go
@@ -7,32 +7,33 @@
 	"lichenpick/proto/order"
 )
 
-// Limits of the contents of a message. The frame size already limits its memory. These limits protect the hosts from names
-// that no settings file allows and from loops that are far longer than any fleet needs.
+// Limits of the contents of a message. Limits.MaxFrameBytes already limits the memory of a message. The limits below protect
+// the hosts from names that no settings file allows and from loops that are far longer than any fleet needs.
 const (
-	maxNameBytes   = 256   // length of a proxy, server, zone or controller name
-	maxTables      = 256   // tables held by one proxy
-	maxControllers = 256   // controllers reachable from one proxy
-	maxEntries     = 65536 // elements of each list of entries, servers, traffic classes or times in a message
+	maxNameBytes   = 256   // longest name of a proxy, server, zone or controller, in bytes
+	maxTables      = 256   // largest number of tables held by one proxy
+	maxControllers = 256   // largest number of controllers reachable from one proxy
+	maxEntries     = 65536 // largest length of a list of entries, servers, traffic classes or times in a message
 )
 
 // Largest values of enumerations that are plain integers on the wire.
 const (
-	maxRetryMode     = 3 // two retries
-	maxEndpointState = 2 // endpoint removed
+	maxRetryMode     = 3 // largest retry mode, which allows two retries
+	maxEndpointState = 2 // largest endpoint state, which means that the endpoint was removed
 )
 
-// truncate shortens a text from a peer for quoting, so that it cannot flood a log.
+// truncate shortens a text from a peer, so that an error that quotes the text cannot flood a log.
 func truncate(text string) string { return text[:min(len(text), maxNameBytes)] }
 
 // isName reports whether a text is a valid name of a proxy, server or controller.
 func isName(text string) bool { return text != "" && len(text) <= maxNameBytes }
 
 // isFiniteNonNegative reports whether a quantity is at least 0, finite and not NaN. A NaN would pass a check of the form
-// "reject if above the limit", because every comparison with it is false.
+// "reject if above the limit", because every comparison with NaN is false.
 func isFiniteNonNegative(quantity float64) bool { return quantity >= 0 && !math.IsInf(quantity, 0) }
 
-// checkJoin returns an error if a value of the message is out of range; so do the check functions below.
+// checkJoin returns an error if a value of the message is out of range. The other check functions do the same for other
+// messages.
 func checkJoin(join *order.Join) error {
 	switch {
 	case !isName(join.Proxy):
--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// maxInFlight is the most requests that a LoadGenerator has in flight. A run that would exceed it ends with an error.
+	// maxInFlight is the largest number of requests that a LoadGenerator has in flight. A run that would exceed this number
+	// ends with ErrTooManyInFlight.
 	maxInFlight = 20_000
 	// minRateFactor replaces a rate factor of 0, with which the next request would never be due.
 	minRateFactor = 1e-3
@@ -37,18 +38,18 @@
 type LoadGenerator struct {
 	Clock             clock.Clock
 	Classes           []*pb.Group // traffic classes
-	Shares            []float64   // fraction of the requests that is of each class; they add up to 1
+	Shares            []float64   // fraction of the requests in each class, in the order of Classes; the sum is 1
 	RequestsPerSecond float64
-	MaxRetries        int      // retries that a client sends for one request, at most
-	BackoffMs         float64  // mean delay before the first retry; it doubles for each further one
-	Proxies           []string // addresses; each request goes to one drawn uniformly
+	MaxRetries        int      // largest number of retries that a client sends for one request
+	BackoffMs         float64  // mean delay before the first retry, in ms; the mean doubles for each further retry
+	Proxies           []string // addresses; each request goes to one drawn at random, all with equal probability
 	Seed              int64
 
 	mu         sync.Mutex // guards the fields below
 	rateFactor float64
-	classes    []Tally // by traffic class
-	seconds    []Tally // by second of the run in which requests were due
-	sent       int     // requests sent to proxies, retries included
+	classes    []Tally // outcomes by traffic class
+	seconds    []Tally // outcomes by the second of the run in which requests were due
+	sent       int     // number of requests sent to proxies, retries included
 }
 
 // SetRateFactor sets the factor by which RequestsPerSecond is multiplied from now on. It is safe for concurrent use, also
@@ -59,8 +60,8 @@
 	g.rateFactor = factor
 }
 
-// Run sends requests for lengthMs or until the context ends, and then waits until all of them have ended. It returns no error
-// other than ErrTooManyInFlight. It may be called only once.
+// Run sends requests for lengthMs or until the context ends, and then waits until all requests have ended. It returns no
+// error other than ErrTooManyInFlight. It may be called only once.
 func (g *LoadGenerator) Run(ctx context.Context, lengthMs float64) error {
 	g.mu.Lock()
 	if g.rateFactor == 0 {
@@ -117,9 +118,9 @@
 type clientRequest struct {
 	number int
 	class  int
-	proxy  int // index of the proxy that the client sends it to first
+	proxy  int // index of the proxy to which the client sends the request first
 	seed   int64
-	second int // second of the run in which it was due
+	second int // second of the run in which the request was due
 }
 
 // drawRequest draws the class, first proxy and seed of the next request.
@@ -134,7 +135,8 @@
 	return clientRequest{number: number, class: class, proxy: proxyNumber, seed: random.Int63(), second: second}
 }
 
-// send sends a request to its first proxy, retries it at proxies drawn anew as long as that is allowed, and records the outcome.
+// send sends a request to its first proxy, retries it as long as that is allowed, each time at a proxy drawn at
+// random, and records the outcome.
 func (g *LoadGenerator) send(ctx context.Context, client *http.Client, request clientRequest) {
 	class := g.Classes[request.class]
 	random := rand.New(rand.NewSource(request.seed))
--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// maxQueuedListings is the number of messages that may be queued for one subscriber. A subscriber that falls further
-	// behind is disconnected.
+	// maxQueuedListings is the largest number of messages queued for one subscriber. A subscriber that falls further behind
+	// is disconnected.
 	maxQueuedListings = 4096
-	// heartbeatIntervalMs is the time after which a heartbeat is sent if no message was queued.
+	// heartbeatIntervalMs is the time after which a subscriber is sent a heartbeat if no message was queued for it.
 	heartbeatIntervalMs = 1000.0
 )
 
-// EndpointState is the state of a server in the endpoint list, with the values that are encoded in its messages.
+// EndpointState is the state of a server in the endpoint list. The values are those in the encoded messages.
 type EndpointState uint32
 
 // The states of a server.
@@ -37,12 +37,12 @@
 // concurrent use.
 type EndpointRegistry struct {
 	Clock   clock.Clock
-	DelayMs float64 // delay of each message; 0: none
+	DelayMs float64 // delay with which each message is sent, in ms; 0: no delay
 
 	mu          sync.Mutex // guards the fields below
 	entries     []*order.Listing_Entry
 	version     uint64
-	override    func([]*order.Listing_Entry) []*order.Listing_Entry // replaces the published list; nil: the true list
+	override    func([]*order.Listing_Entry) []*order.Listing_Entry // returns the list to publish; nil: the true list is published
 	subscribers map[*subscriber]bool
 }
 
@@ -50,7 +50,7 @@
 type subscriber struct {
 	connection net.Conn
 	queue      chan queuedListing // closed when the subscriber falls too far behind
-	sequence   uint64             // number of the last frame sent
+	sequence   uint64             // sequence number of the last frame sent
 }
 
 // queuedListing is a message that is sent to a subscriber when it is due.
@@ -132,7 +132,7 @@
 	}
 }
 
-// send writes a frame; with a nil message its payload is empty.
+// send writes a frame; if the message is nil, the body of the frame is empty.
 func (s *subscriber) send(kind controlstream.FrameKind, message proto.Message) error {
 	s.sequence++
 	frame, err := controlstream.AppendFrame(nil, kind, s.sequence, message)
@@ -143,12 +143,12 @@
 	return err
 }
 
-// withDueTime returns a message with the time at which it is to be sent. The caller holds the lock.
+// withDueTime returns a message with the time at which the message is to be sent. The caller holds the lock.
 func (r *EndpointRegistry) withDueTime(listing *order.Listing) queuedListing {
 	return queuedListing{dueMs: r.Clock.Monotonic() + r.DelayMs, listing: listing}
 }
 
-// publish queues a message for all subscribers and drops those whose queue is full. The caller holds the lock.
+// publish queues a message for all subscribers, and disconnects subscribers whose queue is full. The caller holds the lock.
 func (r *EndpointRegistry) publish(listing *order.Listing) {
 	for client := range r.subscribers {
 		select {
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -16,7 +16,7 @@
 	ConnectDelayMs float64 // delay before the relay dials the target for a new connection
 	Cut            bool    // existing connections break and new ones are reset
 	Stall          bool    // data towards the source is held back, so that in the end the target's writes block
-	CutAfterBytes  int     // with Cut: bytes that each connection still delivers to the source, to break it within a frame
+	CutAfterBytes  int     // with Cut: bytes still delivered to the source before a connection breaks, perhaps within a frame
 }
 
 // Observer is notified of the data on one relayed connection. Its methods may be called by several goroutines and should return
@@ -38,9 +38,9 @@
 type Relay struct {
 	Clock   clock.Clock
 	Network clock.Network
-	Observe func(from netip.Addr) Observer // returns the observer of a new connection; nil: none is observed
+	Observe func(from netip.Addr) Observer // returns the observer of a new connection; nil: no connection is observed
 
-	ctx     context.Context // passed to Start; Reopen and all connections use it
+	ctx     context.Context // context passed to Start, which Reopen and all connections use
 	address string
 
 	mu            sync.Mutex // guards the fields below
@@ -76,7 +76,7 @@
 func (r *Relay) Close() {
 	r.mu.Lock()
 	if r.listener != nil {
-		_ = r.listener.Close() // after an error it does not listen either
+		_ = r.listener.Close() // even if Close fails, the listener no longer listens
 		r.listener = nil
 	}
 	r.mu.Unlock()
@@ -129,7 +129,7 @@
 	defer r.mu.Unlock()
 	for connection, from := range r.connections {
 		if selected(from) {
-			_ = connection.Close() // it may be closed already
+			_ = connection.Close() // the connection may be closed already
 		}
 	}
 }
@@ -161,7 +161,7 @@
 	from := sourceAddress(source)
 	target, err := r.dialTarget(ctx, from)
 	if err != nil {
-		resetConnection(source) // it is accepted already, so a reset is the closest to a refusal
+		resetConnection(source) // the connection is accepted already, so a reset is the closest to refusing it
 		return
 	}
 	defer closeConnection(target)
--- a/internal/fake/relay_test.go
+++ b/internal/fake/relay_test.go
@@ -18,8 +18,8 @@
 // countingObserver counts the bytes and the ends of connections that an Observer is notified of.
 type countingObserver struct {
 	mu                              sync.Mutex
-	toTarget, fromTarget, delivered int // bytes
-	closed                          int // calls of Closed
+	toTarget, fromTarget, delivered int // numbers of bytes passed to the methods of the same names
+	closed                          int // number of calls of Closed
 }
 
 func (o *countingObserver) ToTarget(_ float64, data []byte) {
@@ -136,7 +136,7 @@
 		if _, err := io.WriteString(connection, greeting); err != nil {
 			t.Fatal(err)
 		}
-		if got, _ := io.ReadAll(connection); string(got) != "hel" { // the connection may end with a reset
+		if got, _ := io.ReadAll(connection); string(got) != "hel" { // the read may end with the error of a reset
 			t.Errorf("%q was delivered, want the first 3 bytes", got)
 		}
 		observer.mu.Lock()
--- a/internal/fake/relayedlink.go
+++ b/internal/fake/relayedlink.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	relayReadBytes  = 16 << 10 // size of one read
-	maxQueuedChunks = 64       // chunks that one direction buffers while they are delayed
-	unlimited       = -1       // value of remainingBytes while no cut has begun
+	relayReadBytes  = 16 << 10 // largest size of one read, in bytes
+	maxQueuedChunks = 64       // largest number of delayed chunks that one direction buffers
+	unlimited       = -1       // value of relayedDirection.remainingBytes before a cut begins
 )
 
 // relayedLink is one connection that a relay forwards.
@@ -34,17 +34,17 @@
 	in, out        net.Conn
 	toTarget       bool
 	chunks         chan relayedChunk
-	written        chan struct{} // closed when the writer has ended
-	remainingBytes int           // bytes still to be delivered before the cut; unlimited: no cut has begun
+	written        chan struct{} // closed when the writing goroutine has ended
+	remainingBytes int           // number of bytes that a cut still lets through; unlimited: no cut has begun
 }
 
-// relayedChunk is data that was read and is to be written when it is due.
+// relayedChunk is data that was read from one side and is to be written to the other side at dueMs.
 type relayedChunk struct {
 	dueMs float64
 	data  []byte
 }
 
-// newDirection returns a direction that copies data once it is run.
+// newDirection returns one direction of the connection. The direction copies data when its run method is called.
 func (l *relayedLink) newDirection(in, out net.Conn, toTarget bool) *relayedDirection {
 	return &relayedDirection{
 		link:           l,
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -29,18 +29,19 @@
 type Fault struct {
 	Hang       bool    // requests are received but never answered
 	Refuse     bool    // requests are rejected at once, as not processed
-	Slowdown   float64 // factor by which work takes longer; 0: none
+	Slowdown   float64 // factor by which the duration of work is multiplied; 0: no slowdown
 	ErrorRatio float64 // fraction of requests that are processed and answered with an error
 	ResetRatio float64 // fraction of requests that are processed and whose connection is then reset
 }
 
-// Counts are the numbers of requests at a server by outcome, and of its crashes, over all its starts.
+// Counts are the numbers of a server's requests, by outcome, and of its crashes by overload. Restarts of the server do not
+// reset them.
 type Counts struct {
 	Received      int
 	Succeeded     int
-	Rejected      int // answered with a header that says they were not processed
-	Failed        int // processed, then answered with an error or a reset
-	Deduplicated  int // the part of Succeeded whose key was seen within the window, so that they had no effect
+	Rejected      int // requests answered with a header that says that they were not processed
+	Failed        int // requests processed and then answered with an error or a reset
+	Deduplicated  int // requests in Succeeded that had no effect, because their key was already seen within the window
 	ColdOverloads int // crashes by overload while the server was warming up
 }
 
@@ -58,9 +59,9 @@
 	random      *rand.Rand
 	fault       Fault
 	warmUp      *WarmUp
-	inFlight    int // requests that wait for a core or occupy one
+	inFlight    int // number of requests that wait for a core or occupy one
 	counts      Counts
-	running     *http.Server // nil: the server does not run
+	running     *http.Server // HTTP server of the current start; nil: the simulated server does not run
 	address     string
 	connections map[net.Conn]bool
 }
--- a/internal/fake/serverhandler.go
+++ b/internal/fake/serverhandler.go
@@ -16,7 +16,7 @@
 const IdempotencyKeyHeader = "Idempotency-Key"
 
 const (
-	maxBodyBytes      = 1 << 20 // part of a request's body that is read
+	maxBodyBytes      = 1 << 20 // largest number of bytes read from a request's body
 	retryAfterSeconds = 1
 	responseBody      = "ok\n"
 )
@@ -47,13 +47,13 @@
 	switch state {
 	case http.StateNew:
 		if len(s.connections) >= int(s.settings.GetConnections()) || s.warmUp.Overloaded() {
-			_ = connection.Close() // it may be closed already
+			_ = connection.Close() // the connection may be closed already
 			return
 		}
 		s.connections[connection] = true
 		handshakeMs := settings.Milliseconds(s.settings.Handshake)
 		s.warmUp.RecordWork(s.clock.Monotonic(), handshakeMs)
-		go s.work(context.Background(), handshakeMs) // ends once a core has been free for it
+		go s.work(context.Background(), handshakeMs) // returns when a core has done the handshake
 	case http.StateClosed, http.StateHijacked:
 		delete(s.connections, connection)
 	}
--- a/internal/fake/stress.go
+++ b/internal/fake/stress.go
@@ -31,17 +31,17 @@
 type StressTest struct {
 	Clock             clock.Clock
 	Network           clock.Network
-	Planners          []string // addresses
+	Planners          []string // addresses of the planners
 	SharedFleet       bool     // the planners share the fleet; otherwise the proxies are spread over the planners
 	Zones             []string // proxy n is in zone n modulo the number of zones
 	Classes           []*pb.Group
 	Proxies           int
 	Servers           int     // number of servers in the endpoint list
-	ListPath          string  // file that the endpoint list is written to; empty: none is written
-	RequestsPerSecond float64 // simulated by each proxy
-	ReportIntervalMs  float64 // time between two load reports of a proxy
-	DrainIntervalMs   float64 // time between changes of the list, in each of which one server starts or stops draining; 0: none
-	JoinSpreadMs      float64 // time over which the proxies join
+	ListPath          string  // file to which the endpoint list is written; empty: no list is written
+	RequestsPerSecond float64 // rate of the requests that each proxy simulates
+	ReportIntervalMs  float64 // time between two load reports of a proxy, in ms
+	DrainIntervalMs   float64 // ms between changes of the endpoint list, each the start or end of a server's drain; 0: none
+	JoinSpreadMs      float64 // time over which the joins of the proxies are spread, in ms
 	Seed              int64
 
 	bytesUp, bytesDown, dials atomic.Int64
@@ -54,15 +54,15 @@
 
 // StressResult is what the proxies of a StressTest measured.
 type StressResult struct {
-	Dials         int
-	Assigned      int     // proxies that were assigned weight tables
-	Takeovers     int     // leases that passed from one planner to another
-	Messages      int     // messages with orders that the proxies applied
-	Orders        int     // orders in these messages
-	AllAssignedMs float64 // time from the start until all proxies were assigned tables; 0: not all were
-	MaxMessages   int     // most messages to one proxy within 10 s
-	BytesUp       int     // sent to planners on control streams
-	BytesDown     int     // received from planners on control streams
+	Dials         int     // number of connections dialled to planners
+	Assigned      int     // number of proxies that were assigned weight tables
+	Takeovers     int     // number of times that a proxy's lease passed from one planner to another
+	Messages      int     // number of messages with orders that the proxies applied
+	Orders        int     // number of orders in the messages that Messages counts
+	AllAssignedMs float64 // ms from the start until the last proxy was assigned tables; 0: some proxies never were
+	MaxMessages   int     // largest number of messages to one proxy within 10 s
+	BytesUp       int     // number of bytes sent to planners on control streams
+	BytesDown     int     // number of bytes received from planners on control streams
 
 	// Quantiles of the time from the decision of orders by a planner until a proxy applied them, in ms.
 	ApplyP50Ms, ApplyP99Ms, ApplyP999Ms, ApplyMaxMs float64
@@ -95,8 +95,8 @@
 	return s.summarize(), err
 }
 
-// runProxy runs a proxy until the context ends. It waits first for the proxy's share of the join spread. The proxy's goroutines
-// belong to the group.
+// runProxy runs a proxy until the context ends. It first waits until the proxy is to join, as JoinSpreadMs sets. The proxy's
+// goroutines belong to the group.
 func (s *StressTest) runProxy(ctx context.Context, group *errgroup.Group, number int, startMs float64) error {
 	if clock.Sleep(ctx, s.Clock, s.JoinSpreadMs*float64(number)/float64(s.Proxies)) != nil {
 		return nil
@@ -167,8 +167,8 @@
 	return float64(histogram.ValueAtQuantile(percent)) / 1000
 }
 
-// recordUs records a duration in a histogram. One below 1 µs, which occurs when the clocks of planner and proxy differ, counts
-// as 1 µs.
+// recordUs records a duration in a histogram. A duration below 1 µs, which occurs when the clocks of planner and proxy
+// differ, counts as 1 µs.
 func recordUs(histogram *hdrhistogram.Histogram, us int64) {
 	_ = histogram.RecordValue(max(us, 1)) // fails only above maxRecordedUs, which is longer than any test
 }
--- a/internal/fake/stressproxy.go
+++ b/internal/fake/stressproxy.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	messageWindowMs     = 10_000.0 // window of StressResult.MaxMessages
-	batchesPerReport    = 4        // batches in which the requests of one report interval are simulated
-	minLatencyMs        = 20.0     // least latency of a simulated request
-	meanExtraLatencyMs  = 20.0     // mean of the exponentially distributed latency on top
+	messageWindowMs     = 10_000.0 // length of the window for StressResult.MaxMessages, in ms
+	batchesPerReport    = 4        // number of batches in which the requests of one report interval are simulated
+	minLatencyMs        = 20.0     // smallest latency of a simulated request, in ms
+	meanExtraLatencyMs  = 20.0     // mean of the exponentially distributed latency added to minLatencyMs, in ms
 	reconnectDelay      = "300ms"
 	silenceTimeout      = "60s"
 	maxStreamFrameBytes = 16 << 20
@@ -30,11 +30,11 @@
 // stressProxy is one proxy of a StressTest: the control client of package proxy with simulated requests.
 type stressProxy struct {
 	test    *StressTest
-	startMs float64 // start of the test
+	startMs float64 // time at which the test started, in ms
 	client  *proxy.ControlClient
 
-	assigned       bool      // whether it was assigned tables; like messageTimesMs used only by the client's callbacks
-	messageTimesMs []float64 // times of the messages within messageWindowMs
+	assigned       bool      // whether the proxy was assigned tables; used only by the client's callbacks
+	messageTimesMs []float64 // times of the messages in the last messageWindowMs; used only by the client's callbacks
 }
 
 // newProxy returns a proxy that is not connected yet.
@@ -111,7 +111,8 @@
 	return slices.ContainsFunc(orders.Orders, func(single *order.Order) bool { return single.GetBind() != nil })
 }
 
-// simulateRequests simulates requests until the context ends. All that are admitted and for which a server is found succeed.
+// simulateRequests simulates requests until the context ends. Each request that is admitted and for which a server is found
+// succeeds.
 func (p *stressProxy) simulateRequests(ctx context.Context, random *rand.Rand) {
 	s := p.test
 	intervalMs := s.ReportIntervalMs / batchesPerReport
--- a/internal/fake/tally.go
+++ b/internal/fake/tally.go
@@ -13,19 +13,19 @@
 	Failed    Outcome = iota // no answer in time, or an error
 	Succeeded                // answered with success, within the latency objective or later
 	Rejected                 // shed by a proxy
-	NoServer                 // the proxy had no server to send it to
+	NoServer                 // the proxy had no server to send the request to
 )
 
-// Retryable reports whether a client may retry any request with this outcome, even one that is not idempotent, because it was
-// not processed.
+// Retryable reports whether a client may retry any request with this outcome, even one that is not idempotent, because the
+// request was not processed.
 func (o Outcome) Retryable() bool { return o == Rejected || o == NoServer }
 
-// Tally counts the requests of a traffic class or of a period by outcome. A request counts once, whatever its retries. The JSON
-// names are kept so that reports remain comparable with earlier ones.
+// Tally counts the requests of a traffic class or of a period by outcome. A request counts once, however often it is
+// retried. The JSON names must not change, so that reports remain comparable with earlier reports.
 type Tally struct {
 	Requested int     `json:"Asked"`
-	Succeeded int     `json:"Delivered"` // within the latency objective
-	Late      int     `json:"Late"`      // succeeded, but after the latency objective
+	Succeeded int     `json:"Delivered"` // requests that succeeded within the latency objective
+	Late      int     `json:"Late"`      // requests that succeeded after the latency objective
 	Rejected  int     `json:"Blocked"`
 	NoServer  int     `json:"Bare"`
 	Failed    int     `json:"Dropped"`
--- a/internal/fake/warmup.go
+++ b/internal/fake/warmup.go
@@ -8,7 +8,8 @@
 	pb "lichenpick/proto/settings"
 )
 
-// The work of a request is a fixed fraction of the mean plus an exponentially distributed part with the rest as its mean.
+// The work of a request is a fixed part plus an exponentially distributed random part. The constants are the fixed part, and
+// the mean of the random part, as fractions of the mean work.
 const (
 	fixedWorkFraction  = 0.25
 	randomWorkFraction = 0.75
@@ -19,8 +20,8 @@
 	return settings.Milliseconds(set.Work) * (fixedWorkFraction + randomWorkFraction*random.ExpFloat64())
 }
 
-// Capacity returns the capacity of a server as a number of cores at nominal speed. That of a server that was started cold rises
-// linearly, from its cold share to the full capacity, over the warm-up time. The age in ms is the time since the start.
+// Capacity returns the capacity of a server as a number of cores at nominal speed. The capacity of a server that was started
+// cold rises linearly, over the warm-up time, from the cold share to the full capacity. ageMs is the time since the start.
 func Capacity(set *pb.Server, ageMs float64, cold bool) float64 {
 	full := float64(set.GetCores()) * set.GetSpeed()
 	warmUpMs := settings.Milliseconds(set.WarmUp)
@@ -31,11 +32,11 @@
 	return full * (coldShare + (1-coldShare)*math.Max(ageMs, 0)/warmUpMs)
 }
 
-// WarmUp models the slow start of a server: its capacity rises, and the server crashes if it receives too much work meanwhile.
-// Its methods must be called in order of time and are not safe for concurrent use.
+// WarmUp models the slow start of a server: its capacity rises, and the server crashes if it receives too much work during
+// that time. Its methods must be called in order of time and are not safe for concurrent use.
 type WarmUp struct {
 	settings   *pb.Server
-	startedMs  float64   // time of the last cold start; 0: the server was started warm
+	startedMs  float64   // time of the last cold start, in ms; 0: the server was started warm
 	arrivals   []arrival // work received within the overload window
 	overloaded bool
 	overloads  int
@@ -53,7 +54,7 @@
 	w.arrivals = nil
 	w.startedMs = 0
 	if cold {
-		w.startedMs = math.Max(nowMs, 1) // 0 means warm
+		w.startedMs = math.Max(nowMs, 1) // at least 1, because 0 means that the server was started warm
 	}
 }
 
@@ -71,7 +72,8 @@
 	return Capacity(w.settings, nowMs-w.startedMs, w.startedMs > 0)
 }
 
-// RecordWork records work that counts towards an overload, such as a handshake. Only Receive checks whether there is one.
+// RecordWork records work that counts towards an overload, such as a handshake. Only Receive checks whether the server is
+// overloaded.
 func (w *WarmUp) RecordWork(nowMs, workMs float64) {
 	w.arrivals = append(w.arrivals, arrival{nowMs, workMs})
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -31,8 +31,9 @@
 	inFlight chan struct{} // holds one element for each request in flight
 }
 
-// Run sends traffic at each rate in turn. With several rates it stops after the first step that does not meet the objective. It
-// returns the completed steps, and the error of the context if that ended early. The options must have passed Check.
+// Run sends traffic at each rate in turn. With several rates it stops after the first step that does not meet the objective.
+// It returns the completed steps, and the error of the context if the context ended early. The options must have passed
+// Check.
 func Run(ctx context.Context, options Options) ([]Step, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -85,7 +86,8 @@
 // nextInterval draws the time in ms from one request until the next is due.
 func (g *generator) nextInterval(rate float64) float64 { return g.random.ExpFloat64() / rate * 1000 }
 
-// sendDue sends a request that is due without waiting for its answer, or counts it as unsent if too many are in flight.
+// sendDue sends a due request without waiting for its answer. If too many requests are in flight, it counts the request as
+// unsent.
 func (g *generator) sendDue(ctx context.Context, requests *sync.WaitGroup, recorder *recorder, dueMs float64) {
 	target := g.options.Targets[g.random.Intn(len(g.options.Targets))]
 	recorder.recordDue(g.options.Clock.Monotonic() - dueMs)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -38,7 +38,8 @@
 		serverClock := clock.NewReal()
 		options := startServer(t, func(http.ResponseWriter, *http.Request) {
 			if nowMs := serverClock.Monotonic(); nowMs > 500 && nowMs < 1000 {
-				_ = clock.Sleep(t.Context(), serverClock, 1000-nowMs) // an early return would lower the latencies and fail the test
+				// An early return of Sleep would lower the latencies and fail the test.
+				_ = clock.Sleep(t.Context(), serverClock, 1000-nowMs)
 			}
 		})
 		steps, err := Run(t.Context(), options)
--- a/internal/load/options.go
+++ b/internal/load/options.go
@@ -24,18 +24,18 @@
 // all other fields are required. Options must not change during Run.
 type Options struct {
 	Clock       clock.Clock
-	Targets     []string  // addresses; each request goes to one drawn uniformly
+	Targets     []string  // addresses; each request goes to one drawn at random, all with equal probability
 	Class       string    // name of the traffic class; empty: the target's first class
 	Rates       []float64 // requests per second of each step
-	StepMs      float64   // length of a step
-	DeadlineMs  float64   // time after a request was due at which it counts as failed
-	MaxInFlight int       // limit of requests in flight; those beyond it are not sent and count as unsent
+	StepMs      float64   // length of a step, in ms
+	DeadlineMs  float64   // time from when a request is due until it counts as failed, in ms
+	MaxInFlight int       // largest number of requests in flight; requests beyond this number are not sent and count as unsent
 	Seed        int64     // seed of the random times and targets
 
-	// The objective. A run with several rates stops after the first step that misses it. A latency objective of 0 is met only
-	// by a step without successful requests.
-	LatencyObjectiveMs float64 // limit of the 99th percentile
-	MinSuccessRatio    float64 // fraction of the requests that must succeed; 0: any
+	// The two fields below are the objective of each step. A run with several rates stops after the first step that misses
+	// the objective. A latency objective of 0 is met only by a step without successful requests.
+	LatencyObjectiveMs float64 // limit of the 99th percentile of the latency, in ms
+	MinSuccessRatio    float64 // smallest fraction of the requests that must succeed; 0: no requirement
 
 	// Progress, unless nil, is called about once a second with the results of the current step, by the goroutine of Run.
 	Progress func(step Step)
--- a/internal/load/step.go
+++ b/internal/load/step.go
@@ -16,13 +16,13 @@
 // from the time at which each was due.
 type Step struct {
 	Rate                     float64 // requests per second
-	Due                      int     // sum of the next four fields
+	Due                      int     // number of requests due: the sum of Succeeded, Rejected, Failed and Unsent
 	Succeeded                int
-	Rejected                 int // shed by a proxy, or the proxy had no server to send it to
-	Failed                   int // answered with an error, or not before the deadline
-	Unsent                   int // not sent because too many were in flight
+	Rejected                 int // requests that a proxy shed, or for which it had no server
+	Failed                   int // requests answered with an error, or not answered before the deadline
+	Unsent                   int // requests not sent because too many were in flight
 	P50, P90, P99, P999, Max float64
-	MaxLateMs                float64 // greatest delay with which this process sent a request
+	MaxLateMs                float64 // longest time from when a request was due until this process sent it, in ms
 }
 
 // SuccessRatio returns the fraction of the requests that succeeded.
@@ -49,7 +49,7 @@
 	return &recorder{step: Step{Rate: rate}, latenciesUs: hdrhistogram.New(1, maxLatencyUs, histogramDigits)}
 }
 
-// recordDue records that a request was due, and with what delay this process sends it.
+// recordDue records that a request was due, and by how much later, in ms, this process sends the request.
 func (r *recorder) recordDue(lateMs float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +57,7 @@
 	r.step.MaxLateMs = max(r.step.MaxLateMs, lateMs)
 }
 
-// recordUnsent records that a request was not sent because too many were in flight.
+// recordUnsent records that a request was not sent because too many requests were in flight.
 func (r *recorder) recordUnsent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/controlclient.go
+++ b/internal/proxy/controlclient.go
@@ -26,8 +26,8 @@
 const (
 	readBufferBytes      = 16 << 10
 	writeTimeoutMs       = 2000.0 // time limit for writing a frame, in ms
-	handshakeTimeoutMs   = 2000.0 // time limit for the dial, and then for the planner's Welcome, in ms
-	maxOutboxFrames      = 256    // frames queued for a planner that reads slowly
+	handshakeTimeoutMs   = 2000.0 // time limit for dialling a planner, and then for receiving its Welcome, in ms
+	maxOutboxFrames      = 256    // largest number of frames queued for a planner that reads slowly
 	leaseCheckIntervalMs = 100.0  // longest interval between checks of the lease, in ms
 )
 
@@ -49,7 +49,8 @@
 	// Ready, if not nil, is called once with the address on which a Proxy listens, from the goroutine of Run.
 	Ready func(address net.Addr)
 	// DisableFencing makes the proxy apply orders from any controller and of any epoch, so that tests can show that their
-	// checks detect the fault. Otherwise the proxy rejects orders unless the sender holds the lease under the orders' epoch.
+	// checks detect orders from a sender without the lease. Without DisableFencing, the proxy rejects orders unless the
+	// sender holds the lease under the orders' epoch.
 	DisableFencing bool
 }
 
@@ -67,14 +68,14 @@
 
 	localAddress netip.Addr // local address to dial from; the zero value means any
 	incarnation  uint64     // identifies this process to planners
-	afterOrders  func()     // if not nil, called by session.OnOrders after OnOrders; for the use of Proxy
+	afterOrders  func()     // if not nil, called by session.OnOrders after the OnOrders callback; set by Proxy
 
 	mu   sync.Mutex // guards the fields below
 	core *Core
 
 	// The fields below are used only where several controllers share the fleet.
 	sessions           []*session // sessions whose planner has welcomed the proxy
-	announcedReachable []string   // reachable controllers in the last announcement
+	announcedReachable []string   // controllers that the last announced lease state listed as reachable
 	lastHolder         leaseHolder
 }
 
@@ -82,7 +83,7 @@
 type leaseHolder struct {
 	controller     string
 	incarnation    uint64
-	lastReceivedMs float64 // when it last sent anything while it held the lease; 0 if nobody has held it yet
+	lastReceivedMs float64 // time of the last bytes received from the controller as holder, in ms; 0: no holder yet
 }
 
 // NewControlClient returns a client without streams.
@@ -91,7 +92,8 @@
 		Options: options,
 		core:    NewCore(options.Settings, options.Clock.Monotonic()),
 	}
-	client.localAddress, _ = netip.ParseAddr(options.Settings.From) // fails only if empty, as the settings are validated
+	// ParseAddr fails only if the setting is empty, because the settings are validated.
+	client.localAddress, _ = netip.ParseAddr(options.Settings.From)
 	random := rand.New(rand.NewSource(int64(options.Settings.GetSeed())))
 	client.incarnation = uint64(options.Clock.WallTime().UnixNano()) ^ random.Uint64()>>20
 	return client
@@ -104,8 +106,8 @@
 	use(c.core)
 }
 
-// Connect maintains a stream to one of the planners: when it ends, Connect dials the same or the next planner. Where several
-// controllers share the fleet, it maintains a stream to each. It returns nil when the context ends.
+// Connect maintains a stream to one of the planners: when the stream ends, Connect dials the same or the next planner. Where
+// several controllers share the fleet, Connect maintains a stream to each of them. It returns nil when the context ends.
 func (c *ControlClient) Connect(ctx context.Context) error {
 	if !c.Settings.Sharing {
 		c.keepConnected(ctx, c.Settings.Planners, 0)
@@ -145,7 +147,7 @@
 		}
 		var closeErr *controlstream.CloseError
 		if !joined || errors.As(err, &closeErr) {
-			next++ // tries another planner next, unless a joined stream only lost its connection
+			next++ // the next dial goes to another planner, unless a joined stream only lost its connection
 		}
 		if clock.Sleep(ctx, c.Clock, redialMs*(0.5+random.Float64())) != nil {
 			return
@@ -188,7 +190,7 @@
 }
 
 // reachable returns the names of the controllers that accept leases and have sent something recently. An open stream is not
-// sufficient, because it stays open while the controller's process is paused. The mutex must be held.
+// sufficient, because a stream stays open while the controller's process is paused. The mutex must be held.
 func (c *ControlClient) reachable(nowMs float64) (controllers []string) {
 	for _, session := range c.sessions {
 		if session.takesLeases && nowMs-session.lastReceivedMs < lease.UnreachableAfterMs {
@@ -198,7 +200,8 @@
 	return controllers
 }
 
-// announceLease sends the lease state to all controllers except one, which may be nil. The mutex must be held.
+// announceLease sends the lease state to all controllers except that of one session; nil excludes none. The mutex must be
+// held.
 func (c *ControlClient) announceLease(except *session) {
 	state := c.leaseState(c.Clock.Monotonic(), false)
 	c.announcedReachable = state.Reachable
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -15,13 +15,13 @@
 	classes            []*pb.Group
 	pickMethod         pb.Pick
 	attemptLimitFactor float64 // longest duration of an attempt that can be retried, as a multiple of the latency objective
-	defaultRetry       int     // retry mode of classes for which no planner has set one
+	defaultRetry       int     // retry mode of traffic classes for which no planner has set a retry mode
 	random             *rand.Rand
 
 	// Orders received from planners.
 	tableByClass  []*table          // the table in force for each traffic class, perhaps from an earlier session
 	tables        map[uint32]*table // tables assigned in the current session, by table number
-	ejected       map[string]bool   // servers that the current session has ejected and not readmitted
+	ejected       map[string]bool   // servers that the current session has ejected and has not readmitted
 	admissions    []admission       // by traffic class
 	tableAssigned bool              // whether the current session has assigned a table
 
@@ -29,13 +29,13 @@
 	inFlight      map[string]int // number of attempts in flight by server
 	statsByServer map[string]*serverStats
 	statsByClass  []classStats // by traffic class
-	lastReportMs  float64      // time of the last load report
+	lastReportMs  float64      // time of the last load report, in ms
 
 	// Lease state, used only where several controllers share the fleet.
 	grantor         lease.Grantor
-	drainingSinceMs map[string]float64 // servers that controllers ejected because they drain or were removed, and since when
-	leaseStateCount uint64             // number of lease states created so far, used to number them
-	recentOrdersMs  []float64          // times of the latest Orders messages, ascending
+	drainingSinceMs map[string]float64 // servers ejected because they drain or were removed, with the time in ms
+	leaseStateCount uint64             // number of lease states created so far; the latest state has this number
+	recentOrdersMs  []float64          // times of the latest Orders messages in ms, in ascending order
 }
 
 // NewCore returns a Core that uses the standing table of its settings and admits all requests. The settings must have been
--- a/internal/proxy/core_test.go
+++ b/internal/proxy/core_test.go
@@ -53,11 +53,11 @@
 		t.Errorf("picks are %v, want none of the server that the Welcome ejects", counts)
 	}
 	core.ApplyOrders(assignOrder([]string{"a"}, entry("a", 0.5), entry("b", 0.5)))
-	core.StartSession(&order.Welcome{}) // a session with another planner, which has not ejected a
+	core.StartSession(&order.Welcome{}) // starts a session with another planner, which has not ejected server "a"
 	if counts := countPicks(core, 0, 100); counts["b"] != 100 {
 		t.Errorf("picks after the session are %v, want only b, as a stays ejected", counts)
 	}
-	core.ApplyOrders(assignOrder(nil, entry("a", 0.5), entry("c", 0.5))) // replaces the table and its ejections
+	core.ApplyOrders(assignOrder(nil, entry("a", 0.5), entry("c", 0.5))) // replaces the earlier session's table and ejections
 	if counts := countPicks(core, 0, 100); counts["a"] == 0 || counts["c"] == 0 || counts["b"] != 0 {
 		t.Errorf("picks are %v, want a and c from the new session's table", counts)
 	}
@@ -96,7 +96,7 @@
 		class   int
 		retry   uint32
 		outcome Outcome
-		want    int // number of attempts
+		want    int // expected number of attempts
 	}{
 		"never":                                {0, policy.RetryNever, Unprocessed, 1},
 		"unprocessed, with proof":              {0, policy.RetryUnprocessed, Unprocessed, 2},
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -44,7 +44,7 @@
 		response.Header()[name] = values
 	}
 	response.WriteHeader(b.status)
-	_, _ = response.Write(b.body) // fails only if the client has disconnected, so there is nobody to report it to
+	_, _ = response.Write(b.body) // fails only if the client has disconnected, so nobody can receive the error
 }
 
 // outcome returns the outcome of the attempt that got the response.
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -16,7 +16,7 @@
 
 const (
 	runMs                       = 20_000.0
-	digestIntervalMs            = 1000.0 // time covered by each line of a golden file
+	digestIntervalMs            = 1000.0 // time covered by each line of a golden file, in ms
 	reportIntervalMs            = 1000.0
 	orderIntervalMs             = 150.0
 	leaseRequestIntervalMs      = 700.0
@@ -182,7 +182,7 @@
 	c.attempts = append(c.attempts, openAttempt{request, server, c.nowMs, limitMs})
 }
 
-// finish ends a random open attempt. It fails if it has reached its time limit, else it has a random outcome.
+// finish ends a random open attempt. The attempt fails if it has reached its time limit; otherwise its outcome is random.
 func (c *simulation) finish() {
 	if len(c.attempts) == 0 {
 		return
@@ -219,7 +219,7 @@
 		c.requestLease()
 	}
 	c.request()
-	for c.random.Intn(40) < len(c.attempts) { // the more attempts are open, the more likely one ends
+	for c.random.Intn(40) < len(c.attempts) { // the more attempts are open, the likelier it is that one of them ends
 		c.finish()
 	}
 	if c.every(reportIntervalMs) {
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -23,7 +23,7 @@
 	return NewCore(set, 0)
 }
 
-// newAssignedCore returns a Core to which a planner has assigned a table for both classes.
+// newAssignedCore returns a Core to which a planner has assigned one table for both traffic classes.
 func newAssignedCore(t *testing.T, extraSettings string, entries ...*order.Line) *Core {
 	t.Helper()
 	core := newTestCore(t, extraSettings)
@@ -36,7 +36,7 @@
 	return &order.Line{Server: server, Weight: weight}
 }
 
-// assignOrder returns a message that assigns a table to both classes and ejects servers.
+// assignOrder returns a message that assigns a table to both traffic classes and ejects servers.
 func assignOrder(ejected []string, entries ...*order.Line) *order.Orders {
 	assignment := &order.Bind{Table: testTable, Groups: []uint32{0, 1}, Withdrawn: ejected, Lines: entries}
 	return &order.Orders{Orders: []*order.Order{{What: &order.Order_Bind{Bind: assignment}}}}
@@ -52,7 +52,8 @@
 	return &order.Orders{Orders: []*order.Order{{What: &order.Order_Withdraw{Withdraw: ejection}}}}
 }
 
-// countPicks admits requests of a class, whose attempts all succeed, and counts the admitted ones by server.
+// countPicks passes requests of a traffic class to Admit and Pick, lets all attempts succeed, and returns the number of
+// admitted requests of each server.
 func countPicks(core *Core, class, requests int) map[string]int {
 	counts := map[string]int{}
 	for range requests {
--- a/internal/proxy/leasestate.go
+++ b/internal/proxy/leasestate.go
@@ -45,8 +45,9 @@
 	return c.grantor.Controller == controller && c.grantor.Incarnation == incarnation
 }
 
-// RecordOrders records the time of an Orders message. It must be called for each one, from any controller and whether or not
-// it is applied, because all of them count in the window that limits the messages to a proxy.
+// RecordOrders records the time of an Orders message. It must be called for each Orders message, from any controller and
+// whether or not the message is applied, because planners limit the number of all Orders messages to a proxy within a
+// window.
 func (c *Core) RecordOrders(nowMs float64) {
 	c.recentOrdersMs = append(c.recentOrdersMs, nowMs)
 	for c.recentOrdersMs[0] <= nowMs-recentOrdersWindowMs || len(c.recentOrdersMs) > maxRecentOrders {
--- a/internal/proxy/loadreport.go
+++ b/internal/proxy/loadreport.go
@@ -11,13 +11,13 @@
 type serverStats struct {
 	attempts  int
 	failed    int
-	latencyMs float64 // sum over the successful attempts
+	latencyMs float64 // sum of the latencies of the successful attempts, in ms
 }
 
 // classStats counts the requests of one traffic class since the last load report.
 type classStats struct {
-	requests int // arrived, whether or not admitted
-	failed   int // admitted, but without a successful attempt
+	requests int // requests that arrived, whether or not they were admitted
+	failed   int // admitted requests without a successful attempt
 }
 
 func (c *Core) recordAttempt(server string, outcome Outcome, tookMs float64) {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = listener.Close() }) // fails if the test has closed it already
+	t.Cleanup(func() { _ = listener.Close() }) // fails if the test has closed the listener already
 	return listener
 }
 
@@ -140,10 +140,10 @@
 }
 
 func TestProxy(t *testing.T) {
-	// A reused connection that breaks after the request was written does not prove that the server did not process it, even
-	// if the HTTP library then dials again and that dial is refused. The cases are the kinds of requests that the library
-	// considers safe to resend: those with an idempotent method and those with an Idempotency-Key header. Without the
-	// protection of forbidResend, a request that was already processed would be sent to another server.
+	// A reused connection that breaks after the request was written does not prove that the server did not process the
+	// request, even if the HTTP library then dials again and that dial is refused. The cases are the kinds of requests that
+	// the library considers safe to resend: those with an idempotent method and those with an Idempotency-Key header.
+	// Without the protection of forbidResend, a request that was already processed would be sent to another server.
 	for _, test := range []struct{ method, class, idempotencyKey string }{
 		{"GET", "charge", ""},
 		{"POST", "start", "k1"},
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -14,8 +14,8 @@
 // Outcomes of an attempt.
 const (
 	Succeeded   Outcome = iota // the server responded with a status below 500
-	Unprocessed                // failed with proof that the server did not process it: no connection, or the server's statement
-	Failed                     // failed, and the server may have processed it
+	Unprocessed                // failed without being processed: the dial failed, or the server's response says so
+	Failed                     // failed, and the server may have processed the request
 )
 
 // minRemainingFraction is the fraction of a request's time limit that must remain for a retry. With less time left, the retry
@@ -35,7 +35,7 @@
 	Class      int // traffic class, as an index into the settings' list of classes
 	Attempts   int // number of attempts started
 	admittedMs float64
-	attempted  []string // servers of these attempts
+	attempted  []string // servers of the attempts started
 }
 
 // Admit counts a request of a traffic class and decides at random, by the class's admission rate, whether to admit it. The
@@ -95,8 +95,8 @@
 }
 
 // remainingRetries returns how many more attempts the retry mode allows if the current one ends with the given outcome. To
-// prevent a request from being processed twice, it allows none for a request that is not idempotent unless the outcome proves
-// that the server did not process it, even if the planner ordered retries.
+// prevent a request from being processed twice, the result is 0 for a request that is not idempotent unless the outcome
+// proves that the server did not process it, even if the planner ordered retries.
 func (c *Core) remainingRetries(request *Request, outcome Outcome) int {
 	mode := c.admissions[request.Class].retry
 	idempotent := c.classes[request.Class].Repeat == pb.Repeat_RETRIABLE
@@ -106,8 +106,8 @@
 	return max(retriesByMode[mode]+1-request.Attempts, 0)
 }
 
-// FinishAttempt records the outcome and the duration of an attempt and reports whether the request is to be retried, with
-// another call of Pick.
+// FinishAttempt records the outcome and the duration of an attempt and reports whether the request is to be retried, for
+// which the caller must call Pick again.
 func (c *Core) FinishAttempt(nowMs float64, request *Request, server string, outcome Outcome, tookMs float64) (retry bool) {
 	c.inFlight[server]--
 	if c.inFlight[server] <= 0 {
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -16,7 +16,7 @@
 	errForeignLeaseRequest = errors.New("invalid lease request: sharing is off, or it names another controller or process")
 )
 
-// session is the state of one stream to a planner and its controlstream.ProxyHost. The second group of fields is guarded by
+// session is the state of one stream to a planner and its controlstream.ProxyHost. The fields from joined on are guarded by
 // the client's mutex, except for protocolErr, which only the reading goroutine uses.
 type session struct {
 	client       *ControlClient
@@ -27,12 +27,12 @@
 	joined         bool // whether the planner has welcomed the proxy
 	controller     string
 	incarnation    uint64
-	takesLeases    bool    // whether the controller accepts leases, as it last stated
+	takesLeases    bool    // whether the controller's last status said that it accepts leases
 	lastReceivedMs float64 // time at which bytes were last received
 	protocolErr    error   // protocol violation by the planner, which ends the stream
 }
 
-// queuedFrame is a frame to be sent. The body is nil if it is empty.
+// queuedFrame is a frame to be sent. A nil body stands for an empty one.
 type queuedFrame struct {
 	kind controlstream.FrameKind
 	body proto.Message
@@ -55,7 +55,7 @@
 // isHolder reports whether this session's controller holds the lease. The client's mutex must be held.
 func (s *session) isHolder() bool { return s.client.core.isHolder(s.controller, s.incarnation) }
 
-// recordActivity records that bytes were received from the planner, be it only a part of a frame.
+// recordActivity records that bytes were received from the planner, even if they are only a part of a frame.
 func (s *session) recordActivity() {
 	client := s.client
 	client.mu.Lock()
@@ -112,7 +112,8 @@
 	})
 }
 
-// OnLeaseRequest responds to a request for the lease. If the holder changes, it announces that to the other controllers.
+// OnLeaseRequest responds to a request for the lease. If the holder changes, it announces the new lease state to the other
+// controllers.
 func (s *session) OnLeaseRequest(request *order.Claim) {
 	client := s.client
 	client.mu.Lock()
@@ -147,7 +148,8 @@
 	client.lastHolder = leaseHolder{controller: s.controller, incarnation: s.incarnation, lastReceivedMs: nowMs}
 }
 
-// OnLeaseRelease frees the lease and announces that, if the sender holds it under the stated epoch.
+// OnLeaseRelease ends the lease and announces the new lease state to all controllers, if the sender holds the lease under
+// the stated epoch.
 func (s *session) OnLeaseRelease(release *order.Release) {
 	client := s.client
 	client.mu.Lock()
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -61,7 +61,8 @@
 	buffer := make([]byte, readBufferBytes)
 	for {
 		remainingMs := codec.Deadline() - timeSource.Monotonic()
-		_ = conn.SetReadDeadline(timeSource.Deadline(max(remainingMs, 1))) // on a closed connection, Read fails too
+		// On a closed connection, SetReadDeadline fails, but Read fails too.
+		_ = conn.SetReadDeadline(timeSource.Deadline(max(remainingMs, 1)))
 		size, err := conn.Read(buffer)
 		codec.Feed(timeSource.Monotonic(), buffer[:size])
 		if size > 0 {
@@ -128,8 +129,8 @@
 	}
 }
 
-// write sends one frame and reports whether it succeeded. If not, the caller ends the stream, and the reader returns the
-// reason.
+// write sends one frame and reports whether it succeeded. If it failed, the caller ends the stream, and session.read returns
+// the reason.
 func (w *streamWriter) write(kind controlstream.FrameKind, body proto.Message) bool {
 	var err error
 	w.buffer, err = w.codec.Append(w.buffer[:0], kind, body)
--- a/internal/proxy/tables.go
+++ b/internal/proxy/tables.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// setWeight sets a server's weight in a table; weight 0 removes the entry. It ignores a number that the current session has
-// assigned no table to, because table numbers of earlier sessions are no longer valid.
+// setWeight sets a server's weight in a table; weight 0 removes the entry. It ignores a table number to which the current
+// session has assigned no table, because table numbers of earlier sessions are no longer valid.
 func (c *Core) setWeight(number uint32, entry *order.Line) {
 	assigned := c.tables[number]
 	if assigned == nil {
--- a/internal/simulation/build.go
+++ b/internal/simulation/build.go
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// addServer adds a warm server to a zone. The endpoint list does not contain it yet.
+// addServer adds a warm server to a zone. The endpoint list does not contain the server yet.
 func (f *fleet) addServer(zone int) (*server, error) {
 	number := len(f.servers)
 	template := f.script.Servers
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -7,7 +7,7 @@
 type eventQueue struct {
 	nowMs     float64
 	processed int    // number of events that have happened
-	lastEvent uint64 // number of the event scheduled last
+	lastEvent uint64 // sequence number of the event scheduled last; 0: none was scheduled yet
 	pending   eventHeap
 }
 
@@ -18,13 +18,13 @@
 	action func()
 }
 
-// after schedules an action in delayMs from now; a negative delay counts as 0.
+// after schedules an action to run delayMs from now; a negative delay counts as 0.
 func (q *eventQueue) after(delayMs float64, action func()) {
 	q.lastEvent++
 	heap.Push(&q.pending, event{atMs: q.nowMs + max(delayMs, 0), number: q.lastEvent, action: action})
 }
 
-// runUntil runs all events due up to a time, including those scheduled meanwhile, and advances the clock to that time.
+// runUntil runs all events due up to a time, including events that these schedule, and advances the clock to that time.
 func (q *eventQueue) runUntil(untilMs float64) {
 	for len(q.pending) > 0 && q.pending[0].atMs <= untilMs {
 		next := heap.Pop(&q.pending).(event)
@@ -59,7 +59,7 @@
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	removed := (*h)[last]
-	(*h)[last] = event{} // release what the action refers to for garbage collection
+	(*h)[last] = event{} // lets the garbage collector free what the action refers to
 	*h = (*h)[:last]
 	return removed
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -25,8 +25,8 @@
 // period is the time at which a fault begins, and its length, in ms.
 type period struct{ startMs, lengthMs float64 }
 
-// scheduleFault schedules the events of a fault, whose time counts from the start of the load. It must be called before the run
-// begins.
+// scheduleFault schedules the events of a fault. The time of the fault counts from the start of the load. scheduleFault must
+// be called before the run begins.
 func (f *fleet) scheduleFault(fault *script.Trouble, loadStartMs float64) error {
 	when := period{
 		startMs:  loadStartMs + settings.Milliseconds(fault.At),
@@ -63,8 +63,8 @@
 	f.schedulePeriod(when, func() { f.rateFactor = burst.GetFactor() }, func() { f.rateFactor = 1 })
 }
 
-// scheduleHang schedules a fault in which servers receive requests but answer none. With a period set they alternate between
-// hanging and working, changing after each period.
+// scheduleHang schedules a fault in which servers receive requests but answer none. If the fault has a period, the servers
+// alternate between hanging and working, and change after each period.
 func (f *fleet) scheduleHang(when period, hang *script.Hang) {
 	var affected []*server
 	setHanging := func(hanging bool) {
@@ -106,8 +106,9 @@
 	}
 }
 
-// scheduleCrash schedules a fault in which up to count eligible servers stop, and are started again cold when it ends. If listed
-// is true, they are removed from the endpoint list meanwhile. A nil eligible selects all servers.
+// scheduleCrash schedules a fault in which up to count eligible servers stop, and are started again cold when the fault
+// ends. If listed is true, the servers are removed from the endpoint list during the fault. A nil eligible selects all
+// servers.
 func (f *fleet) scheduleCrash(when period, count int, listed bool, eligible func(*server) bool) {
 	var affected []*server
 	f.schedulePeriod(when, func() {
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestGoldenOutcomes compares every figure of some simulated scenarios with golden files. Planner core, policy and proxy core are
-// the product's own code there, so that any change of their decisions changes a count.
+// TestGoldenOutcomes compares every figure of some simulated scenarios with golden files. The simulation runs the product's
+// own planner core, policy and proxy core, so that any change of their decisions changes a count.
 func TestGoldenOutcomes(t *testing.T) {
 	for _, name := range []string{"size-20x10", "size-171x81", "mixed-faults"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simulation/planner.go
+++ b/internal/simulation/planner.go
@@ -28,7 +28,7 @@
 type simulatedPlanner struct {
 	fleet   *fleet
 	core    *planner.Core
-	timerMs float64 // time at which the core is to be called next; infinite: not set
+	timerMs float64 // time at which the core is to be called next, in ms; infinite: no call is scheduled
 }
 
 var _ planner.Host = (*simulatedPlanner)(nil)
@@ -69,8 +69,8 @@
 	})
 }
 
-// endpointOf returns the entry of a server in the endpoint list. The listed capacity is the number of cores. The list does not
-// state their speed, which the planner can see only in latencies.
+// endpointOf returns the entry of a server in the endpoint list. The listed capacity is the number of cores. The list does
+// not state the speed of the cores, which the planner can see only in latencies.
 func (f *fleet) endpointOf(server *server) discovery.Endpoint {
 	endpoint := discovery.Endpoint{
 		Server:           server.address,
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -2,8 +2,8 @@
 // the proxy core are the product's own code, driven through their input methods. The package opens no socket, starts no
 // goroutine and reads no clock, so that a script with the same seed always gives the same result.
 //
-// All times are in ms since the start of the run. docs/simulation.md describes what the models leave out. A script with a fault
-// that they cannot simulate is refused with an [UnsupportedFaultError].
+// All times are in ms since the start of the run. docs/simulation.md describes what the models leave out. A script with a
+// fault that the models cannot simulate is refused with an [UnsupportedFaultError].
 package simulation
 
 import (
@@ -22,11 +22,11 @@
 type Result struct {
 	Classes       []fake.Tally // requests by traffic class
 	Seconds       []fake.Tally // requests by the second in which they were due, from the start of the load
-	Service       float64      // priority weight of the requests that succeeded in time, as a fraction of that of all requests
+	Service       float64      // priority weight of requests that succeeded in time, as a fraction of the weight of all requests
 	Messages      int          // messages with orders that proxies received from the planner
-	Entries       float64      // weight entries that the planner counted in these messages
+	Entries       float64      // weight entries that the planner counted in the messages to proxies
 	ColdOverloads int          // crashes of servers that received too much work while warming up
-	Events        int          // simulated events
+	Events        int          // number of simulated events
 }
 
 // fleet is the state of one run of a script.
@@ -37,10 +37,10 @@
 	planner *simulatedPlanner
 	servers []*server
 	proxies []*simulatedProxy
-	shares  []float64 // fraction of the requests that is of each traffic class; they add up to 1
+	shares  []float64 // fraction of the requests in each traffic class; the sum is 1
 
 	serversByAddress map[string]*server
-	rateFactor       float64 // multiplies the request rate; changed by faults
+	rateFactor       float64 // factor by which the request rate is multiplied; changed by faults
 	result           Result
 	err              error // first error of the run
 }
--- a/internal/simulation/proxy.go
+++ b/internal/simulation/proxy.go
@@ -27,7 +27,8 @@
 	reportIntervalMs float64
 }
 
-// addProxy adds a proxy and schedules its join and its first load report. Its number counts the proxies of its zone.
+// addProxy adds a proxy and schedules its join and its first load report. The number is the index of the proxy within its
+// zone.
 func (f *fleet) addProxy(zoneName string, number int) error {
 	set := &pb.Proxy{
 		Name:        fmt.Sprintf("edge-%s-%d", zoneName, number),
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -12,7 +12,7 @@
 const (
 	// requestDelayMs is the one-way delay between proxy and server, assumed as for a loopback interface.
 	requestDelayMs = 0.3
-	// minAttemptMs is the shortest timeout of an attempt.
+	// minAttemptMs is the shortest timeout of an attempt, in ms.
 	minAttemptMs = 1.0
 	// minRateFactor replaces a rate factor of 0, with which the next request would never be due.
 	minRateFactor = 1e-3
@@ -24,8 +24,8 @@
 type clientRequest struct {
 	class     int
 	startMs   float64
-	second    int // second in which it was due, from the start of the load
-	timesSent int // number of times that it was sent to a proxy
+	second    int // second of the load in which the request was due, from 0
+	timesSent int // number of times that the request was sent to a proxy
 	backoffMs float64
 }
 
@@ -74,7 +74,7 @@
 	to.attempt(request, admitted)
 }
 
-// attempt starts the next attempt of an admitted request, and with it the timeout of the attempt.
+// attempt starts the next attempt of an admitted request and the timeout of that attempt.
 func (p *simulatedProxy) attempt(request *clientRequest, admitted *proxy.Request) {
 	f := p.fleet
 	address, timeoutMs, ok := p.core.Pick(f.nowMs, admitted)
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -8,8 +8,9 @@
 	pb "lichenpick/proto/settings"
 )
 
-// server models a server as a queue in front of its cores. After a cold start it warms up, and crashes if it receives too much
-// work meanwhile. It has the parameters of the server in package fake, so that the results of both can be compared.
+// server models a server as a queue in front of its cores. After a cold start, the server warms up; it crashes if it
+// receives too much work during that time. The parameters are those of the server in package fake, so that the results of
+// both can be compared.
 type server struct {
 	events   *eventQueue
 	address  string
@@ -24,7 +25,7 @@
 	draining bool
 	stopped  bool
 	hanging  bool
-	slowdown float64 // factor by which work takes longer; 1: none
+	slowdown float64 // factor by which the duration of work is multiplied; 1: no slowdown
 }
 
 // attempt is an attempt of a request that arrives at a server.
@@ -74,13 +75,13 @@
 	}
 }
 
-// process occupies a core with an attempt. When that is done, the next attempt in the queue gets the core.
+// process occupies a core with an attempt. When the attempt is done, the next attempt in the queue gets the core.
 func (s *server) process(current *attempt) {
 	s.busyCores++
 	speed := s.warmUp.Capacity(s.events.nowMs) / float64(s.settings.GetCores()) / math.Max(s.slowdown, 1)
 	startedMs := s.warmUp.StartedMs()
 	s.events.after(current.workMs/speed, func() {
-		if s.stopped || s.warmUp.StartedMs() != startedMs { // the server was stopped or restarted meanwhile
+		if s.stopped || s.warmUp.StartedMs() != startedMs { // the server was stopped or restarted during the attempt
 			return
 		}
 		s.busyCores--
--- a/internal/weighttable/registry.go
+++ b/internal/weighttable/registry.go
@@ -1,5 +1,5 @@
-// Package weighttable stores the decisions of a planner's policy of which proxies must be notified: weight tables, the
-// proxies that use each of them, ejected servers and admission rates.
+// Package weighttable stores the decisions of a planner's policy that must be sent to proxies: weight tables, the proxies
+// that use each of them, ejected servers and admission rates.
 //
 // The package makes no decisions and sends nothing. The code that talks to proxies writes the policy's decisions to a
 // Registry and reads from it what to send to a proxy. The type parameter P is the type by which that code identifies a proxy.
@@ -13,7 +13,7 @@
 type AdmissionRate struct {
 	Fraction float64 // fraction of the requests that proxies admit, from 0 to 1
 	Retry    int     // retry mode, such as policy.RetryOnce
-	Set      bool    // whether the policy has decided
+	Set      bool    // whether the policy has decided on the rate and the retry mode
 }
 
 // Registry holds the current decisions of one planner's policy. Callers may write Admission directly. They may read Ejected
@@ -21,7 +21,7 @@
 type Registry[P comparable] struct {
 	Ejected   map[string]bool   // set of the ejected servers; other servers have no key
 	Admission []AdmissionRate   // indexed by traffic class
-	tables    map[int]*Table[P] // by table number
+	tables    map[int]*Table[P] // tables of the policy by table number
 }
 
 // NewRegistry returns an empty registry for the given number of traffic classes.
--- a/internal/weighttable/table.go
+++ b/internal/weighttable/table.go
@@ -12,7 +12,7 @@
 // but must not change them.
 type Table[P comparable] struct {
 	Number  int     // table number in the policy
-	Entries []Entry // one per server, in insertion order
+	Entries []Entry // one entry per server, in insertion order
 	Proxies []P     // proxies that use the table for at least one traffic class, without duplicates
 }
 
