--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter runs planners for the simulator, which it talks to on standard input and output. It exits with 0 at the end
-// of the input, and with 1 and one line on standard error if it cannot read, decode or answer the input.
+// Command adapter runs planners for the simulator. It reads the simulator's messages from standard input and writes the replies
+// to standard output. Its exit code is 0 at the end of the input. If it cannot read, decode or answer the input, it writes one
+// line to standard error, and its exit code is 1.
 package main
 
 import (
--- a/cmd/lichenpick/daemons.go
+++ b/cmd/lichenpick/daemons.go
@@ -20,13 +20,13 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Limits of a planner's stream from an endpoint registry.
+// Limits of the stream on which a planner receives the endpoint list from a registry.
 const (
 	registryHeartbeatTimeoutMs = 10_000
 	registryMaxFrameBytes      = 16 << 20
 )
 
-// localNetwork is the network of this machine. Keep-alive probes detect peers that vanished without closing the connection.
+// localNetwork is the network of this machine. Keep-alive probes detect peers that vanished without closing their connections.
 var localNetwork = clock.TCP{KeepAlive: 15 * time.Second}
 
 // daemonCommand returns a sub-command that reads a settings file of one kind and runs until SIGTERM or SIGINT.
--- a/cmd/lichenpick/examples_test.go
+++ b/cmd/lichenpick/examples_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	exampleTimeout   = 20 * time.Second // limit of each wait
+	exampleTimeout   = 20 * time.Second // maximum duration of each wait
 	examplePoll      = 20 * time.Millisecond
 	burstClients     = 8
-	burstRequests    = 50 // successful requests to wait for
+	burstRequests    = 50 // number of successful requests to wait for during a burst
 	exampleProxyURL  = "http://127.0.0.1:7200/"
 	exampleStatusURL = "http://127.0.0.1:7180/status"
 	exampleMetrics   = "http://127.0.0.1:7180/metrics"
 )
 
 // TestExamples runs the files of deploy/examples as processes. It checks that a planner which is stopped during a burst of
-// requests exits with code 0 while the proxy goes on serving, and that the proxy joins a planner that is started again, also
-// after a kill.
+// requests exits with code 0 while the proxy goes on serving. It also checks that the proxy joins the planner again after the
+// planner is restarted, both after this stop and after a kill.
 func TestExamples(t *testing.T) {
 	startExample(t, "server")
 	planner := startExample(t, "planner")
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = command.Process.Kill() // it may have ended already
+		_ = command.Process.Kill() // fails only if the process has exited already
 		_ = command.Wait()
 		if t.Failed() {
 			t.Log(command.Args, errorText)
@@ -92,7 +92,7 @@
 	}
 }
 
-// await polls a condition until it holds.
+// await polls a condition until the condition holds, and fails the test after exampleTimeout.
 func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(exampleTimeout)
@@ -104,7 +104,7 @@
 	}
 }
 
-// get returns the body of a response, and an empty string if the request fails.
+// get requests a URL and returns the body of the response, or an empty string if the request fails.
 func get(url string) string {
 	response, err := http.Get(url)
 	if err != nil {
@@ -121,7 +121,7 @@
 
 func proxyJoined() bool { return strings.Contains(get(exampleStatusURL), `"Proxies":1`) }
 
-// requestBurst is a set of concurrent clients, each of which sends one request after the other.
+// requestBurst is a set of concurrent clients. Each client sends one request at a time.
 type requestBurst struct {
 	succeeded atomic.Int32
 	stopping  chan struct{}
--- a/cmd/lichenpick/load.go
+++ b/cmd/lichenpick/load.go
@@ -14,15 +14,15 @@
 	"lichenpick/internal/settings"
 )
 
-// errFirstRateFailed means that the first rate of a ramp already missed the objective.
+// errFirstRateFailed means that a ramp's first rate, the lowest, missed the objective.
 var errFirstRateFailed = errors.New("the first rate of the ramp misses the objective")
 
 // loadFlags has the unchecked flags of the sub-command load.
 type loadFlags struct {
 	targets   string
 	rate      float64 // requests per second
-	ramp      string  // FROM:TO:BY; empty: run at one rate only
-	length    string  // duration of each rate
+	ramp      string  // rates of the ramp as FROM:TO:BY; empty: run at one rate only
+	length    string  // how long each rate is sent
 	class     string
 	deadline  string
 	objective string
@@ -138,7 +138,7 @@
 	return writeTable(out, table.String())
 }
 
-// highestSustainedRate returns the last rate that met the objective, and reports whether any did.
+// highestSustainedRate returns the last rate that met the objective, and reports whether any rate met the objective.
 func highestSustainedRate(options load.Options, steps []load.Step) (rate float64, found bool) {
 	for _, step := range steps {
 		if options.MeetsObjective(step) {
--- a/cmd/lichenpick/main.go
+++ b/cmd/lichenpick/main.go
@@ -1,7 +1,7 @@
 // Lichenpick distributes the traffic of a fleet of proxies over servers. This binary contains the planner, a proxy and tools to
 // test them, each as a sub-command.
 //
-// Its exit code is 0 for success or a requested stop, 1 if a run failed or violated an invariant, and 2 if the command line or
+// The exit code is 0 for success or a requested stop, 1 if a run failed or violated an invariant, and 2 if the command line or
 // a settings file is invalid.
 package main
 
@@ -27,7 +27,7 @@
 // usageError is an error in the command line, such as an unknown flag.
 type usageError struct{ error }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e usageError) Unwrap() error { return e.error }
 
 func main() {
@@ -75,7 +75,7 @@
 	return command
 }
 
-// exactArgs is cobra.ExactArgs with an error of type usageError.
+// exactArgs works like cobra.ExactArgs, but its error is a usageError.
 func exactArgs(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(count)(command, args); err != nil {
--- a/cmd/lichenpick/main_test.go
+++ b/cmd/lichenpick/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// asProgramVariable is an environment variable. If it is set, the test binary runs main instead of the tests.
+// asProgramVariable names an environment variable. If the variable is set, the test binary runs main instead of the tests.
 const asProgramVariable = "LICHENPICK_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -53,7 +53,7 @@
 	for name, test := range map[string]struct {
 		args []string
 		code int
-		want string // part of standard error
+		want string // text that standard error must contain
 	}{
 		"a good file":     {[]string{"settings", "check", "planner", "deploy/examples/planner.txtpb"}, 0, ""},
 		"a bad file":      {[]string{"settings", "check", "planner", write("bad", "name: 3")}, 2, "bad:1:7"},
--- a/cmd/lichenpick/plannergroup.go
+++ b/cmd/lichenpick/plannergroup.go
@@ -21,35 +21,36 @@
 	plannerStartTimeout = 5 * time.Second
 	plannerStartPollMs  = 20.0
 	plannerPollMs       = 100.0
-	// finalPollMarginMs is the time before the end of the run at which polling stops, so that the last status does not show
-	// the proxies' departure.
+	// finalPollMarginMs is the length of the period without polls at the end of the run. Without it, the last status could
+	// show that proxies have left.
 	finalPollMarginMs = 300.0
-	// rebalancedTenths is the part of its lease quota, in tenths, that a restarted planner must hold to count as rebalanced.
+	// rebalancedTenths is the share of a lease quota, in tenths. A restarted planner that holds this share of its quota counts
+	// as rebalanced.
 	rebalancedTenths = 9
 	// killedMember is the index of the planner that is killed.
 	killedMember = 1
 )
 
-// errNoStatusAddress means that planners cannot be started because their status could not be read.
+// errNoStatusAddress means that the settings of the planners to start have no status address, so polls would be impossible.
 var errNoStatusAddress = errors.New("--spawn needs a planner file with a 'status' address")
 
-// killSchedule says when the second planner is killed, and when it is started again.
+// killSchedule states when the second planner of a group is killed and when this planner is restarted.
 type killSchedule struct {
-	atMs           float64 // since the start of the run; 0: never
-	restartAfterMs float64 // since the kill
+	atMs           float64 // time of the kill since the start of the run; 0: no kill
+	restartAfterMs float64 // time from the kill to the restart
 }
 
 // plannerGroup is a group of planner processes whose settings are derived from one file.
 type plannerGroup struct {
-	list         string // path of the endpoint list of all members
+	list         string // path of the endpoint list file, which all members read
 	proxies      int    // number of proxies in the fleet
 	members      []*plannerMember
-	restartedMs  float64 // when the killed planner was restarted, since the start of the run; 0: not yet
-	rebalancedMs float64 // from the restart until it held nine tenths of its quota of leases; 0: not yet
+	restartedMs  float64 // time of the killed planner's restart, since the start of the run; 0: not yet
+	rebalancedMs float64 // time from the restart until the planner held nine tenths of its lease quota; 0: not yet
 }
 
-// newPlannerGroup writes the settings files of all members, on consecutive ports, and initialises their stores if they share a
-// fleet.
+// newPlannerGroup writes the settings files of all members, which use consecutive ports. If the members share a fleet, it also
+// initialises their stores.
 func newPlannerGroup(template *pb.Planner, proxies, count int, directory string) (*plannerGroup, error) {
 	if template.Status == "" {
 		return nil, usageError{errNoStatusAddress}
@@ -80,7 +81,7 @@
 	return addresses
 }
 
-// start starts all planners, and returns when all serve their status.
+// start starts all planners, and returns when each of them serves its status.
 func (g *plannerGroup) start(ctx context.Context) error {
 	for _, member := range g.members {
 		if err := member.start(); err != nil {
@@ -100,8 +101,8 @@
 	return nil
 }
 
-// watch polls the planners until the context ends, and kills and restarts one according to the schedule. The run lasts
-// lengthMs.
+// watch polls the planners until the context ends, and kills and restarts one planner according to the schedule. lengthMs is
+// the length of the run.
 func (g *plannerGroup) watch(ctx context.Context, c clock.Clock, kill killSchedule, lengthMs float64) error {
 	startMs := c.Monotonic()
 	pending := kill.atMs > 0 && len(g.members) > killedMember
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// restartDue reports whether the killed planner must be restarted now.
+// restartDue reports whether the time has come to restart the killed planner.
 func (g *plannerGroup) restartDue(kill killSchedule, nowMs float64) bool {
 	scheduled := kill.atMs > 0 && len(g.members) > killedMember
 	return scheduled && g.restartedMs == 0 && nowMs >= kill.atMs+kill.restartAfterMs
--- a/cmd/lichenpick/plannermember.go
+++ b/cmd/lichenpick/plannermember.go
@@ -19,17 +19,17 @@
 
 // plannerMember is one planner of a group, including all its restarts.
 type plannerMember struct {
-	file          string // path of its settings file
-	address       string // at which it listens for proxies
+	file          string // path of the planner's settings file
+	address       string // address at which the planner listens for proxies
 	statusAddress string
-	command       *exec.Cmd      // nil: it does not run
+	command       *exec.Cmd      // process of the planner; nil: the planner does not run
 	cpu           time.Duration  // user and system time of all processes that have exited
-	maxRSSBytes   int64          // maximum resident set size of these processes
-	status        planner.Status // at the last successful poll
+	maxRSSBytes   int64          // largest resident set size of any process that has exited
+	status        planner.Status // status at the last successful poll
 }
 
-// newPlannerMember writes the settings file of one planner, and initialises its store if it shares a fleet. Its ports are those
-// of the settings plus its number.
+// newPlannerMember writes the settings file of one planner. If the planner shares a fleet, it also initialises the planner's
+// store. The planner's ports are the ports in the settings plus the planner's number.
 func newPlannerMember(config *pb.Planner, number int, directory string) (*plannerMember, error) {
 	var err error
 	config.Listen, err = shiftPort(config.Listen, number)
@@ -53,7 +53,7 @@
 	return &plannerMember{file: file, address: config.Listen, statusAddress: config.Status}, nil
 }
 
-// shiftPort returns an address with its port increased by a number.
+// shiftPort returns the address with its port increased by the given amount.
 func shiftPort(address string, by int) (string, error) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// stop sends the planner's process a signal, waits until it has exited, and records its resource usage. It does nothing if the
-// planner does not run.
+// stop sends a signal to the planner's process, waits until the process has exited, and records the resource usage of the
+// process. It does nothing if the planner does not run.
 func (m *plannerMember) stop(signal os.Signal) {
 	if m.command == nil {
 		return
--- a/cmd/lichenpick/scenario.go
+++ b/cmd/lichenpick/scenario.go
@@ -16,12 +16,12 @@
 	"lichenpick/proto/script"
 )
 
-// errInvariantViolated means that a scenario ran to its end and violated an invariant.
+// errInvariantViolated means that a scenario ran to its end, but an invariant was violated in the run.
 var errInvariantViolated = errors.New("the scenario violated an invariant")
 
 // scenarioFlags has the flags of the sub-command scenario.
 type scenarioFlags struct {
-	report  string // path of the JSON report; empty: none is written
+	report  string // path of the JSON report; empty: no report is written
 	logging logFlags
 }
 
--- a/cmd/lichenpick/serve.go
+++ b/cmd/lichenpick/serve.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	heapMemoryShare = 0.5 // of the memory limit, for the Go runtime; the rest is for code, kernel buffers and a reserve
+	heapMemoryShare = 0.5 // share of the memory limit for the Go runtime; the rest is for code, kernel buffers and a reserve
 	gcPercent       = 50  // GOGC: below the default of 100, so that the heap stays small at the cost of more collections
 )
 
@@ -27,7 +27,7 @@
 		Args:  exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			hangup := make(chan os.Signal, 1)
-			signal.Notify(hangup, syscall.SIGHUP) // first of all, as an unhandled SIGHUP would end the process
+			signal.Notify(hangup, syscall.SIGHUP) // before any other step, as an unhandled SIGHUP would end the process
 			log, err := logger(logLevel, logForm)
 			if err != nil {
 				return err
--- a/cmd/lichenpick/settings.go
+++ b/cmd/lichenpick/settings.go
@@ -14,7 +14,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// settingsKinds has the constructor of the message of each kind of settings file.
+// settingsKinds maps the name of each kind of settings file to a function that returns an empty message of this kind.
 var settingsKinds = map[string]func() proto.Message{
 	"planner": func() proto.Message { return &pb.Planner{} },
 	"proxy":   func() proto.Message { return &pb.Proxy{} },
@@ -29,7 +29,8 @@
 	return strings.Join(names, ", ")
 }
 
-// loadSettings reads a settings file of a kind. The error is a usageError for an unknown kind, and else a *settings.Error.
+// loadSettings reads a settings file of the given kind. The error is a usageError if the kind is unknown, and otherwise a
+// *settings.Error.
 func loadSettings(kind, path string) (proto.Message, error) {
 	newMessage, known := settingsKinds[kind]
 	if !known {
--- a/cmd/lichenpick/simulate.go
+++ b/cmd/lichenpick/simulate.go
@@ -13,7 +13,7 @@
 	"lichenpick/proto/script"
 )
 
-// maxSeeds is the maximum number of seeds in one call.
+// maxSeeds is the maximum number of seeds that one call of the sub-command simulate runs.
 const maxSeeds = 10_000
 
 func simulateCommand() *cobra.Command {
@@ -64,8 +64,8 @@
 	return writeTable(out, table.String())
 }
 
-// formatSimulation appends the row of one run, with cells separated by tabs. The speed is in simulated seconds per second of
-// real time.
+// formatSimulation appends the row of one run to the table, with tabs between the cells. The speed is in simulated seconds per
+// second of real time.
 func formatSimulation(table *strings.Builder, seed uint64, result *simulation.Result, speed float64) {
 	fmt.Fprintf(table, "%d\t%.3f", seed, result.Service)
 	late := 0
--- a/cmd/lichenpick/store.go
+++ b/cmd/lichenpick/store.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// loadSharingPlanner reads the settings of a planner. They must have a sharing block.
+// loadSharingPlanner reads the settings of a planner. The settings must have a sharing block.
 func loadSharingPlanner(file string) (*pb.Planner, error) {
 	planner := &pb.Planner{}
 	if err := settings.Load(file, planner); err != nil {
@@ -63,7 +63,7 @@
 	return planner, nil
 }
 
-// showStore opens a planner's store, which checks it, and prints its contents.
+// showStore opens and thereby checks a planner's store, and prints the contents of the store.
 func showStore(output io.Writer, planner *pb.Planner) error {
 	opened, err := store.Open(planner.Sharing.Store, planner.Name)
 	if err != nil {
--- a/cmd/lichenpick/stress.go
+++ b/cmd/lichenpick/stress.go
@@ -18,7 +18,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// maxSpawned is the maximum number of planners that one call starts.
+// maxSpawned is the maximum number of planners that one call of the sub-command stress starts.
 const maxSpawned = 16
 
 // errStressUsage states the requirements of a stress test. The limit of --spawn is maxSpawned.
@@ -29,9 +29,9 @@
 	file         string
 	length       string
 	spawned      int // number of planners to start
-	plannerCores int // per started planner; 0: as in the settings
+	plannerCores int // CPU cores of each started planner; 0: as in the settings
 	kill         killSchedule
-	test         fake.StressTest // with the fields that have a flag
+	test         fake.StressTest // only the fields that have a flag are set
 }
 
 func stressCommand() *cobra.Command {
@@ -75,7 +75,7 @@
 // stressPlan is a checked stress test, ready to run.
 type stressPlan struct {
 	test     *fake.StressTest
-	settings *pb.Planner // of the running planner, or the template for the planners to start
+	settings *pb.Planner // settings of the running planner, or the template for the planners to start
 	lengthMs float64
 	spawned  int // number of planners to start
 	kill     killSchedule
@@ -110,7 +110,7 @@
 	return &stressPlan{test: test, settings: config, lengthMs: lengthMs, spawned: f.spawned, kill: f.kill}, nil
 }
 
-// run runs the stress test, with planners of its own if the plan has any, and prints the result.
+// run runs the stress test and prints the result. If the plan has planners to start, it starts and stops them.
 func (p *stressPlan) run(ctx context.Context, out io.Writer) error {
 	if p.spawned == 0 {
 		result, err := p.test.Run(ctx, p.lengthMs)
@@ -154,7 +154,7 @@
 	return planners.print(out)
 }
 
-// runWatched runs the stress test. Meanwhile it polls the planners, and kills and restarts one if the plan has a kill.
+// runWatched runs the stress test. Meanwhile it polls the planners, and kills and restarts one planner if the plan has a kill.
 func (p *stressPlan) runWatched(ctx context.Context, planners *plannerGroup) (fake.StressResult, error) {
 	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/cmd/lichenpick/stress_test.go
+++ b/cmd/lichenpick/stress_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestStressSharesTheFleet starts three planners that share a fleet of fake proxies, and kills one. It guards against stress
-// tests that measure proxies without a planner: every proxy must have been assigned tables, and the other two planners must
-// hold the leases of the killed one.
+// TestStressSharesTheFleet starts three planners that share a fleet of fake proxies, and kills one planner. It guards against
+// stress tests that measure proxies without a planner: every proxy must have been assigned tables, and the two surviving
+// planners must hold the leases of the killed planner.
 func TestStressSharesTheFleet(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes six seconds")
--- a/cmd/lichenpick/version.go
+++ b/cmd/lichenpick/version.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// revisionLength is the number of characters of a commit hash that a version shows.
+// revisionLength is the length, in characters, of the shortened commit hash in a version.
 const revisionLength = 12
 
 // version returns the commit that the program was built from, or the module's version if the build has no commit.
--- a/internal/architecture/doc.go
+++ b/internal/architecture/doc.go
@@ -1,4 +1,4 @@
-// Package architecture holds checks of the module as a whole, and no program code. They run with the other tests:
+// Package architecture holds checks of the module as a whole, and no program code. The checks run with the other tests:
 //
 //   - docs/architecture.md names every package of the module, and every package and exported name that it names exists;
 //   - files, tests and metrics that the checked pages name exist, and these pages use no retired words;
@@ -9,5 +9,6 @@
 //
 //	go test ./internal/architecture -run Words -v
 //
-// With -words and the path of a package that is not listed in testdata/done.txt, it also logs each place in that package.
+// With the flag -words and the path of a package that is not listed in testdata/done.txt, the command also logs the place of
+// each retired word in that package.
 package architecture
--- a/internal/architecture/module_test.go
+++ b/internal/architecture/module_test.go
@@ -11,12 +11,12 @@
 	"testing"
 )
 
-// moduleRoot is the module's directory, relative to this package's.
+// moduleRoot is the module's root directory, relative to the directory of this package.
 const moduleRoot = "../.."
 
 // sourceFile is a parsed Go file of the module.
 type sourceFile struct {
-	Path      string // relative to the module's root, with slashes
+	Path      string // path of the file, relative to the module's root, with slashes
 	Tree      *ast.File
 	Generated bool
 }
--- a/internal/architecture/page_test.go
+++ b/internal/architecture/page_test.go
@@ -60,7 +60,7 @@
 
 func TestArchitecturePageNamesExistingDeclarations(t *testing.T) {
 	module := loadModule(t)
-	declared := map[string]map[string]bool{} // by the last element of the package's path, which pages write
+	declared := map[string]map[string]bool{} // declared names by package; key: the last element of the package's path
 	for packagePath, files := range module.Packages {
 		base := path.Base(packagePath)
 		if declared[base] == nil {
--- a/internal/architecture/vocabulary_test.go
+++ b/internal/architecture/vocabulary_test.go
@@ -17,13 +17,13 @@
 
 const (
 	checkedPackagesFile = "testdata/done.txt"
-	maxShownHits        = 40 // places that a failure message lists per package
+	maxShownHits        = 40 // maximum number of hits that a failure message lists per package
 )
 
 var shownPackage = flag.String("words", "", "package, not listed in testdata/done.txt, whose retired words are logged")
 
-// exemptFiles maps each file that may use retired words to the reason. Such a file translates between names that others
-// define, such as the message kinds and fields of a protocol, and the names used here.
+// exemptFiles maps each file that may use retired words to the reason for the exemption. Such a file translates between the
+// names of this project and names that others define, such as the message kinds and fields of a protocol.
 var exemptFiles = map[string]string{
 	"internal/platform/decode.go": "it decodes messages of the operators' protocol",
 	"internal/platform/encode.go": "it encodes messages of the operators' protocol",
@@ -44,8 +44,8 @@
 // wordFinder collects the retired words that source files use.
 type wordFinder struct {
 	positions *token.FileSet
-	generated map[string]bool // names of generated code; other code may use them, but not declare them
-	seen      map[string]bool // hits as text, to report each once
+	generated map[string]bool // names that generated code declares; other code may use, but not declare, these names
+	seen      map[string]bool // hits as text, so that each is reported only once
 	hits      []hit
 }
 
@@ -218,7 +218,7 @@
 	}
 }
 
-// summary returns the number of hits for each word, most frequent first.
+// summary returns the number of hits for each retired word, most frequent word first.
 func summary(hits []hit) string {
 	count := map[string]int{}
 	for _, found := range hits {
@@ -234,7 +234,7 @@
 	return strings.Join(text, ", ")
 }
 
-// listing returns up to limit hits, one on each line, followed by the number of those left out.
+// listing returns up to limit hits, one on each line, followed by the number of omitted hits.
 func listing(hits []hit, limit int) string {
 	var lines []string
 	for _, found := range hits[:min(len(hits), limit)] {
--- a/internal/architecture/words_test.go
+++ b/internal/architecture/words_test.go
@@ -72,8 +72,8 @@
 // term is one word of a text or one part of an identifier, in lower case.
 type term struct {
 	Text    string
-	Joined  bool // whether a hyphen, or its place within an identifier, joins it to the term before
-	InProse bool // whether it comes from a comment, message or page, and not from an identifier of code
+	Joined  bool // the term follows another term in a hyphenated word or in an identifier
+	InProse bool // the term comes from a comment, message or page, not from an identifier of code
 }
 
 var (
@@ -129,8 +129,8 @@
 	return unicode.IsLower(letters[at-1]) || at+1 < len(letters) && unicode.IsLower(letters[at+1])
 }
 
-// findRetired returns the retired forms among terms, each as often as it occurs, with its replacement. Terms in a permitted
-// phrase do not count.
+// findRetired returns one element, with the replacement, for each occurrence of a retired form in the terms. It skips terms in
+// permitted phrases.
 func findRetired(terms []term) (found []retiredWord) {
 	permitted := make([]bool, len(terms))
 	for _, phrase := range permittedPhrases {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -13,16 +13,16 @@
 
 // Clock tells time and sets timers.
 type Clock interface {
-	// Monotonic returns the time since an arbitrary origin, in ms. It never jumps. It is for durations, limits and deadlines.
+	// Monotonic returns the time since an arbitrary origin, in ms. This time never jumps. Use it for durations and deadlines.
 	Monotonic() float64
 	// WallTime returns the date and time of day. It jumps when the machine's clock is set, so use it only for display and in
 	// messages.
 	WallTime() time.Time
 	// NewTimer returns a channel that receives one value after the given duration in ms, and a function that releases the timer.
-	// The caller must call the function in any case, and may call it more than once.
+	// The caller must call this function even after the timer has fired, and may call it more than once.
 	NewTimer(ms float64) (fired <-chan time.Time, stop func())
-	// Deadline returns the time after the given duration in ms, for the deadline methods of net.Conn. It does not move when the
-	// machine's clock is set.
+	// Deadline returns the time that lies the given duration in ms ahead, for the deadline methods of net.Conn. The deadline
+	// stays correct when the machine's clock is set.
 	Deadline(ms float64) time.Time
 }
 
--- a/internal/clock/tcp.go
+++ b/internal/clock/tcp.go
@@ -9,7 +9,7 @@
 
 // TCP is the machine's network. The zero value is ready to use.
 type TCP struct {
-	KeepAlive time.Duration // interval of keep-alive probes; 0: the default of package net; negative: no probes
+	KeepAlive time.Duration // interval of TCP keep-alive probes; 0: the default of package net; negative: no probes
 }
 
 // Dial implements Network.
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestUpdateWritesTheFile checks that a file which Check wrote with -update passes Check without it.
+// TestUpdateWritesTheFile checks that a golden file written by Check with -update passes Check without -update.
 func TestUpdateWritesTheFile(t *testing.T) {
 	before := *update
 	defer func() { *update = before }()
--- a/internal/golden/names.go
+++ b/internal/golden/names.go
@@ -3,8 +3,8 @@
 import "google.golang.org/protobuf/reflect/protoreflect"
 
 // CollectNames adds to seen the full names of all fields that are set in a message and its submessages, and of the enumeration
-// values of singular fields. Tests compare them with the names that the .proto files declare, so that golden files cover all
-// of them.
+// values of singular fields. Tests compare the collected names with those that the .proto files declare, to ensure that golden
+// files cover all declared names.
 func CollectNames(message protoreflect.Message, seen map[protoreflect.FullName]bool) {
 	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		seen[field.FullName()] = true
--- a/internal/invariant/backlog.go
+++ b/internal/invariant/backlog.go
@@ -8,8 +8,8 @@
 const (
 	// minCompactMessages is the number of messages below which a backlog is not compacted.
 	minCompactMessages = 4096
-	// compactMinAgeMs is the time since its sending after which a message may be compacted. Observers of several connections
-	// report messages out of order, by much less than this time.
+	// compactMinAgeMs is the minimum time between the sending of a message and its compaction. Observers of several connections
+	// report messages out of order, but by much less than this time.
 	compactMinAgeMs = 60_000.0
 )
 
@@ -21,11 +21,12 @@
 
 // backlog is the history of the weight entries that were queued at one planner. The zero value is empty.
 //
-// A message becomes known only when it is sent, so the backlog at a time is final only after all messages decided until
-// then were sent. The history is therefore kept, but compacted: its size is bounded by the peak of the backlog.
+// A message becomes known only when it is sent. The backlog at a time is therefore final only after all messages that were
+// decided until this time have been sent. For this reason the history is kept, but compacted: the peak of the backlog bounds
+// the size of the history.
 type backlog struct {
 	messages  []queuedMessage
-	compactAt int // number of messages at which to compact next; 0: minCompactMessages
+	compactAt int // number of messages at which the next compaction runs; 0: minCompactMessages
 }
 
 // add records a message that was sent at sentMs. Calls may be out of order of sentMs by up to compactMinAgeMs.
@@ -37,11 +38,12 @@
 	}
 }
 
-// compact replaces the messages that were sent by untilMs with fewer ones that result in the same peak after any further
-// messages.
+// compact replaces the messages sent until untilMs with fewer messages. The peak stays the same, whatever messages are added
+// later.
 //
-// A message that is sent later was queued from its decision until after untilMs. It raises the backlog at each time between
-// its decision and untilMs, so the peak there is the largest backlog since the decision plus the entries of the message.
+// A message that is sent later was queued from its decision until after untilMs. Such a message raises the backlog at each
+// time between its decision and untilMs, so the peak in this period is the largest backlog since the decision plus the entries
+// of the message.
 // The suffix maximum of the history, its largest backlog from each time on, therefore gives the same peaks as the history.
 func (b *backlog) compact(untilMs float64) {
 	var left, later []queuedMessage
@@ -56,13 +58,13 @@
 }
 
 // suffixMaximum returns messages whose backlog, at each time from the peak on, is the largest backlog of the given messages
-// from that time on. All of them are decided at the time of the peak.
+// from that time on. The decision time of all returned messages is the time of the peak.
 func suffixMaximum(messages []queuedMessage) []queuedMessage {
 	sizes := sizesOf(messages)
 	var steps []queuedMessage
 	largest := 0.0
 	peakMs := 0.0
-	for n := len(sizes) - 2; n >= 0; n-- { // the backlog is 0 after the last change
+	for n := len(sizes) - 2; n >= 0; n-- { // skips the last size, which is 0
 		if sizes[n].entries <= largest {
 			continue
 		}
@@ -79,7 +81,7 @@
 // backlogSize is the number of entries that are queued from a time on, until the next change.
 type backlogSize struct{ atMs, entries float64 }
 
-// sizesOf returns the backlog after each change, in order of time. Of simultaneous changes, decreases come first.
+// sizesOf returns the size of the backlog after each change, in order of time. Among simultaneous changes, decreases come first.
 func sizesOf(messages []queuedMessage) []backlogSize {
 	changes := make([]backlogSize, 0, 2*len(messages))
 	for _, message := range messages {
@@ -96,8 +98,8 @@
 	return changes
 }
 
-// peak returns the largest backlog and the time at which it was reached first. After a compaction, the time may be that of
-// a later one of several equal peaks.
+// peak returns the largest backlog and the time at which this size was first reached. If several peaks are equal, the time
+// after a compaction may be that of a later peak.
 func (b *backlog) peak() backlogSize {
 	largest := backlogSize{}
 	for _, current := range sizesOf(b.messages) {
--- a/internal/invariant/backlog_test.go
+++ b/internal/invariant/backlog_test.go
@@ -37,7 +37,7 @@
 		sentMs := float64(n) * 10
 		history.add(sentMs-float64(n%70), sentMs, float64(1+n%5))
 	}
-	// 6000 messages are younger than the margin, and the number may double until the next compaction.
+	// 6000 messages are younger than compactMinAgeMs, and the number of messages may double until the next compaction.
 	if got := len(history.messages); got > 15_000 {
 		t.Errorf("%d messages are kept of 1000000", got)
 	}
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,5 +1,5 @@
-// Package invariant checks the invariants of a fleet from the traffic observed on its sockets, independently of the code
-// that has to maintain them.
+// Package invariant checks the invariants of a fleet from the traffic observed on the fleet's sockets, independently of the
+// code that maintains the invariants.
 //
 // Observers pass the frames and requests that they see to a [Checker], which has a Record method for each kind. From these,
 // the Checker reconstructs what each planner knew and what each proxy holds, and it records each violation of a [Rule] with
@@ -21,18 +21,18 @@
 // Checker checks one run. Its methods must be called in order of time, by one goroutine at a time.
 type Checker struct {
 	// Totals for reports. Callers may read them between method calls.
-	Messages      int        // messages that planners sent to proxies
-	Entries       float64    // weight entries in them
-	Attempts      int        // attempts that were sent to servers
-	Takeovers     []Takeover // in order of time, including the first lease of each proxy
-	Rejected      int        // messages that proxies rejected because of a past epoch
-	ResentEntries int        // weight entries of whole tables that a proxy's later lease holders sent again
+	Messages      int        // number of messages that planners sent to proxies
+	Entries       float64    // number of weight entries in these messages
+	Attempts      int        // number of attempts that were sent to servers
+	Takeovers     []Takeover // takeovers in order of time, including the first lease of each proxy
+	Rejected      int        // number of messages that proxies rejected because of a past epoch
+	ResentEntries int        // number of weight entries in whole tables that later lease holders sent again
 
 	limits     Limits
 	planners   map[string]*plannerState
 	proxies    map[string]*proxyState
 	attempts   attemptLog
-	coldWork   map[string][]sentWork // sent to warming servers within the window, by server
+	coldWork   map[string][]sentWork // work sent to warming servers within Limits.ColdOverloadWindowMs, by server
 	violations map[Rule][]Violation
 	counts     map[Rule]int
 }
@@ -64,7 +64,7 @@
 		all = append(all, violations...)
 	}
 	slices.SortStableFunc(all, func(a, b Violation) int { return cmp.Compare(a.AtMs, b.AtMs) })
-	// The counts are copied, as frames may still be recorded while the caller shuts the run down.
+	// Returns a copy of the counts, as frames may still be recorded while the caller shuts the run down.
 	return all, maps.Clone(c.counts)
 }
 
--- a/internal/invariant/coldoverload.go
+++ b/internal/invariant/coldoverload.go
@@ -6,19 +6,20 @@
 	// randomVariationMargin is a factor on the work allowed to a warming server. Each request counts with the mean work of
 	// requests, so random variation alone may exceed the limit slightly.
 	randomVariationMargin = 1.15
-	// minInformedShare is the least part of the work that must come from proxies that could know that the server is warming
-	// up. Below it, the overload was not caused by a decision.
+	// minInformedShare is the minimum share of the work sent by proxies that could know that the server is warming up. Below
+	// this share, the overload was not caused by a decision and is no violation.
 	minInformedShare = 2.0 / 3
 )
 
 // sentWork is the work of one request or connection that was sent to a server.
 type sentWork struct {
 	atMs, workMs float64
-	informed     bool // sent by a proxy that could know that the server is warming up
+	informed     bool // the proxy that sent the work could know that the server is warming up
 }
 
 // recordWork records work that was sent to a server, and checks [ColdOverload]: while the server warms up, the work sent to
-// it within the window must not exceed a multiple of what it can do in that time.
+// the server within [Limits.ColdOverloadWindowMs] must not exceed [Limits.ColdOverloadMultiple] times the work that the server
+// can do in this window.
 func (c *Checker) recordWork(server string, sent sentWork) {
 	if c.limits.Capacity == nil {
 		return
--- a/internal/invariant/endpoints.go
+++ b/internal/invariant/endpoints.go
@@ -9,18 +9,18 @@
 // endpoint is the state of one server according to the endpoint lists that were sent to a planner.
 type endpoint struct {
 	zone          string
-	startedUnixMs uint64  // start of the server, which identifies its incarnation; 0: started long ago
+	startedUnixMs uint64  // start time of the server, which identifies its incarnation; 0: started long ago
 	startedAtMs   float64 // when the planner was notified of this incarnation
 	removedAtMs   float64 // when the planner was notified that the server drains or is gone; infinite while ready
 }
 
-// plannerState is what a planner knows, and the history of its backlog.
+// plannerState holds what a planner knows about endpoints, and the history of the planner's backlog.
 type plannerState struct {
-	endpoints map[string]*endpoint // by server
+	endpoints map[string]*endpoint // endpoints by server name
 	backlog   backlog
 }
 
-// planner returns the state of a planner, and creates it on first use.
+// planner returns the state of the named planner, and creates the state on first use.
 func (c *Checker) planner(name string) *plannerState {
 	planner := c.planners[name]
 	if planner == nil {
@@ -64,12 +64,12 @@
 	switch {
 	case entry.State == 0:
 		server.removedAtMs = math.Inf(1)
-	case server.removedAtMs > atMs: // unless the planner was notified earlier
+	case server.removedAtMs > atMs: // keeps an earlier time of notification
 		server.removedAtMs = atMs
 	}
 }
 
-// expireMissing marks the ready servers that a full list lacks as removed from a time on.
+// expireMissing sets removedAtMs of the ready servers that a full endpoint list lacks.
 func (p *plannerState) expireMissing(listed map[string]bool, removedAtMs float64) {
 	for name, server := range p.endpoints {
 		if !listed[name] && math.IsInf(server.removedAtMs, 1) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// RecordPlannerExit records that a planner's process ended: what it knew is discarded, and its proxies have no planner.
+// RecordPlannerExit records that a planner ended: the planner's state is discarded, and its proxies have no planner.
 func (c *Checker) RecordPlannerExit(plannerName string, atMs float64) {
 	delete(c.planners, plannerName)
 	for name, proxy := range c.proxies {
--- a/internal/invariant/lease.go
+++ b/internal/invariant/lease.go
@@ -2,11 +2,11 @@
 
 import "lichenpick/proto/order"
 
-// leaseState is what a proxy of a shared fleet stated about its lease.
+// leaseState holds what a proxy of a shared fleet has stated about its lease.
 type leaseState struct {
 	shared       bool   // the proxy grants leases; otherwise all fields below are unused
 	holder       string // planner that holds the lease; empty: none
-	epoch        uint64 // of the last grant
+	epoch        uint64 // epoch of the last grant
 	sequence     uint64 // sequence number of the proxy's statement with the last grant
 	grants       int
 	grantedAtMs  float64
@@ -20,14 +20,14 @@
 // Takeover is the grant of one proxy's lease under a new epoch. Times are in ms.
 type Takeover struct {
 	Proxy       string
-	Planner     string  // planner that was granted the lease
+	Planner     string  // name of the planner that was granted the lease
 	LastFrameMs float64 // when the last frame of the previous holder reached the proxy
-	ExpiredMs   float64 // end of the previous lease
+	ExpiredMs   float64 // when the previous lease ended
 	GrantedMs   float64
 }
 
-// RecordLease records a proxy's statement about its lease that was observed on its way to a planner. Statements of one proxy
-// may be observed out of order on its several streams; their sequence numbers and epochs tell which is newer.
+// RecordLease records a proxy's statement about its lease, observed on the way to a planner. As a proxy has several streams,
+// its statements may be observed out of order. Their sequence numbers and epochs show which statement is newer.
 func (c *Checker) RecordLease(name, plannerName string, atMs float64, statement *order.Lease) {
 	proxy := c.proxies[name]
 	if proxy == nil || !proxy.lease.shared {
@@ -48,12 +48,12 @@
 	}
 }
 
-// recordGrant records that a proxy granted its lease under a new epoch, and resets the proxy's state to the tables that it
-// states it holds.
+// recordGrant records that a proxy granted its lease under a new epoch. It resets the recorded state of the proxy to the tables
+// that the proxy's statement lists.
 func (c *Checker) recordGrant(name string, proxy *proxyState, plannerName string, atMs float64, statement *order.Lease) {
 	lease := &proxy.lease
 	expiredMs := lease.releasedAtMs
-	if lease.holder != "" { // no end of the previous lease was observed, as the new one was granted on another stream
+	if lease.holder != "" { // the new lease was granted on another stream before the end of the previous lease was observed
 		expiredMs = atMs
 	}
 	c.Takeovers = append(c.Takeovers, Takeover{
@@ -84,8 +84,8 @@
 	}
 }
 
-// RecordAck records a proxy's acknowledgement of a message that was observed on its way to the planner that had sent the
-// message. The acknowledgement states whether the proxy applied or rejected the message, and the epoch it had granted.
+// RecordAck records a proxy's acknowledgement, observed on the way to the planner that sent the acknowledged message. The
+// acknowledgement states whether the proxy applied or rejected the message, and the epoch that the proxy had granted.
 func (c *Checker) RecordAck(name, plannerName string, atMs float64, ack *order.Applied) {
 	proxy := c.proxies[name]
 	if proxy == nil || !proxy.lease.shared {
@@ -104,7 +104,7 @@
 	}
 }
 
-// LeasesByPlanner returns the number of leases that each planner holds now.
+// LeasesByPlanner returns the number of leases that each planner currently holds.
 func (c *Checker) LeasesByPlanner() map[string]int {
 	leases := map[string]int{}
 	for _, proxy := range c.proxies {
--- a/internal/invariant/orders.go
+++ b/internal/invariant/orders.go
@@ -6,7 +6,8 @@
 	"lichenpick/proto/order"
 )
 
-// RecordSend records that a planner sent a message to a proxy at atMs. It was decided at decidedMs, on the same clock.
+// RecordSend records that a planner sent a message to a proxy at atMs. The planner had decided the message at decidedMs, on the
+// same clock.
 func (c *Checker) RecordSend(name, plannerName string, atMs, decidedMs float64, orders *order.Orders) {
 	c.Messages++
 	c.Entries += orders.Lines
@@ -32,7 +33,7 @@
 		plannerName, name, decidedMs-lease.grantedAtMs, lease.holder, lease.epoch)
 }
 
-// recordSend remembers the epoch of a message until it is acknowledged.
+// recordSend stores the epoch of a message until the proxy acknowledges the message.
 func (l *leaseState) recordSend(plannerName string, orders *order.Orders) {
 	if l.unacknowledged[plannerName] == nil {
 		l.unacknowledged[plannerName] = map[uint64]uint64{}
@@ -40,7 +41,7 @@
 	l.unacknowledged[plannerName][orders.Number] = orders.Epoch
 }
 
-// evaluateMessageRate checks the part of [BacklogExceeded] that limits the messages to one proxy.
+// evaluateMessageRate checks the part of [BacklogExceeded] that limits the rate of messages to one proxy.
 func (c *Checker) evaluateMessageRate(name string, proxy *proxyState, atMs, decidedMs float64) {
 	proxy.recentMessagesMs = append(proxy.recentMessagesMs, decidedMs)
 	proxy.recentMessagesMs = slices.DeleteFunc(proxy.recentMessagesMs, func(messageMs float64) bool {
@@ -55,14 +56,15 @@
 	}
 }
 
-// RecordDelivery records that a message of a planner reached a proxy at atMs. It was decided at decidedMs, on the same clock.
+// RecordDelivery records that a message of a planner reached a proxy at atMs. The planner had decided the message at decidedMs,
+// on the same clock.
 func (c *Checker) RecordDelivery(name, plannerName string, atMs, decidedMs float64, orders *order.Orders) {
 	proxy := c.proxies[name]
 	if proxy == nil {
 		return
 	}
 	if proxy.lease.shared && (proxy.lease.holder != plannerName || proxy.lease.epoch != orders.Epoch) {
-		return // the proxy rejects it
+		return // the proxy rejects the message
 	}
 	proxy.appliedDecisionMs = decidedMs
 	for _, single := range orders.Orders {
--- a/internal/invariant/proxy.go
+++ b/internal/invariant/proxy.go
@@ -8,33 +8,33 @@
 
 // weightTable is a weight table as a proxy holds it.
 type weightTable struct {
-	weights map[string]float64 // by server
-	ejected map[string]bool    // servers ejected in this table; assigned tables share the set of the proxy
+	weights map[string]float64 // weights of the table's entries by server
+	ejected map[string]bool    // servers ejected in this table; assigned tables share the proxy's set
 }
 
-// proxyState is what the checker knows about a proxy, from the frames that reached it and that it sent.
+// proxyState is what the checker knows about a proxy from the frames that the proxy sent and received.
 type proxyState struct {
-	planner    string // that it is connected to or, in a shared fleet, that holds its lease; empty: none
+	planner    string // planner that leads the proxy: its lease holder in a shared fleet, else the connected one; empty: none
 	joinedAtMs float64
 	zone       string
-	tables     map[uint32]*weightTable // assigned since it joined, by table number
-	byClass    []*weightTable          // in use by each traffic class
+	tables     map[uint32]*weightTable // tables assigned since the proxy joined, by table number
+	byClass    []*weightTable          // tables in use, indexed by traffic class
 	ejected    map[string]bool
 
-	withoutServerSince    []float64 // by traffic class, when its current period without a server began; infinite: none
-	withoutServerReported []bool    // by traffic class, whether the violation of this period was recorded
+	withoutServerSince    []float64 // by traffic class: start of the current period without a server to pick; infinite: none
+	withoutServerReported []bool    // by traffic class: the violation in the current period without a server was recorded
 
-	recentMessagesMs  []float64 // decision times of messages within the window
-	appliedDecisionMs float64   // decision time of the last message that reached it
+	recentMessagesMs  []float64 // decision times of messages within Limits.MessageWindowMs
+	appliedDecisionMs float64   // decision time of the last message that reached the proxy
 
 	lease leaseState
 }
 
-// RecordJoin records the first frame of a proxy's stream, observed on its way to a planner.
+// RecordJoin records the join, the first frame of a proxy's stream, observed on the way to a planner.
 func (c *Checker) RecordJoin(name, plannerName string, atMs float64, join *order.Join) {
 	known := c.proxies[name]
 	if join.Lease != nil && known != nil && known.lease.shared {
-		return // a further stream of a known proxy; its lease determines its leader
+		return // a further stream of a known proxy, whose lease determines its leader
 	}
 	proxy := &proxyState{
 		planner:    plannerName,
@@ -58,7 +58,7 @@
 	c.evaluateNoServer(name, proxy, atMs)
 }
 
-// reset replaces the tables and ejections that the proxy was sent with those that it states it holds.
+// reset replaces the recorded tables and ejections of the proxy with those that the proxy states it holds.
 func (p *proxyState) reset(holds []*order.Holding) {
 	p.tables = map[uint32]*weightTable{}
 	p.ejected = map[string]bool{}
@@ -75,7 +75,7 @@
 	}
 }
 
-// useForClasses makes a table the one that some traffic classes use.
+// useForClasses records that the given traffic classes use a table.
 func (p *proxyState) useForClasses(table *weightTable, classes []uint32) {
 	for _, class := range classes {
 		if int(class) < len(p.byClass) {
@@ -115,8 +115,8 @@
 	c.evaluateNoServer(name, proxy, atMs)
 }
 
-// evaluateNoServer checks [NoServer] for a proxy. It must be called after each change of what the proxy holds or its planner
-// knows, and before the proxy loses its planner.
+// evaluateNoServer checks [NoServer] for a proxy. It must be called after each change of what the proxy holds or of what the
+// proxy's planner knows, and before the proxy loses its planner.
 func (c *Checker) evaluateNoServer(name string, proxy *proxyState, atMs float64) {
 	if proxy.planner == "" {
 		return
--- a/internal/invariant/requests.go
+++ b/internal/invariant/requests.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// maxAttempts is how many attempts are remembered. A duplicate of an older attempt is not detected.
+// maxAttempts is the maximum number of attempts in an attemptLog. A duplicate of an older attempt is not detected.
 const maxAttempts = 200_000
 
 // Attempt is one attempt of a request, from the head that was observed on its way to a server.
 type Attempt struct {
-	ID     string // of the request; clients use a new one for each retry of their own
+	ID     string // ID of the request; a client that retries a request uses a new ID
 	Class  int    // traffic class
-	Number int    // of the attempt, as counted by the proxy
+	Number int    // number of the attempt, as counted by the proxy
 	Proxy  string
 }
 
@@ -23,13 +23,13 @@
 	unprocessed bool // the server proved that it did not begin to process the request
 }
 
-// attemptLog remembers the latest attempts.
+// attemptLog holds the latest attempts.
 type attemptLog struct {
 	byRequest   map[requestKey][]*attempt
-	oldestFirst []requestKey // one key for each attempt, in order of time
+	oldestFirst []requestKey // keys of the attempts' requests, one per attempt, in order of time
 }
 
-// add remembers an attempt. Over maxAttempts, it forgets the request of the oldest attempt.
+// add adds an attempt. If there are then more than maxAttempts, it discards all attempts of the oldest attempt's request.
 func (l *attemptLog) add(key requestKey, sent *attempt) {
 	l.byRequest[key] = append(l.byRequest[key], sent)
 	l.oldestFirst = append(l.oldestFirst, key)
@@ -44,7 +44,7 @@
 	c.recordWork(server, sentWork{atMs: atMs, workMs: c.limits.HandshakeMs})
 }
 
-// RecordAttempt records an attempt whose head was observed on its way to a server.
+// RecordAttempt records an attempt after its head was observed on the way to a server.
 func (c *Checker) RecordAttempt(server string, atMs float64, sent Attempt) {
 	c.Attempts++
 	key := requestKey{id: sent.ID, proxy: sent.Proxy}
@@ -92,8 +92,8 @@
 	return proxy.appliedDecisionMs > known.startedAtMs || atMs > known.startedAtMs+c.limits.DrainGraceMs
 }
 
-// RecordResponse records a server's response to an attempt; unprocessed is whether it proves that the server did not begin to
-// process the request.
+// RecordResponse records a server's response to an attempt; unprocessed states whether the response proves that the server did
+// not begin to process the request.
 func (c *Checker) RecordResponse(server string, sent Attempt, unprocessed bool) {
 	if !unprocessed {
 		return
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -3,15 +3,17 @@
 // Rule identifies one invariant of the fleet.
 type Rule int
 
-// The first five rules are those of the operators, in their order. The last two follow from them where planners share a fleet.
+// The first five rules are those of the operators, in the operators' order. The last two rules follow from the first five where
+// planners share a fleet.
 const (
 	// NoServer is violated when a connected proxy has had no server to pick for a traffic class, for longer than
-	// [Limits.NoServerMs], while its planner knew a ready and warm one.
+	// [Limits.NoServerMs], while the proxy's planner knew a ready and warm server.
 	NoServer Rule = 1 + iota
 	// DuplicateEffect is violated when a request that is not idempotent is sent to a second server without proof that the
-	// first did not process it.
+	// first server did not process the request.
 	DuplicateEffect
-	// SentToDraining is violated when a request is sent to a draining or removed server after [Limits.DrainGraceMs].
+	// SentToDraining is violated when a request is sent to a server later than [Limits.DrainGraceMs] after the planner was
+	// notified that the server drains or is removed.
 	SentToDraining
 	// ColdOverload is violated when a server that is warming up is sent more work than it can handle.
 	ColdOverload
@@ -46,7 +48,7 @@
 // Violation is one violation of a rule.
 type Violation struct {
 	Rule     Rule
-	AtMs     float64 // on the monotonic clock of the run
+	AtMs     float64 // time of the violation on the monotonic clock of the run
 	Evidence string  // what was observed, for human readers
 }
 
@@ -57,7 +59,7 @@
 	// NonIdempotent requests must not be processed twice.
 	NonIdempotent Idempotency = iota
 	// Deduplicated requests carry an idempotency key, by which a server recognizes a repetition. The checker applies the same
-	// rule as for NonIdempotent, as a second server may not know what the first has processed.
+	// rule as for NonIdempotent, as a second server may not know what the first one processed.
 	Deduplicated
 	// Idempotent requests may be processed any number of times.
 	Idempotent
@@ -67,16 +69,16 @@
 type Limits struct {
 	NoServerMs   float64 // longest time that a proxy may have no server to pick
 	DrainGraceMs float64 // from the time a planner learns that a server drains until no request may be sent to it
-	SlowStartMs  float64 // how long a server warms up after its start
+	SlowStartMs  float64 // duration of a server's warm-up after its start
 	MissingMs    float64 // time after which a server that is missing from full endpoint lists counts as removed
 
-	ColdOverloadWindowMs float64 // window over which work sent to a warming server is added up
-	ColdOverloadMultiple float64 // limit of that work, as a multiple of what the server can do in the window
+	ColdOverloadWindowMs float64 // length of the window in which the work sent to a warming server is added up
+	ColdOverloadMultiple float64 // limit of the work in the window, as a multiple of the work that the server can do
 	WorkMs               float64 // mean work of a request
 	HandshakeMs          float64 // work of opening a connection
 
-	MaxBacklog      float64 // weight entries queued at a planner
-	MaxMessages     int     // to one proxy within MessageWindowMs; 0: unlimited
+	MaxBacklog      float64 // maximum number of weight entries queued at a planner
+	MaxMessages     int     // maximum number of messages to one proxy within MessageWindowMs; 0: unlimited
 	MessageWindowMs float64
 
 	// SlackMs is the tolerance for the time from the observation of a frame until it is applied, and from the pick of a server
@@ -85,9 +87,9 @@
 
 	// Idempotency and SameZoneOnly have one element for each traffic class.
 	Idempotency  []Idempotency
-	SameZoneOnly []bool // requests of the class may only be sent to servers in the proxy's zone
+	SameZoneOnly []bool // by class: requests may be sent only to servers in the proxy's zone
 
-	// Capacity returns the work in ms that a warming server can do per ms, and 0 for one that is warm or unknown. Nil disables
-	// the check of ColdOverload. It must not call the Checker.
+	// Capacity returns the work in ms that a warming server can do per ms, and 0 for a warm or unknown server. If Capacity is
+	// nil, ColdOverload is not checked. Capacity must not call the Checker.
 	Capacity func(server string, atMs float64) float64
 }
--- a/internal/scenario/baseline.go
+++ b/internal/scenario/baseline.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	baselineTable  = 0     // number of the one table
+	baselineTable  = 0     // number of the only weight table of a baseline
 	baselinePollMs = 200.0 // interval at which a baseline decides even without a new input
 )
 
-// baselineDecider is a policy for comparison only. All proxies share one table of all listed servers, and it applies each
-// change of the endpoint list at once. It ejects no server for its errors, sheds no load and does not limit what it sends.
+// baselineDecider is a policy for comparison only. All proxies share one table of all listed servers. The policy applies each
+// change of the endpoint list at once. It ejects no server because of errors, sheds no load and does not limit what the planner
+// sends.
 type baselineDecider struct {
-	byCapacity bool // weights are the listed capacities; else equal
+	byCapacity bool // true: weights are the listed capacities; false: all weights are equal
 	classes    []int
 
-	endpoints      map[string]policy.Endpoint // by server
-	servers        []string                   // in the order in which they were listed first
-	sentWeights    map[string]float64         // by server
+	endpoints      map[string]policy.Endpoint // endpoints by server
+	servers        []string                   // servers in the order in which they were first listed
+	sentWeights    map[string]float64         // last weights sent, by server
 	ejected        map[string]bool
-	unassigned     []int // proxies without the table
-	timerRequested bool  // since the last SetTime
+	unassigned     []int // proxies to which the table is not assigned yet
+	timerRequested bool  // a timer was requested since the last SetTime
 }
 
 var _ planner.Decider = (*baselineDecider)(nil)
 
-// newBaseline returns the decider of a baseline for a number of traffic classes.
+// newBaseline returns the decider of a baseline; classCount is the number of traffic classes.
 func newBaseline(kind Baseline, classCount int) *baselineDecider {
 	decider := &baselineDecider{
 		byCapacity:  kind == ListedCapacity,
@@ -58,12 +59,12 @@
 	}
 }
 
-// AddProxy queues a proxy to be assigned the table.
+// AddProxy queues a proxy, to which Next then assigns the table.
 func (b *baselineDecider) AddProxy(proxyID, _ int, _ float64, _ ...float64) {
 	b.unassigned = append(b.unassigned, proxyID)
 }
 
-// RemoveProxy forgets a proxy.
+// RemoveProxy discards the state of a proxy.
 func (b *baselineDecider) RemoveProxy(proxyID int) {
 	b.unassigned = slices.DeleteFunc(b.unassigned, func(queued int) bool { return queued == proxyID })
 }
@@ -80,7 +81,7 @@
 // SetLagging does nothing: a baseline has no deferrable decisions.
 func (b *baselineDecider) SetLagging(bool) {}
 
-// Next carries out at most one decision on the host, and reports whether there was one.
+// Next makes at most one decision, passes it to the host, and reports whether there was a decision.
 func (b *baselineDecider) Next(host policy.Host) bool {
 	for _, server := range b.servers {
 		if b.updateServer(host, server) {
@@ -101,7 +102,7 @@
 	return false
 }
 
-// updateServer carries out the next decision about one server, and reports whether there was one.
+// updateServer passes the next decision about a server to the host, and reports whether there was a decision.
 func (b *baselineDecider) updateServer(host policy.Host, server string) bool {
 	endpoint := b.endpoints[server]
 	if endpoint.State != policy.Ready {
--- a/internal/scenario/decider_test.go
+++ b/internal/scenario/decider_test.go
@@ -5,11 +5,11 @@
 	"lichenpick/policy"
 )
 
-// editingDecider wraps a policy and changes its decisions on their way to the planner, as a defective planner would. It is
-// both the planner's decider and the policy's host. Functions that are nil change nothing.
+// editingDecider wraps a policy and changes the policy's decisions before the planner receives them, to act as a defective
+// policy. It is both the planner's decider and the policy's host. Functions that are nil change nothing.
 type editingDecider struct {
 	planner.Decider
-	host     policy.Host     // of the planner
+	host     policy.Host     // host of the wrapped policy's planner
 	cold     map[string]bool // servers with a start time in the endpoint list
 	newRound bool            // the next decision is the first since SetTime
 
@@ -18,7 +18,7 @@
 	beforeRound  func(d *editingDecider) // called once after each SetTime
 }
 
-// editDecisions returns a hook that wraps the policy in an editingDecider, whose functions configure sets.
+// editDecisions returns a hook that wraps a policy in an editingDecider and calls configure to set its functions.
 func editDecisions(configure func(d *editingDecider)) func(planner.Decider) planner.Decider {
 	return func(wrapped planner.Decider) planner.Decider {
 		decider := &editingDecider{Decider: wrapped, cold: map[string]bool{}}
--- a/internal/scenario/disk.go
+++ b/internal/scenario/disk.go
@@ -15,10 +15,10 @@
 
 	mu   sync.Mutex
 	full bool
-	pid  int // of the current or last process; 0: none yet
+	pid  int // ID of the planner's current or last process; 0: no process yet
 }
 
-// attach applies the fault, if the disk is full, to a process that was started.
+// attach sets the process to which the fault applies. If the disk is full, it applies the fault at once.
 func (d *diskFault) attach(pid int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -28,7 +28,8 @@
 	}
 }
 
-// setFull sets whether the disk is full. While it is, all writes to files fail, also those of processes started later.
+// setFull sets whether the disk is full. While the disk is full, all writes to files fail, also those of processes started
+// later.
 func (d *diskFault) setFull(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -38,15 +39,15 @@
 	}
 }
 
-// apply limits the size of files that the process may write: to 0 while the disk is full, and not at all otherwise. The
-// caller holds the lock.
+// apply limits the size of files that the process may write: to 0 while the disk is full; otherwise it removes the limit. The
+// caller must hold mu.
 func (d *diskFault) apply() {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if d.full {
 		limit.Cur = 0
 	}
 	err := unix.Prlimit(d.pid, unix.RLIMIT_FSIZE, &limit, nil)
-	if err != nil && !errors.Is(err, unix.ESRCH) { // the process may have ended
+	if err != nil && !errors.Is(err, unix.ESRCH) { // ESRCH: the process has ended
 		d.log.Error("setting the file size limit of a planner failed", "pid", d.pid, "error", err)
 	}
 }
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -14,7 +14,7 @@
 // faultHandler injects a fault and returns when the fault has ended, or early when the context ends.
 type faultHandler func(ctx context.Context, f *fleet, fault *script.Trouble) error
 
-// faultHandlers has the handler of each kind of fault, by the name of its field in a script.
+// faultHandlers maps each kind of fault, named as its field in a script, to the handler.
 var faultHandlers = map[protoreflect.Name]faultHandler{
 	"burst":            newFaultHandler((*script.Trouble).GetBurst, (*fleet).injectBurst),
 	"hang":             newFaultHandler((*script.Trouble).GetHang, (*fleet).injectHang),
@@ -37,7 +37,7 @@
 	"disk_full":        newFaultHandler((*script.Trouble).GetDiskFull, (*fleet).injectDiskFull),
 }
 
-// newFaultHandler returns the handler of one kind of fault: parameters gets the fault's parameters from a script, and inject
+// newFaultHandler returns the handler of one kind of fault: parameters returns the fault's parameters from a script, and inject
 // injects the fault for a duration.
 func newFaultHandler[F any](parameters func(*script.Trouble) F, inject func(*fleet, context.Context, F, time.Duration) error) faultHandler {
 	return func(ctx context.Context, f *fleet, fault *script.Trouble) error {
@@ -45,7 +45,8 @@
 	}
 }
 
-// faultKind returns the kind of a fault, which is the name of its field in a script, or empty for a fault without one.
+// faultKind returns the kind of a fault, which is the name of its field in a script. It returns an empty name for a fault
+// without a kind.
 func faultKind(fault *script.Trouble) protoreflect.Name {
 	message := fault.ProtoReflect()
 	field := message.WhichOneof(message.Descriptor().Oneofs().ByName("what"))
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// waitFor waits for a duration or until the run ends. It returns no error, as the caller has to end its fault in either case.
+// waitFor waits for a duration or until the run ends. It returns no error, as the caller must end its fault in both cases.
 func (f *fleet) waitFor(ctx context.Context, duration time.Duration) {
 	_ = f.sleep(ctx, duration)
 }
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -18,11 +18,12 @@
 	}
 }
 
-// Injects faults that endanger invariants into a small fleet: all invariants must hold, and requests must still succeed.
+// TestInvariantsHoldUnderFaults injects faults that endanger invariants into a small fleet. It checks that all invariants hold
+// and that requests still succeed.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		fields     string
-		minService float64 // far below the usual service, as it only shows that the fleet serves requests
+		minService float64 // limit far below the usual service, to check only that the fleet serves requests
 	}{
 		"a planner that is killed while it sends, and restarts from a stale list": {`listed_late: "2s"
 			troubles { at: "2500ms" lasts: "800ms" planner_restart { kill: true after_bytes: 60 } }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -19,45 +19,45 @@
 )
 
 const (
-	missingServerMs    = 10_000.0               // after which a server that is missing from endpoint lists counts as removed
-	observationSlackMs = 100.0                  // tolerance between the observation of a frame or request and its effect
-	reconnectDelay     = 200 * time.Millisecond // of planners, to the endpoint registry
-	heartbeatTimeout   = 5 * time.Second        // of planners, for the stream of the endpoint list
-	maxListFrameBytes  = 16 << 20               // of frames with endpoint lists
+	missingServerMs    = 10_000.0               // absence from endpoint lists after which a server counts as removed
+	observationSlackMs = 100.0                  // tolerance for the delay between observation and effect of a frame or request
+	reconnectDelay     = 200 * time.Millisecond // pause before a planner reconnects to the endpoint registry
+	heartbeatTimeout   = 5 * time.Second        // time without a frame after which a planner closes the endpoint list's stream
+	maxListFrameBytes  = 16 << 20               // maximum size of frames with endpoint lists
 	anyPort            = ":0"
 	plannerListen      = "127.0.0.1" + anyPort
 )
 
-// fleet is one run of a script, with all components that take part in it.
+// fleet is one run of a script, with all components that take part in the run.
 type fleet struct {
 	script    *script.Script
 	hooks     Hooks
 	clock     clock.Clock
 	network   clock.Network
 	log       *slog.Logger
-	directory string // for files of planners
+	directory string // directory for the planners' files
 	recorder  *recorder
 	group     *errgroup.Group // owns the goroutines of the run
-	runCtx    context.Context // of the whole run; planners that a fault restarts run under it
+	runCtx    context.Context // context of the whole run, also for planners that a fault restarts
 
-	// The next fields are set by start, and not changed afterwards.
+	// The four fields below are set by start and not changed afterwards.
 	registry       *fake.EndpointRegistry
 	loadGenerator  *fake.LoadGenerator
 	planners       []*plannerInstance
-	proxyAddresses []string // for clients
+	proxyAddresses []string // addresses to which clients send requests
 
-	mu               sync.Mutex // guards all below
+	mu               sync.Mutex // guards all fields below
 	rng              *rand.Rand
 	servers          []*serverInstance
 	lastServerNumber int // number of the server that was started last
 	linkFaults       map[int]linkFaultFunc
 	nextLinkFault    int
 	plannerStatuses  []*planner.Status // last status of each planner that has ended
-	hungPlanners     int               // number of planner processes that did not exit when asked to
+	hungPlanners     int               // number of planner processes that did not exit within stopTimeout
 	plannerCPU       time.Duration     // CPU time of planners that ran as processes
 }
 
-// newFleet returns a fleet that is not started. The script must not change during the run.
+// newFleet returns a fleet that is not started yet. The script must not change during the run.
 func newFleet(scenario *script.Script, hooks Hooks, directory string, log *slog.Logger) *fleet {
 	realClock := clock.NewReal()
 	f := &fleet{
@@ -112,8 +112,8 @@
 	}
 }
 
-// start starts everything but the clients: the registry, servers, planners and proxies, in this order. All that it starts
-// ends with the context; the group owns the goroutines.
+// start starts the registry, servers, planners and proxies, in this order, but not the clients. All these components stop when
+// the context ends; the group owns their goroutines.
 func (f *fleet) start(ctx context.Context, group *errgroup.Group) error {
 	f.group = group
 	f.runCtx = ctx
--- a/internal/scenario/headparser.go
+++ b/internal/scenario/headparser.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// maxHeadBytes is the size of an incomplete head above which it counts as corrupt.
+// maxHeadBytes is the maximum size of a head. A longer, still incomplete head counts as corrupt.
 const maxHeadBytes = 1 << 16
 
 // headEnd ends the head of an HTTP/1.1 message.
@@ -17,11 +17,11 @@
 // which the proxies and fake servers always send. The zero value is ready for a new connection.
 type headParser struct {
 	buffer    []byte
-	bodyBytes int  // of the current body that are not received yet
+	bodyBytes int  // number of bytes of the current body that are not received yet
 	corrupt   bool // parsing failed, and further bytes are ignored
 }
 
-// feed parses further bytes, and calls found with the first line and the header of each head that they complete.
+// feed parses further bytes. For each head that these bytes complete, it calls found with the head's first line and header.
 func (p *headParser) feed(data []byte, found func(firstLine string, header textproto.MIMEHeader)) {
 	if p.corrupt {
 		return
@@ -41,7 +41,7 @@
 			p.corrupt = true
 			return
 		}
-		p.bodyBytes, _ = strconv.Atoi(header.Get("Content-Length")) // without the header there is no body
+		p.bodyBytes, _ = strconv.Atoi(header.Get("Content-Length")) // a message without the header has no body
 		found(firstLine, header)
 	}
 }
--- a/internal/scenario/linkfaults.go
+++ b/internal/scenario/linkfaults.go
@@ -21,7 +21,7 @@
 	}, lasts)
 }
 
-// injectZoneCut cuts the links between proxies and servers that connect a zone with another.
+// injectZoneCut cuts all links between proxies and servers that connect one zone with the other zones.
 func (f *fleet) injectZoneCut(ctx context.Context, cut *script.ZoneCut, lasts time.Duration) error {
 	zone := f.zoneByName(cut.Zone)
 	return f.injectLinkFault(ctx, func(from netip.Addr, to linkTarget) fake.LinkFault {
@@ -32,7 +32,7 @@
 	}, lasts)
 }
 
-// injectOneSided cuts the links between the proxies of one zone and some servers, which are drawn at random.
+// injectOneSided cuts the links between the proxies of one zone and some servers, drawn at random.
 func (f *fleet) injectOneSided(ctx context.Context, oneSided *script.OneSided, lasts time.Duration) error {
 	zone := f.zoneByName(oneSided.Zone)
 	servers := f.reserveServers(int(oneSided.GetServers()), nil)
@@ -46,9 +46,10 @@
 	}, lasts)
 }
 
-// injectStreamBreak breaks the streams between planners and a share of the proxies, once.
+// injectStreamBreak breaks the streams between planners and a share of the proxies once. New streams are not affected.
 func (f *fleet) injectStreamBreak(_ context.Context, streamBreak *script.StreamBreak, _ time.Duration) error {
-	// The proxies of a zone share an address, so each zone is affected as a whole, with the share as its probability.
+	// The proxies of a zone share an address, so the fault affects either all or none of a zone's proxies. The share of proxies
+	// is the probability that a zone is affected.
 	affected := map[int]bool{}
 	for zone := range f.script.Places {
 		affected[zone] = f.random() < streamBreak.GetShare()
@@ -67,7 +68,7 @@
 	}, lasts)
 }
 
-// injectSlowStreams delays what proxies and planners send to each other, in both directions.
+// injectSlowStreams delays the frames that proxies and planners send to each other.
 func (f *fleet) injectSlowStreams(ctx context.Context, slowStreams *script.SlowStreams, lasts time.Duration) error {
 	delayMs := settings.Milliseconds(slowStreams.Delay)
 	return f.injectLinkFault(ctx, func(_ netip.Addr, to linkTarget) fake.LinkFault {
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -17,7 +17,7 @@
 // outgoing connection can take the port of a server that is restarted.
 func listenAddress(zone int) string { return fmt.Sprintf("127.%d.1.1", zone+1) }
 
-// zoneOf returns the zone of an address from which a proxy dials, and unknownZone for one that is not IPv4.
+// zoneOf returns the zone of an address from which a proxy dials, and unknownZone for an address that is not IPv4.
 func zoneOf(from netip.Addr) int {
 	if !from.Is4() {
 		return unknownZone
@@ -35,13 +35,13 @@
 	return unknownZone
 }
 
-// linkTarget is the target of the links through a relay: either a server or a planner; the other is nil.
+// linkTarget is the target of the links through a relay: either a server or a planner. The other field is nil.
 type linkTarget struct {
 	server  *serverInstance
 	planner *plannerInstance
 }
 
-// linkFaultFunc returns what is wrong with the links from an address to a target. It is called for each connection, by any
+// linkFaultFunc returns the fault of the links from an address to a target. It is called for each connection, by any
 // goroutine.
 type linkFaultFunc func(from netip.Addr, to linkTarget) fake.LinkFault
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// updateLinks sets the faults that are in effect now at all relays.
+// updateLinks passes the link faults that are currently in effect to all relays.
 func (f *fleet) updateLinks() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,8 +77,8 @@
 	}
 }
 
-// combineLinkFaults returns a function that combines the faults of the links to one target, by the address that they come
-// from: the worst value of each property applies. It returns nil if there are no faults.
+// combineLinkFaults returns a function that combines all active faults of the links from an address to the target. For each
+// property, the worst value applies. combineLinkFaults returns nil if there are no active faults.
 func combineLinkFaults(active []linkFaultFunc, to linkTarget) func(from netip.Addr) fake.LinkFault {
 	if len(active) == 0 {
 		return nil
--- a/internal/scenario/localplanner.go
+++ b/internal/scenario/localplanner.go
@@ -12,16 +12,17 @@
 // localPlanner is a planner that runs in this process.
 type localPlanner struct {
 	cancel context.CancelFunc
-	ended  chan struct{} // closed when it has ended
+	ended  chan struct{} // closed when the planner has ended
 }
 
-// stop ends the planner and waits until it has ended. It cannot be killed; the caller cuts its streams instead.
+// stop ends the planner gracefully and waits until it has ended. A planner in this process cannot be killed; to simulate a kill,
+// the caller cuts the planner's streams first.
 func (l *localPlanner) stop(bool) {
 	l.cancel()
 	<-l.ended
 }
 
-// startLocal runs the planner in this process, and returns when it listens or has failed.
+// startLocal runs the planner in this process, and returns when the planner listens or has failed.
 func (p *plannerInstance) startLocal(ctx context.Context, set *pb.Planner) error {
 	f := p.fleet
 	plannerCtx, cancel := context.WithCancel(ctx)
@@ -67,7 +68,7 @@
 	}
 }
 
-// newDecider returns the decider of a planner in this process: the policy or a baseline, wrapped if a hook does so.
+// newDecider returns the decider of a planner in this process: the policy or a baseline, wrapped by Hooks.Decider if set.
 func (f *fleet) newDecider(set *pb.Planner) planner.Decider {
 	var decider planner.Decider
 	if f.hooks.Baseline == NoBaseline {
--- a/internal/scenario/options.go
+++ b/internal/scenario/options.go
@@ -8,7 +8,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Baseline names a simple policy that a script is run with for comparison with the real one.
+// Baseline names a simple policy, with which a script is run for comparison with the real policy.
 type Baseline string
 
 // The baselines.
@@ -18,15 +18,15 @@
 	ListedCapacity Baseline = "size" // one table with the capacities of the endpoint list as weights
 )
 
-// Hooks change a run: they select what a script is run with, and plant defects, by which tests show that the checker detects
-// violations. The zero value runs a script with one planner as it is written.
+// Hooks change a run of a script. They select the planners and the policy, and plant defects with which tests check that the
+// checker detects violations. The zero value runs a script with one planner unchanged.
 type Hooks struct {
 	// Spawn returns a command that runs a planner with a settings file, with its log on standard error. It is required for
 	// more than one planner.
 	Spawn func(file string) *exec.Cmd
 
-	SinglePlanner bool     // run one planner, whatever the script says
-	Unshared      bool     // run several planners that do not share the fleet: each proxy belongs to one
+	SinglePlanner bool     // run one planner, whatever number the script states
+	Unshared      bool     // run several planners that do not share the fleet: each proxy belongs to one planner
 	Baseline      Baseline // run a baseline in one planner instead of the policy
 
 	DisableFencing bool                                  // proxies do not check epochs
@@ -35,7 +35,8 @@
 	Planner        func(set *pb.Planner)                 // changes the settings of each planner
 }
 
-// deciderName returns the name that reports give to what decides in a run. Programs read these names, so they must not change.
+// deciderName returns the name that reports use for the policy or baseline of a run. Programs read these names, so they must
+// not change.
 func (h Hooks) deciderName() string {
 	switch {
 	case h.Unshared:
@@ -50,5 +51,5 @@
 	return "module"
 }
 
-// discardLogger returns a logger that drops everything.
+// discardLogger returns a logger that drops all log entries.
 func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/internal/scenario/planner_process_test.go
+++ b/internal/scenario/planner_process_test.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// plannerFileVariable is an environment variable. If it is set, the test binary runs as a planner with the settings file
-	// that it names.
+	// plannerFileVariable is an environment variable with the path of a settings file. If the variable is set, the test binary
+	// runs as a planner with these settings.
 	plannerFileVariable = "LICHENPICK_TEST_AS_PLANNER"
-	// clockRateVariable is an environment variable with the rate of such a planner's monotonic clock. If it is not set, the
-	// rate is 1.
+	// clockRateVariable is an environment variable with the rate of the monotonic clock of a planner that the test binary runs.
+	// If the variable is not set, the rate is 1.
 	clockRateVariable = "LICHENPICK_TEST_RATE"
 )
 
--- a/internal/scenario/plannerfaults.go
+++ b/internal/scenario/plannerfaults.go
@@ -20,7 +20,7 @@
 	return instance.start(f.runCtx)
 }
 
-// injectPlannerPause suspends a planner's process. It does nothing to a planner that runs in this process.
+// injectPlannerPause suspends a planner's process for a duration. It has no effect on a planner that runs in this process.
 func (f *fleet) injectPlannerPause(ctx context.Context, pause *script.ControllerPause, lasts time.Duration) error {
 	process := f.plannerByNumber(pause.GetController()).process
 	if process == nil {
@@ -33,7 +33,7 @@
 }
 
 // injectPlannerCut breaks a planner's streams with the proxies of a zone, or with all proxies if the script names no zone.
-// With Hold, it holds back what the planner sends on these streams instead.
+// With Hold, it instead keeps the streams open and holds back what the planner sends on them.
 func (f *fleet) injectPlannerCut(ctx context.Context, cut *script.ControllerCut, lasts time.Duration) error {
 	instance := f.plannerByNumber(cut.GetController())
 	zone := f.zoneByName(cut.Zone)
@@ -56,7 +56,7 @@
 	return instance.process.setDraining(ctx, false) // the planner may have been restarted as another process
 }
 
-// injectDiskFull makes all file writes of a planner's process fail.
+// injectDiskFull makes all file writes of a planner's process fail for a duration.
 func (f *fleet) injectDiskFull(ctx context.Context, diskFull *script.DiskFull, lasts time.Duration) error {
 	diskFault := f.plannerByNumber(diskFull.GetController()).diskFault
 	diskFault.setFull(true)
--- a/internal/scenario/plannerprocess.go
+++ b/internal/scenario/plannerprocess.go
@@ -20,9 +20,10 @@
 )
 
 const (
-	startAttempts     = 3                     // another process may take a free port before the planner listens at it
-	startPollInterval = 20 * time.Millisecond // between requests for the status of a planner that starts
-	// stopTimeout is how long a planner's process may take to exit. A process that takes longer is hung, and the run has failed.
+	startAttempts     = 3                     // an attempt fails if another process takes the port before the planner listens
+	startPollInterval = 20 * time.Millisecond // time between status requests to a planner that is starting
+	// stopTimeout is the maximum time that a planner's process may take to exit. A process that takes longer counts as hung, and
+	// the run counts as failed.
 	stopTimeout = 5 * time.Second
 )
 
@@ -38,7 +39,7 @@
 	ended         chan struct{} // closed when the process has ended and command.ProcessState is set
 }
 
-// startProcess runs the planner as a process, and returns when the planner serves its status.
+// startProcess starts the planner as a process, and returns when the planner serves its status.
 func (p *plannerInstance) startProcess(ctx context.Context, set *pb.Planner) error {
 	if p.fleet.hooks.Spawn == nil {
 		return ErrNoSpawn
@@ -74,7 +75,7 @@
 	p.process = process
 	p.runtime = process
 	p.fleet.group.Go(func() error {
-		_ = command.Wait() // command.ProcessState tells how it ended
+		_ = command.Wait() // command.ProcessState states how the process ended
 		close(process.ended)
 		return nil
 	})
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// writeSettings completes the planner's settings with free addresses, and writes them to a file, whose path it returns. If
-// the planner needs a store, it creates an empty one.
+// writeSettings completes the planner's settings with free addresses, writes the settings to a file and returns the path of the
+// file. If the planner needs a store, it creates an empty store.
 func (p *plannerInstance) writeSettings(set *pb.Planner) (file string, err error) {
 	set.Listen, err = freeAddress()
 	if err != nil {
@@ -119,7 +120,7 @@
 	return address, listener.Close()
 }
 
-// waitUntilReady waits until the planner serves its status. After an error, the process has ended or was killed.
+// waitUntilReady waits until the planner serves its status. If it returns an error, the process has ended or was killed.
 func (p *plannerProcess) waitUntilReady(ctx context.Context) error {
 	for {
 		if _, err := p.status(ctx); err == nil {
@@ -140,8 +141,8 @@
 	return planner.FetchStatus(ctx, p.statusAddress)
 }
 
-// setDraining asks the planner to hand its proxies over to other planners, or to accept proxies again. The end of the run
-// does not cancel the request, so that a fault can still be ended then.
+// setDraining asks the planner to hand its proxies over to other planners, or to accept proxies again. The end of the run does
+// not cancel the request, so that a drain can still be ended after the end of the run.
 func (p *plannerProcess) setDraining(ctx context.Context, draining bool) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
@@ -180,7 +181,7 @@
 	}
 }
 
-// stop ends the process, by SIGTERM or SIGKILL, and waits until it has ended. A process that hangs is counted and killed.
+// stop ends the process, by SIGTERM or SIGKILL, and waits until it has ended. A hung process is counted and killed.
 func (p *plannerProcess) stop(kill bool) {
 	f := p.fleet
 	if status, err := p.status(context.Background()); err == nil {
@@ -205,7 +206,7 @@
 	f.plannerCPU += state.UserTime() + state.SystemTime()
 }
 
-// waitEnded waits until the process has ended, for at most a timeout, and reports whether it has.
+// waitEnded waits for the process to end, for at most the timeout, and reports whether the process has ended.
 func (p *plannerProcess) waitEnded(c clock.Clock, timeout time.Duration) bool {
 	expired, stopTimer := c.NewTimer(milliseconds(timeout))
 	defer stopTimer()
--- a/internal/scenario/planners.go
+++ b/internal/scenario/planners.go
@@ -16,19 +16,20 @@
 	pb "lichenpick/proto/settings"
 )
 
-// disconnectDelay is the time that a planner has, before it is killed, to send the bytes that may still pass on its streams.
+// disconnectDelay is the time between the start of a fault that lets only some more bytes pass on a planner's streams, and the
+// kill of the planner. In this time the planner can send these bytes.
 const disconnectDelay = 50 * time.Millisecond
 
-// plannerInstance is one planner with its relays, over all its restarts. It runs in this process if it is the only planner,
-// and otherwise in a process of its own.
+// plannerInstance is one planner with its relays, and persists over restarts of the planner. The only planner of a fleet runs in
+// this process; several planners run in processes of their own.
 type plannerInstance struct {
 	fleet         *fleet
 	name          string
-	relay         *fake.Relay // between proxies and the planner
-	endpointRelay *fake.Relay // between the planner and the endpoint registry
+	relay         *fake.Relay // relay between proxies and the planner
+	endpointRelay *fake.Relay // relay between the planner and the endpoint registry
 
-	runtime   plannerRuntime  // the current or last one; nil before the first start
-	process   *plannerProcess // the same if it is a process; otherwise nil
+	runtime   plannerRuntime  // current or last run of the planner; nil before the first start
+	process   *plannerProcess // same as runtime if the planner runs as a process; otherwise nil
 	diskFault *diskFault
 }
 
@@ -134,14 +135,14 @@
 	if f.hooks.Planner != nil {
 		f.hooks.Planner(set)
 	}
-	// Parsing checks the settings, and sets the defaults of those that the script leaves unset.
+	// Parse checks the settings and sets the defaults of fields that are not set.
 	full := &pb.Planner{}
 	err := settings.Parse(p.name+" of the scenario", []byte(settings.Format(set)), full)
 	return full, err
 }
 
-// start starts the planner, for the first time or again, and returns when it listens. The planner ends with the context, or
-// by stop.
+// start starts or restarts the planner, and returns when the planner listens. The planner runs until the context ends or stop
+// is called.
 func (p *plannerInstance) start(ctx context.Context) error {
 	set, err := p.settings()
 	if err != nil {
@@ -153,7 +154,8 @@
 	return p.startLocal(ctx, set)
 }
 
-// stop ends the planner: gracefully, or by a kill before which some more bytes may pass on each of its streams.
+// stop ends the planner gracefully, or by a kill. Before a kill, each of the planner's streams still transports up to
+// afterBytes more bytes.
 func (p *plannerInstance) stop(kill bool, afterBytes int) {
 	f := p.fleet
 	restoreLinks := func() {}
@@ -161,7 +163,7 @@
 		restoreLinks = p.cutLinks(afterBytes)
 		f.waitFor(context.Background(), disconnectDelay)
 	} else if kill && p.process == nil {
-		restoreLinks = p.cutLinks(0) // otherwise a planner in this process would close its streams gracefully
+		restoreLinks = p.cutLinks(0) // without the cut, a planner in this process would close its streams gracefully
 	}
 	p.runtime.stop(kill)
 	p.relay.Disconnect(func(netip.Addr) bool { return true })
@@ -169,21 +171,21 @@
 	f.recorder.recordPlannerExit(p.name, f.clock.Monotonic())
 }
 
-// cutLinks breaks each of the planner's streams after some more bytes, and returns a function that ends the fault.
+// cutLinks breaks each of the planner's streams after afterBytes more bytes, and returns a function that ends this fault.
 func (p *plannerInstance) cutLinks(afterBytes int) (restore func()) {
 	return p.fleet.addLinkFault(func(_ netip.Addr, to linkTarget) fake.LinkFault {
 		return fake.LinkFault{Cut: to.planner == p, CutAfterBytes: afterBytes}
 	})
 }
 
-// recordStatus keeps the last status of a planner for the report.
+// recordStatus stores the last status of a planner that ends, for the report.
 func (f *fleet) recordStatus(status *planner.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.plannerStatuses = append(f.plannerStatuses, status)
 }
 
-// stopPlannerProcesses stops all planner processes that still run at the end of a run, also paused ones.
+// stopPlannerProcesses stops all planner processes that have not exited at the end of a run, including paused processes.
 func (f *fleet) stopPlannerProcesses() {
 	for _, instance := range f.planners {
 		if instance.process == nil || instance.process.hasEnded() {
--- a/internal/scenario/planted_test.go
+++ b/internal/scenario/planted_test.go
@@ -9,13 +9,14 @@
 	pb "lichenpick/proto/settings"
 )
 
-// Guards against a checker that misses violations: each planted defect must violate its invariant, and no other.
+// TestPlantedFaultsAreDetected guards against a checker that misses violations: in each run with a planted defect, the checker
+// must detect violations of exactly the expected invariant.
 func TestPlantedFaultsAreDetected(t *testing.T) {
 	const deploy = `troubles { at: "1s" lasts: "3s" deploy { servers: 2 drain: "9s" } }`
 	for name, test := range map[string]struct {
 		fields string
 		hooks  Hooks
-		want   string // violated invariant; empty: none
+		want   string // name of the invariant that the defect violates; empty: none
 	}{
 		"nothing planted": {fields: deploy},
 		"tables without a weight": {
@@ -54,7 +55,8 @@
 	}
 }
 
-// violatesOnly reports whether a run violated one invariant and no other, or none where the name is empty.
+// violatesOnly reports whether a run violated the named invariant and no other. If the name is empty, it reports whether the
+// run violated no invariant.
 func violatesOnly(result *Result, name string) bool {
 	if name == "" {
 		return len(result.ViolationCounts) == 0
@@ -99,7 +101,8 @@
 	declareIdempotent(set.Groups)
 }
 
-// retryAllInPlanner declares all classes idempotent to the policy as well, which would otherwise forbid the retries.
+// retryAllInPlanner declares all classes idempotent in the planner's settings, so that the policy allows retries of all
+// requests.
 func retryAllInPlanner(set *pb.Planner) {
 	set.DefaultRetry = pb.Retry_ONCE
 	declareIdempotent(set.Groups)
@@ -111,7 +114,7 @@
 	}
 }
 
-// raiseChannelLimits raises the planner's own limits, over which it would close the streams. The checker's limits stay.
+// raiseChannelLimits raises the limits at which the planner would close a stream. The checker's limits stay unchanged.
 func raiseChannelLimits(set *pb.Planner) {
 	set.Channel = proto.CloneOf(set.Channel)
 	set.Channel.MostMessages = proto.Uint32(100_000)
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -2,8 +2,8 @@
 // links pass through relays. The faults of the script are injected, and the invariants are checked from the observed traffic.
 //
 // [Play] runs a script under the real policy and, for comparison, under baselines at the same time; [PlayOne] runs it once.
-// A single planner runs in this process; several run as processes of their own, so that they can be paused and killed. Each
-// zone has its own loopback addresses, by which relays identify the zone that a connection comes from.
+// A single planner runs in this process. Several planners run as processes of their own, so that they can be paused and killed.
+// Each zone has its own loopback addresses, by which relays identify the zone that a connection comes from.
 //
 // A run takes real time, and its result depends on the machine: on a busy one, delays alone can violate invariants.
 package scenario
@@ -25,14 +25,16 @@
 	"lichenpick/proto/script"
 )
 
-// cooldown is how long a run goes on after its last request, so that drains end and invariants are still checked.
+// cooldown is the time between the last request and the end of a run. In this time, drains end while invariants are still
+// checked.
 const cooldown = 1500 * time.Millisecond
 
-// Play runs a script under the policy and, unless the script disables it, two variants for comparison at the same time. For
-// a shared fleet, these are planners that do not share it and a single planner; otherwise they are two baselines. The machine
-// is only named in the report. Only the policy's run logs to log. See [Hooks.Spawn] for spawn.
+// Play runs a script under the policy. Unless the script disables comparisons, it runs two variants for comparison at the same
+// time. For a shared fleet, the variants are planners that do not share the fleet, and a single planner; otherwise they are two
+// baselines. The report states machine, which has no other effect. Only the policy's run logs to log. See [Hooks.Spawn] for
+// spawn.
 //
-// A violated invariant is no error; see [Report.Passed]. An error means that a run could not be completed.
+// A violated invariant is no error; see [Report.Passed]. Play returns an error if a run could not be completed.
 func Play(ctx context.Context, scenario *script.Script, machine string, log *slog.Logger, spawn func(file string) *exec.Cmd) (*Report, error) {
 	variants := variantsOf(scenario, spawn)
 	report := &Report{Script: scenario.Name, Runs: make([]Result, len(variants)), Machine: machine}
@@ -67,8 +69,8 @@
 	return variants
 }
 
-// PlayOne runs a script once, and returns when everything that it started has ended. The script must have passed the check
-// of package settings.
+// PlayOne runs a script once, and returns when all components of the run have ended. The script must have passed the check of
+// package settings.
 func PlayOne(ctx context.Context, scenario *script.Script, hooks Hooks, log *slog.Logger) (result *Result, err error) {
 	directory, err := os.MkdirTemp("", "lichenpick-scenario-")
 	if err != nil {
@@ -82,7 +84,7 @@
 	observed, err := f.play(running, group)
 	f.stopPlannerProcesses()
 	cancel()
-	// An error of a component is the cause of any other error.
+	// An error of a component takes precedence, as it causes the other errors.
 	if groupErr := group.Wait(); groupErr != nil && !errors.Is(groupErr, context.Canceled) {
 		err = groupErr
 	}
@@ -92,7 +94,8 @@
 	return f.summarize(observed), nil
 }
 
-// play starts the fleet, sends it the script's requests while it injects the script's faults, and returns what was observed.
+// play starts the fleet, sends the script's requests to it and injects the script's faults meanwhile. It returns what was
+// observed.
 func (f *fleet) play(ctx context.Context, group *errgroup.Group) (*observations, error) {
 	f.loadGenerator = &fake.LoadGenerator{
 		Clock:             f.clock,
@@ -116,8 +119,8 @@
 	return f.recorder.finish(f.clock.Monotonic()), nil
 }
 
-// runLoadWithFaults sends the requests and injects the faults at the same time. Faults that would last longer end with the
-// cooldown. An error of a fault ends the other faults, and is returned at the end.
+// runLoadWithFaults sends the requests and injects the faults at the same time. Faults still in effect at the end of the
+// cooldown are ended. A failed fault ends the other faults; the requests go on, and its error is returned at the end.
 func (f *fleet) runLoadWithFaults(ctx context.Context) error {
 	faults, faultsCtx := errgroup.WithContext(ctx)
 	faultsCtx, endFaults := context.WithCancel(faultsCtx)
--- a/internal/scenario/play_test.go
+++ b/internal/scenario/play_test.go
@@ -10,7 +10,7 @@
 	"lichenpick/proto/script"
 )
 
-// smallScenario is the script of all tests, which merge their own fields into it.
+// smallScenario is the base script of the tests. Each test merges its own fields into this script.
 const smallScenario = `name: "small" length: "5s" no_baselines: true warm: "1s"
 places { name: "a" proxies: 2 servers: 4 } places { name: "b" proxies: 2 servers: 4 }
 groups { name: "check" latency_budget: "600ms" expiry: "1.5s" repeat: RETRIABLE }
@@ -29,7 +29,7 @@
 	return parsed
 }
 
-// play runs the small scenario with further fields, and fails the test if anything could not be checked.
+// play runs smallScenario with further fields, and fails the test if anything in the run could not be checked.
 func play(t *testing.T, fields string, hooks Hooks) *Result {
 	t.Helper()
 	merged := parseScript(t, smallScenario)
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// minZoneServers is the number of servers in a zone from which on its proxies start with servers of that zone only.
+	// minZoneServers is the minimum number of servers in a zone for the zone's proxies to start with servers of this zone only.
 	minZoneServers = 3
-	// minUsualRatePerSecond is the least usual rate in the settings of a proxy, in requests per second.
+	// minUsualRatePerSecond is the minimum of the usual rate in a proxy's settings, in requests per second.
 	minUsualRatePerSecond = 0.001
 )
 
@@ -38,8 +38,9 @@
 	return nil
 }
 
-// knownServers returns the servers from which the standing tables of a zone's proxies are drawn, which they use until a
-// planner assigns others: the servers of the zone, or all servers if the zone has fewer than minZoneServers.
+// knownServers returns the servers from which the standing tables of a zone's proxies are drawn. Proxies use their standing
+// tables until a planner assigns others. The servers are those of the zone, or all servers if the zone has fewer than
+// minZoneServers.
 func knownServers(endpoints []*order.Listing_Entry, zoneName string) []string {
 	var inZone, inFleet []string
 	for _, endpoint := range endpoints {
@@ -54,7 +55,7 @@
 	return inZone
 }
 
-// newProxySettings returns the checked settings of a proxy with a number in its zone.
+// newProxySettings returns the checked settings of a proxy; number identifies the proxy within its zone.
 func (f *fleet) newProxySettings(zone, number int, known []string) (*pb.Proxy, error) {
 	zoneName := f.script.Places[zone].Name
 	usualRate := settings.PerSecond(f.script.Traffic.Rate) / float64(max(settings.ProxyCount(f.script), 1))
@@ -94,8 +95,8 @@
 	return seed, standing
 }
 
-// plannerAddresses returns the addresses of all planners, rotated by the number of the proxy. If the planners do not share
-// the fleet, the proxy belongs to the first one.
+// plannerAddresses returns the addresses of all planners, rotated by the number of the proxy. If the planners do not share the
+// fleet, the proxy belongs to the first planner in this order.
 func (f *fleet) plannerAddresses(proxyNumber int) []string {
 	addresses := make([]string, 0, len(f.planners))
 	for n := range f.planners {
@@ -105,7 +106,7 @@
 	return addresses
 }
 
-// startProxy runs a proxy, and returns when it listens or has failed.
+// startProxy starts a proxy, and returns when the proxy listens or has failed.
 func (f *fleet) startProxy(ctx context.Context, set *pb.Proxy) error {
 	ready := make(chan net.Addr, 1)
 	failed := make(chan error, 1)
@@ -131,7 +132,7 @@
 	}
 }
 
-// cloneClasses returns copies of traffic classes, which hooks may change.
+// cloneClasses returns copies of traffic classes, so that hooks may change them.
 func cloneClasses(classes []*pb.Group) []*pb.Group {
 	clones := make([]*pb.Group, 0, len(classes))
 	for _, class := range classes {
--- a/internal/scenario/recorder.go
+++ b/internal/scenario/recorder.go
@@ -9,7 +9,8 @@
 	"lichenpick/internal/invariant"
 )
 
-// Kinds of what could not be checked, as named in reports. Programs read these names, so they must not change.
+// Kinds of traffic and events that could not be checked, as named in reports. Programs read these names, so they must not
+// change.
 const (
 	unparsedPlannerFrame  = "frame to a planner"
 	unparsedProxyFrame    = "frame to a proxy"
@@ -19,15 +20,15 @@
 	hungPlanners          = "planners that did not end when told"
 )
 
-// recorder passes what the observers of many connections see to one checker. Observers hold mu while they do so.
+// recorder passes the observations from many connections to one checker. Observers must hold mu while they use the checker.
 type recorder struct {
-	wallOffsetMs float64 // wall time minus monotonic time, both of this process
+	wallOffsetMs float64 // wall time minus monotonic time of this process
 
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards all fields below
 	checker   *invariant.Checker
-	bytesUp   int            // from proxies to planners
-	bytesDown int            // from planners to proxies
-	unparsed  map[string]int // what could not be parsed, by kind
+	bytesUp   int            // bytes on control streams from proxies to planners
+	bytesDown int            // bytes on control streams from planners to proxies
+	unparsed  map[string]int // number of frames and messages that could not be parsed, by kind
 }
 
 // newRecorder returns a recorder without any observations.
@@ -42,7 +43,7 @@
 // monotonicMs converts a wall time, in µs since the Unix epoch, to the monotonic clock of the run.
 func (r *recorder) monotonicMs(unixUs uint64) float64 { return float64(unixUs)/1000 - r.wallOffsetMs }
 
-// countUnparsed counts what could not be parsed. The caller holds the lock.
+// countUnparsed counts a frame or message that could not be parsed. The caller must hold mu.
 func (r *recorder) countUnparsed(kind string) { r.unparsed[kind]++ }
 
 // recordConnection records that a connection to a server was opened.
@@ -59,7 +60,7 @@
 	r.checker.RecordPlannerExit(planner, atMs)
 }
 
-// observations is what was recorded until the end of a run.
+// observations holds what was recorded until the end of a run.
 type observations struct {
 	violations      []invariant.Violation
 	violationCounts map[invariant.Rule]int
@@ -75,7 +76,8 @@
 	unparsed        map[string]int
 }
 
-// finish completes the checks of the run and returns what was recorded. Traffic that is observed later does not change it.
+// finish completes the checks of the run and returns the observations. Traffic that is observed later does not change the
+// returned value.
 func (r *recorder) finish(atMs float64) *observations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -12,47 +12,47 @@
 	"lichenpick/internal/invariant"
 )
 
-// ClassResult is how the requests of one traffic class ended.
+// ClassResult holds the outcomes of the requests of one traffic class.
 type ClassResult struct {
 	Name string
 	fake.Tally
 	Service float64 // priority weight of requests that succeeded in time, as a fraction of that of all requests
 }
 
-// Result is the result of one run of a script. The names in JSON are those of earlier reports, to keep reports comparable.
+// Result is the result of one run of a script. JSON field names are those of earlier reports, so that reports stay comparable.
 type Result struct {
 	Decider         string
-	Service         float64       // as in ClassResult, over all classes
+	Service         float64       // as ClassResult.Service, over all classes
 	Classes         []ClassResult `json:"Groups"`
-	Seconds         []float64     // service of each second that had requests
-	Requests        int           `json:"Asks"`  // from clients to proxies, retries included
-	Attempts        int           `json:"Tries"` // from proxies to servers
-	Messages        int           // from planners to proxies
-	Entries         float64       `json:"Lines"` // weight entries in them
-	OrderMsP50      float64       // from the decision of an order to its acknowledgement, the maximum of all planners
+	Seconds         []float64     // Service of each second in which requests were sent
+	Requests        int           `json:"Asks"`  // number of requests from clients to proxies, retries included
+	Attempts        int           `json:"Tries"` // number of attempts from proxies to servers
+	Messages        int           // number of messages from planners to proxies
+	Entries         float64       `json:"Lines"` // number of weight entries in these messages
+	OrderMsP50      float64       // median time from the decision to the acknowledgement of an order; maximum over all planners
 	OrderMsP99      float64
-	PeakBacklog     float64               `json:"LinesPeak"` // weight entries, as counted by the planners; their maximum
-	Violations      []invariant.Violation `json:"Breaches"`  // at most 20 of each rule
-	ViolationCounts map[string]int        `json:"Broken"`    // by rule
+	PeakBacklog     float64               `json:"LinesPeak"` // peak of queued weight entries; maximum of the planners' counts
+	Violations      []invariant.Violation `json:"Breaches"`  // at most 20 violations of each rule
+	ViolationCounts map[string]int        `json:"Broken"`    // number of violations by rule
 	Closes          map[string]uint64     `json:"Endings"`   // number of streams that ended at planners, by close reason
-	Unparsed        map[string]int        `json:"Unread"`    // what could not be checked, by kind; a run with any has failed
-	ColdOverloads   int                   `json:"Fell"`      // crashes of servers that were sent too much work while warming up
+	Unparsed        map[string]int        `json:"Unread"`    // number of unchecked items by kind; any item fails the run
+	ColdOverloads   int                   `json:"Fell"`      // number of warming servers that crashed from too much work
 	Servers         int
 	Proxies         int
 
-	// The next fields are for shared fleets. A takeover is any lease of a proxy after its first one. The times without a
-	// leader are in ms, from the last frame of the previous leader to the next lease.
+	// The seven fields below are for shared fleets. A takeover is any grant of a proxy's lease after the first grant. The times
+	// without a leader are in ms, from the last frame of the previous leader to the next grant.
 	Takeovers        int
 	WithoutLeaderP50 float64        `json:"BareP50"`
 	WithoutLeaderP99 float64        `json:"BareP99"`
 	WithoutLeaderMax float64        `json:"BareMost"`
-	Rejected         int            `json:"Refused"`  // messages that proxies rejected because of a past epoch
-	LeasesByPlanner  map[string]int `json:"Holders"`  // leases held at the end
-	ResentEntries    int            `json:"Reissued"` // weight entries of whole tables that later leaders sent again
+	Rejected         int            `json:"Refused"`  // number of messages that proxies rejected because of a past epoch
+	LeasesByPlanner  map[string]int `json:"Holders"`  // number of leases held at the end of the run
+	ResentEntries    int            `json:"Reissued"` // number of weight entries in whole tables that later leaders sent again
 
 	CPUMs     float64 // CPU time of planners that ran as processes
-	BytesUp   int     `json:"UpBytes"`   // on control streams, from proxies to planners
-	BytesDown int     `json:"DownBytes"` // from planners to proxies
+	BytesUp   int     `json:"UpBytes"`   // bytes on control streams from proxies to planners
+	BytesDown int     `json:"DownBytes"` // bytes on control streams from planners to proxies
 }
 
 // leaseCount returns the number of proxies that had a leader at the end.
@@ -67,16 +67,16 @@
 // Report is the result of all runs of a script.
 type Report struct {
 	Script  string
-	Runs    []Result `json:"Days"` // the policy's first, then those for comparison
+	Runs    []Result `json:"Days"` // the policy's run first, then the runs for comparison
 	Machine string
 }
 
-// Passed reports whether all invariants held in the policy's run, and everything in it could be checked.
+// Passed reports whether, in the policy's run, all invariants held and everything could be checked.
 func (r *Report) Passed() bool {
 	return len(r.Runs) > 0 && len(r.Runs[0].ViolationCounts) == 0 && len(r.Runs[0].Unparsed) == 0
 }
 
-// Print writes the report as text for human readers. The report must have a run.
+// Print writes the report as text for human readers. The report must contain at least one run.
 func (r *Report) Print(w io.Writer) error {
 	first := &r.Runs[0]
 	if _, err := fmt.Fprintf(w, "scenario %s: %d proxies, %d fake servers on loopback\n", r.Script, first.Proxies, first.Servers); err != nil {
@@ -107,7 +107,7 @@
 	return table.Flush()
 }
 
-// formatLine appends the run's line of the table, with tabs between its cells.
+// formatLine appends the run's line of the table to text, with tabs between the cells.
 func (r *Result) formatLine(text *strings.Builder) {
 	fmt.Fprintf(text, "%s\t%.3f", r.Decider, r.Service)
 	late := 0
@@ -127,7 +127,7 @@
 		late, rejected, failed, r.Messages, r.Entries, r.OrderMsP50, r.OrderMsP99, r.ColdOverloads, invariants)
 }
 
-// notes returns what the table does not show of a run: takeovers, violations and what could not be checked.
+// notes returns the details of a run that the table does not show: takeovers, violations and what could not be checked.
 func (r *Result) notes() string {
 	var text strings.Builder
 	if r.Takeovers > 0 {
@@ -145,7 +145,7 @@
 	return text.String()
 }
 
-// Write writes the report as JSON to a file, which it replaces.
+// Write writes the report as JSON to a file. It replaces an existing file.
 func (r *Report) Write(path string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
--- a/internal/scenario/serverfaults.go
+++ b/internal/scenario/serverfaults.go
@@ -15,7 +15,7 @@
 const (
 	// slowSteps is the number of steps in which a gradual slowdown grows.
 	slowSteps = 10
-	// firstUnknownPort is the port of the first of the nonexistent endpoints in a wrong list.
+	// firstUnknownPort is the port of the first nonexistent endpoint in a wrong endpoint list.
 	firstUnknownPort = 9000
 )
 
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// injectHang makes servers receive requests without answering them, all the time or in every other period.
+// injectHang makes servers receive requests without answering them, either for the whole duration of the fault or in every
+// other period.
 func (f *fleet) injectHang(ctx context.Context, hang *script.Hang, lasts time.Duration) error {
 	servers := f.reserveServers(int(hang.GetServers()), nil)
 	defer f.releaseServers(servers)
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// injectSlow slows servers down, at once or gradually.
+// injectSlow slows servers down for a duration, either abruptly or gradually.
 func (f *fleet) injectSlow(ctx context.Context, slow *script.Slow, lasts time.Duration) error {
 	servers := f.reserveServers(int(slow.GetServers()), nil)
 	defer f.releaseServers(servers)
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// injectFailing makes servers answer with errors, reset connections or refuse requests.
+// injectFailing makes servers answer with errors, reset connections or refuse requests for a duration.
 func (f *fleet) injectFailing(ctx context.Context, failing *script.Failing, lasts time.Duration) error {
 	servers := f.reserveServers(int(failing.GetServers()), nil)
 	defer f.releaseServers(servers)
@@ -87,8 +88,8 @@
 	return f.crashServers(ctx, servers, true, lasts)
 }
 
-// crashServers crashes reserved servers, and restarts them cold at their addresses after a duration. If listed, the endpoint
-// list shows them as removed meanwhile.
+// crashServers crashes reserved servers, and restarts them cold at the same addresses after a duration. If listed is true, the
+// endpoint list shows the servers as removed until they restart.
 func (f *fleet) crashServers(ctx context.Context, servers []*serverInstance, listed bool, lasts time.Duration) error {
 	for _, crashed := range servers {
 		crashed.stop()
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// injectDeploy replaces servers one by one over a duration: each drains and is removed, and a cold one is started in its
-// place.
+// injectDeploy replaces servers one by one over a duration: each server drains and is then removed, and a cold server is started
+// as its replacement.
 func (f *fleet) injectDeploy(ctx context.Context, deploy *script.Deploy, lasts time.Duration) error {
 	replaced := f.reserveServers(int(deploy.GetServers()), nil)
 	var started []*serverInstance
@@ -123,7 +124,7 @@
 			return err
 		}
 		f.mu.Lock()
-		next.reserved = true // until the deploy is over
+		next.reserved = true // reserved for this fault until the deploy ends
 		f.mu.Unlock()
 		started = append(started, next)
 		f.group.Go(func() error {
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// removeDrained stops a draining server after the time that its drain takes.
+// removeDrained stops a draining server after the duration of the drain.
 func (f *fleet) removeDrained(ctx context.Context, old *serverInstance, drain time.Duration) {
 	f.waitFor(ctx, drain)
 	old.stop()
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -17,11 +17,11 @@
 	*fake.Server
 	zone     int
 	settings *pb.Server
-	capacity float64 // as stated in the endpoint list
+	capacity float64 // capacity as stated in the endpoint list
 	relay    *fake.Relay
-	address  string // of the relay, as stated in the endpoint list
+	address  string // address of the relay, as stated in the endpoint list
 	fault    fake.Fault
-	reserved bool // for a fault; guarded by the fleet's mu
+	reserved bool // a fault has reserved this server; guarded by fleet.mu
 }
 
 // startServers starts the servers of the script, all of them warm.
@@ -108,7 +108,7 @@
 	f.registry.SetEndpoint(server.address, zoneName, state, server.capacity, startedUnixMs)
 }
 
-// warmingCapacity returns the capacity of a server that is warming up, in ms of work per ms, and 0 for any other.
+// warmingCapacity returns the capacity of a server that is warming up, in ms of work per ms, and 0 for any other server.
 func (f *fleet) warmingCapacity(address string, atMs float64) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -132,7 +132,7 @@
 	s.Crash()
 }
 
-// restart starts a stopped server again, cold, at its address.
+// restart starts a stopped server again, cold and at the same address.
 func (s *serverInstance) restart(ctx context.Context) error {
 	_, err := s.Start(ctx, true)
 	if err != nil {
@@ -163,7 +163,7 @@
 	return drawn
 }
 
-// releaseServers ends the faults of reserved servers and their reservation.
+// releaseServers ends the faults and the reservation of reserved servers.
 func (f *fleet) releaseServers(servers []*serverInstance) {
 	changeFaults(servers, func(fault *fake.Fault) { *fault = fake.Fault{} })
 	f.mu.Lock()
--- a/internal/scenario/shared_fleet_test.go
+++ b/internal/scenario/shared_fleet_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// sharedFaults is a script with a fleet shared by three planners: one is paused for longer than a lease lasts, one is killed
-// while it sends, and the streams of one with a zone are cut.
+// sharedFaults is a script with a fleet shared by three planners: one planner is paused for longer than a lease lasts, one is
+// killed while it sends, and one loses its streams to the proxies of a zone.
 const sharedFaults = `controllers: 3 sharing: true length: "9s"
 	troubles { at: "1500ms" lasts: "3s" controller_pause { controller: 0 } }
 	troubles { at: "2s" lasts: "4s" deploy { servers: 2 drain: "7s" } }
 	troubles { at: "4s" lasts: "2s" planner_restart { controller: 1 kill: true after_bytes: 30 } }
 	troubles { at: "6s" lasts: "2s" controller_cut { controller: 2 zone: "a" } }`
 
-// sharedStalls is a script that holds back what two planners send for longer than their leases last, while a deploy makes them
-// decide. It guards against proxies that apply orders of a past leader. Its drains take 20 s, so the drain grace is as long.
-// The stalls begin at 4 s, when each planner holds its quota of leases.
+// sharedStalls is a script that holds back what two planners send for longer than their leases last, while a deploy causes
+// decisions. It guards against proxies that apply orders of a past leader. The drains of the deploy take 20 s, so the drain
+// grace is 20 s too. The stalls begin at 4 s, when each planner holds its quota of leases.
 const sharedStalls = `controllers: 3 sharing: true length: "9s" limits { drain_grace: "20s" warm_up: "5s" fall_window: "1s" }
 	places { name: "c" proxies: 4 servers: 4 }
 	troubles { at: "3500ms" lasts: "3s" deploy { servers: 8 drain: "20s" } }
@@ -58,7 +58,7 @@
 	})
 }
 
-// checkTakenOver checks that invariants held, proxies were taken over and requests still succeeded.
+// checkTakenOver checks that all invariants held, that takeovers occurred, and that requests still succeeded.
 func checkTakenOver(t *testing.T, result *Result) {
 	t.Helper()
 	if len(result.ViolationCounts) > 0 || result.Takeovers == 0 || result.Service < 0.7 {
@@ -71,7 +71,7 @@
 	t.Helper()
 	for name, test := range map[string]struct {
 		fields               string
-		plannerWithoutLeases string // planner that must hold no lease at the end; empty: none
+		plannerWithoutLeases string // planner that must hold no lease at the end of the run; empty: no such planner
 	}{
 		"a fourth planner joins under load": {fields: `controllers: 4 length: "10s" traffic { rate: "160/s" }
 			troubles { at: "0s" lasts: "3s" planner_restart { controller: 3 kill: true } }`},
--- a/internal/scenario/streamobserver.go
+++ b/internal/scenario/streamobserver.go
@@ -8,19 +8,20 @@
 	"lichenpick/proto/order"
 )
 
-// maxObservedFrameBytes bounds the frames that observers parse. Neither end of a stream has a larger limit.
+// maxObservedFrameBytes is the maximum size of the frames that observers parse. It is not smaller than the limits of proxies
+// and planners.
 const maxObservedFrameBytes = 32 << 20
 
-// streamObserver parses a control stream, which a proxy has opened to a planner.
+// streamObserver parses a control stream that a proxy has opened to a planner.
 type streamObserver struct {
 	recorder  *recorder
 	planner   string
-	proxy     string // its name, from its join; empty: not received yet
+	proxy     string // name of the proxy, from its join; empty: no join received yet
 	toPlanner *controlstream.Decoder
 	toProxy   *controlstream.Decoder
 
-	receivedBytes  int // from the planner
-	deliveredBytes int // of these, those that reached the proxy
+	receivedBytes  int // number of bytes received from the planner
+	deliveredBytes int // number of these bytes that have reached the proxy
 	undelivered    []undeliveredMessage
 
 	corrupt bool // a frame could not be parsed
@@ -31,7 +32,7 @@
 
 // undeliveredMessage is a message of a planner that has not completely reached the proxy. Either welcome or orders is nil.
 type undeliveredMessage struct {
-	endBytes int // offset in the stream after its last byte
+	endBytes int // offset in the stream after the last byte of the message
 	welcome  *order.Welcome
 	orders   *order.Orders
 }
@@ -85,7 +86,7 @@
 	}
 }
 
-// FromTarget parses bytes that came from the planner. Their effect on the proxy is recorded when they reach it.
+// FromTarget parses bytes that came from the planner. Delivered records the messages when they reach the proxy.
 func (o *streamObserver) FromTarget(atMs float64, data []byte) {
 	o.recorder.mu.Lock()
 	defer o.recorder.mu.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// recordPlannerFrame records a frame that a planner sent; endBytes is the offset in the stream after it.
+// recordPlannerFrame records a frame that a planner sent; endBytes is the offset in the stream after the frame.
 func (o *streamObserver) recordPlannerFrame(atMs float64, frame controlstream.Frame, endBytes int) {
 	switch frame.Kind {
 	case controlstream.FrameWelcome:
@@ -159,7 +160,7 @@
 	}
 }
 
-// endpointObserver parses the stream of the endpoint list, which a planner has opened to the registry.
+// endpointObserver parses a stream that a planner has opened to the registry to receive the endpoint list.
 type endpointObserver struct {
 	recorder *recorder
 	planner  string
--- a/internal/scenario/summary.go
+++ b/internal/scenario/summary.go
@@ -61,10 +61,11 @@
 	}
 }
 
-// serviceOf returns the priority weight of requests that succeeded in time, as a fraction of that of all requests.
+// serviceOf returns the priority weight of requests that succeeded in time, as a fraction of the priority weight of all requests.
 func serviceOf(tally fake.Tally) float64 { return tally.Value / max(tally.MaxValue, 1e-9) }
 
-// addPlannerStatuses adds the statuses of the planners: the maximum of latencies and backlogs, and the sum of closes.
+// addPlannerStatuses adds the statuses of the planners: the maximum of their latencies and backlogs, and the sum of their closed
+// streams by close reason.
 func (f *fleet) addPlannerStatuses(result *Result) {
 	for _, status := range f.plannerStatuses {
 		result.OrderMsP50 = max(result.OrderMsP50, status.OrderMsP50)
@@ -76,7 +77,7 @@
 	}
 }
 
-// addTakeovers adds the takeovers, and how long the proxies were without a leader.
+// addTakeovers adds the number of takeovers, and the times that proxies were without a leader.
 func (r *Result) addTakeovers(grants []invariant.Takeover) {
 	granted := map[string]bool{}
 	var withoutLeaderMs []float64
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -18,8 +18,8 @@
 	return nil
 }
 
-// fieldCheck returns the check option of a field in the .proto file. It is nil, whose getters return zero values, if the field
-// has none.
+// fieldCheck returns the check option of a field in the .proto file. If the field has no such option, it returns nil; the
+// getters of a nil option return zero values.
 func fieldCheck(field protoreflect.FieldDescriptor) *options.Check {
 	check, _ := proto.GetExtension(field.Options(), options.E_Check).(*options.Check)
 	return check
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// checkEntry checks an entry of a repeated field. An empty string in a list of prefixes is rejected, whereas an empty singular
-// field counts as omitted: the planner parses every entry of the list as a prefix.
+// checkEntry checks an entry of a repeated field. An empty string counts as omitted in a singular field, but is rejected in a
+// list of prefixes, as the planner parses every entry of the list as a prefix.
 func checkEntry(entry protoreflect.Value, field protoreflect.FieldDescriptor, at path) *problem {
 	if field.Message() != nil {
 		return checkMessage(entry.Message(), at)
@@ -67,8 +67,8 @@
 	return checkValue(entry, field, check, at)
 }
 
-// checkSubmessage checks a field that holds a message. An omitted message is created with its defaults, except where its
-// absence has a meaning: it is an alternative of a oneof that was not chosen, or it has required fields.
+// checkSubmessage checks a field that holds a message. It creates an omitted message with defaults, unless the absence of the
+// message has a meaning: the message is an alternative of a oneof that was not chosen, or it has required fields.
 func checkSubmessage(message protoreflect.Message, field protoreflect.FieldDescriptor, at path) *problem {
 	if !message.Has(field) {
 		if fieldCheck(field).GetRequired() {
--- a/internal/settings/crossfield.go
+++ b/internal/settings/crossfield.go
@@ -9,7 +9,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// minMessagesQueued is the minimum number of messages without entries that must fit into a planner's send queue.
+// minMessagesQueued is the number of messages without entries for which a planner's send queue must have room.
 const minMessagesQueued = 4
 
 // checkAcrossFields checks the relations between fields. Every field must have passed its own check, with defaults set.
@@ -62,7 +62,7 @@
 }
 
 // checkEndpointList checks that no server is listed twice, and that no server's start time is later than the time of the list.
-// A server's age is the difference of the two.
+// A server's age is the time from its start time to the time of the list.
 func checkEndpointList(list *pb.List) *problem {
 	seen := map[string]bool{}
 	for index, endpoint := range list.Servers {
@@ -108,7 +108,7 @@
 		}
 		names[zone.Name] = true
 		for prefixIndex, text := range zone.Prefixes {
-			prefix := netip.MustParsePrefix(text).Masked() // cannot panic: checkEntry parsed it
+			prefix := netip.MustParsePrefix(text).Masked() // cannot panic: checkEntry has parsed the text already
 			if other, used := zoneByPrefix[prefix]; used {
 				return newProblem(at.entry("prefixes", prefixIndex), "is %s, which zone %q already has", text, other)
 			}
--- a/internal/settings/crossfield_script.go
+++ b/internal/settings/crossfield_script.go
@@ -41,7 +41,7 @@
 	}
 	total := 0.0
 	for index, share := range shares {
-		if !(share >= 0 && share <= maxShare) { // negated, so that NaN is rejected too
+		if !(share >= 0 && share <= maxShare) { // the negated condition also rejects NaN
 			return newProblem(fieldPath("traffic").entry("shares", index), "is %g, out of range; from 0 to 1e+06", share)
 		}
 		total += share
@@ -73,8 +73,8 @@
 	return names, nil
 }
 
-// checkFault checks that a fault of a scenario names its kind, affects a zone of the fleet if any, and begins before the
-// scenario ends.
+// checkFault checks that a fault of a scenario has a kind, that the zone it names, if any, is a zone of the fleet, and that the
+// fault begins before the scenario ends.
 func checkFault(fault *script.Trouble, zones map[string]bool, length string, at path) *problem {
 	if fault.What == nil {
 		return newProblem(at, "names no kind of fault")
@@ -88,7 +88,8 @@
 	return nil
 }
 
-// zoneOf returns the field and the zone's name of a fault that affects one required zone, and empty strings for other faults.
+// zoneOf returns the name of the field with the zone, and the name of the zone, for a fault that requires a zone. It returns
+// empty strings for other faults.
 func zoneOf(fault *script.Trouble) (field, zone string) {
 	switch what := fault.What.(type) {
 	case *script.Trouble_ZoneCut:
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -12,7 +12,7 @@
 // setDefault sets an omitted field to the default of its check option.
 func setDefault(message protoreflect.Message, field protoreflect.FieldDescriptor, check *options.Check, at path) *problem {
 	value, err := defaultValue(field, check.GetOtherwise())
-	if err != nil { // a mistake in the .proto file, not in the settings file
+	if err != nil { // the default in the .proto file is wrong, not the settings file
 		return newProblem(at, "has an invalid default: %v", err)
 	}
 	message.Set(field, value)
--- a/internal/settings/error.go
+++ b/internal/settings/error.go
@@ -10,14 +10,14 @@
 // Error describes the first problem found in a settings file.
 type Error struct {
 	File   string
-	Line   int    // starts at 1; 0: the problem concerns the whole file
-	Column int    // in bytes, starts at 1; 0 where Line is 0
-	Field  string // path such as groups[1].expiry; may be empty
+	Line   int    // line number, starts at 1; 0: the problem concerns the whole file
+	Column int    // column in bytes, starts at 1; 0 if Line is 0
+	Field  string // path of the field, such as groups[1].expiry; may be empty
 
 	Problem string // what is wrong and, where it helps, which values are allowed
 }
 
-// Error returns file:line:column, the field and the problem, in one line.
+// Error returns file:line:column, the field and the problem as one line of text.
 func (e *Error) Error() string {
 	position := e.File
 	if e.Line > 0 {
@@ -35,9 +35,9 @@
 	unknownFieldError = regexp.MustCompile(`^unknown field: (.*)$`)
 )
 
-// syntaxError converts the protobuf library's decoding error to an Error, with the position that its text states.
+// syntaxError converts the protobuf library's decoding error to an Error. It takes the position from the text of that error.
 func syntaxError(name string, text []byte, err error) *Error {
-	// The library uses either kind of space at random, so that nobody relies on its texts.
+	// The library randomly uses normal or non-breaking spaces, so that nobody relies on its error texts.
 	problem := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 	problem = strings.ReplaceAll(problem, "\n", " ")
 	match := positionedError.FindStringSubmatch(problem)
@@ -46,7 +46,7 @@
 	}
 	found := &Error{File: name, Problem: match[3]}
 	found.Line, _ = strconv.Atoi(match[1])   // cannot fail: the pattern matches digits only
-	found.Column, _ = strconv.Atoi(match[2]) // cannot fail, for the same reason
+	found.Column, _ = strconv.Atoi(match[2]) // cannot fail: the pattern matches digits only
 	if field := unknownFieldError.FindStringSubmatch(found.Problem); field != nil {
 		found.Field = field[1]
 		found.Problem = "unknown field"
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -17,9 +17,9 @@
 	pb "lichenpick/proto/settings"
 )
 
-// fileKinds has the constructor of the message of each kind of settings file. The files of a kind are in the directory of that
-// name below testdata, as they were on 2026-12-02. They stand for the files of operators, which must keep their meaning when
-// names in the code change.
+// fileKinds maps the name of each kind of settings file to a function that returns an empty message of this kind. The directory
+// of that name below testdata has the files of the kind as of 2026-12-02. They represent the operators' files, which must keep
+// their meaning when names in the code change.
 var fileKinds = map[string]func() proto.Message{
 	"planner": func() proto.Message { return &pb.Planner{} },
 	"proxy":   func() proto.Message { return &pb.Proxy{} },
@@ -87,7 +87,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			message := newMessage() // decoded without the defaults that Load sets
+			message := newMessage() // decoding without Load, so that no defaults are set
 			if err := prototext.Unmarshal(text, message); err != nil {
 				t.Fatalf("%s: %v", path, err)
 			}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -30,7 +30,7 @@
 	return Parse(path, text, into)
 }
 
-// fileError converts an error of reading a file to an Error. It drops the path from the cause, as the Error has it already.
+// fileError converts an error of reading a file to an Error. It drops the path from the cause, as the Error contains the path.
 func fileError(path string, err error) *Error {
 	var pathError *os.PathError
 	if errors.As(err, &pathError) {
@@ -39,7 +39,7 @@
 	return &Error{File: path, Problem: err.Error()}
 }
 
-// Parse does what Load does, for a text instead of a file. Errors state the name as their file.
+// Parse works like Load, but reads a text instead of a file. Errors state name as their file.
 func Parse(name string, text []byte, into proto.Message) error {
 	if err := prototext.Unmarshal(text, into); err != nil {
 		return syntaxError(name, text, err)
@@ -54,8 +54,8 @@
 	return newSource(name, text).locate(found)
 }
 
-// variableSpace matches the spaces after a field's name. The protobuf library varies their number at random, so that nobody
-// relies on its output.
+// variableSpace matches a field's name and the spaces after it. The protobuf library varies the number of spaces at random, so
+// that nobody relies on the exact output.
 var variableSpace = regexp.MustCompile(`(?m)^( *[a-z_0-9]+:) +`)
 
 // Format returns a message as text, including the defaults that were set. Parse reads the text back to an equal message. Equal
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -15,11 +15,11 @@
 	index int
 }
 
-// path is the sequence of steps from a file's message to a field; nil is the message itself. Methods return a new path and do
-// not modify their receiver.
+// path is the sequence of steps from the top-level message of a file to a field; a nil path denotes the top-level message.
+// Methods that extend a path return a new path and do not modify their receiver.
 type path []step
 
-// fieldPath returns the path of a field from the file's message, through singular submessages.
+// fieldPath returns the path from the top-level message of a file to a field, through singular submessages.
 func fieldPath(names ...string) path {
 	var result path
 	for _, name := range names {
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -11,8 +11,8 @@
 	return count
 }
 
-// ClassShares returns the share of each traffic class in the requests of a checked scenario. The shares add up to 1. They are
-// equal if the scenario states none.
+// ClassShares returns the share of each traffic class in the requests of a checked scenario. The shares add up to 1. If the
+// scenario states no shares, all are equal.
 func ClassShares(scenario *script.Script) []float64 {
 	configured := scenario.Traffic.Shares
 	shares := make([]float64, len(scenario.Groups))
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestRetryMode checks that every retry mode of the settings converts to the right one of the policy.
+// TestRetryMode checks that every retry mode of the settings converts to the right retry mode of the policy.
 func TestRetryMode(t *testing.T) {
 	want := map[pb.Retry]int{
 		pb.Retry_AFTER_PROOF: policy.RetryUnprocessed,
--- a/internal/settings/source.go
+++ b/internal/settings/source.go
@@ -14,15 +14,15 @@
 	nodes []*ast.Node
 }
 
-// newSource parses a text that the protobuf library has decoded already. If the parser of the syntax tree fails on it all the
-// same, problems are located at the start of the file.
+// newSource parses a text that the protobuf library has decoded already. If the parser of the syntax tree nevertheless fails,
+// problems are located at the start of the file.
 func newSource(name string, text []byte) *source {
 	nodes, _ := parser.Parse(text)
 	return &source{name: name, text: text, nodes: nodes}
 }
 
-// locate adds the position to a problem: that of the deepest element of the path that the file has. For an omitted field this
-// is the message around it, or the start of the file.
+// locate adds a position to a problem: the position of the deepest element of the problem's path that the file contains. For an
+// omitted field, this element is the enclosing message; if the file omits that too, the position is the start of the file.
 func (s *source) locate(found *problem) *Error {
 	located := &Error{File: s.name, Line: 1, Column: 1, Field: found.at.String(), Problem: found.text}
 	nodes := s.nodes
@@ -37,8 +37,8 @@
 	return located
 }
 
-// findNode returns the node of a step among the fields of a message, and nil if there is none. A repeated field may be written
-// as one node per entry, as a list of messages or as a list of values.
+// findNode returns the node of a step among the nodes of a message's fields, or nil if no node matches. A repeated field may be
+// written as one node per entry, as a list of messages or as a list of values.
 func findNode(nodes []*ast.Node, target step) *ast.Node {
 	index := 0
 	for _, node := range nodes {
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// entriesOf returns one node for each entry that a field's node contains. The entries of a list of values share the field's
-// node.
+// entriesOf returns one node for each entry in the node of a repeated field. The entries of a list of values have no nodes of
+// their own; all share the field's node.
 func entriesOf(node *ast.Node) []*ast.Node {
 	switch {
 	case node.ChildrenAsList:
--- a/internal/settings/units.go
+++ b/internal/settings/units.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Errors of parsing a text with a unit. They are not returned to callers of this package, which get a problem that states the
+// Errors of parsing a text with a unit. Callers of this package do not receive these errors, but an *Error that states the
 // expected form.
 var (
 	errNoUnit      = errors.New("missing unit")
@@ -42,10 +42,10 @@
 	return float64(duration) / float64(time.Millisecond), err
 }
 
-// secondsByRateUnit has the length in seconds of each unit that may follow the slash of a rate.
+// secondsByRateUnit maps each unit that may follow the slash of a rate to its length in seconds.
 var secondsByRateUnit = map[string]float64{"s": 1, "m": 60, "h": 3600}
 
-// parsePerSecond parses a rate such as "90/m" and returns it per second.
+// parsePerSecond parses a rate such as "90/m" and returns the rate per second.
 func parsePerSecond(text string) (float64, error) {
 	number, unit, hasUnit := strings.Cut(text, "/")
 	seconds := secondsByRateUnit[unit]
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -14,7 +14,7 @@
 // maxTextBytes is the maximum length of a string for which the .proto file states no limit.
 const maxTextBytes = 1024
 
-// checkValue checks one value: that of a singular field, or an entry of a repeated field.
+// checkValue checks one value: the value of a singular field, or an entry of a repeated field.
 func checkValue(value protoreflect.Value, field protoreflect.FieldDescriptor, check *options.Check, at path) *problem {
 	switch field.Kind() {
 	case protoreflect.StringKind:
@@ -34,7 +34,7 @@
 // checkText checks a string by its kind. An empty string counts as omitted.
 func checkText(text string, check *options.Check, at path) *problem {
 	most := maxTextBytes
-	if check.GetMost() > 0 && check.GetKind() == options.Kind_PLAIN { // for other kinds, it limits the number of entries
+	if check.GetMost() > 0 && check.GetKind() == options.Kind_PLAIN { // for other kinds, GetMost limits the number of entries
 		most = int(check.GetMost())
 	}
 	if len(text) > most {
@@ -85,8 +85,8 @@
 	return checkRange(perSecond, strconv.Quote(text), check, at, formatPerSecond)
 }
 
-// checkRange checks a number against its limits, and rejects infinities and NaN. The problem shows valueText, the value as the
-// file has it, and the limits as formatted by format.
+// checkRange checks a number against the limits of its check option, and rejects infinities and NaN. The returned problem shows
+// valueText, which is the value as written in the file, and the limits as formatted by format.
 func checkRange(number float64, valueText string, check *options.Check, at path, format func(float64) string) *problem {
 	outOfRange := math.IsNaN(number) || math.IsInf(number, 0)
 	if check != nil {
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// describeRange returns the allowed range, to be appended to a problem's text. It is empty if there are no limits.
+// describeRange returns a text with the allowed range, to be appended to a problem's text. The returned text is empty if there
+// are no limits.
 func describeRange(check *options.Check, format func(float64) string) string {
 	if check == nil {
 		return ""
--- a/internal/simulator/adapter.go
+++ b/internal/simulator/adapter.go
@@ -15,18 +15,19 @@
 
 // adapter owns the planner instances and processes the batches of input.
 type adapter struct {
-	instances       map[string]*instance // by name
-	actions         actionWriter         // of the current batch
+	instances       map[string]*instance // running instances by name
+	actions         actionWriter         // actions of the current batch
 	diagnostics     io.Writer
-	reportedUnknown map[string]bool // names of unknown messages, once reported
+	reportedUnknown map[string]bool // names of unknown messages that were reported
 }
 
 func newAdapter(diagnostics io.Writer) *adapter {
 	return &adapter{instances: map[string]*instance{}, diagnostics: diagnostics, reportedUnknown: map[string]bool{}}
 }
 
-// Serve reads batches and writes a reply to each, until the input ends; then it returns nil. It returns an error, of one line,
-// for input that it cannot decode. Messages with an unknown name are skipped; each name is reported once on diagnostics.
+// Serve reads batches and writes a reply to each batch, until the input ends; then it returns nil. For input that it cannot
+// decode, it returns an error with a text of one line. It skips messages with an unknown name, and reports each such name once
+// on diagnostics.
 func Serve(input io.Reader, output, diagnostics io.Writer) error {
 	adapter := newAdapter(diagnostics)
 	reader := bufio.NewReaderSize(input, ioBufferBytes)
@@ -61,7 +62,7 @@
 }
 
 // handleBatch delivers the messages of a batch to their instances, in order. Then it pulls the decisions of each instance that
-// received a message, in the order of the first messages.
+// received a message, in the order in which the instances received their first messages.
 func (a *adapter) handleBatch(line []byte) error {
 	a.actions.reset()
 	batch, err := decodeBatch(line)
@@ -81,21 +82,21 @@
 	}
 	for _, target := range pending {
 		target.pending = false
-		if a.instances[target.name] == target { // not killed or replaced later in the batch
+		if a.instances[target.name] == target { // skips instances that were killed or replaced later in the batch
 			target.runRecovered(func() { pullDecisions(target) })
 		}
 	}
 	return nil
 }
 
-// pullDecisions has an instance's policy make all decisions that are due, which the instance writes as actions.
+// pullDecisions makes an instance's policy take all decisions that are due. The instance writes each decision as an action.
 func pullDecisions(target *instance) {
 	for target.policy.Next(target) {
 	}
 }
 
-// handleMessage decodes a message and applies it. It returns the instance that the message was for, or nil if no decisions can
-// follow: the name is unknown, the instance does not run or was killed.
+// handleMessage decodes and applies a message. It returns the instance that the message was for. It returns nil if the message
+// can cause no decisions: the message's name is unknown, or the instance does not run or was killed.
 func (a *adapter) handleMessage(raw []byte, nowMs float64) (*instance, error) {
 	name, instanceName, err := decodeHeader(raw)
 	if err != nil {
@@ -125,8 +126,8 @@
 	return target, nil
 }
 
-// deliver decodes a message and applies it to an instance. The instance is nil if none of that name runs; the message is then
-// only decoded, so that a field of the wrong type is an error in any case.
+// deliver decodes a message and applies it to an instance. The instance is nil if the message names an instance that does not
+// run. In this case the message is only decoded, so that a field of the wrong type is still an error.
 func deliver(target *instance, decode decoder, raw []byte, nowMs float64) error {
 	if target == nil {
 		_, err := decode(raw)
@@ -144,7 +145,7 @@
 	return err
 }
 
-// open starts an instance, and replaces one of the same name.
+// open starts an instance, which replaces an instance of the same name.
 func (a *adapter) open(name string, raw []byte, nowMs float64) (*instance, error) {
 	settings, seed, err := decodeOpen(raw)
 	if err != nil {
@@ -156,11 +157,11 @@
 	return opened, nil
 }
 
-// reportUnknown reports the name of an unknown message once, as a newer simulator may send many such messages.
+// reportUnknown reports each name of an unknown message only once, as a newer simulator may send many messages of that name.
 func (a *adapter) reportUnknown(name string) {
 	if a.reportedUnknown[name] {
 		return
 	}
 	a.reportedUnknown[name] = true
-	_, _ = fmt.Fprintf(a.diagnostics, "adapter: unknown message %q skipped\n", name) // a failure to report does not affect the replies
+	_, _ = fmt.Fprintf(a.diagnostics, "adapter: unknown message %q skipped\n", name) // a failed write does not affect the replies
 }
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -20,7 +20,7 @@
 	Messages []json.RawMessage `json:"msgs"`
 }
 
-// wireHeader has the fields of every message: its name, and the instance that it is for.
+// wireHeader has the fields that every message has: the message's name, and the name of the instance it is for.
 type wireHeader struct {
 	What *string `json:"what"`
 	Who  *string
@@ -56,7 +56,8 @@
 // decoder decodes the messages of one name.
 type decoder func(raw []byte) (policyCall, error)
 
-// decoders has the decoder of each known message, by name. The adapter decodes the messages that it handles itself.
+// decoders maps the name of each known message to its decoder. The adapter itself decodes the messages that start and end
+// instances.
 var decoders = map[string]decoder{
 	messageOpen:  decodeIgnored,
 	messageKill:  decodeIgnored,
@@ -66,7 +67,7 @@
 	"Stats":      decode((*wireLoadReport).apply),
 	"Usage":      decode((*wireDemandReport).apply),
 	"CaughtUp":   decode((*wireAcknowledgement).apply),
-	"Ring":       decodeIgnored, // a timer fired: the adapter sets the time and pulls decisions for any message
+	"Ring":       decodeIgnored, // a timer fired; the adapter pulls decisions after every message, so nothing is decoded
 	// The policy does not use health checks, key ranges and messages between instances.
 	"Health":     decodeIgnored,
 	"Datagram":   decodeIgnored,
@@ -108,8 +109,8 @@
 type wireLoadReport struct {
 	Server  string
 	Hall    int       // zone of the proxies
-	Count   int       // attempts
-	Failed  int       // failed attempts, included in Count
+	Count   int       // number of attempts
+	Failed  int       // number of failed attempts, included in Count
 	TookMs  float64   // mean latency of the attempts that succeeded
 	Metrics []float64 // unused; decoded to check its type
 
@@ -124,8 +125,8 @@
 type wireDemandReport struct {
 	Proxy    int
 	Service  int // traffic class
-	Count    int // requests
-	Failed   int // failed requests, included in Count
+	Count    int // number of requests
+	Failed   int // number of failed requests, included in Count
 	CoversMs float64
 }
 
@@ -133,18 +134,18 @@
 	target.RecordDemandReport(m.Proxy, m.Service, m.Count, m.Failed, m.CoversMs)
 }
 
-// wireAcknowledgement reports that a proxy applied everything up to a request for acknowledgement.
+// wireAcknowledgement reports that a proxy has applied all messages sent before a request for acknowledgement.
 type wireAcknowledgement struct {
 	Proxy  int
-	Number int     // of the request
-	TookMs float64 // since the request
+	Number int     // number of the request for acknowledgement
+	TookMs float64 // time from the request for acknowledgement to the acknowledgement
 }
 
 func (m *wireAcknowledgement) apply(target *policy.Policy) {
 	target.Acknowledge(m.Proxy, m.Number, m.TookMs)
 }
 
-// wireEndpoints is an endpoint list or an update of one. Form tells which.
+// wireEndpoints is an update of the endpoint list. Form states the kind of the update, such as a full list or a change.
 type wireEndpoints struct {
 	Number    int // unused; decoded to check its type
 	Form      string
@@ -154,15 +155,15 @@
 // wireEndpoint is an entry of an endpoint list.
 type wireEndpoint struct {
 	Server       string
-	Hall         int // zone
+	Hall         int // zone of the server
 	Shape        int // unused; decoded to check its type
 	Cluster      int // unused; decoded to check its type
 	Availability string
-	W            float64 // relative capacity
-	BornMs       float64 // time of the last start; 0: long ago
+	W            float64 // relative capacity of the server
+	BornMs       float64 // time of the server's last start; 0: started long ago
 }
 
-// updateKindByName translates the values of the field Form.
+// updateKindByName maps the values of the field Form of wireEndpoints to the policy's constants.
 var updateKindByName = map[string]policy.UpdateKind{
 	"update":      policy.DeltaUpdate,
 	"replace":     policy.FullUpdate,
@@ -170,7 +171,7 @@
 	"unavailable": policy.FailedUpdate,
 }
 
-// endpointStateByName translates the values of the field Availability.
+// endpointStateByName maps the values of the field Availability of wireEndpoint to the policy's constants.
 var endpointStateByName = map[string]policy.State{
 	"SERVING":  policy.Ready,
 	"DRAINING": policy.Draining,
@@ -203,7 +204,7 @@
 	return func(target *policy.Policy) { target.UpdateEndpoints(kind, endpoints) }, nil
 }
 
-// wireOpen starts an instance.
+// wireOpen is the message that starts an instance.
 type wireOpen struct {
 	RandomSeed uint64
 	Info       json.RawMessage // the settings object; see ReadSettings
@@ -219,7 +220,7 @@
 	return settings, int64(message.RandomSeed), err
 }
 
-// decodeError describes a JSON error in one line and without names of Go types.
+// decodeError wraps a JSON error; its text has one line and no names of Go types.
 type decodeError struct{ cause error }
 
 func (e *decodeError) Error() string {
--- a/internal/simulator/encode.go
+++ b/internal/simulator/encode.go
@@ -5,15 +5,15 @@
 	"strconv"
 )
 
-// The start and the end of a reply. The actions, separated by commas, stand between them on one line.
+// The start and the end of a reply. A reply is one line; its actions, separated by commas, are between the start and the end.
 var (
 	replyStart = []byte(`{"output":[`)
 	replyEnd   = []byte("]}\n")
 )
 
-// actionWriter builds the actions of one reply as JSON, without an allocation per action. The methods that are named after
-// decisions append one action of an instance each; the helpers below them append its parts. Fields are written in the order in
-// which the simulator documents them.
+// actionWriter builds the actions of one reply as JSON, without an allocation per action. Each method named after a decision
+// appends one action of an instance; the helper methods below append the parts of an action. Fields are written in the order in
+// which the simulator's documentation lists them.
 type actionWriter struct{ buffer []byte }
 
 // reset starts the next reply.
@@ -106,7 +106,7 @@
 
 func (w *actionWriter) text(name, value string) {
 	w.key(name)
-	quoted, _ := json.Marshal(value) // a string always encodes
+	quoted, _ := json.Marshal(value) // marshalling a string cannot fail
 	w.buffer = append(w.buffer, quoted...)
 }
 
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -13,9 +13,9 @@
 
 const (
 	runMs       = 40_000
-	batchMs     = 250    // interval between batches
-	digestMs    = 2000.0 // interval of one digest line
-	overloadMs  = 8000   // start of the overload, which lasts until half of runMs
+	batchMs     = 250    // time between batches
+	digestMs    = 2000.0 // length of the interval that one digest line covers
+	overloadMs  = 8000   // start of the overload; the overload ends at half of runMs
 	serverCount = 12
 	proxyCount  = 6
 	classCount  = 2
@@ -30,7 +30,7 @@
 	`"Rules":{"AskWithinMs":2000,"ColdShare":0.2,"WarmUpMs":16000,"FallMs":3000,"StopSendingWithinMs":3000}}`
 
 // simulatedFleet generates random messages of every kind that the adapter reads, from a fixed seed. Servers drain, fail and
-// come back.
+// become ready again.
 type simulatedFleet struct {
 	random   *rand.Rand
 	messages []string
@@ -113,7 +113,7 @@
 	}
 }
 
-// generateInput returns all batches, one per line. One planner is killed and opened again, the other is killed for good.
+// generateInput returns all batches, one per line. One planner is killed and opened again; the other is killed and stays killed.
 func generateInput() string {
 	fleet := &simulatedFleet{random: rand.New(rand.NewSource(seed))}
 	var lines strings.Builder
@@ -136,8 +136,8 @@
 	return lines.String()
 }
 
-// TestGoldenAdapter compares the digest of all replies, byte for byte, with the recorded one. It also checks that the input
-// leads to every kind of action, so that the golden file covers them all.
+// TestGoldenAdapter compares the digest of all replies, byte for byte, with the recorded digest. It also checks that the replies
+// contain every kind of action, so that the golden file covers all kinds.
 func TestGoldenAdapter(t *testing.T) {
 	var output, diagnostics bytes.Buffer
 	if err := simulator.Serve(strings.NewReader(generateInput()), &output, &diagnostics); err != nil {
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -10,10 +10,10 @@
 // calls the methods of policy.Host only from within Next.
 type instance struct {
 	name        string
-	policy      *policy.Policy // nil after it panicked; the instance then ignores all messages
+	policy      *policy.Policy // nil after the policy panicked; the instance then ignores all messages
 	actions     *actionWriter  // shared by all instances of the adapter
-	timerNumber uint64         // number of the last timer
-	pending     bool           // it received a message in this batch, so its decisions must be pulled
+	timerNumber uint64         // number of the last timer that was set
+	pending     bool           // the instance received a message in this batch, so its decisions must be pulled
 }
 
 var _ policy.Host = (*instance)(nil)
@@ -32,18 +32,18 @@
 	}
 }
 
-// SetWeight implements policy.Host. It writes a changed weight of a table's entry.
+// SetWeight implements policy.Host. It writes the changed weight of a server in a table.
 func (i *instance) SetWeight(table int, server string, weight float64) {
 	i.actions.setWeight(i.name, table, server, weight)
 }
 
-// AssignTable implements policy.Host. It writes that a proxy must use a table for some traffic classes. Omitted servers do not
-// occur, as the settings do not have OmitsEntries.
+// AssignTable implements policy.Host. It writes that a proxy must use a table for some traffic classes. The list of omitted
+// servers is always empty, as the simulator's settings do not set OmitsEntries.
 func (i *instance) AssignTable(proxy, table int, classes []int, _ []string) {
 	i.actions.assignTable(i.name, proxy, table, classes)
 }
 
-// SetEjected implements policy.Host. It writes that a server is ejected or readmitted, at all proxies.
+// SetEjected implements policy.Host. It writes that all proxies must eject or readmit a server.
 func (i *instance) SetEjected(server string, ejected, _ bool) {
 	i.actions.setEjected(i.name, server, ejected)
 }
@@ -57,7 +57,7 @@
 	i.actions.setAdmission(i.name, table, class, fraction, retry)
 }
 
-// RequestAcknowledgement implements policy.Host. It writes that all proxies must acknowledge what they were sent so far.
+// RequestAcknowledgement implements policy.Host. It writes that all proxies must acknowledge the messages sent to them so far.
 func (i *instance) RequestAcknowledgement(number int) {
 	i.actions.requestAcknowledgement(i.name, number)
 }
@@ -65,7 +65,7 @@
 // WatchEndpoints implements policy.Host. It writes that the instance requests the endpoint list.
 func (i *instance) WatchEndpoints() { i.actions.watchEndpoints(i.name) }
 
-// SetTimer implements policy.Host. It writes that the simulator must send the instance a message after a delay.
+// SetTimer implements policy.Host. It writes that the simulator must send a timer message to the instance after a delay.
 func (i *instance) SetTimer(delayMs float64) {
 	i.timerNumber++
 	i.actions.setTimer(i.name, delayMs, i.timerNumber)
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -10,12 +10,12 @@
 // policy knows by number.
 type Settings struct {
 	Policy               policy.Settings
-	Zones                []string // names, indexed by the policy's zone number
-	Classes              []string // names, indexed by the policy's class number
+	Zones                []string // names of zones, indexed by the policy's zone number
+	Classes              []string // names of traffic classes, indexed by the policy's class number
 	EvaluationIntervalMs float64  // minimum time between two evaluations of the policy
 }
 
-// unlimited is the value of a limit without effect.
+// unlimited is the value of a limit that has no effect.
 const unlimited = 1e12
 
 // Values of the fields Admit and Discovery. With partialAdmission, proxies can admit a fraction of a class's requests. With
@@ -25,14 +25,14 @@
 	watchedDiscovery = "subscribe"
 )
 
-// idempotencyByName translates the values of the field Repeat. Any other value is policy.NonIdempotent.
+// idempotencyByName maps the values of the field Repeat to the policy's constants. Any other value means policy.NonIdempotent.
 var idempotencyByName = map[string]policy.Idempotency{
 	"read_like":       policy.Idempotent,
 	"idempotency_key": policy.Deduplicated,
 }
 
-// wireSettings is the settings object as it is encoded. Its keys are explained in the operators' documentation; policySettings
-// shows what each becomes.
+// wireSettings is the settings object in its encoded form. The operators' documentation explains the keys; policySettings shows
+// to which field of policy.Settings each key is converted.
 type wireSettings struct {
 	Azs        []string
 	Classes    []wireClass
@@ -65,7 +65,7 @@
 	ReloadSpanMs      float64
 	ReportEveryMs     float64
 	TransitMaxMs      float64
-	StaysLocal        []bool // by class; classes beyond its end may use servers of other zones
+	StaysLocal        []bool // by class, true: own zone's servers only; classes beyond the end of the list may use other zones
 }
 
 type wireRules struct {
@@ -76,8 +76,8 @@
 	StopSendingWithinMs float64
 }
 
-// ReadSettings decodes a settings object: from the first message of an instance, or from the configuration of the operators'
-// platform, which has the same form. Unknown keys are ignored.
+// ReadSettings decodes a settings object, which is part of an instance's first message or of the configuration of the operators'
+// platform. Both have the same form. Unknown keys are ignored.
 func ReadSettings(raw []byte) (Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(raw, &wire); err != nil {
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestZeroLimitIsUnlimited checks that a limit of 0, or an omitted one, does not restrict weight tables. When 0 connections
-// and an idle time of 0 ms were taken literally, every table had only the minimum number of entries.
+// TestZeroLimitIsUnlimited checks that a limit of 0 or an omitted limit does not restrict weight tables. When limits of 0
+// connections and of 0 ms idle time were taken literally, every table had only the minimum number of entries.
 func TestZeroLimitIsUnlimited(t *testing.T) {
 	stated := longestTable(t, `,"SmallestConnTable":1000},"Limits":{"ConnIdleMs":60000`)
 	for _, limits := range []string{`},"Limits":{`, `,"SmallestConnTable":0},"Limits":{"ConnIdleMs":0`} {
@@ -18,7 +18,7 @@
 }
 
 // longestTable runs a planner with one proxy and 40 servers, and returns the number of entries of the longest weight table. The
-// text of limits is inserted at the end of FamilyInfo; it closes that object and may begin the object Limits.
+// text limits is inserted at the end of the object FamilyInfo. It must close that object and may begin the object Limits.
 func longestTable(t *testing.T, limits string) int {
 	t.Helper()
 	var servers []string
