--- a/internal/discovery/cache_test.go
+++ b/internal/discovery/cache_test.go
@@ -8,7 +8,7 @@
 	pb "lichenpick/proto/settings"
 )
 
-// TestSaveFailure checks that a failed Save leaves what was at the path unchanged, and no temporary file.
+// TestSaveFailure checks that a failed Save does not replace the directory at its path and leaves no temporary file behind.
 func TestSaveFailure(t *testing.T) {
 	directory := t.TempDir()
 	path := filepath.Join(directory, "list")
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// recordedTracker returns a tracker some time after its servers were listed. The servers are in each state, with and
-// without a known start time.
+// recordedTracker returns a tracker some time after its servers were listed. The servers cover each state, and both
+// known and unknown start times.
 func recordedTracker() *discovery.Tracker {
 	const firstMs, cachedMs = 60_000, 160_000 // when servers were listed and cached, by the planner's clock
 	tracker := discovery.NewTracker(zones, serverLimit)
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -27,7 +27,7 @@
 // Update is one update of the endpoint list from a source.
 type Update struct {
 	Kind      policy.UpdateKind // never policy.RestoredUpdate; see Restored
-	AsOfMs    uint64            // Unix time when the list was valid, by the source's clock; servers' ages are relative to it
+	AsOfMs    uint64            // Unix time when the list was valid, by the source's clock; servers' ages are relative to AsOfMs
 	Version   uint64            // version of the list; increases with each list that the source delivers
 	Endpoints []Endpoint        // all endpoints in a full update, the changed ones in a delta
 	Fault     string            // what went wrong, in a failed update; empty in others
--- a/internal/discovery/tracker.go
+++ b/internal/discovery/tracker.go
@@ -33,8 +33,8 @@
 
 // Host receives a tracker's updates. Tracker.Next calls the host in the goroutine that called Next.
 type Host interface {
-	// UpdateEndpoints reports the endpoints that changed; the first call other than for a failed update reports all
-	// endpoints. Start times are in ms of the planner's clock. A failed update has no endpoints.
+	// UpdateEndpoints reports the endpoints that changed since they were last reported. A failed update has no endpoints;
+	// the first update that is not a failed one has all endpoints. Start times are in ms of the planner's clock.
 	UpdateEndpoints(kind policy.UpdateKind, endpoints []policy.Endpoint)
 }
 
--- a/internal/lease/constants.go
+++ b/internal/lease/constants.go
@@ -1,6 +1,6 @@
 package lease
 
-// Protocol times that hosts use as well.
+// Durations of the lease protocol that other packages use as well.
 const (
 	// DurationMs is how long a lease lasts from its grant, in ms. After a lease holder crashes, its proxies have no
 	// controller for at most this time, plus the round trip of the next lease request.
@@ -10,8 +10,8 @@
 	UnreachableAfterMs = 1200.0
 	// HeartbeatIntervalMs is the longest time between two frames that a controller sends to a proxy, in ms.
 	HeartbeatIntervalMs = 400.0
-	// DrainRetentionMs is how long, in ms, a new lease holder keeps a server draining that the previous holder drained,
-	// while the new holder's own endpoint list does not show the drain yet.
+	// DrainRetentionMs is how long after a takeover, in ms, the new lease holder treats a server as draining that drained
+	// under the previous holder, while the new holder's own endpoint list does not show the drain yet.
 	DrainRetentionMs = 30000.0
 )
 
@@ -27,10 +27,10 @@
 
 // Timing of lease requests.
 const (
-	// renewIntervalMs is the time from one request to the next renewal, in ms. A lease expires at its holder once four
-	// renewals in a row are lost.
+	// renewIntervalMs is the time from one lease request to the next renewal, in ms. The holder considers its lease
+	// expired once four renewals in a row are lost.
 	renewIntervalMs = 400.0
-	// answerTimeoutMs is the time after which an unanswered request is repeated, in ms.
+	// answerTimeoutMs is the time after which an unanswered lease request is repeated, in ms.
 	answerTimeoutMs = 600.0
 	// rankDelayMs is how much longer each controller waits with its lease request than the controller ranked before it, in
 	// ms. The delay is ten times what a request and its answer take.
--- a/internal/lease/decisions.go
+++ b/internal/lease/decisions.go
@@ -35,8 +35,8 @@
 		host.SetAcceptsLeases(m.AcceptsLeases())
 		return true
 	}
-	// After a failed reservation no lease is requested, so nothing else would retry the write and the controller would
-	// never accept leases again.
+	// Retries a failed reservation. After the failure the manager requests no lease, so nothing else would retry the write,
+	// and the controller would never accept leases again.
 	if m.reservationFailed && m.reserveEpochs(m.lastEpoch+1, host) {
 		return true
 	}
@@ -64,8 +64,8 @@
 	return false
 }
 
-// setTimer sets the host's timer to the next time that something is due, and reports whether it set the timer. It leaves
-// the timer alone if that is already set to this time or nothing is due.
+// setTimer sets the host's timer to the earliest time at which a proxy or the retry of a reservation is due, and reports
+// whether it set the timer. It does not set the timer if the timer already has this time, or if nothing will be due.
 func (m *Manager) setTimer(host Host) bool {
 	dueMs := math.Inf(1)
 	if len(m.queue) > 0 {
@@ -138,8 +138,8 @@
 	return true
 }
 
-// reserveEpochs makes the host reserve an epoch and the epochsPerReservation epochs that follow, and reports whether it
-// did. It makes no reservation while one is pending, or before a failed one may be retried.
+// reserveEpochs makes the host reserve an epoch and the epochsPerReservation epochs that follow. It does nothing and
+// returns false while a reservation is pending, or before a failed reservation may be retried.
 func (m *Manager) reserveEpochs(epoch uint64, host Host) bool {
 	if m.reservationPending || m.nowMs < m.reservationRetryMs {
 		return false
--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -13,8 +13,8 @@
 	meanPauseMs  = 2500   // mean duration of a controller's pause
 )
 
-// The fault of a step is chosen by one random number in [0, 1). It is the first fault whose bound is above the number and
-// that is possible for the chosen controller.
+// Upper bounds for choosing a fault by a random number in [0, 1). Each step draws one number, and injects the first fault
+// whose bound is above the number and that is possible for the chosen controller.
 const (
 	pauseBound         = 0.0007
 	killBound          = 0.0010
@@ -106,8 +106,8 @@
 		takeovers += len(w.takeoverGapMs)
 	}
 	t.Logf("%d takeovers", takeovers)
-	// The same faults must cause a violation if proxies do not check epochs. Otherwise the checks above would prove
-	// nothing.
+	// If proxies do not check epochs, the random faults must cause a violation. Otherwise a run without violations would
+	// prove nothing.
 	for seed := range *seeds {
 		if runWithFaults(t, seed, true).violation != "" {
 			return
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -37,7 +37,7 @@
 	name        string
 	incarnation uint64
 	manager     *lease.Manager
-	reserved    uint64 // reserved epoch in the planner's store
+	reserved    uint64 // highest epoch reserved in the planner's store
 	diskFull    bool
 	open        bool
 	resumeMs    float64  // time until which the planner is paused
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -53,8 +53,8 @@
 // SetTime sets the current time, in ms of a monotonic clock. Call it before other input methods and before Next.
 func (m *Manager) SetTime(nowMs float64) { m.nowMs = nowMs }
 
-// AddProxy records that a proxy's stream came up, and the proxy's view. An older stream of the proxy is replaced, and all
-// state kept for it is dropped.
+// AddProxy records that a proxy's stream came up, and the proxy's view. If the proxy had an older stream, the manager drops
+// all state that it kept for the proxy.
 func (m *Manager) AddProxy(proxyName string, view ProxyView) {
 	m.RemoveProxy(proxyName)
 	proxy := newProxyState(proxyName, m.nowMs)
@@ -162,7 +162,7 @@
 	return held, len(m.queue)
 }
 
-// recordView stores a proxy's view, since when the proxy has been free, and how this controller ranks for the proxy.
+// recordView stores a proxy's view, the time since which the proxy has been free, and this controller's rank for the proxy.
 func (m *Manager) recordView(proxy *proxyState, view ProxyView) {
 	if !slices.Equal(view.Reachable, proxy.view.Reachable) {
 		proxy.reachableSinceMs = m.nowMs
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -128,8 +128,9 @@
 	w.checkRules(t)
 }
 
-// The streams of a paused controller stay up, and the proxies here report the paused controller as reachable throughout.
-// The other controllers therefore rank it before themselves for its share of the proxies.
+// The streams of a paused controller stay up, and in this test the proxies report the controller as reachable throughout.
+// For about a third of the proxies the paused controller therefore ranks first. The other controllers must not transfer
+// these proxies to it again and again.
 func testPausedControllerGetsNoTransfers(t *testing.T) {
 	w := newWorld(t, 7, 3, 30)
 	w.run(3000)
--- a/internal/lease/model/transitions.go
+++ b/internal/lease/model/transitions.go
@@ -61,8 +61,8 @@
 	return next, true
 }
 
-// tickLinks advances a controller's clock by one tick: the leases that it holds, and the ages of its requests and their
-// answers.
+// tickLinks advances a controller's clock by one tick: it shortens the leases that the controller holds, and ages the
+// controller's requests and their answers.
 func (e *explorer) tickLinks(next *state, number int) {
 	for proxyNumber := range e.bounds.Proxies {
 		link := &next.links[number][proxyNumber]
@@ -117,7 +117,7 @@
 	e.add(next, current, "%s requests the lease of proxy %d under epoch %d", controllerName(number), proxyNumber, request.epoch)
 }
 
-// newEpoch returns an epoch higher than every one that the controller requested and the proxy granted.
+// newEpoch returns an epoch above both the highest that the controller requested and the highest that the proxy granted.
 func (e *explorer) newEpoch(requested, granted uint8) uint8 {
 	if e.mutation == WithoutIncarnation {
 		return requested + 1
@@ -203,7 +203,7 @@
 	}
 }
 
-// deliverOrder has an order arrive at its proxy, and checks that the proxy does not obey a stale one.
+// deliverOrder delivers an order to its proxy, and checks that the proxy does not obey a stale order.
 func (e *explorer) deliverOrder(current state, number, proxyNumber int) {
 	order := current.links[number][proxyNumber].order
 	if order.epoch == 0 {
@@ -243,7 +243,7 @@
 	return link.order.process != current.controllers[number].process && link.heldEpoch == link.order.epoch
 }
 
-// incarnation returns the incarnation that a message carries for its sender.
+// incarnation returns the incarnation by which a message identifies the process that sent it.
 func (e *explorer) incarnation(sent message) uint64 {
 	if e.mutation == WithoutIncarnation {
 		return 0
--- a/internal/lease/proxystate.go
+++ b/internal/lease/proxystate.go
@@ -65,8 +65,8 @@
 // heldAt reports whether the controller considers itself the holder of the lease at a given time.
 func (p *proxyState) heldAt(nowMs float64) bool { return p.epoch > 0 && nowMs < p.heldUntilMs }
 
-// heldUntilMs returns until when a holder may use a lease of leaseMs that it requested at requestedMs, both by its own
-// clock.
+// heldUntilMs returns the time until which a holder may use a lease of leaseMs that it requested at requestedMs. Both times
+// are by the holder's clock.
 func heldUntilMs(requestedMs, leaseMs float64) float64 {
 	return requestedMs + leaseMs*(1-clockRateBound) - safetyMarginMs
 }
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -39,7 +39,7 @@
 	world         *world
 	name          string
 	incarnation   uint64
-	reservedEpoch uint64 // reserved epoch in the controller's store
+	reservedEpoch uint64 // highest epoch reserved in the controller's store
 	manager       *Manager
 	clockRate     float64
 	clockSkewMs   float64
@@ -294,7 +294,7 @@
 		if controller.dead {
 			continue
 		}
-		controller.manager.SetTime(controller.clockMs()) // a paused controller's clock runs on, so resuming extends no lease
+		controller.manager.SetTime(controller.clockMs()) // clocks of paused controllers run on, so that a pause extends no lease
 		epoch, held := controller.manager.HoldsLease(proxy.name)
 		if !held {
 			continue
--- a/internal/planner/acceptor.go
+++ b/internal/planner/acceptor.go
@@ -22,7 +22,7 @@
 const (
 	acceptRetryMs       = 100.0 // delay after a failed accept; file descriptors may have run out
 	acceptBurstDivisor  = 10    // the burst of accepts is the accept rate per second divided by this
-	laggingJoinFraction = 0.1   // fraction of the accept rate while the core lags, as each join costs sending whole tables
+	laggingJoinFraction = 0.1   // fraction of the accept rate that remains while the core lags, as each join sends whole tables
 	laggingJoinPollMs   = 20.0  // interval of attempts to admit a connection while the core lags
 )
 
--- a/internal/planner/acknowledgements.go
+++ b/internal/planner/acknowledgements.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// acknowledge records the latency of one message, and passes the acknowledgements that the policy requested to the policy.
+// acknowledge records the latency of one message. It passes each acknowledgement that the policy requested with
+// the message to the policy.
 func (c *Core) acknowledge(p *joinedProxy, update sentUpdate, acknowledged []uint32) {
 	tookMs := c.nowMs - update.decidedMs
 	if update.number > 0 {
--- a/internal/planner/coalesce.go
+++ b/internal/planner/coalesce.go
@@ -6,8 +6,8 @@
 	"lichenpick/proto/order"
 )
 
-// maxCoalescedSamples bounds the server samples, and the traffic class samples, of a coalesced report. Tables have far
-// fewer entries.
+// maxCoalescedSamples bounds the server samples, and the traffic class samples, of a coalesced report. A proxy's tables
+// have far fewer entries.
 const maxCoalescedSamples = 4096
 
 // coalescedReports holds the load reports that the core has not taken yet, at most one per connection. A connection's
@@ -50,7 +50,7 @@
 	r.signal()
 }
 
-// signal notifies the core's goroutine that reports wait.
+// signal notifies the core's goroutine that reports wait for the core.
 func (r *coalescedReports) signal() {
 	select {
 	case r.available <- struct{}{}:
@@ -99,7 +99,8 @@
 	return lost
 }
 
-// indexServers builds serverIndex. It is called at the first merge only, because most reports are taken before any merge.
+// indexServers builds serverIndex, which only merge needs. The first merge calls indexServers, because the core takes most
+// reports before a later report is merged into them.
 func (c *coalescedReport) indexServers() {
 	c.serverIndex = map[string]int{}
 	for index, sample := range c.report.Servers {
@@ -107,7 +108,7 @@
 	}
 }
 
-// mergeServer adds a server's sample to the waiting report and reports whether there was room for it.
+// mergeServer adds a server's sample to the waiting report. It returns false if it dropped the sample, as the report is full.
 func (c *coalescedReport) mergeServer(sample *order.ServerSum) bool {
 	index, known := c.serverIndex[sample.Server]
 	if !known {
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -61,8 +61,8 @@
 	RecordLoadReport(server string, zone, count, failed int, latencyMs, coversMs float64)
 	// RecordDemandReport records the requests of a traffic class that a proxy received within coversMs.
 	RecordDemandReport(id, class, count, failed int, coversMs float64)
-	// Acknowledge records that a proxy acknowledged a number, tookMs after the policy decided to request the
-	// acknowledgement.
+	// Acknowledge records that a proxy sent the acknowledgement that the policy requested under a number, tookMs after the
+	// policy decided to request it.
 	Acknowledge(id, number int, tookMs float64)
 	// SetLagging sets whether the planner lags. The policy holds back deferrable decisions while the planner lags.
 	SetLagging(on bool)
--- a/internal/planner/ejections.go
+++ b/internal/planner/ejections.go
@@ -7,8 +7,8 @@
 	"lichenpick/proto/order"
 )
 
-// entriesPerOrder is how many entries each order counts as, except the assignment of a table, which counts by its size. The
-// rate at which messages are sent is limited in entries.
+// entriesPerOrder is how many entries an order counts as towards the limit on entries sent per second. Only the assignment
+// of a table counts by the size of the table instead.
 const entriesPerOrder = 1
 
 // setEjected adds an order that tells a proxy that a server is ejected, or readmitted.
@@ -58,8 +58,8 @@
 	})
 }
 
-// endInheritedDrain ends at most one inherited drain that this planner's endpoint list has not shown in time, or removes
-// one proxy without inherited drains from the list of those that have some. It reports whether it did either.
+// endInheritedDrain ends one inherited drain that this planner's endpoint list has not shown in time, or removes from
+// drainInheritors one proxy that has left or has no inherited drains. It returns false if there was nothing to do.
 func (c *Core) endInheritedDrain() bool {
 	for index, p := range c.leases.drainInheritors {
 		if len(p.inheritedDrainUntilMs) == 0 || !c.proxies.isJoined(p) {
--- a/internal/planner/ejections_test.go
+++ b/internal/planner/ejections_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// endsUseOfServer matches a server's ejection and the removal of its entry.
+// endsUseOfServer matches a server's ejection and the removal of the server's entry from a table.
 func endsUseOfServer(server string) func(*order.Order) bool {
 	return func(o *order.Order) bool {
 		removed := o.GetLine().GetLine().GetServer() == server && o.GetLine().Line.Weight == 0
--- a/internal/planner/endpoints.go
+++ b/internal/planner/endpoints.go
@@ -87,7 +87,8 @@
 		c.endpoints.record(endpoint.Server, endpoint.State, c.nowMs)
 		startedRecently := endpoint.StartedMs > c.nowMs+policyOriginMs-c.warmUpMs
 		if endpoint.State != policy.Ready || startedRecently {
-			// An inherited drain of this server ends: the list now shows the drain, or the server has restarted since.
+			// Ends all inherited drains of this server: either this planner's list now shows that the server is not ready, or
+			// the server has restarted after its drain.
 			for p := range c.proxies.all() {
 				delete(p.inheritedDrainUntilMs, endpoint.Server)
 			}
--- a/internal/planner/eventloop.go
+++ b/internal/planner/eventloop.go
@@ -37,7 +37,7 @@
 	status   *statusPublisher
 	epochs   chan<- uint64 // passes epochs to reserve to the epoch writer; nil: planners do not share the fleet
 
-	timerAtMs float64 // time at which the core asked to be evaluated again
+	timerAtMs float64 // time of the next evaluation that the core asked for
 	savedAtMs float64 // time at which the endpoint list was last saved
 }
 
@@ -91,7 +91,7 @@
 	return in, true
 }
 
-// evaluate passes all that happened to the core and carries out its decisions.
+// evaluate passes the first input, other queued inputs and load reports to the core, and carries out the core's decisions.
 func (l *eventLoop) evaluate(first input) {
 	l.core.SetTime(l.Clock.Monotonic(), l.Clock.WallTime())
 	if first != nil {
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -189,7 +189,7 @@
 	proxy.stream = c.join(proxy, proxy.incarnation)
 }
 
-// join opens a stream under a proxy's name for the process with an incarnation, which may differ from the proxy's.
+// join opens a stream under a proxy's name. The incarnation in the join may differ from that of the proxy's process.
 func (c *simulation) join(proxy *fakeProxy, incarnation uint64) *planner.Stream {
 	address := netip.MustParseAddr([]string{"127.1.0.9", "127.2.0.9"}[proxy.zone])
 	stream := &planner.Stream{Address: address, Transport: proxy}
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -9,7 +9,7 @@
 
 // Burst size and unit of the intake's rate.
 const (
-	intakeBurstsPerSecond = 5 // the rate per second divided by this is the burst: the limit on loads that pass at once
+	intakeBurstsPerSecond = 5 // the burst, the limit on loads that pass at once, is the rate per second divided by this
 	millisPerSecond       = 1000
 )
 
@@ -54,7 +54,7 @@
 
 	current   loadSample // samples of the current period
 	queued    loadSample // samples of earlier periods
-	coversMs  float64    // total length of the periods that queued covers
+	coversMs  float64    // total length of the periods that queued covers, in ms
 	isCurrent bool       // whether the load is in reportIntake.current
 	isQueued  bool       // whether the load is in reportIntake.queue
 	removed   bool       // whether the owner has left
--- a/internal/planner/leases.go
+++ b/internal/planner/leases.go
@@ -12,7 +12,7 @@
 // which proxy. The core carries out these decisions, and keeps the drains that a proxy's previous planner knew of.
 type leaseState struct {
 	manager         *lease.Manager // manages the leases of the proxies; nil: planners do not share the fleet
-	settled         bool           // whether no lease decision is left until the next SetTime
+	settled         bool           // whether no lease decision is left to carry out at the current time
 	drainInheritors []*joinedProxy // proxies with drains that only the proxy's previous planner knew of
 }
 
@@ -153,7 +153,7 @@
 }
 
 // StartCommand makes the policy command a proxy. Messages that other planners sent to the proxy count towards its message
-// window. Drains that only its previous planner knew of stay in force for lease.DrainRetentionMs.
+// window. Drains that only the proxy's previous planner knew of stay in force for lease.DrainRetentionMs.
 func (h leaseHost) StartCommand(proxy string, epoch uint64) {
 	c := h.core
 	p := c.proxies.byName[proxy]
--- a/internal/planner/loadreports_test.go
+++ b/internal/planner/loadreports_test.go
@@ -80,7 +80,7 @@
 	expectLoad(t, intake, second, 3, 2000)
 	intake.add(second, 2, 0, 10)
 	intake.setTime(3000)
-	expectLoad(t, intake, second, 2, 1000) // the load no longer has the samples that were taken before
+	expectLoad(t, intake, second, 2, 1000) // without the samples that the previous expectLoad took
 }
 
 // Loads of a proxy that left must not reach the policy, and must not use up the rate or the queue space of others.
--- a/internal/planner/proxies.go
+++ b/internal/planner/proxies.go
@@ -47,9 +47,9 @@
 	demand          []*pendingLoad // pending demand by traffic class; nil until the proxy's first report
 	commanded       bool           // whether the policy commands the proxy; always true if planners do not share the fleet
 	epoch           uint64         // epoch under which the proxy is commanded; 0 if planners do not share the fleet
-	inheritedDrains []string       // servers that drain or are removed, as the proxy's previous planner knew
-	// inheritedDrainUntilMs maps the servers among inheritedDrains that are ready in this planner's endpoint list, which
-	// may be late, to the time until which they stay ejected.
+	inheritedDrains []string       // servers that drain or are removed according to the proxy's previous planner
+	// inheritedDrainUntilMs contains the servers among inheritedDrains that are ready in this planner's endpoint list, and
+	// the time until which each stays ejected. The list may be late.
 	inheritedDrainUntilMs map[string]float64
 	sentByOthersMs        []float64 // times at which other planners sent the proxy messages, oldest first
 }
--- a/internal/planner/publisher.go
+++ b/internal/planner/publisher.go
@@ -114,7 +114,7 @@
 	return true
 }
 
-// nextDeparture takes one message that is due from the queue and reports whether there was one. It sends the message
+// nextDeparture removes one due message from the send queue and reports whether there was one. It sends the message
 // unless the lease under which it was decided is no longer held.
 func (c *Core) nextDeparture(h Host) bool {
 	departure, ok := c.publisher.queue.Pop(c.nowMs)
--- a/internal/planner/sessions.go
+++ b/internal/planner/sessions.go
@@ -68,7 +68,7 @@
 }
 
 // supersede closes the current stream under a joining proxy's name, if there is one, or returns why the new stream cannot
-// use the name. A newer stream of the same process always replaces the old one, which is broken even if this planner has
+// use the name. A newer stream of the same process always replaces the old stream, which is broken even if this planner has
 // not noticed yet. Another process gets the name only after the current one has been silent for nameReservedMs.
 func (c *Core) supersede(s *Stream, join *order.Join) *controlstream.CloseError {
 	old := c.proxies.byName[join.Proxy]
@@ -123,7 +123,7 @@
 	c.leases.manager.AddProxy(p.name, proxyViewOf(state))
 }
 
-// HandleHeartbeat records that a proxy has sent something.
+// HandleHeartbeat records that a frame from a proxy was received now.
 func (c *Core) HandleHeartbeat(s *Stream) {
 	if s.proxy != nil {
 		s.proxy.lastFrameMs = c.nowMs
--- a/internal/planner/streamreader.go
+++ b/internal/planner/streamreader.go
@@ -20,7 +20,7 @@
 	loop    *eventLoop
 	reports *coalescedReports
 	clock   clock.Clock
-	pending input // input from the last frame that is not submitted to the core yet; nil: none
+	pending input // input from the last frame, until it is submitted to the core; nil: none
 }
 
 var _ controlstream.PlannerHost = (*streamReader)(nil)
@@ -49,7 +49,7 @@
 	return !r.isClosed()
 }
 
-// submitFrames submits all complete frames that were received, and returns false if the planner stops first.
+// submitFrames submits to the core all complete frames that were received. It returns false if the planner stops first.
 func (r *streamReader) submitFrames(ctx context.Context) bool {
 	for r.session.Next(r) {
 		if !r.submitPending(ctx) {
@@ -59,7 +59,7 @@
 	return r.submitPending(ctx)
 }
 
-// submitPending submits the input of the last frame, if there is one, and returns false if the planner stops first.
+// submitPending submits the pending input to the core, if there is one. It returns false if the planner stops first.
 func (r *streamReader) submitPending(ctx context.Context) bool {
 	if r.pending == nil {
 		return true
@@ -86,24 +86,24 @@
 	}
 }
 
-// OnJoin prepares a join for submission.
+// OnJoin makes a join the pending input, which submitPending submits to the core.
 func (r *streamReader) OnJoin(m *order.Join) {
 	r.proxyName = m.Proxy
 	r.pending = func(core *Core) { core.HandleJoin(r.stream, m) }
 }
 
-// OnLoadReport coalesces a report with those that wait. Reports bypass the input queue, because the reports of one proxy
-// could fill the queue.
+// OnLoadReport adds a load report to the coalesced reports, which wait for the core. Load reports bypass the input queue,
+// because the reports of one proxy could fill the queue.
 func (r *streamReader) OnLoadReport(m *order.Sums) {
 	r.reports.add(r.connection, m, r.clock.Monotonic())
 }
 
-// OnLease prepares the proxy's lease state for submission.
+// OnLease makes the proxy's lease state the pending input, which submitPending submits to the core.
 func (r *streamReader) OnLease(m *order.Lease) {
 	r.pending = func(core *Core) { core.HandleLease(r.stream, m) }
 }
 
-// OnAck prepares an acknowledgement for submission.
+// OnAck makes an acknowledgement the pending input, which submitPending submits to the core.
 func (r *streamReader) OnAck(m *order.Applied) {
 	r.pending = func(core *Core) { core.HandleAck(r.stream, m) }
 }
--- a/internal/planner/timers.go
+++ b/internal/planner/timers.go
@@ -10,7 +10,7 @@
 // which the host's single timer is set.
 type timers struct {
 	policyAtMs float64
-	leaseAtMs  float64 // when the lease manager asked to be called; infinite: not asked
+	leaseAtMs  float64 // time of the call that the lease manager asked for; infinite: none
 	setForMs   float64 // time for which the host's timer is set; infinite: not set yet
 }
 
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	epochSize    = 8 // bytes
-	checksumSize = 4 // bytes
+	epochSize    = 8 // size of an encoded epoch, in bytes
+	checksumSize = 4 // size of a CRC-32, in bytes
 )
 
 // writeNewRecords writes the records of a new controller.
