--- a/internal/controlstream/bench_test.go
+++ b/internal/controlstream/bench_test.go
@@ -47,7 +47,7 @@
 }
 
 func benchmarkDecoder(b *testing.B, message proto.Message) {
-	const frames = 256 // number of frames encoded in advance; after the last, a new decoder starts with the first
+	const frames = 256 // number of frames encoded in advance; after the last one, a new decoder reads the first one again
 	var raw []byte
 	ends := []int{0}
 	for index := range frames {
--- a/internal/controlstream/decoder.go
+++ b/internal/controlstream/decoder.go
@@ -51,7 +51,7 @@
 	return frame, ok, nil
 }
 
-// next is Next with the concrete error type.
+// next does what Next does, but returns the error as a *CloseError.
 func (d *Decoder) next() (frame Frame, ok bool, closeErr *CloseError) {
 	if d.closeErr != nil {
 		return Frame{}, false, d.closeErr
--- a/internal/controlstream/golden_test.go
+++ b/internal/controlstream/golden_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// everyOrder returns each kind of order, most of them both with all fields set and with few or none.
+// everyOrder returns orders of each kind. Most kinds occur twice: once with all fields set, and once with few or none.
 func everyOrder() []*order.Order {
 	bind := &order.Bind{
 		Table:     9,
--- a/internal/controlstream/plannersession_test.go
+++ b/internal/controlstream/plannersession_test.go
@@ -19,10 +19,11 @@
 	return changed
 }
 
-// misbehaviour is a case of bytes that a peer sends before it stays silent, and the reason with which the stream must end.
+// misbehaviour is a test case: the bytes that a peer sends before it falls silent, the duration of the silence, and the
+// reason with which the stream must end.
 type misbehaviour struct {
 	sent   []byte
-	waitMs float64 // duration of the silence after the bytes
+	waitMs float64 // duration of the silence after the last byte, in ms
 	want   CloseReason
 }
 
--- a/internal/controlstream/sendqueue.go
+++ b/internal/controlstream/sendqueue.go
@@ -4,8 +4,8 @@
 
 const msPerSecond = 1000
 
-// SendQueueLimits limit what a planner sends to its proxies. They are set in the channel block of the settings. Sizes are in
-// weight entries; orders of other kinds count as a number of entries too.
+// SendQueueLimits limit what a planner sends to its proxies. They are set in the channel block of the settings. The unit
+// of sizes is the weight entry. An order of another kind counts as one entry or more; the caller of Push states how many.
 type SendQueueLimits struct {
 	EntriesPerSecond float64 // rate at which entries are sent; positive
 	MessageOverhead  float64 // entries that each message counts as, in addition to those it contains
@@ -48,7 +48,7 @@
 	limits      SendQueueLimits
 	queue       []Message[T]
 	backlog     float64 // sum of the Entries of the queued messages
-	headStartMs float64 // time in ms at which sending the first message starts: the previous departure or a later Push
+	headStartMs float64 // start of sending the first message, in ms: its Push or, if later, the previous departure
 	peak        float64 // highest backlog, in entries, since the last call of PeakBacklog
 }
 
--- a/internal/fake/deduplicator.go
+++ b/internal/fake/deduplicator.go
@@ -12,8 +12,8 @@
 	seenMs map[string]float64 // time in ms at which each key was seen last
 }
 
-// recordKey records that a key was seen now, and reports whether the key is new, which means that it was not seen in the
-// windowMs before.
+// recordKey records that a key was seen at nowMs, and reports whether the key is new. A key is new if it was not seen within
+// the windowMs before nowMs.
 func (d *Deduplicator) recordKey(key string, nowMs, windowMs float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -12,8 +12,8 @@
 
 // LinkFault is the fault of the connections from one source to a relay's target. The zero value is no fault.
 type LinkFault struct {
-	DelayMs        float64 // delay of all data, in both directions
-	ConnectDelayMs float64 // delay before the relay dials the target for a new connection
+	DelayMs        float64 // delay of all data in both directions, in ms
+	ConnectDelayMs float64 // delay before the relay dials the target for a new connection, in ms
 	Cut            bool    // existing connections break and new ones are reset
 	Stall          bool    // data towards the source is held back, so that in the end the target's writes block
 	CutAfterBytes  int     // with Cut: bytes still delivered to the source before a connection breaks, perhaps within a frame
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// SetTarget sets the target of new connections. Existing ones keep theirs.
+// SetTarget sets the target of new connections. Existing connections keep the target to which they were dialled.
 func (r *Relay) SetTarget(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -41,7 +41,7 @@
 	Succeeded     int
 	Rejected      int // requests answered with a header that says that they were not processed
 	Failed        int // requests processed and then answered with an error or a reset
-	Deduplicated  int // requests in Succeeded that had no effect, because their key was already seen within the window
+	Deduplicated  int // requests in Succeeded that had no effect, because their idempotency key was seen within the window
 	ColdOverloads int // crashes by overload while the server was warming up
 }
 
--- a/internal/fake/stress.go
+++ b/internal/fake/stress.go
@@ -32,7 +32,7 @@
 	Clock             clock.Clock
 	Network           clock.Network
 	Planners          []string // addresses of the planners
-	SharedFleet       bool     // the planners share the fleet; otherwise the proxies are spread over the planners
+	SharedFleet       bool     // whether the planners share the fleet; if not, the proxies are spread over the planners
 	Zones             []string // proxy n is in zone n modulo the number of zones
 	Classes           []*pb.Group
 	Proxies           int
@@ -59,7 +59,7 @@
 	Takeovers     int     // number of times that a proxy's lease passed from one planner to another
 	Messages      int     // number of messages with orders that the proxies applied
 	Orders        int     // number of orders in the messages that Messages counts
-	AllAssignedMs float64 // ms from the start until the last proxy was assigned tables; 0: some proxies never were
+	AllAssignedMs float64 // ms from the start until the last proxy was assigned tables; 0: some proxy was never assigned any
 	MaxMessages   int     // largest number of messages to one proxy within 10 s
 	BytesUp       int     // number of bytes sent to planners on control streams
 	BytesDown     int     // number of bytes received from planners on control streams
--- a/internal/fake/warmup_test.go
+++ b/internal/fake/warmup_test.go
@@ -42,8 +42,8 @@
 	t.Run("a cold server crashes when the work in the window exceeds the multiple of its capacity", func(t *testing.T) {
 		model := NewWarmUp(newServerSettings(t))
 		model.Start(1000, true)
-		// With a cold share of 0.1, the server's two cores do 200 ms of work in the window of 1 s. The server crashes above
-		// twice that, 400 ms.
+		// With a cold share of 0.1, the server's two cores do 200 ms of work in the window of 1 s. The server crashes when
+		// it receives more than twice this work in the window, which is 400 ms.
 		if model.Receive(1000, 390) {
 			t.Error("the server crashed below the limit")
 		}
--- a/internal/load/step.go
+++ b/internal/load/step.go
@@ -49,7 +49,7 @@
 	return &recorder{step: Step{Rate: rate}, latenciesUs: hdrhistogram.New(1, maxLatencyUs, histogramDigits)}
 }
 
-// recordDue records that a request was due, and by how much later, in ms, this process sends the request.
+// recordDue records that a request was due, and how late this process sends the request, in ms.
 func (r *recorder) recordDue(lateMs float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/controlclient.go
+++ b/internal/proxy/controlclient.go
@@ -83,7 +83,7 @@
 type leaseHolder struct {
 	controller     string
 	incarnation    uint64
-	lastReceivedMs float64 // time of the last bytes received from the controller as holder, in ms; 0: no holder yet
+	lastReceivedMs float64 // time in ms at which bytes last came from the controller while it held the lease; 0: no holder yet
 }
 
 // NewControlClient returns a client without streams.
@@ -200,8 +200,8 @@
 	return controllers
 }
 
-// announceLease sends the lease state to all controllers except that of one session; nil excludes none. The mutex must be
-// held.
+// announceLease sends the lease state to all controllers except the controller of the given session; a nil session excludes
+// none. The mutex must be held.
 func (c *ControlClient) announceLease(except *session) {
 	state := c.leaseState(c.Clock.Monotonic(), false)
 	c.announcedReachable = state.Reachable
@@ -223,7 +223,7 @@
 	}
 }
 
-// join returns the first message of a stream.
+// join returns the Join message, which the proxy sends first on a stream.
 func (c *ControlClient) join(streamNumber uint64) *order.Join {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -33,9 +33,9 @@
 
 	// Lease state, used only where several controllers share the fleet.
 	grantor         lease.Grantor
-	drainingSinceMs map[string]float64 // servers ejected because they drain or were removed, with the time in ms
+	drainingSinceMs map[string]float64 // ejection time in ms of each server ejected because it drains or was removed
 	leaseStateCount uint64             // number of lease states created so far; the latest state has this number
-	recentOrdersMs  []float64          // times of the latest Orders messages in ms, in ascending order
+	recentOrdersMs  []float64          // times in ms at which the latest Orders messages were received, in ascending order
 }
 
 // NewCore returns a Core that uses the standing table of its settings and admits all requests. The settings must have been
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -96,7 +96,8 @@
 	limitMs   float64 // time limit of the attempt, in ms
 }
 
-// pick chooses the server of the next attempt. If there is no server, pick records that and ok is false.
+// pick chooses the server of the next attempt. If there is no server to choose, pick counts the request as failed and returns
+// false.
 func (p *Proxy) pick(request *Request) (next destination, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -53,7 +53,7 @@
 }
 
 // countPicks passes requests of a traffic class to Admit and Pick, lets all attempts succeed, and returns the number of
-// admitted requests of each server.
+// requests for which Pick chose each server.
 func countPicks(core *Core, class, requests int) map[string]int {
 	counts := map[string]int{}
 	for range requests {
--- a/internal/proxy/leasestate.go
+++ b/internal/proxy/leasestate.go
@@ -9,13 +9,13 @@
 
 // Limits of the history that a proxy keeps for its next lease holder.
 const (
-	// recentOrdersWindowMs is how long the time of an Orders message is kept. The planners' own window for limiting messages
-	// is seldom longer.
+	// recentOrdersWindowMs is how long the proxy keeps the time of an Orders message after receiving the message. The window
+	// within which planners limit the messages to a proxy is seldom longer.
 	recentOrdersWindowMs = 60000.0
 	// maxRecentOrders is the largest number of Orders messages whose times are kept.
 	maxRecentOrders = 1000
-	// drainRetentionMs is how long the drain of a server is reported to a new lease holder. The endpoint list of the holder
-	// shows the drain long before that.
+	// drainRetentionMs is how long after the ejection of a draining or removed server the proxy still names the server to a
+	// new lease holder. The holder's own endpoint list shows the drain or removal long before the end of this time.
 	drainRetentionMs = 600000.0
 )
 
--- a/internal/proxy/loadreport.go
+++ b/internal/proxy/loadreport.go
@@ -46,8 +46,8 @@
 	}
 	slices.SortFunc(report.Servers, func(a, b *order.ServerSum) int { return cmp.Compare(a.Server, b.Server) })
 	for class, stats := range c.statsByClass {
-		// A request can fail in a later interval than it arrived in, but planners reject a report with more failures than
-		// requests.
+		// A request can arrive in one report interval and fail in a later one, but planners reject a report with more failures
+		// than requests.
 		failed := min(stats.failed, stats.requests)
 		report.Groups = append(report.Groups, &order.GroupSum{
 			Group: uint32(class), Came: uint32(stats.requests), Dropped: uint32(failed),
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -94,9 +94,9 @@
 	return entry.weight > 0 && !c.isEjected(assigned, entry.server) && !slices.Contains(request.attempted, entry.server)
 }
 
-// remainingRetries returns how many more attempts the retry mode allows if the current one ends with the given outcome. To
-// prevent a request from being processed twice, the result is 0 for a request that is not idempotent unless the outcome
-// proves that the server did not process it, even if the planner ordered retries.
+// remainingRetries returns how many more attempts the retry mode allows if the current attempt ends with the given outcome.
+// Even if the planner ordered retries, the result is 0 for a request that is not idempotent, unless the outcome proves that
+// the server did not process the request. Otherwise the request could be processed twice.
 func (c *Core) remainingRetries(request *Request, outcome Outcome) int {
 	mode := c.admissions[request.Class].retry
 	idempotent := c.classes[request.Class].Repeat == pb.Repeat_RETRIABLE
@@ -106,8 +106,8 @@
 	return max(retriesByMode[mode]+1-request.Attempts, 0)
 }
 
-// FinishAttempt records the outcome and the duration of an attempt and reports whether the request is to be retried, for
-// which the caller must call Pick again.
+// FinishAttempt records the outcome and the duration of an attempt and reports whether the request is to be retried. To retry
+// the request, the caller must call Pick again.
 func (c *Core) FinishAttempt(nowMs float64, request *Request, server string, outcome Outcome, tookMs float64) (retry bool) {
 	c.inFlight[server]--
 	if c.inFlight[server] <= 0 {
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -66,7 +66,8 @@
 	}
 }
 
-// OnWelcome starts the session. It ends the stream if the planner and the proxy have different sharing settings.
+// OnWelcome starts the session. It ends the stream if only one of planner and proxy is set to share the
+// fleet.
 func (s *session) OnWelcome(welcome *order.Welcome) {
 	client := s.client
 	client.mu.Lock()
@@ -88,8 +89,8 @@
 	client.announceLease(nil)
 }
 
-// OnOrders applies a message and acknowledges it. Where several controllers share the fleet, it rejects the message, in its
-// acknowledgement, if the sender does not hold the lease under the message's epoch.
+// OnOrders applies a message and acknowledges it. Where several controllers share the fleet and the sender does not hold the
+// lease under the message's epoch, OnOrders does not apply the message and states in the acknowledgement that it was rejected.
 func (s *session) OnOrders(message *order.Orders) {
 	client := s.client
 	client.mu.Lock()
--- a/internal/proxy/tables.go
+++ b/internal/proxy/tables.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// isEjected reports whether a server of a table must get no requests: it is ejected by the session that assigned the table or
-// by the current one.
+// isEjected reports whether a server of a table must get no requests: the session that assigned the table or the current
+// session has ejected the server.
 func (c *Core) isEjected(assigned *table, server string) bool {
 	return assigned.ejected[server] || c.ejected[server]
 }
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -24,7 +24,8 @@
 	heap.Push(&q.pending, event{atMs: q.nowMs + max(delayMs, 0), number: q.lastEvent, action: action})
 }
 
-// runUntil runs all events due up to a time, including events that these schedule, and advances the clock to that time.
+// runUntil runs all events due up to a time and advances the clock to that time. The events run include those that an event
+// schedules during the call.
 func (q *eventQueue) runUntil(untilMs float64) {
 	for len(q.pending) > 0 && q.pending[0].atMs <= untilMs {
 		next := heap.Pop(&q.pending).(event)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -63,8 +63,8 @@
 	f.schedulePeriod(when, func() { f.rateFactor = burst.GetFactor() }, func() { f.rateFactor = 1 })
 }
 
-// scheduleHang schedules a fault in which servers receive requests but answer none. If the fault has a period, the servers
-// alternate between hanging and working, and change after each period.
+// scheduleHang schedules a fault in which servers receive requests but answer none. If the script sets a period for the
+// hang, the servers alternately hang for one period and work for one period.
 func (f *fleet) scheduleHang(when period, hang *script.Hang) {
 	var affected []*server
 	setHanging := func(hanging bool) {
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -24,8 +24,8 @@
 	WeightAvailable float64 `json:"weight_available"`
 }
 
-// simulationOutcome is the complete result of a simulation. The golden files use the names given here, so that renaming a field
-// of simulation.Result or fake.Tally does not change them.
+// simulationOutcome is the complete result of a simulation. The golden files use the JSON names of its fields, so that
+// renaming a field of simulation.Result or fake.Tally does not change the files.
 type simulationOutcome struct {
 	Service  float64         `json:"service"`
 	Messages int             `json:"messages"`
