--- a/internal/controlstream/closereason.go
+++ b/internal/controlstream/closereason.go
@@ -20,7 +20,7 @@
 // Reasons that a session reports.
 const (
 	ReasonBadBody          CloseReason = "body"    // the body does not decode or holds a value out of range
-	ReasonUnexpectedFrame  CloseReason = "state"   // the peer may not send such a frame at all, or not in this state of the stream
+	ReasonUnexpectedFrame  CloseReason = "state"   // the peer may not send such a frame, or not in this stream state
 	ReasonHandshakeTimeout CloseReason = "no join" // no Join or Welcome was received within Limits.HandshakeTimeoutMs
 	ReasonHeartbeatTimeout CloseReason = "silent"  // no frame was received for Limits.HeartbeatTimeoutMs
 	ReasonPeerClosed       CloseReason = "left"    // the peer sent FrameClose
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -16,7 +16,7 @@
 	ConnectDelayMs float64 // delay before the relay dials the target for a new connection, in ms
 	Cut            bool    // existing connections break and new ones are reset
 	Stall          bool    // data towards the source is held back, so that in the end the target's writes block
-	CutAfterBytes  int     // with Cut: bytes still delivered to the source before a connection breaks, perhaps within a frame
+	CutAfterBytes  int     // if Cut is set: bytes still delivered to the source before the break, perhaps within a frame
 }
 
 // Observer is notified of the data on one relayed connection. Its methods may be called by several goroutines and should return
--- a/internal/fake/stressproxy.go
+++ b/internal/fake/stressproxy.go
@@ -34,7 +34,7 @@
 	client  *proxy.ControlClient
 
 	assigned       bool      // whether the proxy was assigned tables; used only by the client's callbacks
-	messageTimesMs []float64 // times of the messages in the last messageWindowMs; used only by the client's callbacks
+	messageTimesMs []float64 // times of Orders messages applied in the last messageWindowMs; used only by the client's callbacks
 }
 
 // newProxy returns a proxy that is not connected yet.
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -26,7 +26,7 @@
 	*ControlClient
 	transports    map[string]*http.Transport // by server address; guarded by the mutex of ControlClient
 	classByName   map[string]int             // index of each traffic class in the settings
-	inFlightCount atomic.Int64               // requests from clients in flight
+	inFlightCount atomic.Int64               // number of client requests in flight
 }
 
 // New returns a proxy that is not running yet.
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -28,7 +28,7 @@
 	controller     string
 	incarnation    uint64
 	takesLeases    bool    // whether the controller's last status said that it accepts leases
-	lastReceivedMs float64 // time at which bytes were last received
+	lastReceivedMs float64 // time in ms at which bytes were last received from the planner
 	protocolErr    error   // protocol violation by the planner, which ends the stream
 }
 
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -95,7 +95,7 @@
 }
 
 // run sends the queued frames, and a load report or heartbeat in each report interval, until streamCtx ends, a write fails or
-// the outbox overflows. If proxyCtx has ended too, because the proxy shuts down, it sends a close frame.
+// the outbox overflows. If proxyCtx has ended too, because the proxy shuts down, run sends a close frame.
 func (w *streamWriter) run(streamCtx, proxyCtx context.Context) {
 	client := w.session.client
 	intervalMs := settings.Milliseconds(client.Settings.ReportEvery)
@@ -129,8 +129,8 @@
 	}
 }
 
-// write sends one frame and reports whether it succeeded. If it failed, the caller ends the stream, and session.read returns
-// the reason.
+// write sends one frame and reports whether the write succeeded. After a failed write, the caller ends the stream, and
+// session.read returns the reason.
 func (w *streamWriter) write(kind controlstream.FrameKind, body proto.Message) bool {
 	var err error
 	w.buffer, err = w.codec.Append(w.buffer[:0], kind, body)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -154,7 +154,8 @@
 	}
 }
 
-// publishEndpoints sends the current state of servers to the planner, with the endpoint list delay that the script sets.
+// publishEndpoints sends the current state of the given servers to the planner, after the endpoint list delay that the script
+// sets.
 func (f *fleet) publishEndpoints(servers ...*server) {
 	f.planner.sendEndpoints(settings.Milliseconds(f.script.ListedLate), policy.DeltaUpdate, servers)
 }
--- a/internal/simulation/planner.go
+++ b/internal/simulation/planner.go
@@ -57,7 +57,7 @@
 	return &simulatedPlanner{fleet: f, core: core, timerMs: math.Inf(1)}, nil
 }
 
-// sendEndpoints delivers the present state of servers to the planner core after a delay.
+// sendEndpoints passes the present state of the given servers to the planner core after delayMs.
 func (p *simulatedPlanner) sendEndpoints(delayMs float64, kind policy.UpdateKind, servers []*server) {
 	f := p.fleet
 	update := discovery.Update{Kind: kind, AsOfMs: uint64(runStartUnixMs + f.nowMs)}
