--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -63,8 +63,8 @@
 	f.schedulePeriod(when, func() { f.rateFactor = burst.GetFactor() }, func() { f.rateFactor = 1 })
 }
 
-// scheduleHang schedules a fault in which servers receive requests but answer none. If the fault has a period, the servers
-// alternate between hanging and working, and change after each period.
+// scheduleHang schedules a fault in which servers receive requests but answer none. If the script sets a period for the
+// hang, the servers alternately hang for one period and work for one period.
 func (f *fleet) scheduleHang(when period, hang *script.Hang) {
 	var affected []*server
 	setHanging := func(hanging bool) {
@@ -154,7 +154,8 @@
 	}
 }
 
-// publishEndpoints sends the current state of servers to the planner, with the endpoint list delay that the script sets.
+// publishEndpoints sends the current state of the given servers to the planner, after the endpoint list delay that the script
+// sets.
 func (f *fleet) publishEndpoints(servers ...*server) {
 	f.planner.sendEndpoints(settings.Milliseconds(f.script.ListedLate), policy.DeltaUpdate, servers)
 }
