--- a/cmd/lichenpick/load.go
+++ b/cmd/lichenpick/load.go
@@ -22,7 +22,7 @@
 	targets   string
 	rate      float64 // requests per second
 	ramp      string  // rates of the ramp as FROM:TO:BY; empty: run at one rate only
-	length    string  // how long each rate is sent
+	length    string  // duration of the run, or of each rate of a ramp
 	class     string
 	deadline  string
 	objective string
--- a/cmd/lichenpick/plannergroup.go
+++ b/cmd/lichenpick/plannergroup.go
@@ -21,8 +21,8 @@
 	plannerStartTimeout = 5 * time.Second
 	plannerStartPollMs  = 20.0
 	plannerPollMs       = 100.0
-	// finalPollMarginMs is the length of the period without polls at the end of the run. Without it, the last status could
-	// show that proxies have left.
+	// finalPollMarginMs is the length of the period at the end of the run in which the planners are not polled. A status
+	// polled in this period could lack proxies that have disconnected because the run ends.
 	finalPollMarginMs = 300.0
 	// rebalancedTenths is the share of a lease quota, in tenths. A restarted planner that holds this share of its quota counts
 	// as rebalanced.
--- a/internal/architecture/vocabulary_test.go
+++ b/internal/architecture/vocabulary_test.go
@@ -204,7 +204,8 @@
 	return isName && slices.Contains([]string{"t", "b", "f", "tb", "http"}, name.Name)
 }
 
-// record adds the retired words among terms, each once per line and container.
+// record adds a hit for each retired word among the terms; where describes what contains the terms. Equal hits on one line are
+// added only once.
 func (f *wordFinder) record(at token.Pos, where string, terms []term) {
 	position := f.positions.Position(at)
 	position.Filename = strings.TrimPrefix(position.Filename, moduleRoot+"/")
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
 // Package clock provides the program's only access to time and to the network. Other packages receive a Clock and a Network,
-// so that the same code runs with those of the machine (Real, TCP) and with simulated ones.
+// so that the same code runs with the clock and network of the machine (Real, TCP) and with simulated ones.
 //
-// Durations are in ms, as float64, like those of the policy. All types are safe for use by several goroutines.
+// Durations are in ms, as float64, like the durations in package policy. All types are safe for use by several goroutines.
 package clock
 
 import (
@@ -21,15 +21,16 @@
 	// NewTimer returns a channel that receives one value after the given duration in ms, and a function that releases the timer.
 	// The caller must call this function even after the timer has fired, and may call it more than once.
 	NewTimer(ms float64) (fired <-chan time.Time, stop func())
-	// Deadline returns the time that lies the given duration in ms ahead, for the deadline methods of net.Conn. The deadline
+	// Deadline returns the current time plus the given duration in ms, for the deadline methods of net.Conn. The deadline
 	// stays correct when the machine's clock is set.
 	Deadline(ms float64) time.Time
 }
 
 // Network dials and listens.
 type Network interface {
-	// Dial connects to an address, host:port, from a local IP address, or from any if from is the zero Addr. The context limits
-	// the time until the connection is established, not the connection.
+	// Dial connects to the address to, host:port, from the local IP address from, or from any local address if from is the zero
+	// Addr. The context limits the time until the connection is established. The end of the context does not close an
+	// established connection.
 	Dial(ctx context.Context, from netip.Addr, to string) (net.Conn, error)
 	// Listen listens on an address, host:port. The end of the context does not close the listener.
 	Listen(ctx context.Context, at string) (net.Listener, error)
--- a/internal/clock/real.go
+++ b/internal/clock/real.go
@@ -24,7 +24,7 @@
 // Deadline implements Clock. A negative duration counts as 0.
 func (r *Real) Deadline(ms float64) time.Time { return time.Now().Add(durationOf(ms)) }
 
-// durationOf converts a duration in ms; a negative one becomes 0.
+// durationOf converts a duration in ms to a time.Duration; a negative duration becomes 0.
 func durationOf(ms float64) time.Duration {
 	return time.Duration(max(ms, 0) * float64(time.Millisecond))
 }
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -26,7 +26,7 @@
 	Attempts      int        // number of attempts that were sent to servers
 	Takeovers     []Takeover // takeovers in order of time, including the first lease of each proxy
 	Rejected      int        // number of messages that proxies rejected because of a past epoch
-	ResentEntries int        // number of weight entries in whole tables that later lease holders sent again
+	ResentEntries int        // number of weight entries in whole tables that reached proxies after a second or later lease grant
 
 	limits     Limits
 	planners   map[string]*plannerState
--- a/internal/invariant/endpoints.go
+++ b/internal/invariant/endpoints.go
@@ -64,7 +64,7 @@
 	switch {
 	case entry.State == 0:
 		server.removedAtMs = math.Inf(1)
-	case server.removedAtMs > atMs: // keeps an earlier time of notification
+	case server.removedAtMs > atMs: // an earlier removedAtMs stays unchanged
 		server.removedAtMs = atMs
 	}
 }
--- a/internal/invariant/lease.go
+++ b/internal/invariant/lease.go
@@ -2,15 +2,15 @@
 
 import "lichenpick/proto/order"
 
-// leaseState holds what a proxy of a shared fleet has stated about its lease.
+// leaseState holds what a proxy of a shared fleet has reported to planners about its lease.
 type leaseState struct {
 	shared       bool   // the proxy grants leases; otherwise all fields below are unused
 	holder       string // planner that holds the lease; empty: none
 	epoch        uint64 // epoch of the last grant
-	sequence     uint64 // sequence number of the proxy's statement with the last grant
+	sequence     uint64 // sequence number of the lease message that reported the last grant
 	grants       int
 	grantedAtMs  float64
-	releasedAtMs float64 // when the proxy stated that its last lease had ended
+	releasedAtMs float64 // when the proxy's report that its last lease had ended was observed
 	lastFrameMs  float64 // when the holder's last frame reached the proxy
 
 	// unacknowledged holds the epochs of messages that the proxy has not acknowledged, by planner and message number.
@@ -26,8 +26,9 @@
 	GrantedMs   float64
 }
 
-// RecordLease records a proxy's statement about its lease, observed on the way to a planner. As a proxy has several streams,
-// its statements may be observed out of order. Their sequence numbers and epochs show which statement is newer.
+// RecordLease records a lease message, which states who holds a proxy's lease. It was observed on the way to a planner. As a
+// proxy has several streams, its lease messages may be observed out of order. Their sequence numbers and epochs show which
+// message is newer.
 func (c *Checker) RecordLease(name, plannerName string, atMs float64, statement *order.Lease) {
 	proxy := c.proxies[name]
 	if proxy == nil || !proxy.lease.shared {
@@ -49,11 +50,11 @@
 }
 
 // recordGrant records that a proxy granted its lease under a new epoch. It resets the recorded state of the proxy to the tables
-// that the proxy's statement lists.
+// that the proxy's lease message lists.
 func (c *Checker) recordGrant(name string, proxy *proxyState, plannerName string, atMs float64, statement *order.Lease) {
 	lease := &proxy.lease
 	expiredMs := lease.releasedAtMs
-	if lease.holder != "" { // the new lease was granted on another stream before the end of the previous lease was observed
+	if lease.holder != "" { // the lease message about the end of the previous lease, on another stream, was not observed yet
 		expiredMs = atMs
 	}
 	c.Takeovers = append(c.Takeovers, Takeover{
--- a/internal/invariant/proxy.go
+++ b/internal/invariant/proxy.go
@@ -9,12 +9,12 @@
 // weightTable is a weight table as a proxy holds it.
 type weightTable struct {
 	weights map[string]float64 // weights of the table's entries by server
-	ejected map[string]bool    // servers ejected in this table; assigned tables share the proxy's set
+	ejected map[string]bool    // servers ejected in this table; tables assigned by planners share proxyState.ejected
 }
 
 // proxyState is what the checker knows about a proxy from the frames that the proxy sent and received.
 type proxyState struct {
-	planner    string // planner that leads the proxy: its lease holder in a shared fleet, else the connected one; empty: none
+	planner    string // planner that leads the proxy: its lease holder in a shared fleet, else the connected planner; empty: none
 	joinedAtMs float64
 	zone       string
 	tables     map[uint32]*weightTable // tables assigned since the proxy joined, by table number
--- a/internal/invariant/requests.go
+++ b/internal/invariant/requests.go
@@ -29,7 +29,8 @@
 	oldestFirst []requestKey // keys of the attempts' requests, one per attempt, in order of time
 }
 
-// add adds an attempt. If there are then more than maxAttempts, it discards all attempts of the oldest attempt's request.
+// add adds an attempt. If the log then has more than maxAttempts attempts, add discards all attempts of the oldest attempt's
+// request.
 func (l *attemptLog) add(key requestKey, sent *attempt) {
 	l.byRequest[key] = append(l.byRequest[key], sent)
 	l.oldestFirst = append(l.oldestFirst, key)
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -68,7 +68,7 @@
 // Limits are the parameters of the rules. Times are in ms; work is in ms of one core at nominal speed.
 type Limits struct {
 	NoServerMs   float64 // longest time that a proxy may have no server to pick
-	DrainGraceMs float64 // from the time a planner learns that a server drains until no request may be sent to it
+	DrainGraceMs float64 // time in which requests may still be sent to a server after a planner is notified of its drain
 	SlowStartMs  float64 // duration of a server's warm-up after its start
 	MissingMs    float64 // time after which a server that is missing from full endpoint lists counts as removed
 
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	missingServerMs    = 10_000.0               // absence from endpoint lists after which a server counts as removed
+	missingServerMs    = 10_000.0               // time after which a server that is missing from endpoint lists counts as removed
 	observationSlackMs = 100.0                  // tolerance for the delay between observation and effect of a frame or request
 	reconnectDelay     = 200 * time.Millisecond // pause before a planner reconnects to the endpoint registry
 	heartbeatTimeout   = 5 * time.Second        // time without a frame after which a planner closes the endpoint list's stream
@@ -100,7 +100,7 @@
 	return limits
 }
 
-// idempotencyOf converts a setting to the checker's type. An unset one counts as not idempotent.
+// idempotencyOf converts a repeat setting to the checker's type. An unset setting counts as not idempotent.
 func idempotencyOf(repeat pb.Repeat) invariant.Idempotency {
 	switch repeat {
 	case pb.Repeat_RETRIABLE:
--- a/internal/scenario/linkfaults.go
+++ b/internal/scenario/linkfaults.go
@@ -48,8 +48,8 @@
 
 // injectStreamBreak breaks the streams between planners and a share of the proxies once. New streams are not affected.
 func (f *fleet) injectStreamBreak(_ context.Context, streamBreak *script.StreamBreak, _ time.Duration) error {
-	// The proxies of a zone share an address, so the fault affects either all or none of a zone's proxies. The share of proxies
-	// is the probability that a zone is affected.
+	// The proxies of a zone share an address, so the fault affects either all or none of a zone's proxies. The share in the
+	// script is the probability that a zone is affected.
 	affected := map[int]bool{}
 	for zone := range f.script.Places {
 		affected[zone] = f.random() < streamBreak.GetShare()
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -7,10 +7,10 @@
 	"lichenpick/internal/fake"
 )
 
-// unknownZone is the zone of an address or name that belongs to none.
+// unknownZone is returned for an address or name that belongs to no zone.
 const unknownZone = -1
 
-// dialAddress returns the address from which a zone's proxies dial: 127.ZONE.0.1, where zones count from 1.
+// dialAddress returns the address from which a zone's proxies dial: 127.ZONE.0.1, where ZONE is the zone's index plus 1.
 func dialAddress(zone int) string { return fmt.Sprintf("127.%d.0.1", zone+1) }
 
 // listenAddress returns the address at which a zone's proxies and servers listen. It differs from dialAddress, so that no
@@ -35,7 +35,7 @@
 	return unknownZone
 }
 
-// linkTarget is the target of the links through a relay: either a server or a planner. The other field is nil.
+// linkTarget is the target of the links through a relay: a server or a planner. Exactly one of the fields is not nil.
 type linkTarget struct {
 	server  *serverInstance
 	planner *plannerInstance
--- a/internal/scenario/plannerfaults.go
+++ b/internal/scenario/plannerfaults.go
@@ -33,7 +33,7 @@
 }
 
 // injectPlannerCut breaks a planner's streams with the proxies of a zone, or with all proxies if the script names no zone.
-// With Hold, it instead keeps the streams open and holds back what the planner sends on them.
+// If the fault's field Hold is set, it instead keeps the streams open and holds back what the planner sends on them.
 func (f *fleet) injectPlannerCut(ctx context.Context, cut *script.ControllerCut, lasts time.Duration) error {
 	instance := f.plannerByNumber(cut.GetController())
 	zone := f.zoneByName(cut.Zone)
--- a/internal/scenario/planners.go
+++ b/internal/scenario/planners.go
@@ -16,8 +16,8 @@
 	pb "lichenpick/proto/settings"
 )
 
-// disconnectDelay is the time between the start of a fault that lets only some more bytes pass on a planner's streams, and the
-// kill of the planner. In this time the planner can send these bytes.
+// disconnectDelay is the time from the start of a link fault to the kill of the planner. The fault breaks each stream of the
+// planner after a number of further bytes; the delay gives the planner time to send these bytes.
 const disconnectDelay = 50 * time.Millisecond
 
 // plannerInstance is one planner with its relays, and persists over restarts of the planner. The only planner of a fleet runs in
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -1,5 +1,6 @@
 // Package scenario plays scripted scenarios on loopback, with real planners and proxies, and fake servers and clients. All
-// links pass through relays. The faults of the script are injected, and the invariants are checked from the observed traffic.
+// links pass through relays. The package injects the script's faults, and checks the invariants in the traffic that the relays
+// transport.
 //
 // [Play] runs a script under the real policy and, for comparison, under baselines at the same time; [PlayOne] runs it once.
 // A single planner runs in this process. Several planners run as processes of their own, so that they can be paused and killed.
@@ -31,8 +32,8 @@
 
 // Play runs a script under the policy. Unless the script disables comparisons, it runs two variants for comparison at the same
 // time. For a shared fleet, the variants are planners that do not share the fleet, and a single planner; otherwise they are two
-// baselines. The report states machine, which has no other effect. Only the policy's run logs to log. See [Hooks.Spawn] for
-// spawn.
+// baselines. The text machine describes the machine and is only copied to the report. Only the policy's run logs to log. The
+// function spawn becomes [Hooks.Spawn] of every run.
 //
 // A violated invariant is no error; see [Report.Passed]. Play returns an error if a run could not be completed.
 func Play(ctx context.Context, scenario *script.Script, machine string, log *slog.Logger, spawn func(file string) *exec.Cmd) (*Report, error) {
@@ -119,8 +120,9 @@
 	return f.recorder.finish(f.clock.Monotonic()), nil
 }
 
-// runLoadWithFaults sends the requests and injects the faults at the same time. Faults still in effect at the end of the
-// cooldown are ended. A failed fault ends the other faults; the requests go on, and its error is returned at the end.
+// runLoadWithFaults sends the requests and injects the faults at the same time. At the end of the cooldown, it ends the faults
+// that are still in effect. If the injection of a fault fails, the other faults end and the requests go on; the error of the
+// injection is returned at the end.
 func (f *fleet) runLoadWithFaults(ctx context.Context) error {
 	faults, faultsCtx := errgroup.WithContext(ctx)
 	faultsCtx, endFaults := context.WithCancel(faultsCtx)
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -16,13 +16,13 @@
 type ClassResult struct {
 	Name string
 	fake.Tally
-	Service float64 // priority weight of requests that succeeded in time, as a fraction of that of all requests
+	Service float64 // priority weight of requests that succeeded in time, divided by the priority weight of all requests
 }
 
 // Result is the result of one run of a script. JSON field names are those of earlier reports, so that reports stay comparable.
 type Result struct {
 	Decider         string
-	Service         float64       // as ClassResult.Service, over all classes
+	Service         float64       // same fraction as ClassResult.Service, but of the requests of all classes
 	Classes         []ClassResult `json:"Groups"`
 	Seconds         []float64     // Service of each second in which requests were sent
 	Requests        int           `json:"Asks"`  // number of requests from clients to proxies, retries included
@@ -35,7 +35,7 @@
 	Violations      []invariant.Violation `json:"Breaches"`  // at most 20 violations of each rule
 	ViolationCounts map[string]int        `json:"Broken"`    // number of violations by rule
 	Closes          map[string]uint64     `json:"Endings"`   // number of streams that ended at planners, by close reason
-	Unparsed        map[string]int        `json:"Unread"`    // number of unchecked items by kind; any item fails the run
+	Unparsed        map[string]int        `json:"Unread"`    // number of items not checked, by kind; any item fails the run
 	ColdOverloads   int                   `json:"Fell"`      // number of warming servers that crashed from too much work
 	Servers         int
 	Proxies         int
@@ -48,7 +48,7 @@
 	WithoutLeaderMax float64        `json:"BareMost"`
 	Rejected         int            `json:"Refused"`  // number of messages that proxies rejected because of a past epoch
 	LeasesByPlanner  map[string]int `json:"Holders"`  // number of leases held at the end of the run
-	ResentEntries    int            `json:"Reissued"` // number of weight entries in whole tables that later leaders sent again
+	ResentEntries    int            `json:"Reissued"` // number of weight entries in whole tables delivered after a takeover
 
 	CPUMs     float64 // CPU time of planners that ran as processes
 	BytesUp   int     `json:"UpBytes"`   // bytes on control streams from proxies to planners
--- a/internal/scenario/serverfaults.go
+++ b/internal/scenario/serverfaults.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// injectHang makes servers receive requests without answering them, either for the whole duration of the fault or in every
-// other period.
+// injectHang makes servers receive requests without answering them for the whole duration of the fault. If the fault has a
+// period, the servers instead alternate between hanging and answering, each for one period.
 func (f *fleet) injectHang(ctx context.Context, hang *script.Hang, lasts time.Duration) error {
 	servers := f.reserveServers(int(hang.GetServers()), nil)
 	defer f.releaseServers(servers)
--- a/internal/scenario/streamobserver.go
+++ b/internal/scenario/streamobserver.go
@@ -21,7 +21,7 @@
 	toProxy   *controlstream.Decoder
 
 	receivedBytes  int // number of bytes received from the planner
-	deliveredBytes int // number of these bytes that have reached the proxy
+	deliveredBytes int // number of bytes from the planner that have reached the proxy
 	undelivered    []undeliveredMessage
 
 	corrupt bool // a frame could not be parsed
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -17,9 +17,9 @@
 	pb "lichenpick/proto/settings"
 )
 
-// fileKinds maps the name of each kind of settings file to a function that returns an empty message of this kind. The directory
-// of that name below testdata has the files of the kind as of 2026-12-02. They represent the operators' files, which must keep
-// their meaning when names in the code change.
+// fileKinds maps the name of each kind of settings file to a function that returns an empty message of this kind. The files of
+// a kind are in testdata/NAME and date from 2026-12-02. They represent the operators' files, which must keep their meaning when
+// names in the code change.
 var fileKinds = map[string]func() proto.Message{
 	"planner": func() proto.Message { return &pb.Planner{} },
 	"proxy":   func() proto.Message { return &pb.Proxy{} },
--- a/internal/simulator/host.go
+++ b/internal/simulator/host.go
@@ -32,40 +32,43 @@
 	}
 }
 
-// SetWeight implements policy.Host. It writes the changed weight of a server in a table.
+// SetWeight implements policy.Host. It adds to the reply an action that changes the weight of a server in a table.
 func (i *instance) SetWeight(table int, server string, weight float64) {
 	i.actions.setWeight(i.name, table, server, weight)
 }
 
-// AssignTable implements policy.Host. It writes that a proxy must use a table for some traffic classes. The list of omitted
-// servers is always empty, as the simulator's settings do not set OmitsEntries.
+// AssignTable implements policy.Host. It adds to the reply an action that makes a proxy use a table for some traffic classes.
+// The last parameter, the list of omitted servers, is always empty, as the simulator's settings do not set OmitsEntries.
 func (i *instance) AssignTable(proxy, table int, classes []int, _ []string) {
 	i.actions.assignTable(i.name, proxy, table, classes)
 }
 
-// SetEjected implements policy.Host. It writes that all proxies must eject or readmit a server.
+// SetEjected implements policy.Host. It adds to the reply an action that makes all proxies eject or readmit a server.
 func (i *instance) SetEjected(server string, ejected, _ bool) {
 	i.actions.setEjected(i.name, server, ejected)
 }
 
-// RestoreServers implements policy.Host. It writes nothing: the simulator never reports a proxy that holds ejections of another
-// planner.
+// RestoreServers implements policy.Host. It adds no action to the reply: the simulator never reports a proxy that holds
+// ejections of another planner.
 func (i *instance) RestoreServers(int, []string) {}
 
-// SetAdmission implements policy.Host. It writes the admission rate of a traffic class and its retry mode.
+// SetAdmission implements policy.Host. It adds to the reply an action that sets the admission rate and the retry mode of a
+// traffic class in a table.
 func (i *instance) SetAdmission(table, class int, fraction float64, retry int) {
 	i.actions.setAdmission(i.name, table, class, fraction, retry)
 }
 
-// RequestAcknowledgement implements policy.Host. It writes that all proxies must acknowledge the messages sent to them so far.
+// RequestAcknowledgement implements policy.Host. It adds to the reply an action that makes all proxies acknowledge the messages
+// that this instance has sent to them so far.
 func (i *instance) RequestAcknowledgement(number int) {
 	i.actions.requestAcknowledgement(i.name, number)
 }
 
-// WatchEndpoints implements policy.Host. It writes that the instance requests the endpoint list.
+// WatchEndpoints implements policy.Host. It adds to the reply an action that requests the endpoint list for the instance.
 func (i *instance) WatchEndpoints() { i.actions.watchEndpoints(i.name) }
 
-// SetTimer implements policy.Host. It writes that the simulator must send a timer message to the instance after a delay.
+// SetTimer implements policy.Host. It adds to the reply an action that makes the simulator send a timer message to the instance
+// after a delay.
 func (i *instance) SetTimer(delayMs float64) {
 	i.timerNumber++
 	i.actions.setTimer(i.name, delayMs, i.timerNumber)
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -65,7 +65,7 @@
 	ReloadSpanMs      float64
 	ReportEveryMs     float64
 	TransitMaxMs      float64
-	StaysLocal        []bool // by class, true: own zone's servers only; classes beyond the end of the list may use other zones
+	StaysLocal        []bool // by class, true: only servers of the proxy's zone; for classes beyond the end: false
 }
 
 type wireRules struct {
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -18,7 +18,7 @@
 }
 
 // longestTable runs a planner with one proxy and 40 servers, and returns the number of entries of the longest weight table. The
-// text limits is inserted at the end of the object FamilyInfo. It must close that object and may begin the object Limits.
+// text limits is inserted at the end of the object FamilyInfo. The text must close that object and may begin the object Limits.
 func longestTable(t *testing.T, limits string) int {
 	t.Helper()
 	var servers []string
