--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// handleAcceptError sheds a connection, because the process may have run out of file descriptors, and waits before the next
-// attempt.
+// handleAcceptError sheds a connection, because the process may have run out of file descriptors. It then waits before the
+// next accept.
 func (s *serverRuntime) handleAcceptError(ctx context.Context, err error) {
 	if ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
 		s.Log.Warn("accepting failed", keyError, err)
@@ -56,8 +56,8 @@
 	s.tasks.Go(func() { s.read(t) })
 }
 
-// isFull reports whether the connection limit is reached. Connections that are closed but still have messages to write do
-// not count, up to maxLingering; beyond that, the oldest of them are dropped. The caller holds the lock.
+// isFull reports whether the connection limit is reached. Closed connections that still have messages to write do not count.
+// If there are more than maxLingering of these, isFull drops the oldest. The caller holds the lock.
 func (s *serverRuntime) isFull() bool {
 	for len(s.lingering) > maxLingering {
 		s.drop(s.lingering[0])
--- a/internal/platform/acknowledgements.go
+++ b/internal/platform/acknowledgements.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	silenceTimeoutMs   = 6000.0 // ms without a message after which a proxy with a pending acknowledgement may be deactivated
+	silenceTimeoutMs   = 6000.0 // ms without a message after which a proxy may be deactivated if its acknowledgement is pending
 	progressIntervalMs = 200.0  // least ms between two progress marks
-	maxChannelSlowdown = 8.0    // by the operators' page, the channel may be slower than stated by this factor on some days
+	maxChannelSlowdown = 8.0    // factor by which the channel is slower than stated on some days, by the operators' page
 	maxUnacknowledged  = 64     // acknowledgement requests remembered for each proxy; older ones are forgotten
 )
 
@@ -21,7 +21,7 @@
 	position uint64 // number of updates sent to all proxies before the one with the request
 }
 
-// progressMark records that the update at a position had left the channel at a time, because a proxy acknowledged the update
+// progressMark records the time at which a proxy acknowledged the update at a position. The update had left the channel by
 // then.
 type progressMark struct {
 	atMs     float64
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// expectAcknowledgement records that the update about to be sent requests an acknowledgement.
+// expectAcknowledgement records that the update about to be sent to a proxy requests an acknowledgement with the number.
 func (c *Core) expectAcknowledgement(p *proxy, number int) {
 	p.unacknowledged = append(p.unacknowledged, acknowledgementRequest{number, c.nowMs, c.Counts.Updates})
 	if len(p.unacknowledged) > maxUnacknowledged {
--- a/internal/platform/acknowledgements_test.go
+++ b/internal/platform/acknowledgements_test.go
@@ -33,7 +33,8 @@
 	h.advance(1000)
 	for range 3 {
 		h.advance(3000)
-		for id, connection := range connections { // the report must not count as a sign of life here
+		// A demand report counts as a message, so lastMessageMs is set back to make the proxy silent.
+		for id, connection := range connections {
 			h.receive(connection, demandMessage(id))
 			connection.lastMessageMs -= silenceTimeoutMs
 		}
--- a/internal/platform/channel_test.go
+++ b/internal/platform/channel_test.go
@@ -9,9 +9,8 @@
 	"lichenpick/policy"
 )
 
-// TestMassJoinFitsChannel makes all proxies join a planner that has just started, with tables and ejections of other
-// planners. Each assignment then names each server twice, as an entry and as a server to readmit, and the policy must count
-// both.
+// TestMassJoinFitsChannel starts a planner and makes all proxies join it, which hold tables and ejections of other planners.
+// Each assignment then names each server twice, as an entry and as a server to readmit, and the policy must count both.
 func TestMassJoinFitsChannel(t *testing.T) {
 	const proxies = 150
 	site := readTestSettings(t)
--- a/internal/platform/conversation_test.go
+++ b/internal/platform/conversation_test.go
@@ -42,7 +42,7 @@
 	byConn      map[*platform.Connection]*peer
 	proxies     [digestProxies]*peer // latest stream of each proxy
 	digest      *golden.Digest
-	closeEvents []string // events of Core.Close, whose order is not defined
+	closeEvents []string // events recorded during Core.Close, which emits them in no defined order
 	closing     bool
 
 	ejections, readmissions, admissionCuts, replaced, sheds, rejected int
@@ -98,7 +98,7 @@
 }
 
 // handleLine handles a line as a proxy does. It acknowledges updates that request an acknowledgement, some of them late, and
-// leaves out a few at random.
+// leaves out a few acknowledgements at random.
 func (c *peerSimulation) handleLine(p *peer, line string) {
 	c.ejections += strings.Count(line, " drop=")
 	c.readmissions += strings.Count(line, " undrop=")
@@ -169,7 +169,7 @@
 		c.core.HandleData(p.conn, p.unsent[:size])
 		p.unsent = p.unsent[size:]
 		if c.random.Intn(4) == 0 {
-			return // the rest is passed in a later step
+			return // the rest of the bytes is passed to the core in a later step
 		}
 	}
 }
@@ -189,7 +189,7 @@
 		c.openCollector(1)
 	case reached(completeListMs):
 		c.core.UpdateEndpoints(policy.FullUpdate, digestEndpoints())
-	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // causes an update that requests an acknowledgement
+	case reached(silentFromMs + 1000), reached(silentFromMs + 6000): // triggers an update that requests an acknowledgement
 		change(policy.Endpoint{Server: "s-4", RelativeCapacity: 1, State: policy.Draining})
 	case reached(silentFromMs + 3000), reached(silentFromMs + 9000):
 		change(policy.Endpoint{Server: "s-4", RelativeCapacity: 1, State: policy.Ready})
@@ -209,7 +209,7 @@
 	c.updateSilence()
 }
 
-// updateSilence makes the first two proxies silent during the time set for it.
+// updateSilence makes the first two proxies silent from silentFromMs on, for silentForMs.
 func (c *peerSimulation) updateSilence() {
 	silent := within(c.atMs, silentFromMs, silentForMs)
 	for id, p := range c.proxies {
--- a/internal/platform/counts.go
+++ b/internal/platform/counts.go
@@ -5,7 +5,7 @@
 // Counts counts events since the start. Reading it requires the core's lock.
 type Counts struct {
 	Joins            uint64 // proxy streams that joined
-	LostStreams      uint64 // proxy streams that ended without being replaced
+	LostStreams      uint64 // proxy streams that ended before the proxy opened a newer one
 	SilentProxies    uint64 // deactivations of silent proxies
 	Refusals         uint64 // connections that the planner refused before they joined
 	Unreadable       uint64 // connections closed for unreadable bytes, a too long message, or too much incomplete data
--- a/internal/platform/decide.go
+++ b/internal/platform/decide.go
@@ -26,7 +26,8 @@
 }
 
 // decide evaluates the core after inputs and when its timer fires, until the context ends. Inputs that arrive within the
-// evaluation interval of the settings are evaluated together. It fails with ErrRepeatedPanics.
+// evaluation interval of the settings are evaluated together. It returns ErrRepeatedPanics after maxPanics evaluations in a
+// row have panicked.
 func (s *serverRuntime) decide(ctx context.Context) error {
 	s.schedule.countsMs = s.nowMs()
 	s.schedule.traceMs = s.nowMs()
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -31,7 +31,7 @@
 	kindDemandReport                           // a proxy's report on the requests that it received
 	kindPing                                   // the peer asks for a pong
 	kindUpdate                                 // an update, which only planners send; it is rejected
-	kindIgnored                                // a valid message not needed here: sent by planners, or in other deployments
+	kindIgnored                                // a valid message that is ignored: only planners or other deployments send it
 )
 
 // kindName maps a name on the wire to its kind.
--- a/internal/platform/digest_test.go
+++ b/internal/platform/digest_test.go
@@ -16,8 +16,8 @@
 	lineEnd               = "\r\n"
 	digestServers         = 10
 	digestProxies         = 8
-	oversizedMessageBytes = 1<<20 + 100 // bytes of a message; more than the limit
-	partialLimitBytes     = 3000        // bytes; Core.MaxPartialBytes for even seeds
+	oversizedMessageBytes = 1<<20 + 100 // bytes of a message that exceeds maxMessageBytes
+	partialLimitBytes     = 3000        // Core.MaxPartialBytes, in bytes, in simulations with an even seed
 	partialMessageBytes   = 1200        // bytes of an incomplete message
 )
 
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -27,11 +27,11 @@
 
 // Limits of the agent's responses, and of the time that they may take.
 const (
-	discoveryIdleTimeoutMs     = 2600.0  // ms without a byte after which the request is repeated; the agent sends some every 2 s
+	discoveryIdleTimeoutMs     = 2600.0  // ms without a byte until the request is repeated; the agent sends bytes every 2 s
 	discoveryResponseTimeoutMs = 5000.0  // ms within which a response, or a line of a watch, must be complete
 	discoveryDialTimeoutMs     = 1000.0  // ms within which a connection must open; the agent runs on the same machine
 	minDiscoveryRetryMs        = 50.0    // ms of the first backoff; the backoff doubles after each failure
-	maxDiscoveryRetryMs        = 500.0   // ms of the longest backoff; short, as a change counts as delivered after 6 s
+	maxDiscoveryRetryMs        = 500.0   // ms of the longest backoff; short, as a list change counts as delivered after 6 s
 	maxEndpointListBytes       = 4 << 20 // limit of the bytes of a complete list, or of a line of a watch
 	maxHeaderBytes             = 1 << 14 // limit of the bytes of a response's header
 	maxLoggedBytes             = 1000    // limit of the bytes of a list that the debug log shows
--- a/internal/platform/dispatch.go
+++ b/internal/platform/dispatch.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	collectorsPerZone = 3  // limit of connections; a collector that lost its connection may seem open beside its successor
+	collectorsPerZone = 3  // limit of collector connections; a lost one may seem open beside the new one that replaces it
 	maxPendingPongs   = 16 // limit of pongs that wait for one connection; further pings are not answered until they are sent
 )
 
@@ -98,7 +98,7 @@
 	if join.ProxyID >= len(c.proxies.byID) {
 		return errUnknownProxy
 	}
-	if old := c.proxies.byID[join.ProxyID]; old != nil { // the old stream is broken, even if no error was seen here
+	if old := c.proxies.byID[join.ProxyID]; old != nil { // the proxy's old stream is broken, even if this planner got no error
 		c.removeProxy(old)
 		c.startClosing(old.connection, CloseReplacedStream, nil)
 	}
--- a/internal/platform/encode.go
+++ b/internal/platform/encode.go
@@ -16,15 +16,15 @@
 
 const maxNameBytes = 128 // limit of the bytes of the name of a server, zone or traffic class
 
-// updatePart is one line of an update. A proxy applies all parts of a message together. Empty fields are not written, and
-// the admission rate is only written if it is Set.
+// updatePart is one line of an update. A proxy applies all parts of a message together. Empty fields are not written, and the
+// admission rate is only written if its field Set is true.
 type updatePart struct {
-	classes         []string            // traffic classes that the part applies to; all if empty
+	classes         []string            // traffic classes that the part applies to; if empty, all classes
 	replace         bool                // the entries are the complete table, and the proxy forgets its admission rates
 	entries         []weighttable.Entry // entries to set; weight 0 removes the server
 	admission       weighttable.AdmissionRate
 	eject, readmit  []string // names of servers
-	acknowledgement int      // number to be acknowledged, if acknowledge is set
+	acknowledgement int      // number that the proxy must acknowledge, if acknowledge is set
 	acknowledge     bool
 }
 
--- a/internal/platform/endpointlist.go
+++ b/internal/platform/endpointlist.go
@@ -16,7 +16,7 @@
 type endpointList struct {
 	version int64
 	full    bool              // the list holds all servers; otherwise only those that changed
-	entries []policy.Endpoint // their StartedMs is in Unix ms, like the times of the core
+	entries []policy.Endpoint // servers; StartedMs of each is in Unix ms, like the times of the core
 }
 
 var endpointStates = map[string]policy.State{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -2,7 +2,7 @@
 
 import "lichenpick/policy"
 
-// removedRetentionMs is how long a removed endpoint is kept, in ms. It is longer than the policy keeps removed servers.
+// removedRetentionMs is how long a removed endpoint is kept, in ms. The policy forgets removed servers earlier.
 const removedRetentionMs = 9e5
 
 // endpoint is a server that discovery has listed. It is guarded by the core's lock.
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// appendChunk returns the message up to the end of the chunk. A chunk that is a complete message is not copied.
+// appendChunk returns the part of a message that has been received so far, up to the end of the chunk. A chunk that is a
+// complete message is not copied.
 func (r *messageReader) appendChunk(chunk []byte, incomplete bool) []byte {
 	if len(r.partial) == 0 && !incomplete {
 		return chunk
@@ -69,7 +70,7 @@
 }
 
 // reset prepares the reader for the next message. It releases a large buffer, so that a connection stays small after a long
-// message. The bytes returned last stay valid until the next feed.
+// message. The bytes that appendChunk returned last stay valid until the next feed.
 func (r *messageReader) reset() {
 	r.partial = r.partial[:0]
 	if cap(r.partial) > maxFirstMessageBytes {
--- a/internal/platform/policyhost.go
+++ b/internal/platform/policyhost.go
@@ -13,7 +13,7 @@
 
 var _ policy.Host = policyHost{}
 
-// SetWeight sets the weight of a server in a table; 0 removes its entry.
+// SetWeight sets the weight of a server in a table. A weight of 0 removes the server's entry.
 func (h policyHost) SetWeight(tableNumber int, server string, weight float64) {
 	publisher := &h.core.publisher
 	table := publisher.registry.Table(tableNumber)
@@ -36,8 +36,8 @@
 
 // AssignTable assigns a table to a proxy for some traffic classes. All entries of the table are sent, except omitted ones.
 // Such an update makes the proxy forget its admission rates, so these are sent again. Entries of omitted servers are sent
-// when the servers are restored or readmitted. Ejections that the proxy may hold from another planner are left to
-// RestoreServers.
+// when the servers are restored or readmitted. AssignTable does not end ejections that the proxy may hold from another
+// planner; RestoreServers does.
 func (h policyHost) AssignTable(proxyID, tableNumber int, classes []int, omittedServers []string) {
 	publisher := &h.core.publisher
 	p := h.core.proxies.byID[proxyID]
@@ -122,7 +122,7 @@
 }
 
 // mayHold reports whether a table of the proxy holds a server. With includeUnassigned, a traffic class without an assigned
-// table counts as holding it.
+// table counts as one whose table holds the server.
 func (p *proxy) mayHold(server string, includeUnassigned bool) bool {
 	return slices.ContainsFunc(p.tables, func(table *weighttable.Table[*proxy]) bool {
 		if table == nil {
--- a/internal/platform/proxies.go
+++ b/internal/platform/proxies.go
@@ -11,9 +11,9 @@
 	connection     *Connection
 	tables         []*weighttable.Table[*proxy] // by traffic class; nil if no table was assigned on this stream
 	pending        *pendingUpdate               // update that is decided but not yet sent; may be nil
-	updateTimesMs  []float64                    // times of recent updates on this stream; the limit of messages counts from joining
+	updateTimesMs  []float64                    // times of recent updates on this stream; the message limit is per stream
 	unacknowledged []acknowledgementRequest     // unanswered requests for acknowledgements, oldest first
-	inactive       bool                         // removed from the policy because it was silent
+	inactive       bool                         // the proxy is removed from the policy because it was silent
 }
 
 // proxyTable holds the joined proxies. It belongs to the core and is guarded by the core's lock.
--- a/internal/platform/publisher.go
+++ b/internal/platform/publisher.go
@@ -13,7 +13,7 @@
 	changed                []changedEntry
 	admission              []bool // by traffic class: whether its admission rate is to be sent
 	eject, readmit         []string
-	acknowledgement        int // number to be acknowledged, if requestAcknowledgement is set
+	acknowledgement        int // number that the proxy must acknowledge, if requestAcknowledgement is set
 	requestAcknowledgement bool
 }
 
@@ -71,8 +71,8 @@
 	e.possiblyNotified.set(p.id, false)
 }
 
-// syncEjection notifies a proxy that is sent an entry of a server whether the server is ejected, if the proxy may have been
-// notified of the opposite.
+// syncEjection is called when a proxy is sent an entry of a server. It notifies the proxy whether the server is ejected, if
+// the proxy may have been notified of the opposite.
 func (b *publisher) syncEjection(p *proxy, e *endpoint) {
 	if e == nil {
 		return
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	reloadRetryMs    = 200.0 // ms until a rejected configuration is read again, as it may have been written only in part
+	reloadRetryMs    = 200.0 // ms until a rejected configuration file is read again, as it may have been written only in part
 	maxReloadRetries = 5     // limit of the retries after a SIGHUP for which the configuration was rejected
 )
 
--- a/internal/platform/runtime.go
+++ b/internal/platform/runtime.go
@@ -38,7 +38,7 @@
 	Network clock.Network
 	Log     *slog.Logger
 	Ready   func(net.Addr) // called with the listening address once the planner listens; may be nil
-	Trace   io.Writer      // the state of the core is written to it each second; may be nil
+	Trace   io.Writer      // Run writes the state of the core to Trace each second; may be nil
 }
 
 // serverRuntime connects the core to its connections, discovery and the clock.
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -35,7 +35,7 @@
 	phase         connectionPhase
 	closeReason   CloseReason // set from phaseClosing on
 	closeCause    error       // details of closeReason; may be nil
-	peerFinished  bool        // the peer has closed its sending side; no refusal is sent to it
+	peerFinished  bool        // the peer has closed its sending side; the core sends it no refusal
 	openedMs      float64
 	lastMessageMs float64 // Unix ms of the last message of a known kind, or of the opening of the connection
 
@@ -89,7 +89,8 @@
 	}
 }
 
-// queueReply makes the next evaluation send the pending replies of a connection, and close it if that was decided.
+// queueReply makes the next evaluation send the pending replies of a connection, and close the connection if startClosing was
+// called for it.
 func (t *sessionTable) queueReply(connection *Connection) {
 	if !connection.replyQueued {
 		connection.replyQueued = true
@@ -226,7 +227,7 @@
 	c.sessions.queueReply(connection)
 }
 
-// sendReplies sends a connection its pending pongs, and closes it if that was decided.
+// sendReplies sends a connection its pending pongs, and closes the connection if startClosing was called for it.
 func (c *Core) sendReplies(host Host, connection *Connection) {
 	connection.replyQueued = false
 	if connection.phase == phaseClosed {
@@ -237,7 +238,7 @@
 		connection.pendingPongs = 0
 		host.Send(connection, c.buffer)
 	}
-	if connection.phase == phaseClosing { // Send may have ended the connection because its peer does not read
+	if connection.phase == phaseClosing { // Send may have closed the connection already, as its peer does not read
 		c.close(host, connection)
 	}
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -93,7 +93,7 @@
 	<-reading
 	planner.stop()
 	text := peer.readAll()
-	if text != "refused\r\n" && text != "" { // closing with an unread ping may cause a reset
+	if text != "refused\r\n" && text != "" { // closing a socket with the ping unread may reset it, and the refusal is lost
 		t.Errorf("sent %q", text)
 	}
 	select {
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -137,7 +137,7 @@
 			reads := 0
 			c.read = func(b []byte) (int, error) {
 				reads++
-				if reads == 3 { // the second read, after the core closed the connection, has been handled
+				if reads == 3 { // the planner has handled the second read, whose data came after the core closed the connection
 					close(discarded)
 				}
 				return c.Conn.Read(b)
@@ -191,7 +191,7 @@
 	}
 	stop := make(chan bool)
 	var talking sync.WaitGroup
-	for index, peer := range others { // these peers do not acknowledge updates either, but they send reports
+	for index, peer := range others { // like the silent peer, these do not acknowledge updates, but they send reports
 		talking.Go(func() { keepTalking(peer, index+1, stop) })
 	}
 	defer talking.Wait()
--- a/internal/platform/takeover_test.go
+++ b/internal/platform/takeover_test.go
@@ -27,7 +27,7 @@
 	name             string
 	ownProxies       int     // proxies that join first, without tables
 	inheritedProxies int     // proxies with inherited tables
-	ownJoinMs        float64 // ms; time at which ownProxies join, and start of the planner
+	ownJoinMs        float64 // time at which the planner starts and ownProxies join
 	joinPeriodMs     float64 // time within which the proxies with inherited tables join
 	drainsMs         []float64
 	rejoining        int // proxies with inherited tables that leave and rejoin
--- a/internal/platform/takeoverloopback_test.go
+++ b/internal/platform/takeoverloopback_test.go
@@ -17,7 +17,7 @@
 	loopbackOverhead         = 4.0    // entries per message, as in testSettings
 	loopbackBacklog          = 2400.0 // highest number of entries that may wait in the channel
 	loopbackGraceMs          = 3000.0 // ms of the drain grace, as in testSettings
-	loopbackServers          = 30     // so few that the first table, made for one proxy, is not much larger than later ones
+	loopbackServers          = 30     // few, so that the first table, made for one proxy, is not much larger than later ones
 	loopbackOwnProxies       = 20     // proxies that join first
 	loopbackInheritedProxies = 60     // proxies with tables of other planners, which join together
 	loopbackDrainingServers  = 9      // servers that start to drain when loopbackInheritedProxies join
@@ -46,8 +46,8 @@
 	peer *testPeer
 }
 
-// loopbackFleet is the proxies of a planner that runs on sockets. As sockets, unlike the channel, do not limit the rate,
-// updates are applied one after another at loopbackRate.
+// loopbackFleet holds the proxies of a planner that runs on sockets. Sockets do not limit the rate as the channel does, so
+// the fleet applies updates one after another at loopbackRate.
 type loopbackFleet struct {
 	planner       *testPlanner
 	clock         clock.Clock
@@ -156,7 +156,7 @@
 	return f
 }
 
-// applyUntil applies updates until a condition holds, and returns the time in ms.
+// applyUntil applies updates until a condition holds, and returns the clock's time in ms at that point.
 func (f *loopbackFleet) applyUntil(t *testing.T, holds func() bool) float64 {
 	t.Helper()
 	for !holds() {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,7 +7,8 @@
 )
 
 // newAdmission admits all requests of a class. It uses the default retry mode, unless that mode may repeat a request that
-// must not run twice. Proxies must then be notified of RetryUnprocessed, which a sent rate of -1 causes.
+// must not run twice. In that case it uses RetryUnprocessed, and a sent rate of -1 makes the policy notify the proxies of
+// this mode.
 func newAdmission(class TrafficClass, defaultRetry int) admission {
 	if class.Idempotency != Idempotent && defaultRetry > RetryUnprocessed {
 		return admission{target: 1, sent: -1, retry: RetryUnprocessed}
@@ -56,7 +57,7 @@
 		p.admissionMs = p.nowMs + admissionCutPauseMs
 		share = math.Min(share, math.Max(share*admissionDecrease, p.capacityRate*admittedCapacityShare/demand))
 	case load.waitRatio < recoveryThreshold && load.failureShare < overloadFailureShare:
-		// The rate that succeeded before is admitted again at once.
+		// The share rises in steps, but at once to the admitted part of the known capacity, a rate that succeeded before.
 		p.capacityRate = math.Max(p.capacityRate, load.succeededRate)
 		increased := share * (1 + admissionIncrease*(1-load.waitRatio/recoveryThreshold))
 		share = math.Max(increased, math.Min(p.capacityRate*admittedCapacityShare/demand, 1))
@@ -64,8 +65,8 @@
 	p.shed(math.Max(1-share, 0) * demand)
 }
 
-// shed sets admission rates that reject excess requests per second in total, first requests of the classes with the lowest
-// priority weight per work.
+// shed sets admission rates that together reject a rate of excess requests per second. It first rejects requests of the
+// classes with the lowest priority weight per work.
 func (p *Policy) shed(excess float64) {
 	for _, index := range p.sheddingOrder {
 		class := &p.admission[index]
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -14,7 +14,7 @@
 	maxLambda               = 4.0    // limit of a price, in average shares; a higher one outlasts the overload that caused it
 	minDemand               = 0.02   // least demand of a client (mean: 1) or table (requests/s); idle ones need weights, too
 	maxDemandShiftShare     = 0.3    // share of all demand that moved between clients; beyond it, prices and shares are reset
-	minWarmCapacity         = 0.5    // share of demand that the warm servers are given, however much capacity is on a ramp
+	minWarmCapacity         = 0.5    // least share of the demand given to warm servers, however much capacity is on a ramp
 	minSpeedAttempts        = 4      // attempts of a server in the window before its latency and failures reduce its capacity
 	minCapacity             = 0.08   // least share of its capacity for a server; with less, its load reports hold too few requests
 	minRelativeCapacity     = 1e-6   // least relative capacity of a server, and of the fleet; guards divisions by the sum
@@ -25,10 +25,10 @@
 
 	// Table sizes and table changes.
 	minCohorts               = 2      // least cohorts of a client; with two, a new split reaches half of the proxies first
-	tableRefreshMs           = 1000.0 // channel time of the table entries of all proxies together; leaves room for many joins
+	tableRefreshMs           = 1000.0 // ms in which the channel can send the tables of all proxies; leaves room for many joins
 	connectionQuota          = 0.4    // usable share of the smallest server's connections; servers slow down when these run out
-	minRequestsPerConnection = 5.0    // requests to a server in the idle timeout; with fewer, connections close and are reopened
-	minTableEntries          = 8      // least limit of entries; a table keeps most of its servers when a fifth of them fails
+	minRequestsPerConnection = 5.0    // requests per connection and idle timeout; with fewer, connections close and are reopened
+	minTableEntries          = 8      // least limit of a table's entries; most servers of a table remain when a fifth fails
 	minEntries               = 3      // least number of servers of a client; two may be lost at once before its tables are empty
 	essentialWeight          = 0.8    // share of a table's weight that a proxy is sent with the table's assignment in a takeover
 	maxTableWaitMs           = 1000.0 // ms from the join of a proxy; a longer wait for a table with entries ends a takeover
@@ -46,7 +46,7 @@
 	// Load reports and slow start.
 	maxSamples          = 24     // load reports kept for each server and zone, and demand reports for each proxy and class
 	maxSampleZones      = 2      // for one server, maxSamples is multiplied by the number of zones, but at most by this
-	mergeGapShare       = 0.5    // share of the report interval; reports on a server that are closer cover the same period
+	mergeGapShare       = 0.5    // share of the report interval; reports on a server less far apart cover the same period
 	minWindowMs         = 3500.0 // least ms of the window; holds three load reports; a longer window shows a fault too late
 	windowRounds        = 1.5    // rounds of load reports within the window, so that each server has reported in it
 	slowStartDoublingMs = 5000.0 // time in which the capacity of a new server doubles
@@ -58,19 +58,21 @@
 	maxReportEvidence        = 4.0  // nats that one load report may add, so that no single report ejects a server
 	unverifiedEvidenceFactor = 2.0  // applied to the evidence on unverified servers, which may not belong to the fleet
 	deadFailureShare         = 0.99 // failure share of a dead server; a server that succeeds more often is overloaded or slow
-	minOverloadFailureShare  = 0.6  // least limit of the failure share explained by an overload, which reduces capacity instead
-	maxOverloadFailureShare  = 0.95 // highest limit of the failure share that an overload explains; reached at a median near half
-	overloadFailureFactor    = 2    // multiple of the median server's failure share that an overload explains
+	// minOverloadFailureShare is the least limit of the failure share that an overload explains. An overload reduces the
+	// capacity of servers instead of ejecting them.
+	minOverloadFailureShare = 0.6
+	maxOverloadFailureShare = 0.95 // highest limit of the failure share that an overload explains; reached at a median near half
+	overloadFailureFactor   = 2    // multiple of the median server's failure share that an overload explains
 	// maxEjectedShare is the largest share of the fleet that may be ejected by evidence; with more outliers, a fault of the
 	// reports is likelier. It is also the failure share of the median server above which demand is uncertain.
 	maxEjectedShare     = 0.3
-	ejectionMs          = 5000.0  // ms of the first ejection, doubled by each further one; a server or proxy is new for as long
+	ejectionMs          = 5000.0  // ms of the first ejection, doubled by each further one; a server or proxy is new this long
 	maxEjectionMs       = 20000.0 // ms of the longest ejection, which is as long as the longest hangs of servers
 	maxColdEjectedShare = 0.8     // share of the fleet above which no more cold servers are ejected; the rest are warm
 	newProxyDivisor     = 3       // demand is uncertain when more than 1/newProxyDivisor of the proxies are new
 	recoveryShare       = 0.2     // share of its capacity with which a readmitted server starts, at little risk
 	recoveryDoublingMs  = 1500.0  // ms in which the share of a readmitted server doubles; full after some three report intervals
-	forgetRemovedMs     = 600e3   // time for which a removed server in no table is kept, as its name may be used again
+	forgetRemovedMs     = 600e3   // ms that a removed server in no table is kept, as its name may be used again
 
 	// Admission.
 	admissionIntervalMs   = 2000.0 // ms between admission steps; about the time until a new rate shows in the load reports
@@ -89,7 +91,7 @@
 
 	// The control channel and timers.
 	lateAcknowledgementFactor = 2      // acknowledgements that take this many times the longest propagation show a slow channel
-	lowBacklogShare           = 0.5    // part of a share in backlogShare; with a smaller backlog, little waits in the channel
+	lowBacklogShare           = 0.5    // part of an urgency's backlogShare; a backlog below this part counts as small
 	maxDrainWaitShare         = 0.5    // share of the drain grace that an ejection may wait to share a message with other orders
 	slowChannelFactor         = 6.0    // factor by which the channel drains more slowly while acknowledgements are late
 	pollsUntilNotified        = 3      // least number of polls within Settings.AssumeNotifiedMs
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -157,8 +157,8 @@
 
 // observed counts events. Most kinds of events must occur in each scenario, so that the digest of the scenario covers them.
 type observed struct {
-	ejections, readmissions              int // of ready servers; ejections are those of warm ones only
-	slowStarts                           int // weights of a cold server of at least twice its first weight
+	ejections, readmissions              int // ejections of warm ready servers, and readmissions of warm or cold ready servers
+	slowStarts                           int // weights sent for a cold server that are at least twice its first weight
 	admissionCuts, admissionRaises       int
 	overloads                            int // load reports of servers with more load than capacity
 	drains, forgotten                    int
--- a/policy/host.go
+++ b/policy/host.go
@@ -36,9 +36,9 @@
 	Classes              []TrafficClass
 	DefaultRetry         int     // retry mode that proxies use until an order sets another
 	PartialAdmission     bool    // proxies support admission rates between 0 and 1
-	WatchRequired        bool    // the endpoint list is sent only on request
+	WatchRequired        bool    // discovery sends the endpoint list only on request
 	AssumeNotifiedMs     float64 // time within which an unrequested update of the endpoint list would arrive
-	Sharded              bool    // tables are key ranges that a store assigns; the policy makes none
+	Sharded              bool    // tables are key ranges that a store assigns; the policy makes no tables
 	EntriesPerSecond     float64 // rate of the control channel without faults
 	MessageOverhead      float64 // cost of a message in entries, in addition to the entries that the message holds
 	MaxBacklog           float64 // highest number of entries that may wait in the channel
@@ -55,8 +55,8 @@
 	Planners             int     // number of planners that share the proxies, including this one
 	MinServerConnections float64 // number of connections that the smallest server accepts
 	IdleTimeoutMs        float64 // time after which a proxy closes an unused connection
-	OmitsEntries         bool    // the host can omit entries from an assigned table until they are restored
-	ReadmitByWeight      bool    // the host readmits a server at a proxy with its first weight in the tables of that proxy
+	OmitsEntries         bool    // the host can leave entries out when it assigns a table, and sends them on Host.RestoreServers
+	ReadmitByWeight      bool    // the first weight of a server in a proxy's tables ends the server's ejection at this proxy
 }
 
 // State is the state of a server in the endpoint list.
@@ -89,7 +89,7 @@
 	FailedUpdate                     // no servers: a poll of the list failed
 )
 
-// Host carries out decisions. Each call of a method is one decision, and is made from within Policy.Next only. A host must not
+// Host carries out decisions. Each call of a method is one decision, and only Policy.Next makes such calls. A host must not
 // modify the slices that it is passed.
 type Host interface {
 	// SetWeight sets the weight of a server in a table, up to 1, at all proxies that follow the table; a weight of 0 removes
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -104,8 +104,8 @@
 }
 
 // setState records a change of a server's state in the list. If the server was ejected while ready, proxies whose tables it
-// was added to since then may not be notified of the ejection. So it counts as not ejected, and its drain ejects it at all
-// proxies that hold it.
+// was added to since then may not have been notified of the ejection. So the server counts as not ejected, and its drain
+// ejects it at all proxies that hold it.
 func (p *Policy) setState(server *server, state State) {
 	if state == server.State {
 		return
--- a/policy/outliers.go
+++ b/policy/outliers.go
@@ -30,7 +30,7 @@
 	verified := func(server *server) bool { return server.State == Ready && !p.unverified(server) }
 	fleet := filter(p.servers, verified)
 	size := float64(len(fleet))
-	ejected := float64(1 + len(fleet) - len(filter(fleet, (*server).usable))) // number after one more ejection
+	ejected := float64(1 + len(fleet) - len(filter(fleet, (*server).usable))) // ejected servers after one more ejection
 	uncertain := p.demandUncertain()
 	for _, server := range p.servers {
 		switch {
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -26,7 +26,7 @@
 	t.Run("a server ejected while ready is ejected again when it is removed", func(t *testing.T) {
 		f := startFleet(testSettings(), 6)
 		f.run(10, healthy)
-		f.planner.byName["s2"].ejected = true // only some proxies were notified; tables of other proxies hold the server since then
+		f.planner.byName["s2"].ejected = true // only some proxies were notified; tables of others hold s2 since then
 		f.update(Endpoint{Server: "s2", Zone: 0, State: Removed, RelativeCapacity: 1})
 		f.decide()
 		if !f.ejected["s2"] {
--- a/policy/records.go
+++ b/policy/records.go
@@ -84,7 +84,8 @@
 
 // expectRestorations records the restorations that the proxy is yet to be sent after an assignment.
 func (p *proxy) expectRestorations(inherited, omitted []*entry) {
-	var added []restoration // placed before those of earlier tables, as the first ones are sent with this table
+	// Placed before the restorations of earlier tables, as the first of pendingRestorations are sent with this table.
+	var added []restoration
 	for _, entry := range inherited {
 		pending := restoration{server: entry.server, entries: 1}
 		if slices.Contains(omitted, entry) {
@@ -105,7 +106,8 @@
 	return true
 }
 
-// recordWeight records that an entry was sent to the proxies of its table, together with whether its server is ejected.
+// recordWeight records that the proxies of the entry's table were sent the entry, and were notified whether its server is
+// ejected.
 func (p *Policy) recordWeight(entry *entry, urgent bool) {
 	if entry.sent == 0 {
 		entry.server.addedMs = p.nowMs
@@ -144,7 +146,7 @@
 	})
 }
 
-// readmit ends the ejection of a server: the recovery ramp starts, and only new load reports count.
+// readmit ends the ejection of a server: the recovery ramp starts, and load reports from before this time no longer count.
 func (p *Policy) readmit(server *server) {
 	server.unhealthy = false
 	server.evidenceFromMs = p.nowMs
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -25,7 +25,7 @@
 		}
 		p.planAssignments(takeover)
 	}
-	p.planEjections(takeover) // after assignments, as many cold servers are ejected at once when planners restart
+	p.planEjections(takeover) // queued after assignments, as a restarted planner ejects many cold servers at once
 	p.enqueue(changes[urgent]...)
 	p.planAdmission()
 	for _, proxy := range p.proxies {
@@ -137,7 +137,7 @@
 func (p *Policy) setEjected(host Host, server *server, eject, takeover bool) bool {
 	unused := eject && !server.inAnyTable()
 	if unused && p.solves > 0 && (takeover || !p.anyMayFollowOtherPlanner()) {
-		return false // checked before the recipients are listed, as there may be many unused servers
+		return false // returns before listing the recipients, which is slow, as there may be many unused servers
 	}
 	recipients := p.ejectionRecipients(server, eject, takeover)
 	if unused && server.State == Ready || eject && len(recipients) == 0 {
@@ -296,8 +296,8 @@
 }
 
 // restore ends ejections that another planner may have ordered, and sends omitted entries, for servers in the tables of a
-// proxy. This is done with the assignment for a few servers, so that the proxy has servers to pick, and for the others when
-// the channel has room. It returns false where there is nothing to restore or no room.
+// proxy. A few servers are restored with the assignment, so that the proxy has servers to pick, and the others when the
+// channel has room. It returns false where there is nothing to restore or no room.
 func (p *Policy) restore(host Host, proxy *proxy, count, urgency int) bool {
 	if count == 0 {
 		return false
--- a/policy/state.go
+++ b/policy/state.go
@@ -27,7 +27,7 @@
 	unhealthyUntilMs float64 // end of the time for which the server is unhealthy
 	ejections        int     // number of ejections by evidence since the last start of the server
 	evidenceFromMs   float64 // time of the last ejection, readmission or start; earlier reports are ignored
-	readmittedMs     float64 // end of the last ejection, when the recovery ramp starts
+	readmittedMs     float64 // time at which the last ejection ended and the recovery ramp started
 	hasSucceeded     bool    // some attempt at the server succeeded
 	discoveredLate   bool    // the server was first listed after the first solve
 	stateChangedMs   float64 // last change of the server's state in the list
@@ -58,11 +58,12 @@
 	ejected             map[*server]bool // whether the last order to the proxy ejected the server
 	inheritedEjections  bool             // the proxy may hold tables and ejections of another planner
 	pendingRestorations []restoration    // of servers in the proxy's tables; in a takeover by weight, largest first
-	prepaidRestorations int              // number of the first pendingRestorations, whose budget was spent with the assignment
+	prepaidRestorations int              // length of the first part of pendingRestorations, whose budget was spent already
 }
 
-// restoration is an order that a proxy is yet to be sent about a server: the end of an ejection that another planner may
-// have ordered, together with the entry of the server if the assignment omitted it. entries is its cost in the channel.
+// restoration is an order that a proxy is yet to be sent about a server: the end of an ejection that another planner may have
+// ordered, together with the entry of the server if the assignment omitted it. entries is the cost of the order in the
+// channel, in entries.
 type restoration struct {
 	server  *server
 	entries float64
@@ -135,7 +136,7 @@
 
 	solves           int     // number of solves
 	solvedMs         float64 // time of the last solve
-	admissionMs      float64 // time of the last admission step, or later to delay the next one
+	admissionMs      float64 // time of the last admission step, or a later time that delays the next step
 	evaluatedMs      float64 // time of the last evaluation
 	timerMs          float64 // expiry of the host's timer
 	reportedMs       float64 // time of the last load report
@@ -151,7 +152,7 @@
 	capacityRate     float64 // known capacity of the fleet in successful requests per second
 
 	// Statistics, updated by each evaluation. Latencies and failure shares are those of the median server.
-	reportCoversMs     []float64 // lengths of the periods of the last load reports, in ms
+	reportCoversMs     []float64 // lengths in ms of the periods that the last load reports cover
 	baselineScratch    []float64 // buffer of baselineOf
 	roundMs            float64   // time in which each server reports once
 	windowMs           float64   // age up to which load reports count
--- a/policy/tables.go
+++ b/policy/tables.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// cohortCount returns the number of cohorts in each zone. In a small fleet it is two. In a large fleet, it is the number
-// with which each server is in two tables, limited so that each cohort has at least two proxies.
+// cohortCount returns the number of cohorts in each zone. In a small fleet it is two. In a large fleet, there are enough
+// cohorts for each server to be in two tables, as long as each cohort has at least two proxies.
 func (p *Policy) cohortCount(servers []*server) int {
 	proxies := float64(p.settings.Proxies) / math.Max(float64(p.settings.Zones*p.settings.Planners), 1)
 	wanted := minCohorts * float64(len(servers)) / float64(p.maxTableSize(servers))
--- a/policy/takeover_test.go
+++ b/policy/takeover_test.go
@@ -12,9 +12,9 @@
 	takeoverInheritedProxies = 200   // proxies that join with tables of another planner
 	takeoverDrainBatchSize   = 20    // servers that begin to drain together
 	evaluationStepMs         = 200   // ms between two calls of SetTime
-	acknowledgeEvery         = 5     // evaluations between answers to requests for acknowledgements
-	assignedWithinMs         = 3500  // ms until all proxies have tables; the channel takes 2.5 s for these, and 0.5 s for drains
-	restoredWithinMs         = 15000 // ms until all omitted entries are restored
+	acknowledgeEvery         = 5     // evaluations between two times at which proxies answer requests for acknowledgements
+	assignedWithinMs         = 3500  // ms from joins to assignments; the channel takes 2.5 s for tables and 0.5 s for drains
+	restoredWithinMs         = 15000 // ms from the joins until all omitted entries are restored
 )
 
 type decisionKind int
@@ -109,8 +109,8 @@
 	return h
 }
 
-// drainBatch returns servers that began to drain, at equal distances in the list, as neighbors in it share tables. Batches have
-// no server in common.
+// drainBatch returns servers that began to drain, at equal distances in the list, as neighbors in the list share tables.
+// Batches have no server in common.
 func drainBatch(batch int) []Endpoint {
 	var list []Endpoint
 	for index, endpoint := range readyServers(takeoverServers) {
