--- a/internal/platform/acknowledgements.go
+++ b/internal/platform/acknowledgements.go
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// expectAcknowledgement records that the update about to be sent to a proxy requests an acknowledgement with the number.
+// expectAcknowledgement records that the update about to be sent to a proxy requests the acknowledgement with this number.
 func (c *Core) expectAcknowledgement(p *proxy, number int) {
 	p.unacknowledged = append(p.unacknowledged, acknowledgementRequest{number, c.nowMs, c.Counts.Updates})
 	if len(p.unacknowledged) > maxUnacknowledged {
--- a/internal/platform/closereason.go
+++ b/internal/platform/closereason.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// CloseReason is why a planner closed a connection. Log and counts show its String.
+// CloseReason is why a planner closed a connection. The log and the counts show it as the text that String returns.
 type CloseReason int
 
 // Reasons for closing a connection.
@@ -10,7 +10,7 @@
 	ClosePeerFinished        CloseReason = iota // the peer has closed its sending side
 	CloseUnreadable                             // the peer sent bytes that are not a message
 	CloseMessageTooLong                         // the peer sent a message longer than allowed
-	ClosePartialMemory                          // incomplete messages exceeded a memory limit; this connection had the longest
+	ClosePartialMemory                          // incomplete messages exceeded a memory limit; the longest was on this connection
 	CloseInvalidFirstMessage                    // the peer sent an invalid message before joining
 	CloseJoinTimeout                            // the connection did not join in time
 	CloseReplacedStream                         // the proxy opened a newer stream
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -46,7 +46,7 @@
 		Sockets  int
 	}
 	Known    json.RawMessage // endpoint list, in the format that discovery serves
-	Settings json.RawMessage // in the format of the simulator
+	Settings json.RawMessage // settings, in the JSON format of the simulator
 }
 
 // ReadConfig reads and validates a configuration file. Its errors are of type *settings.Error and have one line.
--- a/internal/platform/conversation_test.go
+++ b/internal/platform/conversation_test.go
@@ -159,7 +159,7 @@
 	p.zone = zoneName(zone)
 }
 
-// flush passes the unsent bytes of a peer to the core, split at random, and sometimes only a part of them.
+// flush passes the unsent bytes of a peer to the core in pieces of random size. It sometimes stops before the last piece.
 func (c *peerSimulation) flush(p *peer) {
 	for len(p.unsent) > 0 && !p.closed && !p.silent {
 		size := len(p.unsent)
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -30,7 +30,7 @@
 	kindLoadReport                             // a collector's report on a server
 	kindDemandReport                           // a proxy's report on the requests that it received
 	kindPing                                   // the peer asks for a pong
-	kindUpdate                                 // an update, which only planners send; it is rejected
+	kindUpdate                                 // an update, which only planners send; an incoming one is rejected
 	kindIgnored                                // a valid message that is ignored: only planners or other deployments send it
 )
 
@@ -123,7 +123,7 @@
 type field struct{ name, value []byte }
 
 // message is a parsed line. Its decoding methods record the first error, so that callers decode all fields and then check
-// for an error once. A message is valid as long as its line.
+// for an error once. A message is valid as long as the line that it was parsed from.
 type message struct {
 	kind   messageKind
 	fields [maxFields]field
@@ -213,7 +213,7 @@
 	return value
 }
 
-// checkPairs validates a field with a list of name:number pairs. Their values are not used, because the policy relies on
+// checkPairs validates a field with a list of name:number pairs. The numbers are not used, because the policy relies on
 // latencies and failures.
 func (m *message) checkPairs(name string) {
 	rest := m.find(name)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -47,13 +47,13 @@
 	clock     clock.Clock
 	network   clock.Network
 	log       *slog.Logger
-	deliver   func(policy.UpdateKind, []policy.Endpoint) // receives each list that changes anything
+	deliver   func(policy.UpdateKind, []policy.Endpoint) // is called with each complete list, and each change of servers
 	tracker   versionTracker
 	retryMs   float64 // backoff after the next failure
 	lastError string  // last error that was logged; a repeated error is logged once
 
-	// progressMicros is when the current request was sent or the last line ended, in µs of clock.Monotonic. It is atomic
-	// because the goroutines of the HTTP transport read it.
+	// progressMicros is the time, in µs of clock.Monotonic, at which the current request was sent or the last line of its
+	// response was complete. It is atomic because the goroutines of the HTTP transport read it.
 	progressMicros atomic.Int64
 }
 
@@ -138,7 +138,7 @@
 	}
 }
 
-// handleList parses a complete list or a line of a watch, and delivers the list or the change unless nothing changes.
+// handleList parses a complete list or a line of a watch, and delivers it, unless it is a line that names no server.
 func (d *discoveryClient) handleList(text []byte) error {
 	list, changed, err := d.tracker.accept(bytes.TrimSpace(text))
 	if changed || err != nil {
@@ -222,8 +222,9 @@
 	needsFullList bool // the next request must be for the complete list
 }
 
-// accept parses a line of a watch or a complete list, and reports whether it changes anything. If the text cannot be parsed,
-// or does not follow the known version, the complete list must be requested next, and the known version stays.
+// accept parses a line of a watch or a complete list, and reports whether the text is a complete list or names changed
+// servers. If the text cannot be parsed, or does not follow the known version, the complete list must be requested next, and
+// the known version stays.
 func (t *versionTracker) accept(text []byte) (list endpointList, changed bool, err error) {
 	if len(text) == 0 { // keep-alive
 		return endpointList{}, false, nil
--- a/internal/platform/dispatch.go
+++ b/internal/platform/dispatch.go
@@ -8,7 +8,7 @@
 
 const (
 	collectorsPerZone = 3  // limit of collector connections; a lost one may seem open beside the new one that replaces it
-	maxPendingPongs   = 16 // limit of pongs that wait for one connection; further pings are not answered until they are sent
+	maxPendingPongs   = 16 // limit of pongs that wait for one connection; at the limit, pings get no answer
 )
 
 // Errors of rejected messages. Errors of single fields are of type *MessageError instead.
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -9,7 +9,7 @@
 type endpoint struct {
 	name    string
 	state   policy.State
-	sinceMs float64 // Unix ms at which the server entered the state
+	sinceMs float64 // Unix ms at which the server entered its present state
 	// Proxies that this planner has notified of the server's ejection, and proxies that another planner, or an earlier
 	// incarnation of this one, may have notified of an ejection of the server.
 	notified, possiblyNotified proxySet
--- a/internal/platform/harness_test.go
+++ b/internal/platform/harness_test.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	peerTimeoutMs = 30000.0 // ms until a test that hangs fails; passing tests do not depend on it
+	peerTimeoutMs = 30000.0 // ms after which a test that hangs fails; passing tests do not depend on this time
 	rejoinText    = "joined id=1 site=a rps=10 new=0\r\n"
 	joinText      = "joined id=1 site=a rps=10 new=1\r\n"
 )
--- a/internal/platform/publisher.go
+++ b/internal/platform/publisher.go
@@ -184,7 +184,7 @@
 	return parts
 }
 
-// classNames returns the names of the traffic classes that match, or nil if all of them do.
+// classNames returns the names of the traffic classes for which matches returns true, or nil if it returns true for all.
 func (b *publisher) classNames(matches func(class int) bool) []string {
 	var names []string
 	for class, name := range b.classes {
--- a/internal/platform/runtime.go
+++ b/internal/platform/runtime.go
@@ -63,8 +63,9 @@
 	timerMs     float64                 // Unix ms of the next evaluation if there is no input
 }
 
-// Run serves until the context ends, and returns after all of its goroutines have ended. Before that, messages that wait
-// for connections are written for up to flushTimeoutMs. It fails if it cannot listen, and with ErrRepeatedPanics.
+// Run serves until the context ends, and returns after all of its goroutines have ended. Before that, messages that wait for
+// connections are written for up to flushTimeoutMs. Run fails if it cannot listen, and returns ErrRepeatedPanics if decide
+// does.
 func Run(ctx context.Context, options Options) error {
 	s := newRuntime(options)
 	listener, err := options.Network.Listen(ctx, options.Config.Listen)
@@ -137,7 +138,8 @@
 
 func (s *serverRuntime) nowMs() float64 { return s.originMs + s.Clock.Monotonic() }
 
-// withCore calls a function with the lock held and the core's time set, and reports whether it returned without a panic.
+// withCore calls a function with the lock held and the core's time set, and reports whether the function returned without a
+// panic.
 //
 // A panic is logged, and only affects what was being processed: an input that causes one is lost together with its
 // connection, and a decision that causes one is not repeated, because the policy removes each decision from its list before
--- a/internal/platform/runtime_test.go
+++ b/internal/platform/runtime_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// checkTable reads the first update of a proxy, and checks which words it contains: all own ones, and no foreign ones.
+// checkTable reads the first update of a proxy, and checks that the update contains all words of own and no word of foreign.
 func checkTable(t *testing.T, peer *testPeer, own, foreign []string) {
 	t.Helper()
 	text := ""
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -16,7 +16,7 @@
 
 const (
 	phaseOpen    connectionPhase = iota
-	phaseClosing                 // the connection is closed after its pending replies; received data is discarded
+	phaseClosing                 // the connection is closed once its pending replies are sent; received data is discarded
 	phaseClosed
 )
 
@@ -214,8 +214,8 @@
 	c.startClosing(longest, ClosePartialMemory, errPartialMemory)
 }
 
-// startClosing makes the next evaluation close a connection after its pending replies. A connection that has not joined is
-// sent a refusal as well.
+// startClosing makes the next evaluation send the pending replies of a connection, and then close it. A connection that has
+// not joined is sent a refusal as well.
 func (c *Core) startClosing(connection *Connection, reason CloseReason, cause error) {
 	if connection.Unjoined() && !connection.peerFinished {
 		c.Counts.Refusals++
@@ -243,7 +243,7 @@
 	}
 }
 
-// close closes a connection, after a refusal if it has not joined.
+// close closes a connection. A connection that has not joined is sent a refusal first, unless its peer has finished.
 func (c *Core) close(host Host, connection *Connection) {
 	if connection.Unjoined() && !connection.peerFinished {
 		c.buffer = appendRefusal(c.buffer[:0])
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -139,7 +139,7 @@
 func (s *serverRuntime) CloseConnection(connection *Connection, reason CloseReason, cause error) {
 	s.logClose(connection, reason, cause)
 	t := s.streams[connection]
-	if t == nil { // already dropped; isFull would never end if it were in lingering, as drop ignores it
+	if t == nil { // the stream is dropped already; in lingering, it would keep isFull from ending, as drop ignores it
 		return
 	}
 	t.closing = true
--- a/internal/platform/stream_test.go
+++ b/internal/platform/stream_test.go
@@ -329,8 +329,8 @@
 			for range maxUnsentBytes/1000 + 2 {
 				r.Send(&first.connection, make([]byte, 1000))
 			}
-			// Its writer is still blocked. A second close must not add it to lingering, because drop would ignore it and
-			// isFull would never end.
+			// The writer of the closed stream is still blocked. A second close must not add it to lingering, because drop
+			// would ignore it and isFull would never end.
 			r.CloseConnection(&first.connection, CloseShed, nil)
 			if len(r.lingering) > 0 {
 				t.Error("a dropped connection is in lingering")
@@ -347,8 +347,8 @@
 	})
 }
 
-// checkTotalUnsentLimit sends bytes to all streams, and most to the eighth, until some streams are closed. The caller holds
-// the lock.
+// checkTotalUnsentLimit sends bytes to all streams, twice as many to the eighth as to each other stream, until some streams
+// are closed. The caller holds the lock.
 func checkTotalUnsentLimit(t *testing.T, r *blockedRuntime) {
 	message := make([]byte, 1000)
 	for range maxUnsentBytes / len(message) / 4 {
--- a/internal/platform/takeoverloopback_test.go
+++ b/internal/platform/takeoverloopback_test.go
@@ -17,14 +17,14 @@
 	loopbackOverhead         = 4.0    // entries per message, as in testSettings
 	loopbackBacklog          = 2400.0 // highest number of entries that may wait in the channel
 	loopbackGraceMs          = 3000.0 // ms of the drain grace, as in testSettings
-	loopbackServers          = 30     // few, so that the first table, made for one proxy, is not much larger than later ones
+	loopbackServers          = 30     // few servers, so that the first table, for one proxy, is not much larger than later ones
 	loopbackOwnProxies       = 20     // proxies that join first
 	loopbackInheritedProxies = 60     // proxies with tables of other planners, which join together
 	loopbackDrainingServers  = 9      // servers that start to drain when loopbackInheritedProxies join
 	arrivalQueueLength       = 1 << 16
 )
 
-var loopbackClasses = []string{"lookup", "order"} // of testSettings
+var loopbackClasses = []string{"lookup", "order"} // names of the traffic classes of testSettings
 
 // loopbackSettings changes testSettings to more proxies and a slower channel.
 var loopbackSettings = strings.NewReplacer(
@@ -52,7 +52,7 @@
 	planner       *testPlanner
 	clock         clock.Clock
 	arrivals      chan arrival
-	channelFreeMs float64 // when all updates applied so far have left the simulated channel
+	channelFreeMs float64 // time at which the last applied update left the simulated channel
 	own           []*loopbackProxy
 	inherited     []*loopbackProxy
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -30,8 +30,8 @@
 	return order
 }
 
-// overloaded reports whether the fleet is overloaded, which makes requests wait. Failures without high latencies come from
-// servers that reject requests for other reasons.
+// overloaded reports whether the fleet is overloaded. An overload makes requests wait, so it shows in high latencies.
+// Failures without high latencies come from servers that reject requests for other reasons.
 func (l fleetLoad) overloaded() bool {
 	late := l.latencyRatio > recoveryThreshold
 	return l.latencyRatio > overloadThreshold || late && l.failureShare > overloadFailureShare
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -27,7 +27,7 @@
 	minCohorts               = 2      // least cohorts of a client; with two, a new split reaches half of the proxies first
 	tableRefreshMs           = 1000.0 // ms in which the channel can send the tables of all proxies; leaves room for many joins
 	connectionQuota          = 0.4    // usable share of the smallest server's connections; servers slow down when these run out
-	minRequestsPerConnection = 5.0    // requests per connection and idle timeout; with fewer, connections close and are reopened
+	minRequestsPerConnection = 5.0    // least requests on a connection per idle timeout; with fewer, it closes and is reopened
 	minTableEntries          = 8      // least limit of a table's entries; most servers of a table remain when a fifth fails
 	minEntries               = 3      // least number of servers of a client; two may be lost at once before its tables are empty
 	essentialWeight          = 0.8    // share of a table's weight that a proxy is sent with the table's assignment in a takeover
@@ -46,9 +46,9 @@
 	// Load reports and slow start.
 	maxSamples          = 24     // load reports kept for each server and zone, and demand reports for each proxy and class
 	maxSampleZones      = 2      // for one server, maxSamples is multiplied by the number of zones, but at most by this
-	mergeGapShare       = 0.5    // share of the report interval; reports on a server less far apart cover the same period
-	minWindowMs         = 3500.0 // least ms of the window; holds three load reports; a longer window shows a fault too late
-	windowRounds        = 1.5    // rounds of load reports within the window, so that each server has reported in it
+	mergeGapShare       = 0.5    // share of the report interval; reports on a server that are closer together are of one period
+	minWindowMs         = 3500.0 // least ms for which load reports count; enough for three; if longer, a fault shows too late
+	windowRounds        = 1.5    // rounds of load reports that count; more than one, so that each server has a report among them
 	slowStartDoublingMs = 5000.0 // time in which the capacity of a new server doubles
 	slowStartMargin     = 0.8    // usable share of the cold capacity; picking the better of two servers may double its share
 	idleClassRate       = 0.01   // requests per second added to each class as its least weight in the mean latency objective
@@ -65,8 +65,11 @@
 	overloadFailureFactor   = 2    // multiple of the median server's failure share that an overload explains
 	// maxEjectedShare is the largest share of the fleet that may be ejected by evidence; with more outliers, a fault of the
 	// reports is likelier. It is also the failure share of the median server above which demand is uncertain.
-	maxEjectedShare     = 0.3
-	ejectionMs          = 5000.0  // ms of the first ejection, doubled by each further one; a server or proxy is new this long
+	maxEjectedShare = 0.3
+	// ejectionMs is how long the first ejection lasts; each further one lasts twice as long. A proxy counts as new for this long
+	// after it joined. A server that was just started, readmitted or added to a table may also send no load reports for this long
+	// without evidence against it.
+	ejectionMs          = 5000.0
 	maxEjectionMs       = 20000.0 // ms of the longest ejection, which is as long as the longest hangs of servers
 	maxColdEjectedShare = 0.8     // share of the fleet above which no more cold servers are ejected; the rest are warm
 	newProxyDivisor     = 3       // demand is uncertain when more than 1/newProxyDivisor of the proxies are new
@@ -78,13 +81,13 @@
 	admissionIntervalMs   = 2000.0 // ms between admission steps; about the time until a new rate shows in the load reports
 	admissionCutPauseMs   = 1000.0 // ms added to admissionIntervalMs after a cut of the admission rates
 	overloadThreshold     = 0.5    // ratio of latency to its objective; above it, about a tenth of the requests is late
-	recoveryThreshold     = 0.35   // latency ratio of an overload if many requests fail; wait ratio below which rates rise again
+	recoveryThreshold     = 0.35   // latencyRatio above which many failures show an overload; waitRatio below which rates rise
 	overloadFailureShare  = 0.12   // failure share above which an overload is likelier than chance
 	admissionDecrease     = 0.6    // lowest factor for the admitted share in one step, as load reports may be late
 	admissionWindowRounds = 1.2    // rounds of load reports that a step uses; older reports precede the last step
 	capacityRetention     = 0.8    // lowest factor for the known capacity in one step of an overload; servers may have left
 	admittedCapacityShare = 0.85   // of the known capacity that is admitted in an overload, so that it drains
-	admissionIncrease     = 0.3    // largest relative increase of a step, while no request waits; less near recoveryThreshold
+	admissionIncrease     = 0.3    // largest relative increase in an admission step; 0 at a waitRatio of recoveryThreshold
 	minClassDemand        = 1e-9   // requests per second; guards a division
 	minAdmission          = 0.1    // least admission rate of a class; its admitted requests show whether the overload is over
 	admissionSteps        = 20     // admission rates are multiples of 1/admissionSteps; finer steps would cost messages
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -15,7 +15,7 @@
 	startMs                = 1e6     // policy time in ms at which a scenario begins
 	stepMs                 = 250.0   // ms between two calls of SetTime
 	quietStepMs            = 2000.0  // step from quietFromMs to quietUntilMs, while the scenario only waits
-	scenarioMs             = 825e3   // ends more than forgetRemovedMs (600 s) after the removal that follows drainAtMs
+	scenarioMs             = 825e3   // length of a scenario; over forgetRemovedMs (600 s) remain after the removal of drainAtMs
 	digestMs               = 30e3    // ms that a line of the digest covers
 	reportEveryMs          = 1000.0  // ms between two reports on a server, and between two reports of a proxy
 	lateReportMs           = 6000.0  // ms between two reports in a scenario with lateReports
@@ -26,7 +26,7 @@
 // Times and durations of the phases of a scenario, in ms; times are from its start. All other events are random, by the seed of
 // the scenario.
 const (
-	listAtMs               = 2e3   // the first full update from discovery
+	listAtMs               = 2e3   // discovery sends its first full update
 	failAtMs               = 30e3  // a warm server fails all requests for failForMs
 	failForMs              = 20e3  // ms for which a warm server fails all requests
 	slowAtMs               = 55e3  // a server is slowdownFactor times slower for slowForMs
@@ -53,7 +53,7 @@
 	rollingDrainForMs      = 12e3  // ms of the rolling drain, after which all of its servers are ready again
 	failedListsAtMs        = 240e3 // polls of the endpoint list fail
 	coldRestartsAtMs       = 250e3 // all but four servers restart under their names
-	quietFromMs            = 262e3 // only random changes, until the policy has deleted the removed servers
+	quietFromMs            = 262e3 // start of the time with only random changes, in which the policy deletes removed servers
 	quietUntilMs           = 740e3 // end of the time with only random changes
 	returnAtMs             = 780e3 // a server that the policy has deleted is listed again
 	lateRestartMs          = 795e3 // the planner restarts, unless earlyRestart is set
@@ -489,7 +489,8 @@
 	s.planner.UpdateEndpoints(policy.FullUpdate, s.list())
 }
 
-// phases starts the phases that begin at this time. Most affect servers of their own, so that they do not interfere.
+// phases starts the phases that begin at this time. Most phases change servers that no other phase changes, so that phases
+// do not interfere.
 func (s *simulation) phases() {
 	s.serverPhases()
 	s.listPhases()
--- a/policy/host.go
+++ b/policy/host.go
@@ -48,7 +48,7 @@
 	ReportIntervalMs     float64 // time between two load reports of a server
 	ColdCapacity         float64 // share of its capacity that a server has when it starts
 	SlowStartMs          float64 // time after its start at which a server reaches its full capacity
-	DrainGraceMs         float64 // time after which no request may be sent to a draining server
+	DrainGraceMs         float64 // time from the start of a drain after which no request may be sent to the server
 	ColdOverloadWindowMs float64 // period over which the load of a cold server counts; too many requests in it make it fail
 	CrossZoneCost        float64 // cost of a request that leaves its zone, as a factor of the latency objective
 	Proxies              int     // number of proxies of all planners
@@ -74,7 +74,7 @@
 	Server           string // name of the server
 	Zone             int
 	State            State
-	RelativeCapacity float64 // comparable across servers, in any unit
+	RelativeCapacity float64 // capacity of the server, in any unit that is the same for all servers
 	StartedMs        float64 // ms; time of the last start of the server; 0: unknown, long ago
 }
 
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -149,8 +149,8 @@
 		demand:           make([][]sample, len(p.admission)),
 		tables:           make([]*table, p.classGroups),
 	}
-	// A proxy taken over from another planner is not new: its demand was reported there, and load reports are known to this
-	// planner.
+	// A proxy taken over from another planner is not new: it reported its demand to that planner, and this planner has
+	// received load reports.
 	if p.anySuccess && len(messageTimes) > 0 {
 		joined.joinedMs = math.Min(joined.joinedMs, messageTimes[0])
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -36,7 +36,7 @@
 	// Statistics, updated by each evaluation:
 	reports    []sample // load reports since evidenceFromMs, merged by period
 	windowed   sample   // sum of the reports within windowMs
-	lastRound  sample   // sum of the reports of the last round
+	lastRound  sample   // sum of the reports of the last round of load reports
 	baselineMs float64  // latency without overload; 0 while unknown
 }
 
@@ -138,7 +138,7 @@
 	solvedMs         float64 // time of the last solve
 	admissionMs      float64 // time of the last admission step, or a later time that delays the next step
 	evaluatedMs      float64 // time of the last evaluation
-	timerMs          float64 // expiry of the host's timer
+	timerMs          float64 // time at which the host's timer expires
 	reportedMs       float64 // time of the last load report
 	dirty            bool    // endpoints or proxies changed since the last evaluation
 	serversChanged   bool    // the usable servers may have changed since the last solve
@@ -169,6 +169,6 @@
 	departedBacklog       float64 // entries that wait for proxies that left
 	backlogUpdatedMs      float64 // when the backlog was last updated
 	channelSlow           bool    // the last acknowledgement was late
-	acknowledgedSolve     int     // value of solves when acknowledgements were last requested
+	acknowledgedSolve     int     // value of the field solves when acknowledgements were last requested
 	acknowledgementNumber int     // number of the last request for acknowledgements
 }
--- a/policy/view.go
+++ b/policy/view.go
@@ -8,7 +8,7 @@
 
 // WriteState writes the state as of the last evaluation, one line for the fleet and one for each server. Traces compare it
 // with the traffic that was counted at the sockets. WriteState changes nothing. Latencies are in ms, rates in requests per
-// second. Errors of the writer are ignored: its owner sees them at the next write.
+// second. Errors of the writer are ignored: the writer's owner gets them at the next write.
 func (p *Policy) WriteState(w io.Writer) {
 	var text strings.Builder
 	fmt.Fprintf(&text, "fleet proxies=%d servers=%d solves=%d round=%.0f", len(p.proxies), len(p.servers), p.solves, p.roundMs)
