--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -13,7 +13,7 @@
 )
 
 // Save writes a list to a file for Restore. It writes a temporary file and renames it, so that after a crash the file
-// contains either the old or the new list, never a part.
+// contains either the old or the new list in full.
 func Save(path string, list *pb.List) error {
 	file, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
@@ -39,8 +39,8 @@
 }
 
 // Restore reads the list that Save wrote; found is false if there is no file. wallMs is the current Unix time. The ages of
-// servers increase by the time since the list was saved. If the machine's clock was set back meanwhile, the ages stay the
-// same.
+// servers increase by the time since the list was saved. If the machine's clock was set back meanwhile, the ages stay as
+// saved.
 func Restore(path string, wallMs uint64) (update Update, found bool, err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return Update{}, false, nil
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -30,7 +30,7 @@
 	AsOfMs    uint64            // Unix time when the list was valid, by the source's clock; servers' ages are relative to AsOfMs
 	Version   uint64            // version of the list; increases with each list that the source delivers
 	Endpoints []Endpoint        // all endpoints in a full update, the changed ones in a delta
-	Fault     string            // what went wrong, in a failed update; empty in others
+	Fault     string            // why a failed update failed; empty in other updates
 	Restored  bool              // whether the update is a full list that was cached before a restart, and may be stale
 }
 
--- a/internal/discovery/tracker.go
+++ b/internal/discovery/tracker.go
@@ -16,7 +16,7 @@
 	// once. If more are missing, a fault of the source is more likely than the removal of so many servers.
 	maxMissingShare = 0.3
 	// minMissingToDelay is the smallest count of missing servers whose removal may be delayed. In a small fleet one or two
-	// servers may well be taken out together.
+	// servers may well be removed together.
 	minMissingToDelay = 3
 	// removalDelayMs is how long the removal of missing servers is delayed, in ms. A polled source whose list lacks the
 	// servers for one or two polls lists them again within this delay.
@@ -74,8 +74,8 @@
 	Unverified int // endpoints that are missing from the last list and whose removal is delayed
 }
 
-// NewTracker returns a tracker that holds at most maxEndpoints. The names of the zones are in the order of the policy's
-// zone indices.
+// NewTracker returns a tracker that holds at most maxEndpoints servers. The parameter zones lists the zone names in the
+// order of the policy's zone indices.
 func NewTracker(zones []string, maxEndpoints int) *Tracker {
 	tracker := &Tracker{
 		zones:        map[string]int{},
--- a/internal/lease/constants.go
+++ b/internal/lease/constants.go
@@ -17,8 +17,8 @@
 
 // Limits on how long a holder considers its lease valid.
 const (
-	// clockRateBound is the largest relative difference between the rates of two clocks that leases tolerate. Quartz clocks
-	// stay within 0.0001; a clock that stops while its machine is suspended exceeds the bound.
+	// clockRateBound is the largest relative difference between the rates of two clocks that leases tolerate. The rates of
+	// quartz clocks differ by at most 0.0001; a clock that stops while its machine is suspended exceeds the bound.
 	clockRateBound = 0.1
 	// safetyMarginMs is the last part of a lease, in ms, that its holder does not use. The margin leaves time to send
 	// orders that were decided just before the holder stops using the lease.
@@ -38,12 +38,12 @@
 	// connectGraceMs is how long a proxy whose stream has just come up may take to reach the other controllers, in ms:
 	// about the time of a redial.
 	connectGraceMs = 500.0
-	// maxPendingRequests bounds the unanswered requests for one proxy. By the time the oldest request is dropped, any lease
-	// granted for it has expired.
+	// maxPendingRequests bounds how many unanswered lease requests are kept for one proxy. By the time the oldest request is
+	// dropped, any lease granted for that request has expired.
 	maxPendingRequests = 8
 )
 
-// Timing of transfers.
+// Timing of transfers of proxies to another controller.
 const (
 	// transferDelayMs is how long a better ranked controller must have been reachable before a proxy is transferred to
 	// it, in ms.
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -27,7 +27,7 @@
 }
 
 // Grant decides on a request for a lease of leaseMs, and reports whether the lease is granted. The holder may renew its
-// lease; a lease under a new epoch is granted while no other process holds one. The duration is limited to DurationMs.
+// lease; a lease under a new epoch is granted while no other process holds a lease. The duration is limited to DurationMs.
 func (g *Grantor) Grant(controller string, incarnation, epoch uint64, leaseMs float64) (granted bool) {
 	isHolder := g.heldBy(controller, incarnation)
 	free := g.Controller == ""
--- a/internal/lease/grantor_test.go
+++ b/internal/lease/grantor_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestGrantorGrants checks which requests a proxy grants: none that would give the proxy two holders or reuse an epoch.
+// TestGrantorGrants checks that a proxy grants no request that would give the proxy two holders or reuse an epoch.
 func TestGrantorGrants(t *testing.T) {
 	const nowMs = 1000
 	tests := []struct {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -34,8 +34,8 @@
 }
 
 // NewManager returns the manager of a controller that has no proxies yet. Each process of the controller must have a
-// different incarnation. reservedEpoch is the value from the controller's store: the manager only uses epochs above it,
-// once they are reserved. nowMs is the current time of the clock that SetTime refers to.
+// different incarnation. reservedEpoch is the reserved epoch in the controller's store: the manager only uses higher epochs,
+// each after the host has reserved it. nowMs is the current time of the clock that SetTime refers to.
 func NewManager(name string, incarnation, reservedEpoch uint64, nowMs float64) *Manager {
 	return &Manager{
 		name:                   name,
@@ -53,8 +53,8 @@
 // SetTime sets the current time, in ms of a monotonic clock. Call it before other input methods and before Next.
 func (m *Manager) SetTime(nowMs float64) { m.nowMs = nowMs }
 
-// AddProxy records that a proxy's stream came up, and the proxy's view. If the proxy had an older stream, the manager drops
-// all state that it kept for the proxy.
+// AddProxy records that a proxy's stream came up, and stores the proxy's view of its lease. If the proxy had an older
+// stream, the manager drops all state that it kept for the proxy.
 func (m *Manager) AddProxy(proxyName string, view ProxyView) {
 	m.RemoveProxy(proxyName)
 	proxy := newProxyState(proxyName, m.nowMs)
@@ -74,7 +74,8 @@
 	m.queue.remove(proxy)
 }
 
-// UpdateLease records a view that a proxy sent without being asked. Proxies that are not connected are ignored.
+// UpdateLease records the view of its lease that a proxy sent without being asked. Views from proxies that are not connected
+// are ignored.
 func (m *Manager) UpdateLease(proxyName string, view ProxyView) {
 	proxy := m.proxies[proxyName]
 	if proxy == nil {
--- a/internal/lease/model/model.go
+++ b/internal/lease/model/model.go
@@ -1,6 +1,6 @@
 // Package model checks the lease protocol of package lease by exhaustive search of a small model in which time advances in
-// whole ticks. Two controllers request and renew leases, send orders and restart; proxies decide by the real lease.Grantor;
-// messages are delayed for any time, and requests may be lost.
+// whole ticks. Two controllers request and renew leases, send orders and restart; the real lease.Grantor decides for the
+// proxies; messages are delayed for any time, and requests may be lost.
 //
 // The model needs no state for a paused controller: no controller ever has to act, and a message may arrive any time
 // after it was sent. Unlike random runs, the search proves within its bounds that no sequence of events breaks a rule, or
--- a/internal/lease/model/transitions.go
+++ b/internal/lease/model/transitions.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// tick advances the time by one tick, but not the clocks of the controllers in stop. The step is not possible if one of
-// these clocks has stopped too recently.
+// tick advances the time by one tick, but not the clocks of the controllers in the set stop. The step is not possible if one
+// of these clocks has stopped too recently.
 func (e *explorer) tick(current state, stop clockStop) (next state, possible bool) {
 	next = current
 	for number := range e.bounds.Proxies {
--- a/internal/lease/queue.go
+++ b/internal/lease/queue.go
@@ -41,7 +41,7 @@
 
 func (q *evaluationQueue) remove(proxy *proxyState) { heap.Remove(q, proxy.queueIndex) }
 
-// setDue changes when a proxy is due, and moves it to its new position.
+// setDue changes when a proxy is due for a decision, and moves the proxy to its new position in the queue.
 func (q *evaluationQueue) setDue(proxy *proxyState, dueMs float64) {
 	if proxy.nextEvaluationMs == dueMs {
 		return
--- a/internal/lease/ranking.go
+++ b/internal/lease/ranking.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// rankControllers returns how many of the reachable controllers rank before own for a proxy, and the name of the best
-// ranked one. It ranks by rendezvous hashing: all controllers that receive the same view compute the same ranking, and
-// when a controller joins or leaves, only its own share of the proxies moves.
+// rankControllers returns how many of the reachable controllers rank before the calling controller, named own, for a proxy,
+// and the name of the best ranked controller. It ranks by rendezvous hashing: all controllers that receive the same view
+// compute the same ranking, and when a controller joins or leaves, only its own share of the proxies moves.
 func rankControllers(own, proxy string, reachable []string) (ownRank int, first string) {
 	ownScore := rendezvousScore(own, proxy)
 	firstScore := uint64(0)
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -10,7 +10,7 @@
 
 const (
 	orderChance   = 0.3     // probability per step that a holder sends a proxy an order
-	delayedChance = 0.01    // probability per step that a holder sends a delayed order, if it sends no other
+	delayedChance = 0.01    // probability per step that a holder sends a delayed order, if it sends no other order
 	arrivalChance = 0.002   // probability per step that a proxy's oldest delayed order arrives
 	maxDecisions  = 10_000  // limit on the decisions of one controller in a step
 	maxSkewMs     = 1e6     // largest offset of a controller's clock, in ms
@@ -27,7 +27,7 @@
 	controllers   map[string]*testController
 	proxies       []*testProxy
 	obeyedOrders  int
-	takeoverGapMs []float64 // time for which the proxy had been free, for each takeover
+	takeoverGapMs []float64 // for each takeover, the time for which the proxy had been free before
 	longestFreeMs float64   // longest time that any proxy has been free
 	loss          float64   // share of lease requests that are lost, together with the stream that carries them
 	unfenced      bool      // whether proxies obey orders without checking the epoch of the order
--- a/internal/planner/acceptor.go
+++ b/internal/planner/acceptor.go
@@ -21,14 +21,14 @@
 // Pacing of new connections.
 const (
 	acceptRetryMs       = 100.0 // delay after a failed accept; file descriptors may have run out
-	acceptBurstDivisor  = 10    // the burst of accepts is the accept rate per second divided by this
+	acceptBurstDivisor  = 10    // the burst of accepts is the accept rate per second divided by this divisor
 	laggingJoinFraction = 0.1   // fraction of the accept rate that remains while the core lags, as each join sends whole tables
 	laggingJoinPollMs   = 20.0  // interval of attempts to admit a connection while the core lags
 )
 
 // acceptor accepts connections from proxies and serves each on goroutines of its own. It limits connections by their
 // address, their count and the rate at which they arrive. Its methods must be called by the goroutine in run; any goroutine
-// may read open and rejected.
+// may read the counts in the fields open and rejected.
 type acceptor struct {
 	clock       clock.Clock
 	log         *slog.Logger
@@ -37,7 +37,7 @@
 	allowed     *bart.Table[struct{}]                       // prefixes that proxies may connect from; nil: any address
 	maxOpen     int64                                       // limit on connections that are open at once
 	pace        *rate.Limiter                               // limits the rate of accepted connections
-	laggingPace *rate.Limiter                               // limits the rate further while the core lags
+	laggingPace *rate.Limiter                               // limits the rate of accepted connections further while the core lags
 	open        atomic.Int64                                // count of connections open now
 	// rejected counts the connections rejected since the start: their address was not allowed, or maxOpen was reached.
 	rejected atomic.Uint64
@@ -125,7 +125,7 @@
 	return a.pace.Wait(ctx) == nil
 }
 
-// peerAddress returns the remote IP address of a connection, and the zero address if it is not a TCP connection.
+// peerAddress returns the remote IP address of a connection, or the zero address if the connection does not use TCP.
 func peerAddress(conn net.Conn) netip.Addr {
 	address, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if !ok {
--- a/internal/planner/acknowledgements.go
+++ b/internal/planner/acknowledgements.go
@@ -41,7 +41,7 @@
 // ackTracker finds proxies that do not acknowledge their messages in time.
 type ackTracker struct {
 	timeoutMs      float64 // limit on the time to acknowledge any message
-	drainTimeoutMs float64 // limit for urgent messages: those that eject a server that drains or is removed
+	drainTimeoutMs float64 // limit on the time to acknowledge an urgent message, which ejects a draining or removed server
 	// earliestDeadlineMs is a lower bound of all proxies' deadlines, so that not every decision has to scan all proxies.
 	// The bound stays valid when acknowledgements arrive, as these only move deadlines later.
 	earliestDeadlineMs float64
--- a/internal/planner/coalesce.go
+++ b/internal/planner/coalesce.go
@@ -6,15 +6,15 @@
 	"lichenpick/proto/order"
 )
 
-// maxCoalescedSamples bounds the server samples, and the traffic class samples, of a coalesced report. A proxy's tables
-// have far fewer entries.
+// maxCoalescedSamples bounds the count of server samples, and that of traffic class samples, in a coalesced report. A
+// proxy's tables have far fewer entries.
 const maxCoalescedSamples = 4096
 
-// coalescedReports holds the load reports that the core has not taken yet, at most one per connection. A connection's
-// reader merges later reports into the one that waits. A lagging core thus takes the same samples in fewer reports, readers
-// never wait for the core, and memory is bounded by one report per connection. If readers stopped reading instead, the
-// writes of all proxies would time out, and all proxies would dial again at once. coalescedReports is safe for concurrent
-// use.
+// coalescedReports holds the load reports that the core has not taken yet, at most one per connection. A connection's reader
+// merges later reports into the connection's waiting report. A lagging core thus takes the same samples in fewer reports,
+// readers never wait for the core, and memory is bounded by one report per connection. If readers stopped reading instead,
+// the writes of all proxies would time out, and all proxies would dial again at once. coalescedReports is safe for
+// concurrent use.
 type coalescedReports struct {
 	available chan struct{} // signals that reports wait; of capacity 1; holds a token after each add
 
--- a/internal/planner/connection.go
+++ b/internal/planner/connection.go
@@ -97,8 +97,8 @@
 }
 
 // watch waits until the connection is being closed, and then interrupts the connection's reader. When the planner stops,
-// watch waits for the core to close the connection, and after closeTimeoutMs closes it itself, because the core may have
-// panicked.
+// watch waits for the core to close the connection, and after closeTimeoutMs closes the connection itself, because the core
+// may have panicked.
 func (s *server) watch(ctx context.Context, c *connection) {
 	select {
 	case <-c.closed:
--- a/internal/planner/core.go
+++ b/internal/planner/core.go
@@ -51,15 +51,15 @@
 	SetTime(nowMs float64)
 	// UpdateEndpoints records an endpoint list, or changes to the current one.
 	UpdateEndpoints(kind policy.UpdateKind, list []policy.Endpoint)
-	// AddProxy adds a proxy to command. The proxy expects expectedRate requests per second, and planners sent it messages
-	// at the times sentMs.
+	// AddProxy adds a proxy to command. The proxy expects expectedRate requests per second, and planners sent the proxy
+	// messages at the times sentMs.
 	AddProxy(id, zone int, expectedRate float64, sentMs ...float64)
 	// RemoveProxy removes a proxy, which this planner no longer commands.
 	RemoveProxy(id int)
-	// RecordLoadReport records the attempts that a zone's proxies sent to a server within coversMs, with the mean latency of the
-	// successful ones.
+	// RecordLoadReport records the attempts that a zone's proxies sent to a server within a period of coversMs, with the
+	// mean latency of the successful attempts.
 	RecordLoadReport(server string, zone, count, failed int, latencyMs, coversMs float64)
-	// RecordDemandReport records the requests of a traffic class that a proxy received within coversMs.
+	// RecordDemandReport records the requests of a traffic class that a proxy received within a period of coversMs.
 	RecordDemandReport(id, class, count, failed int, coversMs float64)
 	// Acknowledge records that a proxy sent the acknowledgement that the policy requested under a number, tookMs after the
 	// policy decided to request it.
@@ -101,13 +101,13 @@
 	leases        leaseState
 	timers        timers
 	recentInputs  inputLog
-	actions       []func(Host) // scheduled by input methods; Next carries them out before any new decision
+	actions       []func(Host) // actions that input methods scheduled; Next carries them out before any new decision
 	reportLagMs   float64      // longest time that a load report of the last batch waited for the core
 	lagging       bool
 	warmUpMs      float64 // how long a server warms up after its start
 	reportEveryMs uint32  // interval of the proxies' load reports
 
-	// Counts are totals since the start.
+	// Counts are totals since the start of the planner.
 	Counts Counts
 	// OrderLatency holds the times from decisions to their acknowledgements, in microseconds.
 	OrderLatency *hdrhistogram.Histogram
--- a/internal/planner/ejections.go
+++ b/internal/planner/ejections.go
@@ -42,8 +42,8 @@
 // does not show yet.
 func (p *joinedProxy) inheritsDrain(server string) bool { return p.inheritedDrainUntilMs[server] > 0 }
 
-// usesServer reports whether a proxy uses a table that contains a server. For traffic classes that this stream has
-// assigned no table, it checks the tables that the proxy reported when it joined or granted a lease.
+// usesServer reports whether a proxy uses a table that contains a server. For traffic classes without a
+// table assigned on the current stream, it checks the tables that the proxy reported when it joined or granted a lease.
 func (p *joinedProxy) usesServer(server string) bool {
 	unassigned := false
 	for _, table := range p.tables {
--- a/internal/planner/endpoints.go
+++ b/internal/planner/endpoints.go
@@ -57,8 +57,8 @@
 	return endpoint != nil && endpoint.state == policy.Ready
 }
 
-// forgetRemoved deletes servers that were removed more than discovery.RemovedRetentionMs ago and are not ejected.
-// Otherwise each deployment, which replaces servers, would use more memory.
+// forgetRemoved deletes servers that were removed more than discovery.RemovedRetentionMs ago and are not ejected. Without
+// this deletion, each deployment, which replaces servers, would use more memory.
 func (r *endpointRegistry) forgetRemoved(nowMs float64, ejected map[string]bool) {
 	for server, endpoint := range r.byServer {
 		if endpoint.state == policy.Removed && nowMs-endpoint.lastUpdateMs > discovery.RemovedRetentionMs && !ejected[server] {
--- a/internal/planner/eventloop.go
+++ b/internal/planner/eventloop.go
@@ -208,7 +208,7 @@
 	l.status.publish(status)
 }
 
-// SetTimer schedules the next evaluation of the core, in ms of the clock.
+// SetTimer schedules the next evaluation of the core at atMs, in ms of the loop's clock.
 func (l *eventLoop) SetTimer(atMs float64) { l.timerAtMs = atMs }
 
 // ReserveEpochs passes a reservation to the epoch writer. It does not block, because the core has at most one reservation
--- a/internal/planner/host_test.go
+++ b/internal/planner/host_test.go
@@ -26,7 +26,7 @@
 `
 
 const (
-	testClassCount   = 2 // traffic classes in testSettings
+	testClassCount   = 2 // count of the traffic classes in testSettings
 	testStepMs       = 50.0
 	testUnixOriginMs = 1e12 // wall-clock time when the planner's clock shows 0
 	maxDecisions     = 1e6  // limit on the decisions in one evaluation; a core that exceeds it is considered to loop endlessly
--- a/internal/planner/inputlog.go
+++ b/internal/planner/inputlog.go
@@ -15,7 +15,7 @@
 // inputKind identifies an input method of the core.
 type inputKind uint8
 
-// Kinds of inputs. Only the input methods that call Core.logInput have one.
+// Kinds of inputs. Only the input methods that call Core.logInput have a kind.
 const (
 	inputEndpoints inputKind = iota
 	inputJoin
--- a/internal/planner/intake.go
+++ b/internal/planner/intake.go
@@ -9,14 +9,14 @@
 
 // Burst size and unit of the intake's rate.
 const (
-	intakeBurstsPerSecond = 5 // the burst, the limit on loads that pass at once, is the rate per second divided by this
+	intakeBurstsPerSecond = 5 // the burst, the limit on loads that pass at once, is the rate per second divided by this constant
 	millisPerSecond       = 1000
 )
 
 // intakeLimits bounds how many loads the policy receives.
 type intakeLimits struct {
 	periodMs  float64 // length of the periods over which reports are aggregated
-	perSecond float64 // loads passed to the policy per second
+	perSecond float64 // limit on the loads passed to the policy per second
 	maxQueued int     // limit on the loads that wait; above the limit the oldest load is shed
 }
 
@@ -63,7 +63,7 @@
 // loadSample counts attempts at a server, or requests of a traffic class.
 type loadSample struct {
 	count     int
-	failed    int     // failed attempts or requests among count
+	failed    int     // failed attempts or requests, included in count
 	latencyMs float64 // sum of the latencies of the successful attempts
 }
 
@@ -88,7 +88,7 @@
 	return &reportIntake{intakeLimits: limits, periodStartMs: nowMs, nowMs: nowMs}
 }
 
-// add adds a sample to a load. meanLatencyMs is the mean over the successful attempts.
+// add adds a sample to a load. meanLatencyMs is the mean latency of the successful attempts.
 func (in *reportIntake) add(load *pendingLoad, count, failed int, meanLatencyMs float64) {
 	if !load.isCurrent {
 		load.isCurrent = true
@@ -161,15 +161,15 @@
 	return load
 }
 
-// take returns the queued sample and resets it.
+// take returns the load's queued sample and sets that sample to zero.
 func (load *pendingLoad) take() loadSample {
 	sample := load.queued
 	load.queued = loadSample{}
 	return sample
 }
 
-// deadline returns when to call next again, in ms: when the rate allows the next load, or when the current period ends.
-// It is infinite if nothing waits.
+// deadline returns the time, in ms, at which next() should be called again: when the rate allows another load, or when the
+// current period ends. The time is infinite if no load waits.
 func (in *reportIntake) deadline() float64 {
 	switch {
 	case len(in.queue) > in.removed:
@@ -181,7 +181,7 @@
 	}
 }
 
-// remove marks loads whose owner has left. They stay in the queue, and next skips them.
+// remove marks loads whose owner has left. The marked loads stay in the queue, and next() skips them.
 func (in *reportIntake) remove(loads []*pendingLoad) {
 	for _, load := range loads {
 		load.removed = true
--- a/internal/planner/leases.go
+++ b/internal/planner/leases.go
@@ -208,5 +208,5 @@
 	}
 }
 
-// SetTimer schedules the next call of the lease manager, at a time in ms.
+// SetTimer schedules the next call of the lease manager at atMs, in ms of the core's clock.
 func (h leaseHost) SetTimer(atMs float64) { h.core.timers.leaseAtMs = max(atMs, h.core.nowMs) }
--- a/internal/planner/leases_test.go
+++ b/internal/planner/leases_test.go
@@ -41,7 +41,8 @@
 func newFreeLease() *order.Lease { return &order.Lease{Reachable: []string{testPlannerName}} }
 
 // grantRequests grants all lease requests among the messages to a stream from the index fromMessage on. Each answer is a
-// copy of statement, completed with the lease. It returns the number of messages to the stream so far.
+// copy of the lease state in statement, completed with the granted lease. grantRequests returns the count of messages to the
+// stream so far.
 func (h *recordingHost) grantRequests(s *Stream, fromMessage int, statement *order.Lease) int {
 	for _, message := range h.sent[s][fromMessage:] {
 		request, ok := message.(*order.Claim)
@@ -163,8 +164,8 @@
 	}
 }
 
-// testQueuedMessagesNeedLease ends a lease right before orders are decided: the proxy rejects a message if refused is
-// set, and otherwise the lease expires.
+// testQueuedMessagesNeedLease ends a lease right before orders are decided: the proxy rejects a message if the
+// parameter refused is set, and otherwise the lease expires.
 func testQueuedMessagesNeedLease(t *testing.T, refused bool) {
 	t.Helper()
 	host, stream := newLeasingHost(t)
--- a/internal/planner/loadreports.go
+++ b/internal/planner/loadreports.go
@@ -2,8 +2,8 @@
 
 import "lichenpick/proto/order"
 
-// Thresholds at which the planner starts and stops lagging, as times for which a load report waits for the core. They
-// differ so that the state does not flip with each report.
+// Thresholds at which the planner starts and stops lagging, as times for which a load report waits for the core. The two
+// thresholds differ so that the planner does not start or stop lagging with each report.
 const (
 	laggingMs  = 1000.0 // above this wait, decisions would use outdated reports, so the planner lags
 	caughtUpMs = 100.0  // below this wait, the planner no longer lags
--- a/internal/planner/metrics.go
+++ b/internal/planner/metrics.go
@@ -12,8 +12,8 @@
 	value func(*Status) float64
 }
 
-// metrics lists all exported metrics. Totals stay gauges like the other metrics, because the type is part of a metric's
-// interface.
+// metrics lists all exported metrics. Totals are gauges like the other metrics, and must stay gauges, because the type is
+// part of a metric's interface.
 var metrics = []metric{
 	{"proxies", "Number of proxies joined.", func(s *Status) float64 { return float64(s.Proxies) }},
 	{"commanded", "Number of proxies commanded by this planner.", func(s *Status) float64 { return float64(s.LeasesHeld) }},
--- a/internal/planner/policyhost.go
+++ b/internal/planner/policyhost.go
@@ -12,7 +12,8 @@
 var _ policy.Host = policyHost{}
 
 // SetWeight sets a server's weight in a table. Weight 0 removes the entry, and also ends the server's ejection at the
-// proxies that use it in no other table. Otherwise each deployment, which replaces servers, would leave ejections behind.
+// proxies that use the server in no other table. Otherwise each deployment, which replaces servers, would leave ejections
+// behind.
 func (h policyHost) SetWeight(tableNumber int, server string, weight float64) {
 	c := h.core
 	table := c.registry.Table(tableNumber)
@@ -22,7 +23,7 @@
 		if endsEjection {
 			delete(p.ejections, server)
 		}
-		// Ejections are fleet-wide, but a proxy whose tables did not contain the server was not notified of its ejection.
+		// Ejections are fleet-wide, but a proxy whose tables did not contain the server was not notified of the ejection.
 		if weight > 0 && c.isEjected(p, server) && !p.ejections[server] {
 			c.setEjected(p, server, true)
 		}
--- a/internal/planner/proxies.go
+++ b/internal/planner/proxies.go
@@ -38,7 +38,7 @@
 	expectedRate    float64 // requests per second that the proxy expects, as sent in the join
 	lastFrameMs     float64 // when the last frame from the proxy was received
 	window          *controlstream.MessageWindow
-	tables          []*weighttable.Table[*joinedProxy] // assigned tables by traffic class; nil where this stream assigned none
+	tables          []*weighttable.Table[*joinedProxy] // tables assigned on this stream, by traffic class; nil: none assigned
 	reportedTables  []*order.Holding                   // tables from earlier streams, as the proxy reported them
 	ejections       map[string]bool                    // ejected servers whose ejection the proxy was notified of
 	unacknowledged  []sentUpdate                       // messages not acknowledged yet, oldest first
@@ -49,7 +49,7 @@
 	epoch           uint64         // epoch under which the proxy is commanded; 0 if planners do not share the fleet
 	inheritedDrains []string       // servers that drain or are removed according to the proxy's previous planner
 	// inheritedDrainUntilMs contains the servers among inheritedDrains that are ready in this planner's endpoint list, and
-	// the time until which each stays ejected. The list may be late.
+	// the time until which each stays ejected. The endpoint list may show a drain late.
 	inheritedDrainUntilMs map[string]float64
 	sentByOthersMs        []float64 // times at which other planners sent the proxy messages, oldest first
 }
@@ -65,7 +65,7 @@
 // newProxyTable returns an empty table.
 func newProxyTable() proxyTable { return proxyTable{byName: map[string]*joinedProxy{}} }
 
-// add assigns a proxy its id and makes the proxy the current one of its name.
+// add assigns a proxy its id and makes the proxy the current proxy of its name.
 func (t *proxyTable) add(p *joinedProxy) {
 	if last := len(t.freeIDs) - 1; last >= 0 {
 		p.id = t.freeIDs[last]
@@ -84,7 +84,7 @@
 	t.freeIDs = append(t.freeIDs, p.id)
 }
 
-// isJoined reports whether a proxy is still the current one of its name.
+// isJoined reports whether a proxy is still the current proxy of its name.
 func (t *proxyTable) isJoined(p *joinedProxy) bool { return t.byName[p.name] == p }
 
 // all yields the joined proxies in the order of their ids.
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -26,7 +26,7 @@
 
 // Options configure Run. Fields are required unless their comments say otherwise.
 type Options struct {
-	Settings *pb.Planner // checked by package settings
+	Settings *pb.Planner // settings of the planner, already checked by package settings
 	Clock    clock.Clock
 	Network  clock.Network
 	Source   discovery.Source // source of the endpoint list
--- a/internal/planner/server_fixture_test.go
+++ b/internal/planner/server_fixture_test.go
@@ -303,7 +303,7 @@
 
 func (panickingPolicy) AddProxy(int, int, float64, ...float64) { panic(errPolicyPanic) }
 
-// stallingPolicy blocks the core while a test holds its gate, and counts the attempts that it records.
+// stallingPolicy blocks the core while a test holds the mutex gate, and counts the attempts that it records.
 type stallingPolicy struct {
 	Decider
 	gate     sync.Mutex
--- a/internal/planner/streamreader.go
+++ b/internal/planner/streamreader.go
@@ -40,8 +40,8 @@
 }
 
 // armDeadline sets the deadline of the next read to the session's deadline, and reports whether the connection is still
-// open. It checks whether the connection is open only after setting the deadline, because the new deadline may overwrite
-// the one by which watch interrupts the reader.
+// open. It checks whether the connection is open only after setting the deadline, because the new deadline may overwrite the
+// deadline by which watch interrupts the reader.
 func (r *streamReader) armDeadline() bool {
 	inMs := max(r.session.Deadline()-r.clock.Monotonic(), 1)
 	// SetReadDeadline fails only for a broken connection; the read then fails too.
@@ -86,7 +86,7 @@
 	}
 }
 
-// OnJoin makes a join the pending input, which submitPending submits to the core.
+// OnJoin stores a join as the pending input, which submitPending submits to the core.
 func (r *streamReader) OnJoin(m *order.Join) {
 	r.proxyName = m.Proxy
 	r.pending = func(core *Core) { core.HandleJoin(r.stream, m) }
@@ -98,12 +98,12 @@
 	r.reports.add(r.connection, m, r.clock.Monotonic())
 }
 
-// OnLease makes the proxy's lease state the pending input, which submitPending submits to the core.
+// OnLease stores the lease state from the proxy as the pending input, which submitPending submits to the core.
 func (r *streamReader) OnLease(m *order.Lease) {
 	r.pending = func(core *Core) { core.HandleLease(r.stream, m) }
 }
 
-// OnAck makes an acknowledgement the pending input, which submitPending submits to the core.
+// OnAck stores an acknowledgement as the pending input, which submitPending submits to the core.
 func (r *streamReader) OnAck(m *order.Applied) {
 	r.pending = func(core *Core) { core.HandleAck(r.stream, m) }
 }
--- a/internal/planner/streamwriter.go
+++ b/internal/planner/streamwriter.go
@@ -23,7 +23,7 @@
 	clock       clock.Clock
 	timeoutMs   float64 // limit on the time of each write
 	heartbeatMs float64
-	buffer      []byte // encoded last frame; its memory is reused for the next frame
+	buffer      []byte // encoding of the last frame; its memory is reused for the next frame
 }
 
 // newStreamWriter returns the writer of a connection, with the timeouts of the server's settings.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -15,8 +15,8 @@
 // bbolt syncs the file before a write returns. If the meta page of the last write is damaged, bbolt falls back to the state
 // before that write. Therefore each reservation is written by two transactions, so that both states contain it.
 //
-// The file is locked while it is open. Init creates it once, for a new controller: a copy of another store, an older
-// version, or a new file for a name that has been in use would allow epochs to be used again.
+// The file is locked while it is open. Init creates the file once, for a new controller: a copy of another store, an older
+// version of the same store, or a new file for a name that has been in use would allow epochs to be used again.
 package store
 
 import (
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -118,7 +118,7 @@
 func testDamage(t *testing.T) {
 	const (
 		truncateStep  = 127 // step between the offsets at which the file is truncated, in bytes
-		metaPageStep  = 16  // bytes between overwritten offsets; small, as one meta page alone decides the latest state
+		metaPageStep  = 16  // step between overwritten offsets, in bytes; small, as one meta page alone decides the latest state
 		dataPageStep  = 251
 		overwriteSize = 64
 		reservations  = 5
