--- a/internal/controlstream/closereason.go
+++ b/internal/controlstream/closereason.go
@@ -20,7 +20,7 @@
 // Reasons that a session reports.
 const (
 	ReasonBadBody          CloseReason = "body"    // the body does not decode or holds a value out of range
-	ReasonUnexpectedFrame  CloseReason = "state"   // the peer may not send such a frame, or not in this stream state
+	ReasonUnexpectedFrame  CloseReason = "state"   // the peer may not send this kind of frame, or not in this state of the stream
 	ReasonHandshakeTimeout CloseReason = "no join" // no Join or Welcome was received within Limits.HandshakeTimeoutMs
 	ReasonHeartbeatTimeout CloseReason = "silent"  // no frame was received for Limits.HeartbeatTimeoutMs
 	ReasonPeerClosed       CloseReason = "left"    // the peer sent FrameClose
@@ -32,8 +32,8 @@
 	ReasonSlowReader     CloseReason = "reader"   // the peer reads too slowly or not at all
 	ReasonNameInUse      CloseReason = "taken"    // another process with the proxy's name is connected
 	ReasonSuperseded     CloseReason = "replaced" // the same proxy process opened a newer stream
-	ReasonUnknownPeer    CloseReason = "strange"  // the proxy's zone, address or traffic classes do not match the settings
-	ReasonLimitExceeded  CloseReason = "full"     // a message to the proxy would exceed a limit on queued entries or on messages
+	ReasonUnknownPeer    CloseReason = "strange"  // the proxy's zone, address or traffic classes do not fit the planner's settings
+	ReasonLimitExceeded  CloseReason = "full"     // a message to the proxy would exceed SendQueueLimits.MaxBacklog or MaxMessages
 	ReasonConnectionLost CloseReason = "lost"     // the connection broke
 	ReasonShutdown       CloseReason = "stopping" // this process shuts down
 	ReasonInternalError  CloseReason = "fault"    // an internal error occurred in this process
--- a/internal/controlstream/decoder.go
+++ b/internal/controlstream/decoder.go
@@ -12,8 +12,8 @@
 )
 
 // Decoder splits a stream of bytes into frames and checks their headers. It buffers at most one frame of the maximum size
-// plus the bytes of one Feed, and allocates nothing for a length that a header announces before the bytes have arrived. It
-// must not be used by several goroutines at the same time.
+// plus the bytes of one call of Feed, and allocates nothing for a length that a header announces before the bytes have
+// arrived. It must not be used by several goroutines at the same time.
 type Decoder struct {
 	maxBodyBytes int
 	buffer       []byte
@@ -135,5 +135,5 @@
 	return Frame{}, false, closeErr
 }
 
-// Buffered returns the number of bytes fed that are not yet part of a returned frame.
+// Buffered returns the number of bytes passed to Feed that are not yet part of a returned frame.
 func (d *Decoder) Buffered() int { return len(d.buffer) - d.consumed }
--- a/internal/controlstream/endpointsession.go
+++ b/internal/controlstream/endpointsession.go
@@ -2,8 +2,8 @@
 
 import "lichenpick/proto/order"
 
-// EndpointHost handles the messages of an endpoint source. EndpointSession.Next calls it once for each message. The host may
-// keep the messages.
+// EndpointHost handles the messages of an endpoint source. EndpointSession.Next calls OnEndpoints once for each message.
+// The host may keep the messages.
 type EndpointHost interface {
 	// OnEndpoints is called for each endpoint list and each change to one.
 	OnEndpoints(*order.Listing)
--- a/internal/controlstream/frame.go
+++ b/internal/controlstream/frame.go
@@ -30,20 +30,20 @@
 // FrameKind identifies the message in a frame's body. The numbers are part of the protocol.
 type FrameKind uint8
 
-// Kinds of frames. Each comment names the sender, the type of the body and the purpose.
+// Kinds of frames. Each comment states who sends the frame, the type of its body and its purpose.
 const (
-	FrameJoin             FrameKind = 1 + iota // proxy, order.Join: opens the stream
-	FrameWelcome                               // planner, order.Welcome: accepts a FrameJoin
-	FrameOrders                                // planner, order.Orders: changes of weight tables, ejections and admission rates
-	FrameAck                                   // proxy, order.Applied: acknowledges FrameWelcome and each FrameOrders
-	FrameLoadReport                            // proxy, order.Sums: load per server and traffic class
-	FrameHeartbeat                             // both, no body: keeps the stream alive when there is nothing else to send
-	FrameClose                                 // both, order.Bye: ends the stream with a reason
-	FrameEndpoints                             // endpoint source, order.Listing: the full endpoint list or changes to it
-	FrameLeaseRequest                          // planner, order.Claim: requests or renews the proxy's lease
-	FrameLeaseRelease                          // planner, order.Release: ends the planner's lease of the proxy
-	FrameLease                                 // proxy, order.Lease: the state of the proxy's lease
-	FrameControllerStatus                      // planner, order.Standing: whether the planner accepts leases
+	FrameJoin             FrameKind = 1 + iota // the proxy sends an order.Join to open the stream
+	FrameWelcome                               // the planner sends an order.Welcome to accept a FrameJoin
+	FrameOrders                                // the planner sends order.Orders to set weight tables, ejections and admission rates
+	FrameAck                                   // the proxy sends an order.Applied to acknowledge a FrameWelcome or FrameOrders
+	FrameLoadReport                            // the proxy sends order.Sums to report the load per server and traffic class
+	FrameHeartbeat                             // either end sends an empty body to keep an otherwise idle stream alive
+	FrameClose                                 // either end sends an order.Bye to end the stream and state the reason
+	FrameEndpoints                             // the endpoint source sends an order.Listing: the full endpoint list or changes
+	FrameLeaseRequest                          // the planner sends an order.Claim to request or renew the proxy's lease
+	FrameLeaseRelease                          // the planner sends an order.Release to end its lease of the proxy
+	FrameLease                                 // the proxy sends an order.Lease to report the state of its lease
+	FrameControllerStatus                      // the planner sends an order.Standing to state whether it accepts leases
 	frameKindEnd                               // the largest kind plus one; not a kind itself
 )
 
@@ -85,8 +85,8 @@
 // castagnoli is the table for computing the CRC-32C checksum.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// AppendFrame appends a frame to dst and returns the extended slice. A nil body stands for an empty one. AppendFrame fails
-// only if the body cannot be encoded, and then returns dst with its length unchanged.
+// AppendFrame appends a frame to dst and returns the extended slice. A nil body is encoded as an empty body. AppendFrame
+// fails only if the body cannot be encoded, and then returns dst with its length unchanged.
 func AppendFrame(dst []byte, kind FrameKind, sequence uint64, body proto.Message) ([]byte, error) {
 	start := len(dst)
 	dst = append(dst, make([]byte, FrameHeaderBytes)...)
--- a/internal/controlstream/plannersession.go
+++ b/internal/controlstream/plannersession.go
@@ -9,7 +9,7 @@
 	OnJoin(*order.Join)
 	// OnLoadReport is called for each load report.
 	OnLoadReport(*order.Sums)
-	// OnAck is called for each acknowledgement: that of the Welcome, with number 0, and that of each Orders message.
+	// OnAck is called for each acknowledgement. The proxy acknowledges the Welcome, with number 0, and each Orders message.
 	OnAck(*order.Applied)
 	// OnLease is called for the response to a lease request, and when the state of the proxy's lease changes.
 	OnLease(*order.Lease)
--- a/internal/controlstream/sendqueue.go
+++ b/internal/controlstream/sendqueue.go
@@ -8,7 +8,7 @@
 // of sizes is the weight entry. An order of another kind counts as one entry or more; the caller of Push states how many.
 type SendQueueLimits struct {
 	EntriesPerSecond float64 // rate at which entries are sent; positive
-	MessageOverhead  float64 // entries that each message counts as, in addition to those it contains
+	MessageOverhead  float64 // number of entries added to the size of each message
 	MaxBacklog       float64 // largest number of entries in the queue, including MessageOverhead for each message
 	MaxMessages      int     // largest number of messages to one proxy within WindowMs; 0: no limit
 	WindowMs         float64 // length in ms of the window for MaxMessages; unused if MaxMessages is 0
@@ -41,14 +41,14 @@
 }
 
 // SendQueue is a first-in, first-out queue that releases each message after the time that its entries take at the configured
-// rate, and rejects messages that exceed its limits. The policy estimates whether it stays within these limits; the queue
-// enforces them. A SendQueue must not be used by several goroutines at the same time, and the times passed to it must not
-// decrease.
+// rate, and rejects messages that exceed its limits. The policy estimates whether its orders stay within these limits; the
+// queue enforces the limits. A SendQueue must not be used by several goroutines at the same time, and the times passed to its
+// methods must not decrease.
 type SendQueue[T any] struct {
 	limits      SendQueueLimits
 	queue       []Message[T]
 	backlog     float64 // sum of the Entries of the queued messages
-	headStartMs float64 // start of sending the first message, in ms: its Push or, if later, the previous departure
+	headStartMs float64 // time in ms at which sending the first message starts: its Push or, if later, the last departure
 	peak        float64 // highest backlog, in entries, since the last call of PeakBacklog
 }
 
@@ -57,9 +57,9 @@
 	return &SendQueue[T]{limits: limits}
 }
 
-// Push queues a message; entries is its size without the overhead. If the message would exceed a limit, Push does not queue
-// it and returns a CloseError with ReasonLimitExceeded. The caller must then end that proxy's stream, because the policy
-// assumes that the proxy receives every order.
+// Push queues a message; entries is the message's size without MessageOverhead. If the message would exceed a limit, Push
+// does not queue the message and returns a CloseError with ReasonLimitExceeded. The caller must then end that proxy's stream,
+// because the policy assumes that the proxy receives every order.
 func (q *SendQueue[T]) Push(nowMs float64, to *MessageWindow, entries float64, payload T) *CloseError {
 	entries += q.limits.MessageOverhead
 	if q.backlog+entries > q.limits.MaxBacklog {
--- a/internal/controlstream/session.go
+++ b/internal/controlstream/session.go
@@ -9,8 +9,8 @@
 // Limits are the limits that a session enforces on its peer. All fields must be set.
 type Limits struct {
 	MaxFrameBytes      int     // largest body of a frame, in bytes
-	HandshakeTimeoutMs float64 // longest time from the opening of the stream to FrameJoin or FrameWelcome
-	HeartbeatTimeoutMs float64 // longest time between two frames once the stream is established
+	HandshakeTimeoutMs float64 // longest time from the opening of the stream to FrameJoin or FrameWelcome, in ms
+	HeartbeatTimeoutMs float64 // longest time between two frames once the stream is established, in ms
 }
 
 // session holds the state that all ends of a stream have in common: the decoder, the time-outs and the sequence numbers of
@@ -127,9 +127,9 @@
 	return newCloseError(ReasonBadBody, "%s: %v", frame.Kind, err)
 }
 
-// receive decodes a frame's body into message, validates it with check, which may be nil, and passes it to deliver. A
-// message with any invalid part is not delivered at all, because a proxy that applied only its valid part would hold a table
-// that its planner does not know.
+// receive decodes a frame's body into message, validates the message with check unless check is nil, and passes the message
+// to deliver. A message with any invalid part is not delivered at all, because a proxy that applied only the valid part of a
+// message would hold a table that its planner does not know.
 func receive[M proto.Message](s *session, frame Frame, message M, check func(M) error, deliver func(M)) bool {
 	if err := proto.Unmarshal(frame.Body, message); err != nil {
 		s.closeErr = badBodyError(frame, err)
--- a/internal/fake/loadgenerator.go
+++ b/internal/fake/loadgenerator.go
@@ -33,8 +33,8 @@
 var ErrTooManyInFlight = errors.New("too many requests in flight")
 
 // LoadGenerator simulates many clients that send open-loop load: requests arrive as a Poisson process, whether or not earlier
-// ones have been answered. Its exported fields must not change during Run. MaxRetries, BackoffMs and Seed may be 0; all other
-// fields are required.
+// requests have been answered. Its exported fields must not change during Run. MaxRetries, BackoffMs and Seed may be 0; all
+// other fields are required.
 type LoadGenerator struct {
 	Clock             clock.Clock
 	Classes           []*pb.Group // traffic classes
@@ -42,7 +42,7 @@
 	RequestsPerSecond float64
 	MaxRetries        int      // largest number of retries that a client sends for one request
 	BackoffMs         float64  // mean delay before the first retry, in ms; the mean doubles for each further retry
-	Proxies           []string // addresses; each request goes to one drawn at random, all with equal probability
+	Proxies           []string // addresses of the proxies; each request goes to one drawn at random, all with equal probability
 	Seed              int64
 
 	mu         sync.Mutex // guards the fields below
@@ -52,8 +52,8 @@
 	sent       int     // number of requests sent to proxies, retries included
 }
 
-// SetRateFactor sets the factor by which RequestsPerSecond is multiplied from now on. It is safe for concurrent use, also
-// before Run.
+// SetRateFactor sets the factor by which RequestsPerSecond is multiplied from now on. It is safe for concurrent use
+// and may be called before Run.
 func (g *LoadGenerator) SetRateFactor(factor float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,8 +135,8 @@
 	return clientRequest{number: number, class: class, proxy: proxyNumber, seed: random.Int63(), second: second}
 }
 
-// send sends a request to its first proxy, retries it as long as that is allowed, each time at a proxy drawn at
-// random, and records the outcome.
+// send sends a request to its first proxy, retries the request as long as retries are allowed, each time at a proxy
+// drawn at random, and records the outcome.
 func (g *LoadGenerator) send(ctx context.Context, client *http.Client, request clientRequest) {
 	class := g.Classes[request.class]
 	random := rand.New(rand.NewSource(request.seed))
--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -46,7 +46,7 @@
 	subscribers map[*subscriber]bool
 }
 
-// subscriber is a connection on which a client receives the list.
+// subscriber is a connection on which a client receives the endpoint list.
 type subscriber struct {
 	connection net.Conn
 	queue      chan queuedListing // closed when the subscriber falls too far behind
@@ -143,7 +143,7 @@
 	return err
 }
 
-// withDueTime returns a message with the time at which the message is to be sent. The caller holds the lock.
+// withDueTime combines a message with the time at which the message is to be sent. The caller holds the lock.
 func (r *EndpointRegistry) withDueTime(listing *order.Listing) queuedListing {
 	return queuedListing{dueMs: r.Clock.Monotonic() + r.DelayMs, listing: listing}
 }
@@ -165,7 +165,8 @@
 	return &order.Listing{Form: form, AsOfUnixMs: uint64(r.Clock.WallTime().UnixMilli()), Version: r.version}
 }
 
-// fullListing returns a message with the whole list, as replaced by the override if there is one. The caller holds the lock.
+// fullListing returns a message with the whole endpoint list, or with the list that the override returns if one is set. The
+// caller holds the lock.
 func (r *EndpointRegistry) fullListing() *order.Listing {
 	shown := r.entries
 	if r.override != nil {
@@ -187,8 +188,8 @@
 	return copies
 }
 
-// SetEndpoint adds or changes a server and publishes the change. A startedUnixMs of 0 means that the server started long
-// ago.
+// SetEndpoint adds a server to the endpoint list, or changes its entry, and publishes the change. A startedUnixMs of 0 means
+// that the server started long ago.
 func (r *EndpointRegistry) SetEndpoint(server, zone string, state EndpointState, capacity float64, startedUnixMs uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,9 +210,9 @@
 	r.publish(change)
 }
 
-// Override sets a function that replaces the true list in everything that is published, and publishes the resulting whole
-// list. Calling it with nil restores the true list. The function must not change the entries that it is given, and must not
-// call the registry.
+// Override sets a function that returns the endpoint list to publish in place of the true list, and publishes the whole list
+// that the function returns. A nil function restores the true list. The function must not change the entries that are passed
+// to it, and must not call the registry.
 func (r *EndpointRegistry) Override(override func([]*order.Listing_Entry) []*order.Listing_Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -16,11 +16,11 @@
 	ConnectDelayMs float64 // delay before the relay dials the target for a new connection, in ms
 	Cut            bool    // existing connections break and new ones are reset
 	Stall          bool    // data towards the source is held back, so that in the end the target's writes block
-	CutAfterBytes  int     // if Cut is set: bytes still delivered to the source before the break, perhaps within a frame
+	CutAfterBytes  int     // if Cut is set: number of bytes delivered to the source before the break, which may split a frame
 }
 
 // Observer is notified of the data on one relayed connection. Its methods may be called by several goroutines and should return
-// quickly. Times are the relay's monotonic clock in ms. Data must not be retained or changed.
+// quickly. Times are in ms of the relay's monotonic clock. Data must not be retained or changed.
 type Observer interface {
 	// ToTarget receives data that the source sent.
 	ToTarget(atMs float64, data []byte)
--- a/internal/fake/relayedlink.go
+++ b/internal/fake/relayedlink.go
@@ -23,12 +23,12 @@
 	closeOnce sync.Once
 }
 
-// observeClosed notifies the observer, on its first call only, that the connection has ended.
+// observeClosed notifies the observer that the connection has ended. Only the first call has an effect.
 func (l *relayedLink) observeClosed() {
 	l.closeOnce.Do(func() { l.observer.Closed(l.relay.Clock.Monotonic()) })
 }
 
-// relayedDirection is one direction of a connection: one goroutine reads chunks, and another writes each when it is due.
+// relayedDirection is one direction of a connection: one goroutine reads chunks, and another writes each chunk at its due time.
 type relayedDirection struct {
 	link           *relayedLink
 	in, out        net.Conn
@@ -128,7 +128,7 @@
 	}
 }
 
-// waitWhileStalled waits until the connection is not stalled, and returns its fault.
+// waitWhileStalled waits until the connection is not stalled, and returns the connection's current fault.
 func (d *relayedDirection) waitWhileStalled(ctx context.Context) (LinkFault, error) {
 	relay := d.link.relay
 	fault, changed := relay.faultOf(d.link.from)
@@ -143,7 +143,7 @@
 	return fault, nil
 }
 
-// limit returns the leading part of data that is still delivered under the given fault: all of it unless there is a cut.
+// limit returns the leading part of data that is still delivered under the given fault: all of data unless there is a cut.
 func (d *relayedDirection) limit(data []byte, fault LinkFault) []byte {
 	if !fault.Cut {
 		return data
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Start starts the server without a fault, either cold, as after a restart, or warm. It returns the address that the server
-// listens at, which later starts use again. The server runs until Crash.
+// Start starts the server without a fault, either cold, as after a restart, or warm. It returns the address at which the
+// server listens. Later starts use the same address. The server runs until Crash.
 func (s *Server) Start(ctx context.Context, cold bool) (string, error) {
 	listener, err := s.network.Listen(ctx, s.address)
 	if err != nil {
@@ -147,14 +147,14 @@
 	return server.shutdown(context.WithoutCancel(ctx))
 }
 
-// SetFault sets the fault of the server. The next start clears it.
+// SetFault sets the fault of the server. The next start clears the fault.
 func (s *Server) SetFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
 }
 
-// Counts returns the counts so far.
+// Counts returns the numbers of requests and crashes so far.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/serverhandler.go
+++ b/internal/fake/serverhandler.go
@@ -118,7 +118,7 @@
 	return admitted, workMs, planned
 }
 
-// isDuplicate reports whether a request carries an idempotency key that was already seen within the window.
+// isDuplicate reports whether a request carries an idempotency key that was already seen within the deduplication window.
 func (s *Server) isDuplicate(request *http.Request, nowMs float64) bool {
 	key := request.Header.Get(IdempotencyKeyHeader)
 	if key == "" || s.deduplicator == nil {
@@ -127,8 +127,8 @@
 	return !s.deduplicator.recordKey(key, nowMs, settings.Milliseconds(s.settings.DedupWindow))
 }
 
-// work waits for a free core and occupies it for workMs at nominal speed. It returns false if the context ends before a core is
-// free. Work that has begun is completed even if its client gives up.
+// work waits for a free core and occupies the core until the work is done; workMs is the duration of the work at nominal speed.
+// It returns false if the context ends before any core is free. Work that has begun is completed even if its client gives up.
 func (s *Server) work(ctx context.Context, workMs float64) bool {
 	select {
 	case s.cores <- struct{}{}:
--- a/internal/fake/stress.go
+++ b/internal/fake/stress.go
@@ -33,7 +33,7 @@
 	Network           clock.Network
 	Planners          []string // addresses of the planners
 	SharedFleet       bool     // whether the planners share the fleet; if not, the proxies are spread over the planners
-	Zones             []string // proxy n is in zone n modulo the number of zones
+	Zones             []string // zones of the proxies; proxy n is in the zone with index n modulo the number of zones
 	Classes           []*pb.Group
 	Proxies           int
 	Servers           int     // number of servers in the endpoint list
@@ -64,7 +64,7 @@
 	BytesUp       int     // number of bytes sent to planners on control streams
 	BytesDown     int     // number of bytes received from planners on control streams
 
-	// Quantiles of the time from the decision of orders by a planner until a proxy applied them, in ms.
+	// Quantiles of the time from a planner's decision on orders until a proxy applied these orders, in ms.
 	ApplyP50Ms, ApplyP99Ms, ApplyP999Ms, ApplyMaxMs float64
 	// Quantiles of the time that a proxy had no leading planner at a takeover: from the last frame of the previous leader until
 	// the lease of the next one, in ms.
@@ -95,8 +95,8 @@
 	return s.summarize(), err
 }
 
-// runProxy runs a proxy until the context ends. It first waits until the proxy is to join, as JoinSpreadMs sets. The proxy's
-// goroutines belong to the group.
+// runProxy runs a proxy until the context ends. It first waits until the proxy's join is due; the joins are spread over
+// JoinSpreadMs. The proxy's goroutines belong to the group.
 func (s *StressTest) runProxy(ctx context.Context, group *errgroup.Group, number int, startMs float64) error {
 	if clock.Sleep(ctx, s.Clock, s.JoinSpreadMs*float64(number)/float64(s.Proxies)) != nil {
 		return nil
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// writeList writes the endpoint list if there is one. All servers are ready, except that of the given index, which drains.
+// writeList writes the endpoint list if ListPath is set. All servers are ready, except the server of the given index, which
+// drains.
 func (s *StressTest) writeList(draining int) error {
 	if s.ListPath == "" {
 		return nil
--- a/internal/fake/stressproxy.go
+++ b/internal/fake/stressproxy.go
@@ -54,7 +54,7 @@
 // proxySettings returns the settings of the proxy of the given number.
 func (s *StressTest) proxySettings(number int) *pb.Proxy {
 	planners := s.Planners
-	if !s.SharedFleet { // spread the proxies: each dials first the planner that its number selects
+	if !s.SharedFleet { // spreads the proxies: a proxy's number selects the planner that it dials first
 		first := number % len(planners)
 		planners = slices.Concat(planners[first:], planners[:first])
 	}
--- a/internal/fake/tally.go
+++ b/internal/fake/tally.go
@@ -10,7 +10,7 @@
 
 // The outcomes of a request.
 const (
-	Failed    Outcome = iota // no answer in time, or an error
+	Failed    Outcome = iota // the client got no answer in time, or an error
 	Succeeded                // answered with success, within the latency objective or later
 	Rejected                 // shed by a proxy
 	NoServer                 // the proxy had no server to send the request to
--- a/internal/fake/warmup.go
+++ b/internal/fake/warmup.go
@@ -67,7 +67,7 @@
 // Overloads returns the number of crashes by overload over all starts.
 func (w *WarmUp) Overloads() int { return w.overloads }
 
-// Capacity returns the server's capacity at nowMs. The function Capacity computes it from the time since the last cold start.
+// Capacity returns the server's capacity at nowMs. The capacity depends on the time since the last cold start.
 func (w *WarmUp) Capacity(nowMs float64) float64 {
 	return Capacity(w.settings, nowMs-w.startedMs, w.startedMs > 0)
 }
--- a/internal/load/options.go
+++ b/internal/load/options.go
@@ -24,7 +24,7 @@
 // all other fields are required. Options must not change during Run.
 type Options struct {
 	Clock       clock.Clock
-	Targets     []string  // addresses; each request goes to one drawn at random, all with equal probability
+	Targets     []string  // addresses of the proxies; each request goes to one drawn at random, all with equal probability
 	Class       string    // name of the traffic class; empty: the target's first class
 	Rates       []float64 // requests per second of each step
 	StepMs      float64   // length of a step, in ms
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// MeetsObjective reports whether a step meets the objective.
+// MeetsObjective reports whether a step meets both LatencyObjectiveMs and MinSuccessRatio.
 func (o Options) MeetsObjective(step Step) bool {
 	return step.P99 <= o.LatencyObjectiveMs && step.SuccessRatio() >= o.MinSuccessRatio
 }
--- a/internal/load/step.go
+++ b/internal/load/step.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// current returns the result so far.
+// current returns the result of the step so far.
 func (r *recorder) current() Step {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/controlclient.go
+++ b/internal/proxy/controlclient.go
@@ -26,7 +26,7 @@
 const (
 	readBufferBytes      = 16 << 10
 	writeTimeoutMs       = 2000.0 // time limit for writing a frame, in ms
-	handshakeTimeoutMs   = 2000.0 // time limit for dialling a planner, and then for receiving its Welcome, in ms
+	handshakeTimeoutMs   = 2000.0 // time limit for dialling a planner, and again for receiving its Welcome, in ms
 	maxOutboxFrames      = 256    // largest number of frames queued for a planner that reads slowly
 	leaseCheckIntervalMs = 100.0  // longest interval between checks of the lease, in ms
 )
@@ -41,7 +41,7 @@
 
 // Options configure a ControlClient or a Proxy. All fields must be set unless noted otherwise.
 type Options struct {
-	Settings *pb.Proxy // validated and with defaults applied, as returned by settings.Load; never modified
+	Settings *pb.Proxy // the proxy's settings, validated and with defaults applied, as returned by settings.Load; never modified
 	Clock    clock.Clock
 	Network  clock.Network
 	Log      *slog.Logger
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -22,13 +22,13 @@
 	tableByClass  []*table          // the table in force for each traffic class, perhaps from an earlier session
 	tables        map[uint32]*table // tables assigned in the current session, by table number
 	ejected       map[string]bool   // servers that the current session has ejected and has not readmitted
-	admissions    []admission       // by traffic class
+	admissions    []admission       // admission rate and retry mode by traffic class
 	tableAssigned bool              // whether the current session has assigned a table
 
 	// Load: attempts in flight, and statistics since the last load report.
 	inFlight      map[string]int // number of attempts in flight by server
 	statsByServer map[string]*serverStats
-	statsByClass  []classStats // by traffic class
+	statsByClass  []classStats // request counts by traffic class
 	lastReportMs  float64      // time of the last load report, in ms
 
 	// Lease state, used only where several controllers share the fleet.
@@ -66,7 +66,7 @@
 	return core
 }
 
-// admitAll returns the admission of a class for which no planner has set one.
+// admitAll returns the admission of a traffic class for which no planner has set an admission rate.
 func (c *Core) admitAll() admission { return admission{fraction: 1, retry: c.defaultRetry} }
 
 // StartSession starts a session with a planner. The tables and ejections of earlier sessions stay in force until the new
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -31,7 +31,7 @@
 }
 
 // bufferedResponse is a server's response, read completely before any of it is sent to the client. If the connection breaks
-// halfway, the attempt fails instead of the client getting half a response.
+// halfway, the attempt fails and the client gets no part of the response.
 type bufferedResponse struct {
 	status int
 	header http.Header
@@ -87,8 +87,8 @@
 
 // forbidResend guards against processing a request twice. The HTTP library resends some requests by itself when a reused
 // connection breaks, although the server may already have processed the first copy. The returned context is cancelled when
-// the library gets a connection after the request was written, so it can resend only while nothing has been written. The
-// returned flag tells whether the headers of the request were written.
+// the library gets a connection after the request was written, so the library can resend a request only while nothing of
+// it has been written. The returned flag is true once the headers of the request were written.
 func forbidResend(ctx context.Context, cancel context.CancelFunc) (context.Context, *atomic.Bool) {
 	written := &atomic.Bool{}
 	trace := &httptrace.ClientTrace{
@@ -148,8 +148,8 @@
 	return added
 }
 
-// dialServer is the DialContext of the transports. It wraps each error of the network, of any type, so that isDialError
-// recognizes it.
+// dialServer is the DialContext of the transports. It wraps each network error, of any type, in a net.OpError, so that
+// isDialError recognizes the error.
 func (p *Proxy) dialServer(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, settings.Duration(p.Settings.ConnectWithin))
 	defer cancel()
--- a/internal/proxy/leasestate.go
+++ b/internal/proxy/leasestate.go
@@ -15,7 +15,7 @@
 	// maxRecentOrders is the largest number of Orders messages whose times are kept.
 	maxRecentOrders = 1000
 	// drainRetentionMs is how long after the ejection of a draining or removed server the proxy still names the server to a
-	// new lease holder. The holder's own endpoint list shows the drain or removal long before the end of this time.
+	// new lease holder. The new holder's own endpoint list shows the drain or removal long before this time has passed.
 	drainRetentionMs = 600000.0
 )
 
--- a/internal/proxy/loadreport.go
+++ b/internal/proxy/loadreport.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// TakeLoadReport returns the statistics since the previous call, with the servers sorted by name, and resets them.
+// TakeLoadReport returns the statistics since the previous call, with the servers sorted by name, and resets the statistics.
 func (c *Core) TakeLoadReport(nowMs float64) *order.Sums {
 	report := &order.Sums{CoversMs: nowMs - c.lastReportMs}
 	for name, stats := range c.statsByServer {
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -27,7 +27,7 @@
 			return entry
 		}
 	}
-	return candidates[len(candidates)-1] // reached only if rounding errors leave point at 0 or above
+	return candidates[len(candidates)-1] // reached only if rounding errors kept the loop from choosing a candidate
 }
 
 // chooseOfTwo draws two candidates at random by weight and picks the one with fewer attempts in flight ("power of two
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -14,8 +14,8 @@
 // Outcomes of an attempt.
 const (
 	Succeeded   Outcome = iota // the server responded with a status below 500
-	Unprocessed                // failed without being processed: the dial failed, or the server's response says so
-	Failed                     // failed, and the server may have processed the request
+	Unprocessed                // the server did not process the request: the dial failed, or the server's response says so
+	Failed                     // the attempt failed, and the server may have processed the request
 )
 
 // minRemainingFraction is the fraction of a request's time limit that must remain for a retry. With less time left, the retry
@@ -35,7 +35,7 @@
 	Class      int // traffic class, as an index into the settings' list of classes
 	Attempts   int // number of attempts started
 	admittedMs float64
-	attempted  []string // servers of the attempts started
+	attempted  []string // servers to which attempts were started
 }
 
 // Admit counts a request of a traffic class and decides at random, by the class's admission rate, whether to admit it. The
@@ -124,7 +124,7 @@
 	return false
 }
 
-// mayRetry reports whether a failed request is to be retried: its retry mode allows it, enough time remains, and there is
+// mayRetry reports whether a failed request is to be retried: the retry mode allows a retry, enough time remains, and there is
 // another server.
 func (c *Core) mayRetry(nowMs float64, request *Request, outcome Outcome) bool {
 	deadlineMs := settings.Milliseconds(c.classes[request.Class].Expiry)
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -24,8 +24,8 @@
 // Proxy is a ControlClient with an HTTP server that forwards requests according to the orders received.
 type Proxy struct {
 	*ControlClient
-	transports    map[string]*http.Transport // by server address; guarded by the mutex of ControlClient
-	classByName   map[string]int             // index of each traffic class in the settings
+	transports    map[string]*http.Transport // transport of each server, by address; guarded by the mutex of ControlClient
+	classByName   map[string]int             // index of each traffic class in the settings, by class name
 	inFlightCount atomic.Int64               // number of client requests in flight
 }
 
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -27,12 +27,12 @@
 	joined         bool // whether the planner has welcomed the proxy
 	controller     string
 	incarnation    uint64
-	takesLeases    bool    // whether the controller's last status said that it accepts leases
+	takesLeases    bool    // whether the controller last stated that it accepts leases
 	lastReceivedMs float64 // time in ms at which bytes were last received from the planner
 	protocolErr    error   // protocol violation by the planner, which ends the stream
 }
 
-// queuedFrame is a frame to be sent. A nil body stands for an empty one.
+// queuedFrame is a frame to be sent. A nil body is sent as an empty body.
 type queuedFrame struct {
 	kind controlstream.FrameKind
 	body proto.Message
@@ -66,8 +66,7 @@
 	}
 }
 
-// OnWelcome starts the session. It ends the stream if only one of planner and proxy is set to share the
-// fleet.
+// OnWelcome starts the session. It ends the stream if only one of planner and proxy is set to share the fleet.
 func (s *session) OnWelcome(welcome *order.Welcome) {
 	client := s.client
 	client.mu.Lock()
@@ -113,8 +112,8 @@
 	})
 }
 
-// OnLeaseRequest responds to a request for the lease. If the holder changes, it announces the new lease state to the other
-// controllers.
+// OnLeaseRequest responds to a request for the lease. If the lease holder changes, OnLeaseRequest announces the new lease
+// state to the other controllers.
 func (s *session) OnLeaseRequest(request *order.Claim) {
 	client := s.client
 	client.mu.Lock()
@@ -149,8 +148,8 @@
 	client.lastHolder = leaseHolder{controller: s.controller, incarnation: s.incarnation, lastReceivedMs: nowMs}
 }
 
-// OnLeaseRelease ends the lease and announces the new lease state to all controllers, if the sender holds the lease under
-// the stated epoch.
+// OnLeaseRelease ends the lease and announces the new lease state to all controllers. It does nothing unless the sender holds
+// the lease under the stated epoch.
 func (s *session) OnLeaseRelease(release *order.Release) {
 	client := s.client
 	client.mu.Lock()
@@ -161,7 +160,8 @@
 	}
 }
 
-// OnControllerStatus records whether the controller accepts leases, and announces a change to all controllers.
+// OnControllerStatus records whether the controller accepts leases. If this has changed, OnControllerStatus sends the lease
+// state, which lists the reachable controllers, to all controllers.
 func (s *session) OnControllerStatus(status *order.Standing) {
 	client := s.client
 	client.mu.Lock()
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -55,13 +55,14 @@
 // closeConnection closes a connection that is no longer used. An error has no consequence, as nothing is written any more.
 func closeConnection(conn net.Conn) { _ = conn.Close() }
 
-// read receives a planner's messages and passes them to the session until the stream ends, and returns the reason.
+// read receives a planner's messages and passes them to the session until the stream ends. It returns the reason why the
+// stream ended.
 func (s *session) read(conn net.Conn, codec *controlstream.ProxySession) error {
 	timeSource := s.client.Clock
 	buffer := make([]byte, readBufferBytes)
 	for {
 		remainingMs := codec.Deadline() - timeSource.Monotonic()
-		// On a closed connection, SetReadDeadline fails, but Read fails too.
+		// The error is ignored: SetReadDeadline fails on a closed connection, and Read then fails too.
 		_ = conn.SetReadDeadline(timeSource.Deadline(max(remainingMs, 1)))
 		size, err := conn.Read(buffer)
 		codec.Feed(timeSource.Monotonic(), buffer[:size])
@@ -90,8 +91,8 @@
 type streamWriter struct {
 	session *session
 	conn    net.Conn
-	codec   *controlstream.ProxySession // only Append is called, which may run concurrently with the reader's calls
-	buffer  []byte                      // reused for each frame
+	codec   *controlstream.ProxySession // the writer calls only Append, which may run concurrently with the reader's calls
+	buffer  []byte                      // holds the encoded frame; reused for each frame
 }
 
 // run sends the queued frames, and a load report or heartbeat in each report interval, until streamCtx ends, a write fails or
@@ -99,8 +100,8 @@
 func (w *streamWriter) run(streamCtx, proxyCtx context.Context) {
 	client := w.session.client
 	intervalMs := settings.Milliseconds(client.Settings.ReportEvery)
-	// The first report is sent at a random time within the interval. Otherwise all proxies would report at the same time
-	// after a planner's restart.
+	// The first report is sent at a random time within the report interval. Otherwise all proxies would report at the same
+	// time after a planner's restart.
 	random := rand.New(rand.NewSource(int64(client.incarnation)))
 	nextReportMs := client.Clock.Monotonic() + intervalMs*random.Float64()
 	for {
--- a/internal/proxy/tables.go
+++ b/internal/proxy/tables.go
@@ -6,7 +6,7 @@
 	"lichenpick/proto/order"
 )
 
-// weightEntry is a server in a weight table.
+// weightEntry is the entry of one server in a weight table.
 type weightEntry struct {
 	server string
 	weight float64
@@ -19,7 +19,7 @@
 	ejected map[string]bool // servers ejected by the session that assigned the table; shared by all tables of the session
 }
 
-// indexOf returns the index of a server's entry, or -1 if it has none.
+// indexOf returns the index of a server's entry, or -1 if the server has no entry.
 func (t *table) indexOf(server string) int {
 	return slices.IndexFunc(t.entries, func(entry *weightEntry) bool { return entry.server == server })
 }
@@ -30,8 +30,8 @@
 	retry    int     // retry mode, from policy.RetryNever to policy.RetryTwice
 }
 
-// ApplyOrders applies all orders of a message and returns the numbers of the acknowledgements that it requests. The orders
-// must be valid; controlstream.ProxySession delivers only valid ones.
+// ApplyOrders applies all orders of a message and returns the numbers of the acknowledgements that the message requests. The
+// orders must be valid; controlstream.ProxySession delivers only valid ones.
 func (c *Core) ApplyOrders(message *order.Orders) (acknowledgements []uint32) {
 	for _, ord := range message.Orders {
 		switch variant := ord.What.(type) {
@@ -119,7 +119,7 @@
 		delete(c.ejected, ejection.Server)
 	}
 	if ejection.Going {
-		// Orders are applied without the current time. The time of the last load report is close enough.
+		// ApplyOrders is not passed the current time. The time of the last load report is close enough to it.
 		c.drainingSinceMs[ejection.Server] = c.lastReportMs
 	} else {
 		delete(c.drainingSinceMs, ejection.Server)
@@ -148,7 +148,7 @@
 }
 
 // HeldTables returns the tables in force with their ejections and traffic classes, for a Join message or a new lease holder.
-// The caller may change them.
+// The caller may change the returned tables.
 func (c *Core) HeldTables() (tables []*order.Holding) {
 	holdingByTable := map[*table]*order.Holding{}
 	for class, assigned := range c.tableByClass {
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -11,7 +11,7 @@
 	pending   eventHeap
 }
 
-// event is an action that is run at a time.
+// event is an action and the simulated time at which the action runs.
 type event struct {
 	atMs   float64
 	number uint64 // sequence number; breaks ties between events due at the same time
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("the fault at %s needs sockets, which a simulation does not have; play the script with 'scenario' instead", e.At)
 }
 
-// period is the time at which a fault begins, and its length, in ms.
+// period is the time at which a fault begins, and the length of the fault, in ms.
 type period struct{ startMs, lengthMs float64 }
 
 // scheduleFault schedules the events of a fault. The time of the fault counts from the start of the load. scheduleFault must
--- a/internal/simulation/planner.go
+++ b/internal/simulation/planner.go
@@ -24,7 +24,7 @@
 	unusedAddress = "127.0.0.1:1"
 )
 
-// simulatedPlanner runs the planner core of the product and is the host that carries out its decisions.
+// simulatedPlanner runs the planner core of the product and is the host that carries out the core's decisions.
 type simulatedPlanner struct {
 	fleet   *fleet
 	core    *planner.Core
--- a/internal/simulation/play.go
+++ b/internal/simulation/play.go
@@ -45,8 +45,9 @@
 	err              error // first error of the run
 }
 
-// Play plays a script once. It always uses one planner, whatever number the script states. The script must have been validated by
-// package settings, and is not changed. The error is an [UnsupportedFaultError] or the failure of a component.
+// Play plays a script once. It always uses one planner, even if the script states another number of planners. The script must
+// have been validated by package settings, and Play does not change the script. The error is an [UnsupportedFaultError] or the
+// failure of a component.
 func Play(scenario *script.Script) (*Result, error) {
 	f := &fleet{
 		script:           scenario,
--- a/internal/simulation/requests.go
+++ b/internal/simulation/requests.go
@@ -125,8 +125,8 @@
 	}})
 }
 
-// finishRequest handles the outcome of a request at its client: it schedules a retry at a random proxy if that is allowed, and
-// otherwise records the outcome.
+// finishRequest handles the outcome of a request at its client: it schedules a retry at a random proxy if a retry is allowed,
+// and otherwise records the outcome.
 func (f *fleet) finishRequest(request *clientRequest, outcome fake.Outcome) {
 	class := f.script.Groups[request.class]
 	tookMs := f.nowMs - request.startMs
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -10,7 +10,7 @@
 
 // server models a server as a queue in front of its cores. After a cold start, the server warms up; it crashes if it
 // receives too much work during that time. The parameters are those of the server in package fake, so that the results of
-// both can be compared.
+// both models can be compared.
 type server struct {
 	events   *eventQueue
 	address  string
@@ -28,10 +28,10 @@
 	slowdown float64 // factor by which the duration of work is multiplied; 1: no slowdown
 }
 
-// attempt is an attempt of a request that arrives at a server.
+// attempt is one attempt of a request, as received by a server.
 type attempt struct {
 	workMs float64
-	finish func(reply serverReply) // called at most once
+	finish func(reply serverReply) // passes the server's reply to the proxy; called at most once
 }
 
 // serverReply is how a server answers an attempt.
--- a/internal/weighttable/registry.go
+++ b/internal/weighttable/registry.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Table returns the table with the policy's table number. It adds an empty one if there is none.
+// Table returns the policy's table with the given number. If there is no such table, it adds an empty one.
 func (r *Registry[P]) Table(number int) *Table[P] {
 	table := r.tables[number]
 	if table == nil {
--- a/internal/weighttable/table.go
+++ b/internal/weighttable/table.go
@@ -11,17 +11,17 @@
 // Table is one weight table of the policy. P is the type by which the caller identifies a proxy. Callers may read the fields
 // but must not change them.
 type Table[P comparable] struct {
-	Number  int     // table number in the policy
+	Number  int     // number by which the policy identifies the table
 	Entries []Entry // one entry per server, in insertion order
 	Proxies []P     // proxies that use the table for at least one traffic class, without duplicates
 }
 
-// Index returns the index of a server's entry, or -1 if it has none.
+// Index returns the index of a server's entry, or -1 if the server has no entry.
 func (t *Table[P]) Index(server string) int {
 	return slices.IndexFunc(t.Entries, func(entry Entry) bool { return entry.Server == server })
 }
 
-// Weight returns a server's weight, or 0 if it has no entry.
+// Weight returns a server's weight, or 0 if the server has no entry.
 func (t *Table[P]) Weight(server string) float64 {
 	index := t.Index(server)
 	if index < 0 {
