--- a/cmd/lichenpick/load.go
+++ b/cmd/lichenpick/load.go
@@ -22,7 +22,7 @@
 	targets   string
 	rate      float64 // requests per second
 	ramp      string  // rates of the ramp as FROM:TO:BY; empty: run at one rate only
-	length    string  // duration of the run, or of each rate of a ramp
+	length    string  // duration of the run, or of the run at each rate of a ramp
 	class     string
 	deadline  string
 	objective string
@@ -105,7 +105,7 @@
 	return load.Ramp(from, to, by)
 }
 
-// runLoad sends the traffic, and writes the result to out and a line after each rate to progress.
+// runLoad sends the traffic. It writes the result to the writer out, and a line after each rate to the writer progress.
 func runLoad(ctx context.Context, options load.Options, ramp bool, out, progress io.Writer) error {
 	options.Progress = func(step load.Step) {
 		// A failure to write progress does not affect the run.
--- a/cmd/lichenpick/plannergroup.go
+++ b/cmd/lichenpick/plannergroup.go
@@ -49,8 +49,8 @@
 	rebalancedMs float64 // time from the restart until the planner held nine tenths of its lease quota; 0: not yet
 }
 
-// newPlannerGroup writes the settings files of all members, which use consecutive ports. If the members share a fleet, it also
-// initialises their stores.
+// newPlannerGroup writes the settings files of all planners in the group, which use consecutive ports. If the planners share a
+// fleet, newPlannerGroup also initialises the planners' stores.
 func newPlannerGroup(template *pb.Planner, proxies, count int, directory string) (*plannerGroup, error) {
 	if template.Status == "" {
 		return nil, usageError{errNoStatusAddress}
@@ -141,7 +141,8 @@
 	if member.command == nil || member.poll() != nil {
 		return
 	}
-	// The quota, proxies per member, need not be an integer, so both sides are multiplied instead of divided.
+	// The lease quota is proxies / members, which need not be an integer. The comparison therefore multiplies both sides by the
+	// number of members.
 	if 10*len(g.members)*member.status.LeasesHeld >= rebalancedTenths*g.proxies {
 		g.rebalancedMs = nowMs - g.restartedMs
 	}
--- a/cmd/lichenpick/plannermember.go
+++ b/cmd/lichenpick/plannermember.go
@@ -28,8 +28,8 @@
 	status        planner.Status // status at the last successful poll
 }
 
-// newPlannerMember writes the settings file of one planner. If the planner shares a fleet, it also initialises the planner's
-// store. The planner's ports are the ports in the settings plus the planner's number.
+// newPlannerMember writes the settings file of one planner. If the planner shares a fleet, newPlannerMember also initialises the
+// planner's store. The planner's ports are the ports in the settings plus number, the planner's index in its group.
 func newPlannerMember(config *pb.Planner, number int, directory string) (*plannerMember, error) {
 	var err error
 	config.Listen, err = shiftPort(config.Listen, number)
--- a/cmd/lichenpick/serve.go
+++ b/cmd/lichenpick/serve.go
@@ -27,7 +27,7 @@
 		Args:  exactArgs(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			hangup := make(chan os.Signal, 1)
-			signal.Notify(hangup, syscall.SIGHUP) // before any other step, as an unhandled SIGHUP would end the process
+			signal.Notify(hangup, syscall.SIGHUP) // called first, as an earlier SIGHUP would end the process
 			log, err := logger(logLevel, logForm)
 			if err != nil {
 				return err
--- a/internal/architecture/vocabulary_test.go
+++ b/internal/architecture/vocabulary_test.go
@@ -204,8 +204,8 @@
 	return isName && slices.Contains([]string{"t", "b", "f", "tb", "http"}, name.Name)
 }
 
-// record adds a hit for each retired word among the terms; where describes what contains the terms. Equal hits on one line are
-// added only once.
+// record adds a hit for each retired word among the terms. The string where describes what contains the terms. Equal hits on one
+// line are added only once.
 func (f *wordFinder) record(at token.Pos, where string, terms []term) {
 	position := f.positions.Position(at)
 	position.Filename = strings.TrimPrefix(position.Filename, moduleRoot+"/")
@@ -235,7 +235,7 @@
 	return strings.Join(text, ", ")
 }
 
-// listing returns up to limit hits, one on each line, followed by the number of omitted hits.
+// listing returns a text with the first hits, at most limit, one on each line, and the number of omitted hits, if any.
 func listing(hits []hit, limit int) string {
 	var lines []string
 	for _, found := range hits[:min(len(hits), limit)] {
--- a/internal/architecture/words_test.go
+++ b/internal/architecture/words_test.go
@@ -10,8 +10,8 @@
 // retiredWord is a word that the project no longer uses, with its replacement.
 //
 // Forms are lower-case words or phrases. A form that ends with '*' stands for all words with this prefix. A phrase with a
-// space matches successive words or parts of an identifier; one with a hyphen matches only hyphenated words and parts of an
-// identifier. A form that begins with '.' matches only in identifiers of code, for a word with a standard sense in prose.
+// space matches successive words or parts of an identifier; a phrase with a hyphen matches only hyphenated words and parts of an
+// identifier. A form that begins with '.' is for a word with a standard sense in prose: it matches only identifiers of code.
 type retiredWord struct {
 	Forms       []string
 	Replacement string
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -26,11 +26,11 @@
 	Deadline(ms float64) time.Time
 }
 
-// Network dials and listens.
+// Network opens connections and listeners.
 type Network interface {
-	// Dial connects to the address to, host:port, from the local IP address from, or from any local address if from is the zero
-	// Addr. The context limits the time until the connection is established. The end of the context does not close an
-	// established connection.
+	// Dial opens a connection. The parameter to is the remote address, host:port. The parameter from is the local IP address;
+	// the zero Addr means any local address. The context limits the time until the connection is established. The end of the
+	// context does not close an established connection.
 	Dial(ctx context.Context, from netip.Addr, to string) (net.Conn, error)
 	// Listen listens on an address, host:port. The end of the context does not close the listener.
 	Listen(ctx context.Context, at string) (net.Listener, error)
--- a/internal/clock/real.go
+++ b/internal/clock/real.go
@@ -5,7 +5,7 @@
 // Real is the machine's clock. Use NewReal to create it.
 type Real struct{ origin time.Time }
 
-// NewReal returns the machine's clock, whose Monotonic starts at 0 now.
+// NewReal returns the machine's clock. The clock's method Monotonic returns the time since this call of NewReal.
 func NewReal() *Real { return &Real{origin: time.Now()} }
 
 // Monotonic implements Clock. It uses the monotonic clock reading of package time, which is unaffected by changes of the
--- a/internal/invariant/backlog.go
+++ b/internal/invariant/backlog.go
@@ -13,7 +13,7 @@
 	compactMinAgeMs = 60_000.0
 )
 
-// queuedMessage is a message whose weight entries were queued at a planner from its decision until it was sent.
+// queuedMessage is a message to a proxy, whose weight entries were queued at a planner from decidedMs to sentMs.
 type queuedMessage struct {
 	decidedMs, sentMs float64
 	entries           float64
@@ -21,15 +21,16 @@
 
 // backlog is the history of the weight entries that were queued at one planner. The zero value is empty.
 //
-// A message becomes known only when it is sent. The backlog at a time is therefore final only after all messages that were
-// decided until this time have been sent. For this reason the history is kept, but compacted: the peak of the backlog bounds
-// the size of the history.
+// A message is recorded only when it is sent. The size of the backlog at a time is therefore final only after all messages that
+// were decided until this time have been sent. For this reason the history is kept, but compacted: the peak of the backlog
+// bounds the number of messages that a compaction leaves.
 type backlog struct {
 	messages  []queuedMessage
 	compactAt int // number of messages at which the next compaction runs; 0: minCompactMessages
 }
 
-// add records a message that was sent at sentMs. Calls may be out of order of sentMs by up to compactMinAgeMs.
+// add records a message that was sent at sentMs. This time may be up to compactMinAgeMs earlier than the sentMs of previous
+// calls.
 func (b *backlog) add(decidedMs, sentMs, entries float64) {
 	b.messages = append(b.messages, queuedMessage{decidedMs, sentMs, entries})
 	if len(b.messages) >= max(b.compactAt, minCompactMessages) {
@@ -78,7 +79,7 @@
 	return steps
 }
 
-// backlogSize is the number of entries that are queued from a time on, until the next change.
+// backlogSize is the number of entries that are queued from atMs until the next change of this number.
 type backlogSize struct{ atMs, entries float64 }
 
 // sizesOf returns the size of the backlog after each change, in order of time. Among simultaneous changes, decreases come first.
@@ -98,8 +99,8 @@
 	return changes
 }
 
-// peak returns the largest backlog and the time at which this size was first reached. If several peaks are equal, the time
-// after a compaction may be that of a later peak.
+// peak returns the largest size of the backlog and the time at which the backlog first reached this size. If the backlog reached
+// this size several times, the time returned after a compaction may be a later one of these times.
 func (b *backlog) peak() backlogSize {
 	largest := backlogSize{}
 	for _, current := range sizesOf(b.messages) {
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -26,13 +26,13 @@
 	Attempts      int        // number of attempts that were sent to servers
 	Takeovers     []Takeover // takeovers in order of time, including the first lease of each proxy
 	Rejected      int        // number of messages that proxies rejected because of a past epoch
-	ResentEntries int        // number of weight entries in whole tables that reached proxies after a second or later lease grant
+	ResentEntries int        // number of weight entries in whole tables that reached proxies after their second lease grant
 
 	limits     Limits
 	planners   map[string]*plannerState
 	proxies    map[string]*proxyState
 	attempts   attemptLog
-	coldWork   map[string][]sentWork // work sent to warming servers within Limits.ColdOverloadWindowMs, by server
+	coldWork   map[string][]sentWork // work sent in the last Limits.ColdOverloadWindowMs, by warming server
 	violations map[Rule][]Violation
 	counts     map[Rule]int
 }
--- a/internal/invariant/lease.go
+++ b/internal/invariant/lease.go
@@ -10,7 +10,7 @@
 	sequence     uint64 // sequence number of the lease message that reported the last grant
 	grants       int
 	grantedAtMs  float64
-	releasedAtMs float64 // when the proxy's report that its last lease had ended was observed
+	releasedAtMs float64 // time of observing the proxy's report that its last lease had ended
 	lastFrameMs  float64 // when the holder's last frame reached the proxy
 
 	// unacknowledged holds the epochs of messages that the proxy has not acknowledged, by planner and message number.
@@ -26,9 +26,9 @@
 	GrantedMs   float64
 }
 
-// RecordLease records a lease message, which states who holds a proxy's lease. It was observed on the way to a planner. As a
-// proxy has several streams, its lease messages may be observed out of order. Their sequence numbers and epochs show which
-// message is newer.
+// RecordLease records a lease message, which states who holds a proxy's lease. The message was observed on the way to a planner.
+// As a proxy has several streams, the proxy's lease messages may be observed out of order. The sequence numbers and epochs of
+// the messages show which message is newer.
 func (c *Checker) RecordLease(name, plannerName string, atMs float64, statement *order.Lease) {
 	proxy := c.proxies[name]
 	if proxy == nil || !proxy.lease.shared {
@@ -54,7 +54,7 @@
 func (c *Checker) recordGrant(name string, proxy *proxyState, plannerName string, atMs float64, statement *order.Lease) {
 	lease := &proxy.lease
 	expiredMs := lease.releasedAtMs
-	if lease.holder != "" { // the lease message about the end of the previous lease, on another stream, was not observed yet
+	if lease.holder != "" { // the end of the previous lease, reported on another stream, was not observed yet
 		expiredMs = atMs
 	}
 	c.Takeovers = append(c.Takeovers, Takeover{
--- a/internal/invariant/orders.go
+++ b/internal/invariant/orders.go
@@ -64,7 +64,7 @@
 		return
 	}
 	if proxy.lease.shared && (proxy.lease.holder != plannerName || proxy.lease.epoch != orders.Epoch) {
-		return // the proxy rejects the message
+		return // the proxy rejects the message, as the planner does not hold the lease under the message's epoch
 	}
 	proxy.appliedDecisionMs = decidedMs
 	for _, single := range orders.Orders {
--- a/internal/invariant/proxy.go
+++ b/internal/invariant/proxy.go
@@ -24,7 +24,7 @@
 	withoutServerSince    []float64 // by traffic class: start of the current period without a server to pick; infinite: none
 	withoutServerReported []bool    // by traffic class: the violation in the current period without a server was recorded
 
-	recentMessagesMs  []float64 // decision times of messages within Limits.MessageWindowMs
+	recentMessagesMs  []float64 // decision times of the messages decided in the last Limits.MessageWindowMs
 	appliedDecisionMs float64   // decision time of the last message that reached the proxy
 
 	lease leaseState
@@ -34,7 +34,7 @@
 func (c *Checker) RecordJoin(name, plannerName string, atMs float64, join *order.Join) {
 	known := c.proxies[name]
 	if join.Lease != nil && known != nil && known.lease.shared {
-		return // a further stream of a known proxy, whose lease determines its leader
+		return // a further stream of a known proxy; the leader of this proxy depends on its lease, not on its streams
 	}
 	proxy := &proxyState{
 		planner:    plannerName,
--- a/internal/invariant/requests.go
+++ b/internal/invariant/requests.go
@@ -9,7 +9,7 @@
 type Attempt struct {
 	ID     string // ID of the request; a client that retries a request uses a new ID
 	Class  int    // traffic class
-	Number int    // number of the attempt, as counted by the proxy
+	Number int    // index of the attempt among the attempts of its request; the first is 1
 	Proxy  string
 }
 
@@ -23,7 +23,7 @@
 	unprocessed bool // the server proved that it did not begin to process the request
 }
 
-// attemptLog holds the latest attempts.
+// attemptLog holds the latest attempts of all requests.
 type attemptLog struct {
 	byRequest   map[requestKey][]*attempt
 	oldestFirst []requestKey // keys of the attempts' requests, one per attempt, in order of time
--- a/internal/invariant/rule.go
+++ b/internal/invariant/rule.go
@@ -26,7 +26,7 @@
 	StaleEpoch
 )
 
-// ruleNames are the names of the rules in reports. Other programs read them, so they must not change.
+// ruleNames are the names of the rules in reports. Other programs read these names, so the names must not change.
 var ruleNames = [...]string{
 	NoServer:        "bare",
 	DuplicateEffect: "twice",
@@ -68,7 +68,7 @@
 // Limits are the parameters of the rules. Times are in ms; work is in ms of one core at nominal speed.
 type Limits struct {
 	NoServerMs   float64 // longest time that a proxy may have no server to pick
-	DrainGraceMs float64 // time in which requests may still be sent to a server after a planner is notified of its drain
+	DrainGraceMs float64 // how long requests may be sent to a server after a planner is notified that this server drains
 	SlowStartMs  float64 // duration of a server's warm-up after its start
 	MissingMs    float64 // time after which a server that is missing from full endpoint lists counts as removed
 
@@ -78,7 +78,7 @@
 	HandshakeMs          float64 // work of opening a connection
 
 	MaxBacklog      float64 // maximum number of weight entries queued at a planner
-	MaxMessages     int     // maximum number of messages to one proxy within MessageWindowMs; 0: unlimited
+	MaxMessages     int     // maximum number of messages to one proxy in any period of MessageWindowMs; 0: unlimited
 	MessageWindowMs float64
 
 	// SlackMs is the tolerance for the time from the observation of a frame until it is applied, and from the pick of a server
--- a/internal/scenario/baseline.go
+++ b/internal/scenario/baseline.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	baselineTable  = 0     // number of the only weight table of a baseline
+	baselineTable  = 0     // table number of the only weight table of a baseline
 	baselinePollMs = 200.0 // interval at which a baseline decides even without a new input
 )
 
@@ -24,7 +24,7 @@
 	sentWeights    map[string]float64         // last weights sent, by server
 	ejected        map[string]bool
 	unassigned     []int // proxies to which the table is not assigned yet
-	timerRequested bool  // a timer was requested since the last SetTime
+	timerRequested bool  // a timer was requested since the last call of SetTime
 }
 
 var _ planner.Decider = (*baselineDecider)(nil)
--- a/internal/scenario/decider_test.go
+++ b/internal/scenario/decider_test.go
@@ -11,11 +11,11 @@
 	planner.Decider
 	host     policy.Host     // host of the wrapped policy's planner
 	cold     map[string]bool // servers with a start time in the endpoint list
-	newRound bool            // the next decision is the first since SetTime
+	newRound bool            // the next call of Next is the first since the last call of SetTime
 
 	editWeight   func(d *editingDecider, table int, server string, weight float64)
 	editEjection func(d *editingDecider, server string, ejected bool)
-	beforeRound  func(d *editingDecider) // called once after each SetTime
+	beforeRound  func(d *editingDecider) // called by the first call of Next after each call of SetTime
 }
 
 // editDecisions returns a hook that wraps a policy in an editingDecider and calls configure to set its functions.
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -37,8 +37,8 @@
 	"disk_full":        newFaultHandler((*script.Trouble).GetDiskFull, (*fleet).injectDiskFull),
 }
 
-// newFaultHandler returns the handler of one kind of fault: parameters returns the fault's parameters from a script, and inject
-// injects the fault for a duration.
+// newFaultHandler returns the handler of one kind of fault. The function parameters returns the fault's parameters from a
+// script, and the function inject injects the fault for a duration.
 func newFaultHandler[F any](parameters func(*script.Trouble) F, inject func(*fleet, context.Context, F, time.Duration) error) faultHandler {
 	return func(ctx context.Context, f *fleet, fault *script.Trouble) error {
 		return inject(f, ctx, parameters(fault), settings.Duration(fault.Lasts))
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -23,7 +23,7 @@
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		fields     string
-		minService float64 // limit far below the usual service, to check only that the fleet serves requests
+		minService float64 // minimum of Result.Service; far below the usual value, to check only that requests succeed
 	}{
 		"a planner that is killed while it sends, and restarts from a stale list": {`listed_late: "2s"
 			troubles { at: "2500ms" lasts: "800ms" planner_restart { kill: true after_bytes: 60 } }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -74,7 +74,7 @@
 	return f
 }
 
-// limits returns the limits of the invariants that the script sets.
+// limits returns the parameters with which the invariants are checked. Most of these parameters are settings of the script.
 func (f *fleet) limits() invariant.Limits {
 	channel := f.script.Channel
 	servers := f.script.Servers
--- a/internal/scenario/headparser.go
+++ b/internal/scenario/headparser.go
@@ -21,7 +21,8 @@
 	corrupt   bool // parsing failed, and further bytes are ignored
 }
 
-// feed parses further bytes. For each head that these bytes complete, it calls found with the head's first line and header.
+// feed parses further bytes. For each head that these bytes complete, feed calls the function found with the head's first line
+// and header.
 func (p *headParser) feed(data []byte, found func(firstLine string, header textproto.MIMEHeader)) {
 	if p.corrupt {
 		return
@@ -41,7 +42,7 @@
 			p.corrupt = true
 			return
 		}
-		p.bodyBytes, _ = strconv.Atoi(header.Get("Content-Length")) // a message without the header has no body
+		p.bodyBytes, _ = strconv.Atoi(header.Get("Content-Length")) // a message without Content-Length has no body
 		found(firstLine, header)
 	}
 }
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -17,7 +17,7 @@
 // outgoing connection can take the port of a server that is restarted.
 func listenAddress(zone int) string { return fmt.Sprintf("127.%d.1.1", zone+1) }
 
-// zoneOf returns the zone of an address from which a proxy dials, and unknownZone for an address that is not IPv4.
+// zoneOf returns the index of the zone to which a proxy's dial address belongs, and unknownZone for an address that is not IPv4.
 func zoneOf(from netip.Addr) int {
 	if !from.Is4() {
 		return unknownZone
@@ -25,7 +25,7 @@
 	return int(from.As4()[1]) - 1
 }
 
-// zoneByName returns the number of a zone of the script, and unknownZone for any other name.
+// zoneByName returns the index of the zone with the given name in the script, and unknownZone if the script has no such zone.
 func (f *fleet) zoneByName(name string) int {
 	for zone, place := range f.script.Places {
 		if place.Name == name {
@@ -41,7 +41,7 @@
 	planner *plannerInstance
 }
 
-// linkFaultFunc returns the fault of the links from an address to a target. It is called for each connection, by any
+// linkFaultFunc returns the fault of the links from an address to a target. The function is called for each connection, by any
 // goroutine.
 type linkFaultFunc func(from netip.Addr, to linkTarget) fake.LinkFault
 
--- a/internal/scenario/plannerprocess.go
+++ b/internal/scenario/plannerprocess.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	startAttempts     = 3                     // limit of attempts to start a planner; another process may take its port first
+	startAttempts     = 3                     // limit of attempts to start a planner; another process may take the chosen port
 	startPollInterval = 20 * time.Millisecond // time between status requests to a planner that is starting
 	// stopTimeout is the maximum time that a planner's process may take to exit. A process that takes longer counts as hung, and
 	// the run counts as failed.
--- a/internal/scenario/play.go
+++ b/internal/scenario/play.go
@@ -6,7 +6,7 @@
 // A single planner runs in this process. Several planners run as processes of their own, so that they can be paused and killed.
 // Each zone has its own loopback addresses, by which relays identify the zone that a connection comes from.
 //
-// A run takes real time, and its result depends on the machine: on a busy one, delays alone can violate invariants.
+// A run takes real time, and its result depends on the machine: on a busy machine, delays alone can violate invariants.
 package scenario
 
 import (
@@ -32,8 +32,8 @@
 
 // Play runs a script under the policy. Unless the script disables comparisons, it runs two variants for comparison at the same
 // time. For a shared fleet, the variants are planners that do not share the fleet, and a single planner; otherwise they are two
-// baselines. The text machine describes the machine and is only copied to the report. Only the policy's run logs to log. The
-// function spawn becomes [Hooks.Spawn] of every run.
+// baselines. The parameter machine is a description of the computer, which Play only copies to the report. Only the policy's run
+// writes to the logger log. The function spawn becomes [Hooks.Spawn] of every run.
 //
 // A violated invariant is no error; see [Report.Passed]. Play returns an error if a run could not be completed.
 func Play(ctx context.Context, scenario *script.Script, machine string, log *slog.Logger, spawn func(file string) *exec.Cmd) (*Report, error) {
--- a/internal/scenario/proxies.go
+++ b/internal/scenario/proxies.go
@@ -95,8 +95,8 @@
 	return seed, standing
 }
 
-// plannerAddresses returns the addresses of all planners, rotated by the number of the proxy. If the planners do not share the
-// fleet, the proxy belongs to the first planner in this order.
+// plannerAddresses returns the addresses of all planners for a proxy. The first address is that of the planner whose index is
+// proxyNumber modulo the number of planners. If the planners do not share the fleet, the proxy belongs to this planner.
 func (f *fleet) plannerAddresses(proxyNumber int) []string {
 	addresses := make([]string, 0, len(f.planners))
 	for n := range f.planners {
--- a/internal/scenario/report.go
+++ b/internal/scenario/report.go
@@ -24,14 +24,14 @@
 	Decider         string
 	Service         float64       // same fraction as ClassResult.Service, but of the requests of all classes
 	Classes         []ClassResult `json:"Groups"`
-	Seconds         []float64     // Service of each second in which requests were sent
+	Seconds         []float64     // same fraction as Service, for each second in which requests were sent
 	Requests        int           `json:"Asks"`  // number of requests from clients to proxies, retries included
 	Attempts        int           `json:"Tries"` // number of attempts from proxies to servers
 	Messages        int           // number of messages from planners to proxies
 	Entries         float64       `json:"Lines"` // number of weight entries in these messages
 	OrderMsP50      float64       // median time from the decision to the acknowledgement of an order; maximum over all planners
 	OrderMsP99      float64
-	PeakBacklog     float64               `json:"LinesPeak"` // peak of queued weight entries; maximum of the planners' counts
+	PeakBacklog     float64               `json:"LinesPeak"` // largest number of weight entries queued at any planner
 	Violations      []invariant.Violation `json:"Breaches"`  // at most 20 violations of each rule
 	ViolationCounts map[string]int        `json:"Broken"`    // number of violations by rule
 	Closes          map[string]uint64     `json:"Endings"`   // number of streams that ended at planners, by close reason
@@ -55,7 +55,7 @@
 	BytesDown int     `json:"DownBytes"` // bytes on control streams from planners to proxies
 }
 
-// leaseCount returns the number of proxies that had a leader at the end.
+// leaseCount returns the number of proxies that had a leader at the end of the run.
 func (r *Result) leaseCount() int {
 	count := 0
 	for _, leases := range r.LeasesByPlanner {
--- a/internal/scenario/requestobserver.go
+++ b/internal/scenario/requestobserver.go
@@ -14,7 +14,7 @@
 type requestObserver struct {
 	recorder  *recorder
 	server    string
-	classes   map[string]int // number of each traffic class, by class name
+	classes   map[string]int // index of each traffic class in the script, by class name
 	requests  headParser
 	responses headParser
 	current   invariant.Attempt // latest attempt on this connection; without pipelining there is one at a time
@@ -27,7 +27,7 @@
 	o.recorder.mu.Lock()
 	defer o.recorder.mu.Unlock()
 	o.requests.feed(data, func(_ string, header textproto.MIMEHeader) {
-		number, _ := strconv.Atoi(header.Get(proxy.AttemptHeader)) // the number is only shown as evidence of violations
+		number, _ := strconv.Atoi(header.Get(proxy.AttemptHeader)) // the number is used only in the evidence of violations
 		o.current = invariant.Attempt{
 			ID:     header.Get(proxy.RequestHeader),
 			Class:  o.classes[header.Get(proxy.ClassHeader)],
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// reserveServers draws up to count eligible servers that no other fault has reserved, and reserves them for the caller until
-// it calls releaseServers. If eligible is nil, all servers are eligible.
+// reserveServers draws up to count eligible servers that no other fault has reserved. The servers are reserved for the caller
+// until the caller passes them to releaseServers. If eligible is nil, all servers are eligible.
 func (f *fleet) reserveServers(count int, eligible func(*serverInstance) bool) []*serverInstance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/scenario/streamobserver.go
+++ b/internal/scenario/streamobserver.go
@@ -86,12 +86,12 @@
 	}
 }
 
-// FromTarget parses bytes that came from the planner. Delivered records the messages when they reach the proxy.
+// FromTarget parses bytes that came from the planner. The method Delivered records the messages when they reach the proxy.
 func (o *streamObserver) FromTarget(atMs float64, data []byte) {
 	o.recorder.mu.Lock()
 	defer o.recorder.mu.Unlock()
 	o.recorder.bytesDown += len(data)
-	endBytes := o.receivedBytes - o.toProxy.Buffered() // offset after the last complete frame
+	endBytes := o.receivedBytes - o.toProxy.Buffered() // offset in the stream after the last complete frame
 	o.receivedBytes += len(data)
 	o.toProxy.Feed(data)
 	for {
--- a/internal/scenario/summary.go
+++ b/internal/scenario/summary.go
@@ -43,7 +43,7 @@
 	return result
 }
 
-// addRequests adds the outcomes of the clients' requests.
+// addRequests adds the outcomes of the clients' requests to a run's result.
 func (f *fleet) addRequests(result *Result) {
 	classes, seconds, requests := f.loadGenerator.Tallies()
 	result.Requests = requests
@@ -64,8 +64,8 @@
 // serviceOf returns the priority weight of requests that succeeded in time, as a fraction of the priority weight of all requests.
 func serviceOf(tally fake.Tally) float64 { return tally.Value / max(tally.MaxValue, 1e-9) }
 
-// addPlannerStatuses adds the statuses of the planners: the maximum of their latencies and backlogs, and the sum of their closed
-// streams by close reason.
+// addPlannerStatuses adds figures from the statuses of all planners to a run's result: the maxima of the planners' latencies and
+// backlogs, and the total number of closed streams by close reason.
 func (f *fleet) addPlannerStatuses(result *Result) {
 	for _, status := range f.plannerStatuses {
 		result.OrderMsP50 = max(result.OrderMsP50, status.OrderMsP50)
@@ -77,7 +77,7 @@
 	}
 }
 
-// addTakeovers adds the number of takeovers, and the times that proxies were without a leader.
+// addTakeovers adds to the result the number of takeovers, and quantiles of the times that proxies were without a leader.
 func (r *Result) addTakeovers(grants []invariant.Takeover) {
 	granted := map[string]bool{}
 	var withoutLeaderMs []float64
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -39,7 +39,7 @@
 	return &Error{File: path, Problem: err.Error()}
 }
 
-// Parse works like Load, but reads a text instead of a file. Errors state name as their file.
+// Parse works like Load, but reads a text instead of a file. The string name appears in errors as the name of the file.
 func Parse(name string, text []byte, into proto.Message) error {
 	if err := prototext.Unmarshal(text, into); err != nil {
 		return syntaxError(name, text, err)
--- a/internal/settings/source.go
+++ b/internal/settings/source.go
@@ -22,7 +22,7 @@
 }
 
 // locate adds a position to a problem: the position of the deepest element of the problem's path that the file contains. For an
-// omitted field, this element is the enclosing message; if the file omits that too, the position is the start of the file.
+// omitted field, this element is the enclosing message; if the file omits this message too, the position is the file's start.
 func (s *source) locate(found *problem) *Error {
 	located := &Error{File: s.name, Line: 1, Column: 1, Field: found.at.String(), Problem: found.text}
 	nodes := s.nodes
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -86,7 +86,7 @@
 }
 
 // checkRange checks a number against the limits of its check option, and rejects infinities and NaN. The returned problem shows
-// valueText, which is the value as written in the file, and the limits as formatted by format.
+// valueText, which is the value as written in the file, and the limits as formatted by the function format.
 func checkRange(number float64, valueText string, check *options.Check, at path, format func(float64) string) *problem {
 	outOfRange := math.IsNaN(number) || math.IsInf(number, 0)
 	if check != nil {
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -20,7 +20,7 @@
 	Messages []json.RawMessage `json:"msgs"`
 }
 
-// wireHeader has the fields that every message has: the message's name, and the name of the instance it is for.
+// wireHeader has the fields that every message has: the message's name, and the name of the receiving instance.
 type wireHeader struct {
 	What *string `json:"what"`
 	Who  *string
@@ -137,7 +137,7 @@
 // wireAcknowledgement reports that a proxy has applied all messages sent before a request for acknowledgement.
 type wireAcknowledgement struct {
 	Proxy  int
-	Number int     // number of the request for acknowledgement
+	Number int     // sequence number of the request for acknowledgement
 	TookMs float64 // time from the request for acknowledgement to the acknowledgement
 }
 
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -1,7 +1,7 @@
 // Package simulator connects the policy to the simulator's protocol. It makes no decisions of its own.
 //
 // The simulator sends batches, each as one line of JSON. A batch has a time and the messages of that time. Each message has a
-// name ("what") and the planner instance that it is for ("Who"). The reply to a batch is one line with the actions of all
+// name ("what") and the planner instance that receives it ("Who"). The reply to a batch is one line with the actions of all
 // instances. Serve reads and answers batches until its input ends.
 //
 // The package has three parts. The codec (decode.go, encode.go, settings.go) translates between the protocol's names and the
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -65,7 +65,7 @@
 	ReloadSpanMs      float64
 	ReportEveryMs     float64
 	TransitMaxMs      float64
-	StaysLocal        []bool // by class, true: only servers of the proxy's zone; for classes beyond the end: false
+	StaysLocal        []bool // by class; true: only servers of the proxy's zone get requests; missing element: false
 }
 
 type wireRules struct {
