--- a/internal/lease/constants.go
+++ b/internal/lease/constants.go
@@ -17,8 +17,8 @@
 
 // Limits on how long a holder considers its lease valid.
 const (
-	// clockRateBound is the largest relative difference between the rates of two clocks that leases tolerate. The rates of
-	// quartz clocks differ by at most 0.0001; a clock that stops while its machine is suspended exceeds the bound.
+	// clockRateBound is the largest relative difference between the rates of two clocks that leases tolerate. The rate of a
+	// quartz clock stays within 0.0001 of true time; a clock that stops while its machine is suspended exceeds the bound.
 	clockRateBound = 0.1
 	// safetyMarginMs is the last part of a lease, in ms, that its holder does not use. The margin leaves time to send
 	// orders that were decided just before the holder stops using the lease.
--- a/internal/planner/sessions_test.go
+++ b/internal/planner/sessions_test.go
@@ -50,24 +50,26 @@
 func TestProxyName(t *testing.T) {
 	t.Run("a name belongs to its process until that is silent, and to the newest stream of that process", func(t *testing.T) {
 		host := newRecordingHost(t, "proxies: 4", 4)
+		// The arguments of join are the proxy's name, the incarnation, which differs for each process, and the number of the
+		// stream; a process numbers its streams from 1.
 		first := host.join("x", 1, 1)
 		host.run(0, 1000)
-		otherProcess := host.join("x", 2, 1) // joins while the stream of the first process is alive
+		otherProcess := host.join("x", 2, 1) // incarnation 2, another process, joins while the stream of incarnation 1 is alive
 		host.run(1050, 1100)
 		if host.closed[otherProcess] != controlstream.ReasonNameInUse || host.closed[first] != "" {
 			t.Errorf("close reasons: other process %q, first stream %q", host.closed[otherProcess], host.closed[first])
 		}
-		redialed := host.join("x", 1, 2) // opens a newer stream of the first process
+		redialed := host.join("x", 1, 2) // incarnation 1 joins again with its stream 2
 		host.run(1150, 2000)
 		if host.closed[first] != controlstream.ReasonSuperseded || host.closed[redialed] != "" || !host.received(redialed, isAssignment) {
 			t.Errorf("close reasons: first stream %q, second stream %q", host.closed[first], host.closed[redialed])
 		}
-		delayed := host.join("x", 1, 1) // joins late: an older stream of the first process
+		delayed := host.join("x", 1, 1) // stream 1 of incarnation 1 joins late, after its stream 2
 		host.run(2050, 2100)
 		if host.closed[delayed] != controlstream.ReasonNameInUse || host.closed[redialed] != "" {
 			t.Errorf("close reasons: delayed stream %q, second stream %q", host.closed[delayed], host.closed[redialed])
 		}
-		host.SetTime(9000, time.Time{}) // the first process has been silent for longer than nameReservedMs
+		host.SetTime(9000, time.Time{}) // incarnation 1 has been silent for longer than nameReservedMs
 		successor := host.join("x", 3, 1)
 		host.evaluate(9000)
 		if host.closed[successor] != "" {
