--- a/internal/controlstream/golden_test.go
+++ b/internal/controlstream/golden_test.go
@@ -19,7 +19,8 @@
 	Append(dst []byte, kind controlstream.FrameKind, body proto.Message) ([]byte, error)
 }
 
-// receiver implements the hosts of all sessions and collects the messages.
+// receiver implements PlannerHost, ProxyHost and EndpointHost, to which the sessions pass the messages that they receive. It
+// collects these messages.
 type receiver struct{ messages []proto.Message }
 
 func (r *receiver) add(message proto.Message) { r.messages = append(r.messages, message) }
@@ -182,8 +183,8 @@
 	return stream
 }
 
-// checkReceived compares the messages that a host received with the frames sent by the other end. Heartbeats and the close
-// frame are left out, as they are not passed to hosts.
+// checkReceived compares the messages that a receiver collected with the frames sent by the other end. Heartbeats and the
+// close frame are left out, as sessions do not pass them on.
 func checkReceived(t *testing.T, end string, got []proto.Message, frames []frame) {
 	t.Helper()
 	var want []proto.Message
--- a/internal/controlstream/plannersession_test.go
+++ b/internal/controlstream/plannersession_test.go
@@ -54,7 +54,7 @@
 }
 
 // TestPlannerSession checks that frames are decoded however their bytes are split into reads, and that each kind of
-// misbehaviour of a peer ends the stream with its own reason, after which the host is not called any more.
+// misbehaviour of a peer ends the stream with its own reason, after which no method of the PlannerHost is called any more.
 func TestPlannerSession(t *testing.T) {
 	t.Run("frames are split at any byte", checkFramesInPieces)
 	for name, test := range misbehaviours(t) {
--- a/internal/discovery/streamsource.go
+++ b/internal/discovery/streamsource.go
@@ -122,7 +122,7 @@
 		d.deliverEndpoints(policy.DeltaUpdate, listing)
 	case order.Listing_WHOLE:
 		d.deliverEndpoints(policy.FullUpdate, listing)
-	default: // an update of a form that only later releases know is delivered without its entries
+	default: // a later release added this value of Listing.Form; deliver the update, but not its entries
 		d.deliver(Update{Kind: policy.UpdateKind(listing.Form), AsOfMs: listing.AsOfUnixMs, Version: listing.Version})
 	}
 }
--- a/internal/discovery/tracker_test.go
+++ b/internal/discovery/tracker_test.go
@@ -13,7 +13,7 @@
 	testMaxEndpoints = 100
 )
 
-// trackerTest is a tracker and its host, which records the state that the policy would have.
+// trackerTest is a tracker and its Host. As the Host, it records the states of servers that the policy would have.
 type trackerTest struct {
 	tracker *Tracker
 	states  map[string]policy.State
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -4,7 +4,7 @@
 
 const (
 	foreverMs = 1e9 // longer than any simulated run, in ms
-	// unknownEpoch is above any epoch that a controller of a new world has reserved.
+	// unknownEpoch is above any epoch that a controller has reserved at the start of a simulation.
 	unknownEpoch = 5_000_000
 )
 
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -317,9 +317,12 @@
 		c.servers = c.servers[:6]
 		c.sendFullList(4) // most servers are missing from the list
 	},
-	25: func(c *simulation) { c.join(c.proxies[8], initialIncarnation+1) }, // rejected: the first process may still be alive
+	// A new process joins under the name of proxy 8, whose old process has been silent since second 23. The planner rejects
+	// the join, as the old process may still be alive.
+	25: func(c *simulation) { c.join(c.proxies[8], initialIncarnation+1) },
+	// The new process joins again. The planner accepts the join, as the old process has been silent for nameReservedMs.
 	26: func(c *simulation) {
-		c.proxies[8].incarnation++ // accepted: the first process has been silent for long enough
+		c.proxies[8].incarnation++
 		c.connect(c.proxies[8])
 	},
 }
--- a/internal/planner/host_test.go
+++ b/internal/planner/host_test.go
@@ -42,7 +42,7 @@
 	return set
 }
 
-// recordingHost is a core with its host, which records the messages to each stream and why the stream was closed.
+// recordingHost is a core and its Host. As the Host, it records the messages to each stream and why the stream was closed.
 type recordingHost struct {
 	*Core
 	t            testing.TB
--- a/internal/planner/publisher.go
+++ b/internal/planner/publisher.go
@@ -16,7 +16,7 @@
 type publisher struct {
 	planner         string // name of this planner
 	incarnation     uint64
-	messageOverhead float64                                  // entries that a message counts as, in addition to its orders
+	messageOverhead float64                                  // size of a message without its orders, in weight entries
 	queue           *controlstream.SendQueue[*queuedMessage] // messages that wait to be sent
 	dirty           []*joinedProxy                           // proxies with a pending update, oldest update first
 }
@@ -24,7 +24,7 @@
 // pendingUpdate holds the orders for one proxy that the current evaluation has decided so far.
 type pendingUpdate struct {
 	orders  *order.Orders // orders decided so far; nil: none
-	entries float64       // entries that the orders count as, without the message overhead
+	entries float64       // size of the orders in weight entries (see SendQueueLimits), without the message overhead
 	urgent  bool          // whether the orders eject a server that drains or is removed
 }
 
@@ -52,7 +52,8 @@
 	}
 }
 
-// add adds an order, which counts as some entries, to a proxy's update. wallTime is the wall-clock time of the evaluation.
+// add adds an order to a proxy's update. entries is the size of the order in weight entries; wallTime is the wall-clock time
+// of the evaluation.
 func (pub *publisher) add(p *joinedProxy, wallTime time.Time, entries float64, o *order.Order) {
 	update := &p.update
 	if update.orders == nil {
--- a/internal/platform/takeover_test.go
+++ b/internal/platform/takeover_test.go
@@ -33,8 +33,9 @@
 	rejoining        int // proxies with inherited tables that leave and rejoin
 }
 
-// massJoinScenarios are feasible at the rate of the channel: an assignment takes 25 to 31 entries, so 200 assignments take
-// 2.1 s to 2.6 s, and a batch of drains takes 0.3 s to 0.8 s.
+// massJoinScenarios are scenarios in which the channel is fast enough for the drain grace to be kept. The channel sends 2400
+// entries per second, as set in run; an entry is, for example, the weight or the ejection of one server, sent to one proxy.
+// An assignment has 25 to 31 entries, so 200 assignments take 2.1 s to 2.6 s. A batch of drains takes 0.3 s to 0.8 s.
 var massJoinScenarios = []massJoinScenario{
 	{"drains before the joins", 40, 200, -settledMs, joinIntervalMs, []float64{-500}, 0},
 	{"drains during the joins", 40, 200, -settledMs, joinIntervalMs, []float64{250}, 0},
--- a/internal/proxy/leasestate.go
+++ b/internal/proxy/leasestate.go
@@ -9,10 +9,10 @@
 
 // Limits of the history that a proxy keeps for its next lease holder.
 const (
-	// recentOrdersWindowMs is how long the proxy keeps the time of an Orders message after receiving the message. The window
-	// within which planners limit the messages to a proxy is seldom longer.
+	// recentOrdersWindowMs is how long the proxy keeps the time at which it received an Orders message. The window within
+	// which planners limit the messages to a proxy is seldom longer.
 	recentOrdersWindowMs = 60000.0
-	// maxRecentOrders is the largest number of Orders messages whose times are kept.
+	// maxRecentOrders is the largest number of Orders messages whose times of arrival the proxy keeps.
 	maxRecentOrders = 1000
 	// drainRetentionMs is how long after the ejection of a draining or removed server the proxy still names the server to a
 	// new lease holder. The new holder's own endpoint list shows the drain or removal long before this time has passed.
@@ -45,9 +45,9 @@
 	return c.grantor.Controller == controller && c.grantor.Incarnation == incarnation
 }
 
-// RecordOrders records the time of an Orders message. It must be called for each Orders message, from any controller and
-// whether or not the message is applied, because planners limit the number of all Orders messages to a proxy within a
-// window.
+// RecordOrders records that the proxy received an Orders message at nowMs. It must be called for each Orders message, from
+// any controller and whether or not the message is applied, because planners limit the number of all Orders messages to a
+// proxy within a window.
 func (c *Core) RecordOrders(nowMs float64) {
 	c.recentOrdersMs = append(c.recentOrdersMs, nowMs)
 	for c.recentOrdersMs[0] <= nowMs-recentOrdersWindowMs || len(c.recentOrdersMs) > maxRecentOrders {
@@ -56,8 +56,8 @@
 }
 
 // LeaseState returns a message that states who holds the proxy's lease. For a new holder, it also contains the tables,
-// ejections and admission rates in force, the draining servers, and the times of the latest Orders messages. The caller may
-// change the message.
+// ejections and admission rates in force, the draining servers, and how long ago the proxy received each of the latest Orders
+// messages. The caller may change the message.
 func (c *Core) LeaseState(nowMs float64, toNewHolder bool) *order.Lease {
 	c.grantor.SetTime(nowMs)
 	c.leaseStateCount++
--- a/internal/scenario/decider_test.go
+++ b/internal/scenario/decider_test.go
@@ -6,10 +6,11 @@
 )
 
 // editingDecider wraps a policy and changes the policy's decisions before the planner receives them, to act as a defective
-// policy. It is both the planner's decider and the policy's host. Functions that are nil change nothing.
+// policy. It is the planner.Decider of the planner and the policy.Host of the wrapped policy. Functions that are nil change
+// nothing.
 type editingDecider struct {
 	planner.Decider
-	host     policy.Host     // host of the wrapped policy's planner
+	host     policy.Host     // the planner's own Host, which gets the decisions after any change
 	cold     map[string]bool // servers with a start time in the endpoint list
 	newRound bool            // the next call of Next is the first since the last call of SetTime
 
--- a/policy/constants.go
+++ b/policy/constants.go
@@ -66,8 +66,8 @@
 	// assignment in a takeover: the entries of the largest weights, until their sum reaches this share. The other entries are
 	// omitted and sent later.
 	essentialWeight = 0.8
-	// maxTableWaitMs is the longest time in ms, from its join, that a proxy may wait in a takeover for a table with entries.
-	// The takeover ends once a proxy has waited longer.
+	// maxTableWaitMs is the longest time in ms that a proxy may wait in a takeover, after it has joined, for a table with
+	// entries. The takeover ends once a proxy has waited longer.
 	maxTableWaitMs = 1000.0
 	// minWeightChange is the least change of a weight that is sent, as a share of the weight; smaller changes are noise. It
 	// is also the least share of a server, as a part of the average share.
--- a/policy/inputs_test.go
+++ b/policy/inputs_test.go
@@ -9,7 +9,7 @@
 		f := startFleet(settings, 4)
 		failed := 0
 		for len(f.polls) < 6 && f.nowMs < 1.1e6 {
-			if len(f.polls) > failed { // every poll fails
+			if len(f.polls) > failed { // the planner has polled again since the last failure; this poll fails, too
 				failed = len(f.polls)
 				f.planner.UpdateEndpoints(FailedUpdate, nil)
 			}
--- a/policy/measurements.go
+++ b/policy/measurements.go
@@ -26,8 +26,9 @@
 	p.updateLatencyObjective()
 }
 
-// updateReportRound sets the age up to which reports count. A round, in which each server reports once, takes longer than
-// the report interval where the intake of the planner limits the rate of reports.
+// updateReportRound sets the duration of a round of load reports, in which each server reports once, and from it the age up
+// to which load and demand reports are included in the statistics. A round takes longer than the report interval if the
+// planner limits the rate at which it accepts load reports.
 func (p *Policy) updateReportRound() {
 	medianCoversMs := median(p.reportCoversMs, func(coversMs float64) float64 { return coversMs })
 	p.roundMs = math.Max(p.settings.ReportIntervalMs, medianCoversMs)
--- a/policy/outliers_test.go
+++ b/policy/outliers_test.go
@@ -64,7 +64,7 @@
 	t.Run("long rounds of load reports eject no server", func(t *testing.T) {
 		f := startFleet(testSettings(), 8)
 		f.run(10, healthy)
-		for range 8 { // the intake limits load reports to one round in 4 s
+		for range 8 { // each server reports once in 4 s, as if the planner accepted load reports at a low rate
 			f.run(3, nil)
 			for _, server := range f.planner.servers {
 				f.planner.RecordLoadReport(server.Server, server.Zone, 20, 0, 100, 4000)
--- a/policy/solver_test.go
+++ b/policy/solver_test.go
@@ -30,7 +30,7 @@
 	t.Run("Lemma 1 by hand", func(t *testing.T) {
 		// 1*(0.8-nu) + 2*(0.5-2nu) = 0.8, so nu = 0.2.
 		checkNear(t, "nu", waterLevel([]float64{0.8, 0.5}, []float64{1, 2}, 0.8), 0.2, 1e-12)
-		// With C 0.2 the second client is at zero: 0.8-nu = 0.2 has nu 0.6 above 0.5/2.
+		// If the terms must sum to 0.2, then 0.8-nu = 0.2, so nu = 0.6: the second term is 0, as 0.5-2nu is negative.
 		checkNear(t, "nu, one client at zero", waterLevel([]float64{0.8, 0.5}, []float64{1, 2}, 0.2), 0.6, 1e-12)
 	})
 }
